--- a/crates/ropeteam/src/news.rs
+++ b/crates/cluster/src/news.rs
@@ -3,7 +3,8 @@
 use crate::contact::{age_when_read, Contact};
 use crate::follower::Follower;
 use crate::Millis;
-use footbridge::{Calls, Fault, Kind};
+use ivygate_control_state::{Item, Items, Tables};
+use ivygate_rpc::{Calls, Fault, Kind};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, Ref, RefCell};
 use std::future::Future;
@@ -14,7 +15,6 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
-use trailmap::{Item, Items, Tables};
 
 /// The path at which every process is pulled from.
 const PATH: &str = "/news";
@@ -94,7 +94,7 @@
     }
 
     /// Forgets items for good.
-    pub fn forget(&self, keys: &[trailmap::Key]) {
+    pub fn forget(&self, keys: &[ivygate_control_state::Key]) {
         self.items.borrow_mut().forget(keys);
     }
 
--- a/crates/ropeteam/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,10 +1,10 @@
 //! What a process tells of itself.
 
 use crate::ring::watchers;
+use ivygate_control_state::{Item, Items, Table};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr};
-use trailmap::{Item, Items, Table};
 
 /// Which program it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/ropeteam/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -1,6 +1,6 @@
 //! Stories of answers that are read late: contact counts from the question, not from the reading.
 
-use ropeteam::{age_when_read, Contact, Follower, Pulled};
+use ivygate_cluster::{age_when_read, Contact, Follower, Pulled};
 use std::net::SocketAddr;
 
 fn at(port: u16) -> SocketAddr {
--- a/crates/ropeteam/tests/follower.rs
+++ b/crates/cluster/tests/follower.rs
@@ -1,6 +1,6 @@
 //! Stories of a process that chooses whom to pull news from.
 
-use ropeteam::Follower;
+use ivygate_cluster::Follower;
 use std::net::SocketAddr;
 
 fn at(port: u16) -> SocketAddr {
--- a/crates/ropeteam/tests/heartbeats.rs
+++ b/crates/cluster/tests/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Stories of a node that chooses whom to beat to.
 
-use ropeteam::{Heartbeats, Node, Role};
+use ivygate_cluster::{Heartbeats, Node, Role};
 use std::net::Ipv4Addr;
 
 fn ip(last: u8) -> Ipv4Addr {
--- a/crates/ropeteam/tests/messages.rs
+++ b/crates/cluster/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Pulls of control state, their answers and what a process tells of itself, byte for byte.
 
-use ropeteam::{Node, Pull, Pulled};
+use ivygate_cluster::{Node, Pull, Pulled};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/ropeteam/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,10 +3,10 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ropeteam::{age_when_read, Contact, Follower};
+use ivygate_cluster::{age_when_read, Contact, Follower};
+use ivygate_control_state::{Item, Items, Table, Tables};
 use std::hash::Hasher;
 use std::net::SocketAddr;
-use trailmap::{Item, Items, Table, Tables};
 
 const PARENTS: usize = 4;
 /// The whole wait for an answer, as the caller of pulls has it, and the pause after a failure.
--- a/crates/cairn/examples/at_size.rs
+++ b/crates/config-store/examples/at_size.rs
@@ -2,12 +2,12 @@
 //! and an empty machine, to hold all again. `cargo run --profile system -p cairn --example at_size [CHANGES]`; one process,
 //! messages handed over as the bytes that they are on the wire, no clock but the processor's own.
 
-use cairn::{CallId, Change, Disk, Kept, Output, Store};
+use ivygate_config_store::{CallId, Change, Disk, Kept, Output, Store};
+use ivygate_control_state::{Amended, Tables};
 use serde_json::json;
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
-use trailmap::{Amended, Tables};
 
 const STORES: usize = 7;
 const ROUTES: usize = 810;
--- a/crates/cairn/examples/write_stored_state.rs
+++ b/crates/config-store/examples/write_stored_state.rs
@@ -1,12 +1,12 @@
 //! Writes a store's folder and what it holds, as test data for later versions: `cargo run -p cairn --example
 //! write_stored_state FOLDER`. The fixture in `tests/data` was written once and must not be written again.
 
-use cairn::{Accepted, Ballot, Disk};
+use ivygate_config_store::{Accepted, Ballot, Disk};
+use ivygate_control_state::{Item, Table, Tables};
 use serde_json::{json, Value};
 use std::net::Ipv4Addr;
 use std::path::Path;
 use std::sync::Arc;
-use trailmap::{Item, Table, Tables};
 
 fn ballot(counter: u64) -> Ballot {
     Ballot { counter, by: Ipv4Addr::new(10, 1, 0, 5), incarnation: 7 }
--- a/crates/cairn/src/disk.rs
+++ b/crates/config-store/src/disk.rs
@@ -15,7 +15,8 @@
 //! written *now* does not: the folder is left as it is.
 
 use crate::messages::{Accepted, Ballot, Kept};
-use footbridge::{Fault, Kind};
+use ivygate_control_state::{Item, Tables};
+use ivygate_rpc::{Fault, Kind};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 use std::fs::{self, File};
@@ -23,7 +24,6 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use trailmap::{Item, Tables};
 
 /// What sled may keep in memory, in bytes.
 const CACHE: u64 = 8 << 20;
--- a/crates/cairn/src/gathering.rs
+++ b/crates/config-store/src/gathering.rs
@@ -6,9 +6,9 @@
 //! is of one state, and with it the whole is.
 
 use crate::messages::Ballot;
+use ivygate_control_state::{Item, Key};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Item, Key};
 
 /// Most items in a part: some hundred kilobytes, a second or so over a far link with small windows.
 pub(crate) const PART: usize = 2_000;
--- a/crates/cairn/src/group.rs
+++ b/crates/config-store/src/group.rs
@@ -1,10 +1,10 @@
 //! The group of acceptors: which incarnation of which machine has a place, and what makes a quorum. Called by the
 //! store; it never does I/O.
 
+use ivygate_control_state::{Item, Items, Table};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use trailmap::{Item, Items, Table};
 
 /// The name of the group's item.
 const CORE: &str = "core";
--- a/crates/cairn/src/keeper.rs
+++ b/crates/config-store/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use crate::disk::Disk;
 use crate::messages::Kept;
-use footbridge::{Fault, Kind};
+use ivygate_rpc::{Fault, Kind};
 
 /// A point on the caller's steady clock, in milliseconds.
 type Millis = f64;
--- a/crates/cairn/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -2,9 +2,10 @@
 //! [`Store`]; it never decides.
 
 use argh::FromArgs;
-use cairn::{Ask, CallId, Change, Disk, Keeper, Kept, Outcome, Output, Reply, Store};
-use footbridge::{answer_of, serve, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
-use ropeteam::{News, Pull};
+use ivygate_cluster::{News, Pull};
+use ivygate_config_store::{Ask, CallId, Change, Disk, Keeper, Kept, Outcome, Output, Reply, Store};
+use ivygate_control_state::{listing, Amended, Tables};
+use ivygate_rpc::{answer_of, serve, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,7 +16,6 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::oneshot;
 use tokio::time::{interval, Instant, MissedTickBehavior};
-use trailmap::{listing, Amended, Tables};
 
 /// Keeps the configuration together with the other stores.
 #[derive(FromArgs)]
@@ -272,8 +272,8 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Arguments = argh::from_env();
-    footbridge::start_logs("cairn", arguments.verbose);
-    footbridge::run_program(run)
+    ivygate_rpc::start_logs("cairn", arguments.verbose);
+    ivygate_rpc::run_program(run)
 }
 
 /// A store with what its disk held.
--- a/crates/cairn/src/messages.rs
+++ b/crates/config-store/src/messages.rs
@@ -1,10 +1,10 @@
 //! What stores say to each other, and what each keeps.
 
 use crate::group::Group;
+use ivygate_control_state::{Amended, Item, Items, Key, Tables};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Amended, Item, Items, Key, Tables};
 
 /// The number of a round, the same at no two stores, nor in two incarnations of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/cairn/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -9,12 +9,12 @@
 use crate::gathering::{Gathered, Gathering, Wanted, PART};
 use crate::group::{Group, GROUP_MOST};
 use crate::messages::{Accepted, Answer, Ask, Ballot, Candidate, Change, Kept, Outcome, Reply};
-use footbridge::{Fault, Kind};
+use ivygate_control_state::{amend, Item, Items, Key, Table};
+use ivygate_rpc::{Fault, Kind};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{amend, Item, Items, Key, Table};
 
 /// A point on the caller's steady clock, or a length of time, in milliseconds.
 type Millis = f64;
--- a/crates/cairn/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -2,7 +2,8 @@
 //! covered, and of each folder the names at its last sync; each later write is there, absent or torn, each later name
 //! there or not.
 
-use cairn::{Accepted, Ballot, Disk, Fsync, Kept};
+use ivygate_config_store::{Accepted, Ballot, Disk, Fsync, Kept};
+use ivygate_control_state::{Item, Table, Tables};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +14,6 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
-use trailmap::{Item, Table, Tables};
 
 /// A folder that goes when the test ends.
 struct Folder(PathBuf);
--- a/crates/cairn/tests/fleet/main.rs
+++ b/crates/config-store/tests/fleet/main.rs
@@ -2,10 +2,10 @@
 
 mod world;
 
-use cairn::{Change, Standing};
-use footbridge::Kind;
+use ivygate_config_store::{Change, Standing};
+use ivygate_control_state::{check, Table, Tables};
+use ivygate_rpc::Kind;
 use std::collections::BTreeMap;
-use trailmap::{check, Table, Tables};
 use world::{drop_route, routes, Defect, World};
 
 #[test]
--- a/crates/cairn/tests/fleet/world.rs
+++ b/crates/config-store/tests/fleet/world.rs
@@ -1,11 +1,11 @@
 //! A fleet of stores in memory: their clock, the links between them and their disks. Nothing sleeps.
 
-use cairn::{Answer, Ask, CallId, Change, Kept, Outcome, Output, Reply, Standing, Store};
-use footbridge::{Fault, Kind};
+use ivygate_config_store::{Answer, Ask, CallId, Change, Kept, Outcome, Output, Reply, Standing, Store};
+use ivygate_control_state::{Amended, Items, Table};
+use ivygate_rpc::{Fault, Kind};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use trailmap::{Amended, Items, Table};
 
 /// What the fleet does wrong on purpose, for its judge to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,8 +138,8 @@
         self.stores[n].as_ref().is_some_and(|store| store.kept().accepted.is_some())
     }
 
-    pub fn group(&self, n: usize) -> Option<cairn::Group> {
-        cairn::Group::read(self.items(n))
+    pub fn group(&self, n: usize) -> Option<ivygate_config_store::Group> {
+        ivygate_config_store::Group::read(self.items(n))
     }
 
     pub fn standing(&self, n: usize) -> Option<Standing> {
@@ -151,7 +151,7 @@
     }
 
     /// The highest round that a store knows to be chosen.
-    pub fn chosen(&self, n: usize) -> Option<cairn::Ballot> {
+    pub fn chosen(&self, n: usize) -> Option<ivygate_config_store::Ballot> {
         self.stores[n].as_ref().map(|store| store.kept().chosen)
     }
 
@@ -175,12 +175,16 @@
         }
         let mut kept = self.disks[n].clone();
         if self.defect == Defect::ForgetsWhatWasDropped {
-            let dropped: Vec<_> =
-                kept.items.all(trailmap::Tables::KEPT).filter(|i| i.body.is_none()).cloned().collect();
+            let dropped: Vec<_> = kept
+                .items
+                .all(ivygate_control_state::Tables::KEPT)
+                .filter(|i| i.body.is_none())
+                .cloned()
+                .collect();
             kept.items.forget(&dropped.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
         }
         if self.defect == Defect::ForgetsPromises {
-            kept.promised = cairn::Ballot::NONE;
+            kept.promised = ivygate_config_store::Ballot::NONE;
             kept.accepted = None;
         }
         let seed = self.rng.u64(..);
--- a/crates/cairn/tests/keeper.rs
+++ b/crates/config-store/tests/keeper.rs
@@ -1,7 +1,7 @@
 //! A store whose disk fails: what it may say, and when it is back.
 
-use cairn::{Ballot, DiskState, Keeper, Kept, Saves};
-use footbridge::{Fault, Kind};
+use ivygate_config_store::{Ballot, DiskState, Keeper, Kept, Saves};
+use ivygate_rpc::{Fault, Kind};
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/cairn/tests/messages.rs
+++ b/crates/config-store/tests/messages.rs
@@ -1,6 +1,6 @@
 //! What stores of the version before say to each other is understood and said on, byte for byte.
 
-use cairn::{Accepted, Ask, Ballot, Candidate, Reply};
+use ivygate_config_store::{Accepted, Ask, Ballot, Candidate, Reply};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/cairn/tests/stored_state.rs
+++ b/crates/config-store/tests/stored_state.rs
@@ -1,11 +1,11 @@
 //! A folder that an earlier version wrote is opened, read value by value, written on, and opened again.
 
-use cairn::{Ballot, Disk, Kept};
+use ivygate_config_store::{Ballot, Disk, Kept};
+use ivygate_control_state::{Item, Table, Tables};
 use serde_json::{json, Value};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use trailmap::{Item, Table, Tables};
 
 /// The folder as it was written, with `expected.json` beside it.
 fn fixture() -> PathBuf {
--- a/crates/trailmap/src/amend.rs
+++ b/crates/control-state/src/amend.rs
@@ -3,7 +3,7 @@
 use crate::config::{typed, Backend, Limits, Route, Tenant};
 use crate::item::{Item, Items, Key, Table};
 use crate::past::{Known, Past};
-use footbridge::{Fault, Kind};
+use ivygate_rpc::{Fault, Kind};
 use serde::de::{Error as _, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::{Map, Value};
--- a/crates/trailmap/src/config.rs
+++ b/crates/control-state/src/config.rs
@@ -1,7 +1,7 @@
 //! The operator's items as checked types, and what makes them sound together.
 
 use crate::item::{Items, Table};
-use footbridge::{Fault, Kind};
+use ivygate_rpc::{Fault, Kind};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::HashMap;
--- a/crates/trailmap/src/item.rs
+++ b/crates/control-state/src/item.rs
@@ -2,8 +2,8 @@
 
 use crate::judged::Judged;
 use bitflags::bitflags;
-use footbridge::Fault;
 use imbl::{OrdMap, OrdSet};
+use ivygate_rpc::Fault;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::borrow::Borrow;
--- a/crates/trailmap/src/judged.rs
+++ b/crates/control-state/src/judged.rs
@@ -6,8 +6,8 @@
 
 use crate::config::{typed, Backend, Limits, Route, Tenant};
 use crate::item::{find, Held, Item, Key, Table};
-use footbridge::{Fault, Kind};
 use imbl::OrdSet;
+use ivygate_rpc::{Fault, Kind};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/trailmap/tests/items.rs
+++ b/crates/control-state/tests/items.rs
@@ -1,8 +1,8 @@
 //! Copies merge to the same whatever the order; the operator's calls are judged as a whole.
 
 use arbtest::arbtest;
+use ivygate_control_state::{amend, check, listing, Amended, Item, Items, Table, Tables};
 use serde_json::json;
-use trailmap::{amend, check, listing, Amended, Item, Items, Table, Tables};
 
 fn items(u: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Vec<Item>> {
     let mut all = Vec::new();
--- a/crates/trailmap/tests/judged.rs
+++ b/crates/control-state/tests/judged.rs
@@ -2,9 +2,9 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
+use ivygate_control_state::{amend, check, verdict, Amended, Item, Items, Key, Table, Tables, Verdict};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use trailmap::{amend, check, verdict, Amended, Item, Items, Key, Table, Tables, Verdict};
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
@@ -138,7 +138,7 @@
                 assert_eq!(self.copy.digest(Tables::all()), next.digest(Tables::all()));
                 Some(true)
             }
-            Err(fault) if fault.kind == footbridge::Kind::Invalid => {
+            Err(fault) if fault.kind == ivygate_rpc::Kind::Invalid => {
                 assert!(check(&naive).is_err(), "{fault}");
                 Some(false)
             }
--- a/crates/trailmap/tests/numbers.rs
+++ b/crates/control-state/tests/numbers.rs
@@ -1,10 +1,10 @@
 //! No two contents are acknowledged under one number of an item, and a repeat of what was acknowledged is never refused.
 
 use arbtest::arbtest;
-use footbridge::Kind;
+use ivygate_control_state::{amend, check, listing, Amended, Item, Items, Table, Tables, REMEMBERED};
+use ivygate_rpc::Kind;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
-use trailmap::{amend, check, listing, Amended, Item, Items, Table, Tables, REMEMBERED};
 
 /// A call about tenants: names, numbers, and a burst each, or none for one to be dropped.
 fn tenants(list: &[(&str, u64, Option<f64>)]) -> Amended {
--- a/crates/trailmap/tests/spelling.rs
+++ b/crates/control-state/tests/spelling.rs
@@ -1,8 +1,8 @@
 //! How items, tables and the operator's calls are spelled, on disk, between processes and at the outside.
 
-use footbridge::Kind;
+use ivygate_control_state::{amend, listing, Amended, Item, Items, Table, Tables};
+use ivygate_rpc::Kind;
 use serde_json::json;
-use trailmap::{amend, listing, Amended, Item, Items, Table, Tables};
 
 const TABLES: [(Table, &str, u16); 10] = [
     (Table::Routes, "routes", 1),
--- a/crates/avalanche/src/adapter.rs
+++ b/crates/model-checker/src/adapter.rs
@@ -1,12 +1,12 @@
 //! All that touches the store's messages, disks and answers from the inside: the rest takes them as they come.
 
 use crate::defects::Defect;
-use cairn::{Answer, Ask, Ballot, Change, Kept, Outcome, Reply, Standing, Store};
-use footbridge::Fault;
+use ivygate_config_store::{Answer, Ask, Ballot, Change, Kept, Outcome, Reply, Standing, Store};
+use ivygate_control_state::{Amended, Item, Items, Key, Table, Tables};
+use ivygate_rpc::Fault;
 use serde_json::json;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Amended, Item, Items, Key, Table, Tables};
 
 /// The address of a machine.
 pub fn ip(machine: usize) -> Ipv4Addr {
--- a/crates/avalanche/src/judge.rs
+++ b/crates/model-checker/src/judge.rs
@@ -2,12 +2,12 @@
 
 use crate::adapter::{self, Op};
 use crate::linear::{search, Act, Entry, Found, Told};
-use cairn::{Ballot, CallId, Store};
-use footbridge::{Fault, Kind};
+use ivygate_config_store::{Ballot, CallId, Store};
+use ivygate_control_state::{check, Item, Items, Key, Table, Tables};
+use ivygate_rpc::{Fault, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
-use trailmap::{check, Item, Items, Key, Table, Tables};
 
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/avalanche/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -3,12 +3,12 @@
 //! Started by people and by tests of the store. Must never be shipped.
 
 use argh::FromArgs;
-use avalanche::defects::Defect;
-use avalanche::judge::Invariant;
-use avalanche::shrink::shrink;
-use avalanche::small::{explore, worlds};
-use avalanche::story::Story;
-use avalanche::world::play;
+use ivygate_model_checker::defects::Defect;
+use ivygate_model_checker::judge::Invariant;
+use ivygate_model_checker::shrink::shrink;
+use ivygate_model_checker::small::{explore, worlds};
+use ivygate_model_checker::story::Story;
+use ivygate_model_checker::world::play;
 use std::collections::BTreeSet;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/avalanche/src/small.rs
+++ b/crates/model-checker/src/small.rs
@@ -8,7 +8,7 @@
 use crate::adapter::{self, Op};
 use crate::defects::Defect;
 use crate::judge::{Break, Invariant, Judge};
-use cairn::{Ask, CallId, Kept, Output, Reply, Standing, Store};
+use ivygate_config_store::{Ask, CallId, Kept, Output, Reply, Standing, Store};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::fmt::{self, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/avalanche/tests/digests.rs
+++ b/crates/model-checker/tests/digests.rs
@@ -1,8 +1,8 @@
 //! What stores decide over a thousand random plays, as digests of the spelling of the wire and the disk. A change of names
 //! or shape leaves them as they are; a change of what stores do changes them, and gives the new ones in its commit.
 
-use avalanche::story::Story;
-use avalanche::world::digest;
+use ivygate_model_checker::story::Story;
+use ivygate_model_checker::world::digest;
 
 /// One digest a hundred seeds.
 const DIGESTS: [u64; 10] = [
--- a/crates/avalanche/tests/linear.rs
+++ b/crates/model-checker/tests/linear.rs
@@ -1,6 +1,6 @@
 //! Histories of one item, and whether an order explains them.
 
-use avalanche::linear::{search, Act, Entry, Found, Told};
+use ivygate_model_checker::linear::{search, Act, Entry, Found, Told};
 
 fn found(history: &[(f64, f64, Act)]) -> Found {
     let entries: Vec<_> =
--- a/crates/avalanche/tests/plays.rs
+++ b/crates/model-checker/tests/plays.rs
@@ -1,10 +1,10 @@
 //! A bounded part of the hunt, the same at each run, and what shows that it would find something.
 
-use avalanche::defects::Defect;
-use avalanche::judge::Invariant;
-use avalanche::shrink::shrink;
-use avalanche::story::Story;
-use avalanche::world::play;
+use ivygate_model_checker::defects::Defect;
+use ivygate_model_checker::judge::Invariant;
+use ivygate_model_checker::shrink::shrink;
+use ivygate_model_checker::story::Story;
+use ivygate_model_checker::world::play;
 use std::collections::BTreeSet;
 
 /// The seeds that are played by each test run.
--- a/crates/avalanche/tests/small.rs
+++ b/crates/model-checker/tests/small.rs
@@ -1,8 +1,8 @@
 //! Small worlds, as far as a test run allows: the same states at each run.
 
-use avalanche::defects::Defect;
-use avalanche::judge::Invariant;
-use avalanche::small::{explore, is_founded, worlds, Bounds};
+use ivygate_model_checker::defects::Defect;
+use ivygate_model_checker::judge::Invariant;
+use ivygate_model_checker::small::{explore, is_founded, worlds, Bounds};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/waymark/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -10,6 +10,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Request, Response, StatusCode};
+use ivygate_control_state::Effect;
 use ivygate_gateway::Millis;
 use ivygate_runtime::{
     end_to_end, one, retry_after_value, without_hop_by_hop, Answer, Ask, Asked, Front, Head, Leaving,
@@ -21,7 +22,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
-use trailmap::Effect;
 
 /// Longest id of a try.
 const ID_MOST: usize = 128;
--- a/crates/waymark/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -12,6 +12,6 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Arguments = argh::from_env();
-    footbridge::start_logs("waymark", arguments.verbose);
-    footbridge::run_program(waymark::run)
+    ivygate_rpc::start_logs("waymark", arguments.verbose);
+    ivygate_rpc::run_program(ivygate_proxy::run)
 }
--- a/crates/waymark/src/pools.rs
+++ b/crates/proxy/src/pools.rs
@@ -2,17 +2,17 @@
 
 use crate::answers;
 use crate::sight::{class_name, Sight};
-use footbridge::Boot;
-use hutbook::Server;
+use ivygate_cluster::{place, Node, Role};
+use ivygate_control_state::{Items, Table};
 use ivygate_gateway::{Class, Effect, Event, Fence, Gateway, Millis, Plan, Retries, Settings};
+use ivygate_registry::Server;
+use ivygate_rpc::Boot;
 use ivygate_runtime::{Clock, Driver, Listing, Reading, Seal, Target, TargetState, Upstream, UpstreamLimits};
-use ropeteam::{place, Node, Role};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::Duration;
-use trailmap::{Items, Table};
 
 /// The one plan of a pool: quotas are held by the tenant, over all services.
 pub const PLAN: &str = "all";
@@ -63,7 +63,7 @@
     retries: Retries,
 }
 
-fn class(route: &trailmap::Route) -> Class {
+fn class(route: &ivygate_control_state::Route) -> Class {
     let (aim, deadline) = (route.target_s * 1000.0, route.timeout_s * 1000.0);
     Class {
         name: class_name(route),
@@ -72,8 +72,8 @@
         worth: WORTH / (1.0 + f64::from(route.prio)),
         late_worth: 0.2,
         effect: match route.kind {
-            trailmap::Effect::Idempotent => Effect::Safe,
-            trailmap::Effect::Mutating | trailmap::Effect::Upload => Effect::Unsafe,
+            ivygate_control_state::Effect::Idempotent => Effect::Safe,
+            ivygate_control_state::Effect::Mutating | ivygate_control_state::Effect::Upload => Effect::Unsafe,
         },
         first_work: None,
         key_window: 0.0,
--- a/crates/waymark/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -4,12 +4,13 @@
 use crate::pools::Pools;
 use crate::sight::{Holder, Sight};
 use crate::team::Team;
-use footbridge::{serve, Boot, Calls, Fault, Incoming, Kind, Outgoing};
 use hyper::StatusCode;
+use ivygate_cluster::{follow, Node, Role};
+use ivygate_control_state::{Config, Tables};
 use ivygate_gateway::Millis;
+use ivygate_quota::Rations;
+use ivygate_rpc::{serve, Boot, Calls, Fault, Incoming, Kind, Outgoing};
 use ivygate_runtime::{listen, ClientLimits, Clients, Clock, Driver};
-use larder::Rations;
-use ropeteam::{follow, Node, Role};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,7 +18,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
-use trailmap::{Config, Tables};
 
 /// Descriptors that neither clients nor servers get.
 const RESERVE: u64 = 300;
--- a/crates/waymark/src/sight.rs
+++ b/crates/proxy/src/sight.rs
@@ -1,11 +1,11 @@
 //! What a proxy sees of the configuration: which route a request is on, and whose key it shows. Made anew when the
 //! configuration changes; requests keep the one that they began with.
 
+use ivygate_control_state::{Config, Effect, Route, Tenant};
 use ivygate_gateway::Zones;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::sync::Arc;
-use trailmap::{Config, Effect, Route, Tenant};
 
 /// A route, ready for use.
 pub struct Way {
--- a/crates/waymark/src/team.rs
+++ b/crates/proxy/src/team.rs
@@ -1,9 +1,10 @@
 //! The proxy among the nodes: heartbeats to its watchers, whom it pulls news from, and what it passes on.
 
-use footbridge::{answer_of, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
-use hutbook::{Beat, Beaten, WARDEN, WATCHERS};
-use larder::{Grant, Rations};
-use ropeteam::{Heartbeats, News, Node, Pull, Role, Source};
+use ivygate_cluster::{Heartbeats, News, Node, Pull, Role, Source};
+use ivygate_control_state::{Item, Table};
+use ivygate_quota::{Grant, Rations};
+use ivygate_registry::{Beat, Beaten, WARDEN, WATCHERS};
+use ivygate_rpc::{answer_of, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,7 +13,6 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
-use trailmap::{Item, Table};
 
 /// Period of heartbeats.
 const BEAT: Duration = Duration::from_millis(600);
@@ -296,7 +296,9 @@
         let mut registries: Vec<(u8, u64, Ipv4Addr)> = Node::all(&items, Role::Registry)
             .iter()
             .filter(|node| node.is_up())
-            .map(|node| (near(node), ropeteam::place(&format!("{} {}", self.boot.ip, node.ip)), node.ip))
+            .map(|node| {
+                (near(node), ivygate_cluster::place(&format!("{} {}", self.boot.ip, node.ip)), node.ip)
+            })
             .collect();
         registries.sort_unstable();
         let known = registries.into_iter().map(|(.., ip)| ip);
--- a/crates/waymark/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -1,16 +1,16 @@
 //! The whole proxy between clients and servers on real sockets, with a registry that tells it of routes and servers: whose
 //! answer a client gets, how often a server runs a request, and what is promised.
 
-use footbridge::{answer_of, serve, Boot, Fault, Handler, Kind};
-use hutbook::{Beaten, Server};
+use ivygate_cluster::{News, Pull};
+use ivygate_control_state::{Item, Table};
+use ivygate_registry::{Beaten, Server};
+use ivygate_rpc::{answer_of, serve, Boot, Fault, Handler, Kind};
 use ivygate_standin::{read_message, reset, until, Client, Message, Scripted};
-use ropeteam::{News, Pull};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
-use trailmap::{Item, Table};
 
 const SEALED: &str = "Ivygate-Server-Seal: s.1\r\n";
 
@@ -82,7 +82,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             registry(ip, told(server));
-            waymark::run(boot).await.expect("it runs");
+            ivygate_proxy::run(boot).await.expect("it runs");
         });
     });
     until("the proxy knows its routes", || {
--- a/crates/larder/tests/messages.rs
+++ b/crates/quota/tests/messages.rs
@@ -1,6 +1,6 @@
 //! What proxies and the one that gives shares out say to each other, byte for byte.
 
-use larder::{Grant, Report};
+use ivygate_quota::{Grant, Report};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
--- a/crates/larder/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use larder::{Grant, Keeper, Rations, Report, WHOLE};
+use ivygate_quota::{Grant, Keeper, Rations, Report, WHOLE};
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
--- a/crates/larder/tests/shares.rs
+++ b/crates/quota/tests/shares.rs
@@ -2,7 +2,7 @@
 //! adds up to more than the whole.
 
 use arbtest::arbtest;
-use larder::{Grant, Keeper, Rations, LEASE, WHOLE};
+use ivygate_quota::{Grant, Keeper, Rations, LEASE, WHOLE};
 use std::collections::BTreeMap;
 
 const PROXIES: usize = 6;
@@ -19,7 +19,7 @@
         let mut rations: Vec<Rations> = (0..PROXIES).map(|n| Rations::new(n as u64 + 1)).collect();
         let mut now = 0.0;
         // What a proxy was granted and has not heard of yet may arrive late.
-        let mut late: Vec<(usize, f64, larder::Grant)> = Vec::new();
+        let mut late: Vec<(usize, f64, ivygate_quota::Grant)> = Vec::new();
         while !u.is_empty() {
             now += f64::from(u.int_in_range(1..=800)?);
             let proxy: usize = u.int_in_range(0..=PROXIES - 1)?;
--- a/crates/hutbook/examples/slopes.rs
+++ b/crates/registry/examples/slopes.rs
@@ -3,14 +3,14 @@
 //!
 //!     cargo run --profile system -p hutbook --example slopes
 
-use hutbook::{Beat, Book};
-use larder::{Keeper, Rations};
-use ropeteam::{Node, Role};
+use ivygate_cluster::{Node, Role};
+use ivygate_control_state::{amend, check, Amended, Item, Items, Table, Tables};
+use ivygate_quota::{Keeper, Rations};
+use ivygate_registry::{Beat, Book};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Instant;
-use trailmap::{amend, check, Amended, Item, Items, Table, Tables};
 
 /// Resident memory of this process, in bytes; 0 where the system does not tell.
 fn resident() -> f64 {
@@ -239,7 +239,7 @@
     });
     slope("a look-up, a proxy", "us", [50, 100, 200], [150, 400], 523, |n| {
         let items = watched(n).1;
-        time(|| hutbook::addresses(&items, "z1", "r1"))
+        time(|| ivygate_registry::addresses(&items, "z1", "r1"))
     });
     slope("a report to the keeper, a proxy, 20 heavy tenants", "us", [50, 100, 200], [150, 400], 523, |n| {
         report(n, 20).0
--- a/crates/hutbook/src/book.rs
+++ b/crates/registry/src/book.rs
@@ -1,13 +1,13 @@
 //! One registry's part, as a state machine: heartbeats, what is lost, and the warden's duty.
 
 use crate::listing::{Reading, Server};
-use ropeteam::{Node, Role};
+use ivygate_cluster::{Node, Role};
+use ivygate_control_state::{Item, Items, Key, Table, Tables};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Item, Items, Key, Table, Tables};
 
 /// A point on the caller's steady clock, or a length of time, in milliseconds.
 type Millis = f64;
--- a/crates/hutbook/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,8 +1,8 @@
 //! Where a client is sent: proxies near it.
 
-use ropeteam::{Node, Role};
+use ivygate_cluster::{Node, Role};
+use ivygate_control_state::{Items, Table};
 use std::net::SocketAddr;
-use trailmap::{Items, Table};
 
 /// Most addresses in an answer.
 const MOST: usize = 64;
@@ -26,7 +26,7 @@
             // An emptied zone is about to lose more than its servers.
             let rank = if emptied(&node.zone) { near + 3 } else { near };
             let http = node.http?;
-            Some((rank, ropeteam::place(&format!("{zone} {http}")), http))
+            Some((rank, ivygate_cluster::place(&format!("{zone} {http}")), http))
         })
         .collect();
     ranked.sort_unstable();
--- a/crates/hutbook/src/errand.rs
+++ b/crates/registry/src/errand.rs
@@ -13,7 +13,7 @@
 //! A read changes nothing. An item carries its own version: the same content under it is taken once however often it
 //! comes, and an older one changes nothing. A drain has no version: one that lands late would undo what came after it.
 
-use footbridge::Kind;
+use ivygate_rpc::Kind;
 use std::net::SocketAddr;
 
 /// A point on the caller's steady clock, or a length of time, in milliseconds.
--- a/crates/hutbook/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -4,11 +4,14 @@
 mod operator;
 
 use argh::FromArgs;
-use footbridge::{answer_of, serve, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
-use hutbook::{addresses, Beat, Beaten, Book, Errand, Order, Other, Page, Reading, WARDEN, WATCHERS};
 use hyper::{Method, StatusCode};
-use larder::{Grant, Keeper, Report};
-use ropeteam::{follow, News, Node, Pull, Role, Source};
+use ivygate_cluster::{follow, News, Node, Pull, Role, Source};
+use ivygate_control_state::{Item, Table, Tables};
+use ivygate_quota::{Grant, Keeper, Report};
+use ivygate_registry::{
+    addresses, Beat, Beaten, Book, Errand, Order, Other, Page, Reading, WARDEN, WATCHERS,
+};
+use ivygate_rpc::{answer_of, serve, Boot, Calls, Fault, Incoming, Kind, Matcher, Outgoing};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -19,7 +22,6 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
-use trailmap::{Item, Table, Tables};
 
 /// Knows which nodes and servers there are, and takes the calls from outside. Without a command it serves by the
 /// settings file that IVYGATE_CONFIG names.
@@ -257,7 +259,7 @@
                 continue;
             }
             let lacking = {
-                let mut copy = trailmap::Items::default();
+                let mut copy = ivygate_control_state::Items::default();
                 for item in &theirs {
                     copy.merge_shared(item.clone());
                 }
@@ -520,11 +522,11 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Arguments = argh::from_env();
-    footbridge::start_logs("hutbook", arguments.verbose);
+    ivygate_rpc::start_logs("hutbook", arguments.verbose);
     if let Some(command) = arguments.command {
         return operator::run(command);
     }
-    footbridge::run_program(run)
+    ivygate_rpc::run_program(run)
 }
 
 async fn run(boot: Boot) -> Result<(), Fault> {
--- a/crates/hutbook/src/operator.rs
+++ b/crates/registry/src/operator.rs
@@ -2,16 +2,16 @@
 //! nothing that a core machine does not.
 
 use argh::FromArgs;
-use footbridge::{Calls, Fault, Kind};
-use hutbook::Server;
 use hyper::Method;
-use ropeteam::{Node, Pull, Pulled};
+use ivygate_cluster::{Node, Pull, Pulled};
+use ivygate_control_state::{verdict, Amended, Config, Items, Route, Table, Tables, Verdict};
+use ivygate_registry::Server;
+use ivygate_rpc::{Calls, Fault, Kind};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use trailmap::{verdict, Amended, Config, Items, Route, Table, Tables, Verdict};
 
 /// How long one core machine is waited for before the next is asked.
 const ANSWER: Duration = Duration::from_secs(4);
@@ -206,7 +206,7 @@
 }
 
 fn diff(stands: &Items, call: &Amended) -> String {
-    let line = |item: &trailmap::Item| {
+    let line = |item: &ivygate_control_state::Item| {
         let (table, name) = (item.key.table, &item.key.name);
         let held = stands.get(table, name).map(|held| held.version);
         let what = match (verdict(stands, item), held, item.body.is_some()) {
--- a/crates/hutbook/tests/cut.rs
+++ b/crates/registry/tests/cut.rs
@@ -1,11 +1,11 @@
 //! A core machine that is cut off from the other core machines for 20 s, as its registry and a proxy that follows it see
 //! that: its store hears no answers, whichever way the cut goes. Times are counted from the cut, and from its end.
 
-use footbridge::Kind;
-use hutbook::{Beat, Book, Errand, Order, Other};
-use ropeteam::{age_when_read, Contact, Follower, Node, Role};
+use ivygate_cluster::{age_when_read, Contact, Follower, Node, Role};
+use ivygate_control_state::Items;
+use ivygate_registry::{Beat, Book, Errand, Order, Other};
+use ivygate_rpc::Kind;
 use std::net::{Ipv4Addr, SocketAddr};
-use trailmap::Items;
 
 const CUT: f64 = 10_000.0;
 const END: f64 = 30_000.0;
--- a/crates/hutbook/tests/errand.rs
+++ b/crates/registry/tests/errand.rs
@@ -1,7 +1,7 @@
 //! Stories of an operator's call that the own machine's store can't carry out.
 
-use footbridge::Kind;
-use hutbook::{Errand, Order, Other};
+use ivygate_registry::{Errand, Order, Other};
+use ivygate_rpc::Kind;
 use std::net::SocketAddr;
 
 const ORDERS: [Order; 3] = [Order::Read, Order::Amend, Order::Drain];
--- a/crates/hutbook/tests/messages.rs
+++ b/crates/registry/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Heartbeats, entries of servers and the platform's list, as they are spoken.
 
-use hutbook::{Beat, Beaten, Page, Server, WARDEN, WATCHERS};
+use ivygate_registry::{Beat, Beaten, Page, Server, WARDEN, WATCHERS};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
--- a/crates/hutbook/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -10,14 +10,14 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use hutbook::{Beat, Beaten, Book, Page, Reading, Row, WARDEN, WATCHERS};
-use ropeteam::{Heartbeats, Node, Role};
+use ivygate_cluster::{Heartbeats, Node, Role};
+use ivygate_control_state::{Item, Items, Table, Tables};
+use ivygate_registry::{Beat, Beaten, Book, Page, Reading, Row, WARDEN, WATCHERS};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Item, Items, Table, Tables};
 
 const REGISTRIES: usize = 5;
 const PROXIES: usize = 4;
--- a/crates/hutbook/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,11 +1,11 @@
 //! Stories of registries that watch, take the warden's duty and read the platform's list.
 
-use hutbook::{addresses, Beat, Book, Page, Reading, Row, WARDEN};
-use ropeteam::{watchers, Node, Role};
+use ivygate_cluster::{watchers, Node, Role};
+use ivygate_control_state::{Item, Items, Table};
+use ivygate_registry::{addresses, Beat, Book, Page, Reading, Row, WARDEN};
 use serde_json::json;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use trailmap::{Item, Items, Table};
 
 fn ip(last: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, last)
--- a/crates/footbridge/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between own processes over real sockets: a peer that answers late, twice, for the call before, or half; one that
 //! breaks the connection; a caller that has left.
 
-use footbridge::{answer_of, serve, CallServer, Calls, Fault, Handler, Kind};
+use ivygate_rpc::{answer_of, serve, CallServer, Calls, Fault, Handler, Kind};
 use ivygate_standin::{read_message, reset, Message, Scripted};
 use std::cell::RefCell;
 use std::future::Future;
--- a/crates/footbridge/tests/error_answers.rs
+++ b/crates/rpc/tests/error_answers.rs
@@ -1,6 +1,6 @@
 //! Every kind of error: its word, the status and body that answer it, and whether the call may do better later.
 
-use footbridge::{answer_of, Fault, Kind};
+use ivygate_rpc::{answer_of, Fault, Kind};
 
 /// The kind, its word, its status, and whether the same call may do better elsewhere or later.
 const KINDS: [(Kind, &str, u16, bool); 13] = [
