--- a/crates/cluster/src/contact.rs
+++ b/crates/cluster/src/contact.rs
@@ -1,33 +1,33 @@
-//! How long ago a copy was surely in touch with more than half of the core, counted from when that was asked.
+//! How long ago a replica of control state was surely in contact with a quorum of the store, counted from when that was asked.
 
-use crate::Millis;
+use ivygate_time::Timestamp;
 
-/// An age that stands for "never".
-const NEVER: Millis = 86_400_000.0;
+/// An age that stands for "never", in milliseconds.
+const NEVER_MS: f64 = 86_400_000.0;
 
-/// How old an answer is when it is read: the age that it tells, and all the time since the question but what the one
-/// that answered says it held it for. Never less than the age told, whatever is said of holding.
-pub fn age_when_read(asked: Millis, now: Millis, age: Millis, held: Millis) -> Millis {
-    age.max(0.0) + (now - asked - held.max(0.0)).max(0.0)
+/// The age of contact that an answer tells, at the moment at which it is read, in milliseconds: the age told, and all the time
+/// since the request but what the answering process says it held the request for. It is never less than the age told.
+pub fn age_when_read_ms(asked: Timestamp, now: Timestamp, age_ms: f64, held_ms: f64) -> f64 {
+    age_ms.max(0.0) + (now.millis_since(asked) - held_ms.max(0.0)).max(0.0)
 }
 
-/// The last contact of a copy with more than half of the core.
+/// The last contact with a quorum of the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Contact {
-    at: Option<Millis>,
+pub struct CoreContact {
+    last: Option<Timestamp>,
 }
 
-impl Contact {
-    /// It was in touch so long ago; what is older than what is known changes nothing.
-    pub fn freshen(&mut self, now: Millis, age: Millis) {
-        let at = now - age.clamp(0.0, NEVER);
-        if self.at.is_none_or(|known| at > known) {
-            self.at = Some(at);
+impl CoreContact {
+    /// There was contact so long ago; what is older than what is known changes nothing.
+    pub fn record(&mut self, now: Timestamp, age_ms: f64) {
+        let contact = now.minus_millis(age_ms.clamp(0.0, NEVER_MS));
+        if self.last.is_none_or(|last| contact > last) {
+            self.last = Some(contact);
         }
     }
 
-    /// How long ago that was.
-    pub fn age(&self, now: Millis) -> Millis {
-        self.at.map_or(NEVER, |at| (now - at).clamp(0.0, NEVER))
+    /// How long ago that was, in milliseconds; a day where it never was.
+    pub fn age_ms(&self, now: Timestamp) -> f64 {
+        self.last.map_or(NEVER_MS, |last| now.millis_since(last).clamp(0.0, NEVER_MS))
     }
 }
--- a/crates/cluster/src/heartbeats.rs
+++ b/crates/cluster/src/heartbeats.rs
@@ -1,33 +1,34 @@
-//! Whom a node beats to: its watchers, and all registries that it knows of when nobody told it lately who they are.
+//! Whom a node sends heartbeats to: its watchers, or all registries that it knows of when none has named them lately.
 
 use crate::node::Node;
-use crate::Millis;
+use ivygate_time::Timestamp;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-/// Without an answer from a registry in touch with the core for this long, all are beaten to: both watchers may be gone, or
-/// be cut off from those who watch now.
-const MUTE: Millis = 1_300.0;
+/// Without an answer from a registry in contact with the store for this long, heartbeats go to all: both watchers may have
+/// failed, or be cut off from those that watch now.
+const WATCHERS_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// What a node knows of those that it beats to.
+/// What a node knows of those that it sends heartbeats to.
 #[derive(Clone, Debug)]
-pub struct Heartbeats {
+pub struct HeartbeatTargets {
     seeds: Vec<Ipv4Addr>,
     /// Registries that are up, by the last answer that named any.
     registries: Vec<Ipv4Addr>,
-    /// When that was asked for.
-    told: Option<Millis>,
+    /// When that answer was asked for.
+    named_at: Option<Timestamp>,
 }
 
-impl Heartbeats {
+impl HeartbeatTargets {
     /// Nothing was answered yet.
     pub fn new(seeds: Vec<Ipv4Addr>) -> Self {
-        Self { seeds, registries: Vec::new(), told: None }
+        Self { seeds, registries: Vec::new(), named_at: None }
     }
 
-    /// Whom to beat to now: `count` watchers, or all that it knows of.
-    pub fn to(&self, now: Millis, node: &Node, count: usize) -> Vec<Ipv4Addr> {
-        let sure = self.told.is_some_and(|told| now <= told + MUTE);
-        if sure && self.registries.len() >= count {
+    /// Whom to send to now: `count` watchers, or all that it knows of.
+    pub fn targets(&self, now: Timestamp, node: &Node, count: usize) -> Vec<Ipv4Addr> {
+        let is_current = self.named_at.is_some_and(|named_at| now <= named_at + WATCHERS_TIMEOUT);
+        if is_current && self.registries.len() >= count {
             return node.watchers(&self.registries, count);
         }
         let mut all: Vec<Ipv4Addr> = self.registries.iter().chain(&self.seeds).copied().collect();
@@ -36,10 +37,10 @@
         all
     }
 
-    /// The beat of `asked` was answered; one that is out of touch with the core names no registries.
-    pub fn answered(&mut self, asked: Millis, registries: Vec<Ipv4Addr>) {
-        if !registries.is_empty() && self.told.is_none_or(|told| asked >= told) {
-            self.told = Some(asked);
+    /// The heartbeat sent at `asked` was answered. A registry that is out of contact with the store names no registries.
+    pub fn handle_answer(&mut self, asked: Timestamp, registries: Vec<Ipv4Addr>) {
+        if !registries.is_empty() && self.named_at.is_none_or(|named_at| asked >= named_at) {
+            self.named_at = Some(asked);
             self.registries = registries;
         }
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,21 +1,20 @@
-//! How the processes of the whole system know each other and pass news on: the copy that each holds, pulls of what is
-//! new in it, the choice of whom to pull from, and places on a ring.
+//! How the processes of the system know each other: replication of control state to every node, the choice of whom to pull
+//! from, heartbeats, and the hash ring of watchers.
 //!
-//! Called by the three programs. Must never decide what the news means.
+//! Called by the three programs. It carries control state and never decides what it means.
 
 mod contact;
-mod follower;
 mod heartbeats;
-mod news;
+mod membership;
 mod node;
+mod parent_selector;
+mod replication;
 mod ring;
 
-pub use contact::{age_when_read, Contact};
-pub use follower::Follower;
-pub use heartbeats::Heartbeats;
-pub use news::{follow, News, Pull, Pulled, Source};
-pub use node::{Node, Role};
-pub use ring::{place, watchers};
-
-/// A point on the caller's steady clock, or a length of time, in milliseconds.
-pub type Millis = f64;
+pub use contact::{age_when_read_ms, CoreContact};
+pub use heartbeats::HeartbeatTargets;
+pub use membership::core_members;
+pub use node::{Node, Proximity, Role};
+pub use parent_selector::{Parent, ParentSelector};
+pub use replication::{follow, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
+pub use ring::{ring_position, watchers};
--- a/crates/cluster/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -1,44 +1,72 @@
 //! Stories of answers that are read late: contact counts from the question, not from the reading.
 
-use ivygate_cluster::{age_when_read, Contact, Follower, Pulled};
+use ivygate_cluster::{age_when_read_ms, CoreContact, Parent, ParentSelector, PullResponse};
+use ivygate_time::Timestamp;
 use std::net::SocketAddr;
 
+fn parent(address: SocketAddr, incarnation: u64, since: u64) -> Option<Parent> {
+    Some(Parent { address, incarnation, since })
+}
+
 fn at(port: u16) -> SocketAddr {
     ([10, 0, 0, 1], port).into()
 }
 
 #[test]
 fn given_a_follower_frozen_for_twenty_seconds_when_it_reads_the_old_answer_then_it_knows_that_it_is_old() {
-    let mut contact = Contact::default();
+    let mut contact = CoreContact::default();
     // Asked at 1 s, held 600 ms by the parent, whose contact was 200 ms old then; read when 20 s have passed.
-    let age = age_when_read(1_000.0, 21_000.0, 200.0, 600.0);
-    contact.freshen(21_000.0, age);
-    assert_eq!(contact.age(21_000.0), 19_600.0);
-    let mut follower = Follower::default();
-    follower.came(21_000.0, at(1), 7, 40, age);
-    assert_eq!(follower.next(21_010.0, &[at(1), at(2)]), Some((at(2), 0, 0)), "it asks another");
+    let age =
+        age_when_read_ms(Timestamp::from_millis(1_000.0), Timestamp::from_millis(21_000.0), 200.0, 600.0);
+    contact.record(Timestamp::from_millis(21_000.0), age);
+    assert_eq!(contact.age_ms(Timestamp::from_millis(21_000.0)), 19_600.0);
+    let mut follower = ParentSelector::default();
+    follower.handle_answer(Timestamp::from_millis(21_000.0), at(1), 7, 40, age);
+    assert_eq!(
+        follower.select(Timestamp::from_millis(21_010.0), &[at(1), at(2)]),
+        parent(at(2), 0, 0),
+        "it asks another"
+    );
 }
 
 #[test]
 fn given_an_answer_that_was_held_when_it_is_read_at_once_then_the_holding_adds_nothing() {
-    assert_eq!(age_when_read(0.0, 620.0, 100.0, 600.0), 120.0);
+    assert_eq!(
+        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 600.0),
+        120.0
+    );
     // Whatever a parent says of holding, nothing is younger than the age that it tells.
-    assert_eq!(age_when_read(0.0, 620.0, 100.0, 9_000.0), 100.0);
-    assert_eq!(age_when_read(0.0, 620.0, 100.0, -50.0), 720.0);
-    assert_eq!(age_when_read(620.0, 0.0, -5.0, 0.0), 0.0);
+    assert_eq!(
+        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 9_000.0),
+        100.0
+    );
+    assert_eq!(
+        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, -50.0),
+        720.0
+    );
+    assert_eq!(age_when_read_ms(Timestamp::from_millis(620.0), Timestamp::from_millis(0.0), -5.0, 0.0), 0.0);
 }
 
 #[test]
 fn given_an_older_contact_when_it_is_told_after_a_younger_one_then_the_younger_one_stays() {
-    let mut contact = Contact::default();
-    assert!(contact.age(5_000.0) > 80_000_000.0, "it never was in touch");
-    contact.freshen(5_000.0, 100.0);
-    contact.freshen(5_500.0, 4_000.0);
-    assert_eq!(contact.age(6_000.0), 1_100.0);
+    let mut contact = CoreContact::default();
+    assert!(contact.age_ms(Timestamp::from_millis(5_000.0)) > 80_000_000.0, "it never was in touch");
+    contact.record(Timestamp::from_millis(5_000.0), 100.0);
+    contact.record(Timestamp::from_millis(5_500.0), 4_000.0);
+    assert_eq!(contact.age_ms(Timestamp::from_millis(6_000.0)), 1_100.0);
 }
 
 #[test]
 fn given_a_parent_that_tells_nothing_of_holding_when_its_answer_is_read_then_all_its_time_counts() {
-    let pulled: Pulled = serde_json::from_str(r#"{"life":7,"change":1,"age":50.0}"#).expect("an answer");
-    assert_eq!(age_when_read(0.0, 600.0, pulled.age, pulled.held), 650.0);
+    let pulled: PullResponse =
+        serde_json::from_str(r#"{"life":7,"change":1,"age":50.0}"#).expect("an answer");
+    assert_eq!(
+        age_when_read_ms(
+            Timestamp::from_millis(0.0),
+            Timestamp::from_millis(600.0),
+            pulled.contact_age_ms,
+            pulled.held_ms
+        ),
+        650.0
+    );
 }
--- a/crates/cluster/tests/follower.rs
+++ b/crates/cluster/tests/follower.rs
@@ -1,43 +1,56 @@
 //! Stories of a process that chooses whom to pull news from.
 
-use ivygate_cluster::Follower;
+use ivygate_cluster::{Parent, ParentSelector};
+use ivygate_time::Timestamp;
 use std::net::SocketAddr;
 
+fn parent(address: SocketAddr, incarnation: u64, since: u64) -> Option<Parent> {
+    Some(Parent { address, incarnation, since })
+}
+
 fn at(port: u16) -> SocketAddr {
     ([10, 0, 0, 1], port).into()
 }
 
 #[test]
 fn given_a_parent_when_it_answers_then_the_next_pull_goes_on_from_there() {
-    let mut follower = Follower::default();
+    let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
-    assert_eq!(follower.next(0.0, &all), Some((at(1), 0, 0)));
-    follower.came(10.0, at(1), 7, 40, 100.0);
-    assert_eq!(follower.next(20.0, &all), Some((at(1), 7, 40)));
-    assert_eq!(follower.next(20.0, &[]), None);
+    assert_eq!(follower.select(Timestamp::from_millis(0.0), &all), parent(at(1), 0, 0));
+    follower.handle_answer(Timestamp::from_millis(10.0), at(1), 7, 40, 100.0);
+    assert_eq!(follower.select(Timestamp::from_millis(20.0), &all), parent(at(1), 7, 40));
+    assert_eq!(follower.select(Timestamp::from_millis(20.0), &[]), None);
 }
 
 #[test]
 fn given_a_parent_that_is_silent_when_another_is_there_then_that_one_is_asked_from_the_beginning() {
-    let mut follower = Follower::default();
+    let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
-    follower.came(0.0, at(1), 7, 40, 100.0);
-    follower.failed(10.0, at(1), false);
-    assert_eq!(follower.next(20.0, &all), Some((at(2), 0, 0)));
-    follower.came(30.0, at(2), 8, 3, 100.0);
-    assert_eq!(follower.next(2_100.0, &all).map(|next| next.0), Some(at(1)), "it is tried again later");
-    follower.failed(2_100.0, at(1), true);
-    assert_eq!(follower.next(2_500.0, &all).map(|next| next.0), Some(at(1)), "soon, where that costs little");
+    follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 100.0);
+    follower.handle_failure(Timestamp::from_millis(10.0), at(1), false);
+    assert_eq!(follower.select(Timestamp::from_millis(20.0), &all), parent(at(2), 0, 0));
+    follower.handle_answer(Timestamp::from_millis(30.0), at(2), 8, 3, 100.0);
+    assert_eq!(
+        follower.select(Timestamp::from_millis(2_100.0), &all).map(|next| next.address),
+        Some(at(1)),
+        "it is tried again later"
+    );
+    follower.handle_failure(Timestamp::from_millis(2_100.0), at(1), true);
+    assert_eq!(
+        follower.select(Timestamp::from_millis(2_500.0), &all).map(|next| next.address),
+        Some(at(1)),
+        "soon, where that costs little"
+    );
 }
 
 #[test]
 fn given_a_parent_out_of_touch_with_the_core_when_it_answers_then_another_is_asked_next() {
-    let mut follower = Follower::default();
-    follower.came(0.0, at(1), 7, 40, 9_000.0);
-    assert_eq!(follower.next(10.0, &[at(1), at(2)]), Some((at(2), 0, 0)));
-    follower.failed(20.0, at(2), false);
+    let mut follower = ParentSelector::default();
+    follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 9_000.0);
+    assert_eq!(follower.select(Timestamp::from_millis(10.0), &[at(1), at(2)]), parent(at(2), 0, 0));
+    follower.handle_failure(Timestamp::from_millis(20.0), at(2), false);
     assert_eq!(
-        follower.next(30.0, &[at(1), at(2)]).map(|next| next.0),
+        follower.select(Timestamp::from_millis(30.0), &[at(1), at(2)]).map(|next| next.address),
         Some(at(1)),
         "the one that failed first"
     );
@@ -46,28 +59,34 @@
 #[test]
 fn given_all_parents_out_of_touch_when_they_are_asked_in_turn_then_each_tells_only_what_is_new_since_its_last(
 ) {
-    let mut follower = Follower::default();
+    let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
     for (port, life, change) in [(1, 7, 40), (2, 8, 50)] {
-        assert_eq!(follower.next(0.0, &all), Some((at(port), 0, 0)));
-        assert!(!follower.came(0.0, at(port), life, change, 9_000.0));
+        assert_eq!(follower.select(Timestamp::from_millis(0.0), &all), parent(at(port), 0, 0));
+        assert!(!follower.handle_answer(Timestamp::from_millis(0.0), at(port), life, change, 9_000.0));
     }
-    assert_eq!(follower.next(10.0, &all), Some((at(1), 7, 40)), "not all of it once more");
-    follower.came(20.0, at(1), 7, 41, 9_000.0);
-    assert_eq!(follower.next(30.0, &all), Some((at(2), 8, 50)));
+    assert_eq!(
+        follower.select(Timestamp::from_millis(10.0), &all),
+        parent(at(1), 7, 40),
+        "not all of it once more"
+    );
+    follower.handle_answer(Timestamp::from_millis(20.0), at(1), 7, 41, 9_000.0);
+    assert_eq!(follower.select(Timestamp::from_millis(30.0), &all), parent(at(2), 8, 50));
 }
 
 #[test]
 fn given_three_bad_parents_before_a_good_one_when_they_stay_bad_then_the_good_one_is_asked_soon() {
-    let (mut follower, mut now) = (Follower::default(), 0.0);
+    let (mut follower, mut now) = (ParentSelector::default(), 0.0);
     let all = [at(1), at(2), at(3), at(4)];
-    while let Some((to, ..)) = follower.next(now, &all).filter(|(to, ..)| *to != at(4)) {
+    while let Some(Parent { address: to, .. }) =
+        follower.select(Timestamp::from_millis(now), &all).filter(|next| next.address != at(4))
+    {
         if to == at(1) {
             now += 700.0;
-            follower.came(now, to, 7, 40, 9_000.0);
+            follower.handle_answer(Timestamp::from_millis(now), to, 7, 40, 9_000.0);
         } else {
             now += 1_500.0;
-            follower.failed(now, to, false);
+            follower.handle_failure(Timestamp::from_millis(now), to, false);
         }
         assert!(now < 10_000.0, "they are asked in turn for ever");
     }
--- a/crates/cluster/tests/heartbeats.rs
+++ b/crates/cluster/tests/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Stories of a node that chooses whom to beat to.
 
-use ivygate_cluster::{Heartbeats, Node, Role};
+use ivygate_cluster::{HeartbeatTargets, Node, Role};
+use ivygate_time::Timestamp;
 use std::net::Ipv4Addr;
 
 fn ip(last: u8) -> Ipv4Addr {
@@ -14,29 +15,32 @@
 
 #[test]
 fn given_both_watchers_gone_when_no_answer_comes_then_all_known_are_beaten_to_until_one_names_who_is_up() {
-    let mut heartbeats = Heartbeats::new(vec![ip(1), ip(2), ip(3)]);
-    assert_eq!(heartbeats.to(0.0, &proxy(), 2).len(), 3, "nothing is known yet");
-    heartbeats.answered(0.0, (1..=6).map(ip).collect());
-    let first = heartbeats.to(100.0, &proxy(), 2);
+    let mut heartbeats = HeartbeatTargets::new(vec![ip(1), ip(2), ip(3)]);
+    assert_eq!(heartbeats.targets(Timestamp::from_millis(0.0), &proxy(), 2).len(), 3, "nothing is known yet");
+    heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=6).map(ip).collect());
+    let first = heartbeats.targets(Timestamp::from_millis(100.0), &proxy(), 2);
     assert_eq!(first.len(), 2);
-    assert_eq!(heartbeats.to(1_400.0, &proxy(), 2).len(), 6);
+    assert_eq!(heartbeats.targets(Timestamp::from_millis(1_400.0), &proxy(), 2).len(), 6);
     let up: Vec<Ipv4Addr> = (1..=6).map(ip).filter(|ip| !first.contains(ip)).collect();
-    heartbeats.answered(1_400.0, up.clone());
-    let next = heartbeats.to(1_500.0, &proxy(), 2);
+    heartbeats.handle_answer(Timestamp::from_millis(1_400.0), up.clone());
+    let next = heartbeats.targets(Timestamp::from_millis(1_500.0), &proxy(), 2);
     assert!(next.len() == 2 && next.iter().all(|ip| up.contains(ip)));
 }
 
 #[test]
 fn given_watchers_that_are_cut_off_from_the_core_when_they_answer_then_that_names_nobody_and_others_are_asked(
 ) {
-    let mut heartbeats = Heartbeats::new(vec![ip(1)]);
-    heartbeats.answered(0.0, (1..=4).map(ip).collect());
+    let mut heartbeats = HeartbeatTargets::new(vec![ip(1)]);
+    heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=4).map(ip).collect());
     for turn in 1..=3 {
-        heartbeats.answered(600.0 * f64::from(turn), Vec::new());
+        heartbeats.handle_answer(Timestamp::from_millis(600.0 * f64::from(turn)), Vec::new());
     }
-    assert_eq!(heartbeats.to(1_900.0, &proxy(), 2).len(), 4);
+    assert_eq!(heartbeats.targets(Timestamp::from_millis(1_900.0), &proxy(), 2).len(), 4);
     // An answer that is read late tells of an older time.
-    heartbeats.answered(1_800.0, vec![ip(3), ip(4)]);
-    heartbeats.answered(600.0, vec![ip(1), ip(2)]);
-    assert_eq!(heartbeats.to(1_900.0, &proxy(), 2), proxy().watchers(&[ip(3), ip(4)], 2));
+    heartbeats.handle_answer(Timestamp::from_millis(1_800.0), vec![ip(3), ip(4)]);
+    heartbeats.handle_answer(Timestamp::from_millis(600.0), vec![ip(1), ip(2)]);
+    assert_eq!(
+        heartbeats.targets(Timestamp::from_millis(1_900.0), &proxy(), 2),
+        proxy().watchers(&[ip(3), ip(4)], 2)
+    );
 }
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,8 +3,9 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ivygate_cluster::{age_when_read, Contact, Follower};
+use ivygate_cluster::{age_when_read_ms, CoreContact, ParentSelector};
 use ivygate_control_state::{Item, Items, Table, Tables};
+use ivygate_time::Timestamp;
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
@@ -12,7 +13,7 @@
 /// The whole wait for an answer, as the caller of pulls has it, and the pause after a failure.
 const WAIT: f64 = 1_400.0;
 const PAUSE: f64 = 100.0;
-/// News older than this are those of a parent out of touch; a pull that is held and its way back are not in it.
+/// StateReplica older than this are those of a parent out of touch; a pull that is held and its way back are not in it.
 const OLD: f64 = 3_500.0;
 const HELD: f64 = 800.0;
 /// While some parent is sound all the time, no contact gets older than this: it is `OLD` before a parent is left, and then
@@ -25,7 +26,7 @@
 struct Parent {
     life: u64,
     items: Items,
-    contact: Contact,
+    contact: CoreContact,
     /// Its ways to the core and to the follower.
     touches: bool,
     reached: bool,
@@ -42,14 +43,15 @@
     let parent = |life| Parent {
         life,
         items: Items::default(),
-        contact: Contact::default(),
+        contact: CoreContact::default(),
         touches: true,
         reached: true,
     };
     let mut parents: Vec<Parent> = (0..PARENTS).map(|n| parent(n as u64 + 1)).collect();
     let candidates: Vec<SocketAddr> = (0..PARENTS).map(at).collect();
     let (mut core, mut lives) = (Items::default(), 100);
-    let (mut follower, mut copy, mut contact) = (Follower::default(), Items::default(), Contact::default());
+    let (mut follower, mut copy, mut contact) =
+        (ParentSelector::default(), Items::default(), CoreContact::default());
     // Since when each parent is sound and nothing stood still.
     let (mut now, mut sound_since) = (0.0_f64, [0.0_f64; PARENTS]);
     let (mut fresh, mut turns) = (0, 0);
@@ -71,7 +73,7 @@
             }
         }
         for parent in parents.iter_mut().filter(|parent| parent.touches) {
-            parent.contact.freshen(now, 300.0);
+            parent.contact.record(Timestamp::from_millis(now), 300.0);
             for item in core.all(Tables::all()) {
                 parent.items.merge_shared(item.clone());
             }
@@ -84,25 +86,34 @@
             }
         }
         // One pull.
-        let (to, life, since) = follower.next(now, &candidates).expect("there are candidates");
-        digest.write(format!("{now:.3} {to} {life} {since} {:.3}\n", contact.age(now)).as_bytes());
+        let next = follower.select(Timestamp::from_millis(now), &candidates).expect("there are candidates");
+        let (to, life, since) = (next.address, next.incarnation, next.since);
+        digest.write(
+            format!("{now:.3} {to} {life} {since} {:.3}\n", contact.age_ms(Timestamp::from_millis(now)))
+                .as_bytes(),
+        );
         let (asked, one) = (now, &parents[candidates.iter().position(|c| *c == to).expect("one of them")]);
         if !one.reached {
             let gone = rng.bool();
             now += PAUSE + if gone { 1.0 } else { WAIT };
-            follower.failed(now, to, gone);
+            follower.handle_failure(Timestamp::from_millis(now), to, gone);
         } else {
             let since = if life == one.life { since } else { 0 };
-            let news = one.items.since(since, Tables::all());
+            let news = one.items.changes_since(since, Tables::all());
             let held = if news.is_empty() { 600.0 } else { 0.0 };
-            let (age, change, life, mine) =
-                (one.contact.age(now + held), one.items.changes(), one.life, one.items.clone());
+            let (age, change, life, mine) = (
+                one.contact.age_ms(Timestamp::from_millis(now + held)),
+                one.items.last_change(),
+                one.life,
+                one.items.clone(),
+            );
             // The follower may stand still before it reads.
             let frozen = rng.u8(..40) == 0;
             now += held + rng.f64() * 100.0 + if frozen { 20_000.0 } else { 0.0 };
-            let read = age_when_read(asked, now, age, held);
-            let in_touch = follower.came(now, to, life, change, read);
-            contact.freshen(now, read);
+            let read =
+                age_when_read_ms(Timestamp::from_millis(asked), Timestamp::from_millis(now), age, held);
+            let in_touch = follower.handle_answer(Timestamp::from_millis(now), to, life, change, read);
+            contact.record(Timestamp::from_millis(now), read);
             for item in news {
                 copy.merge_shared(item);
             }
@@ -112,7 +123,7 @@
                 assert!(had >= item.version, "seed {seed}: {} of {}", had, item.version);
             }
             // Its contact is never younger than that of whom it rests on.
-            assert!(contact.age(now) <= read + 1e-6 && read >= age, "seed {seed}");
+            assert!(contact.age_ms(Timestamp::from_millis(now)) <= read + 1e-6 && read >= age, "seed {seed}");
             assert!(!frozen || read >= 20_000.0, "seed {seed}: what stood still counts");
             now += if in_touch { 5.0 } else { PAUSE };
             if frozen {
@@ -120,9 +131,13 @@
             }
         }
         turns += 1;
-        fresh += u32::from(contact.age(now) < OLD);
+        fresh += u32::from(contact.age_ms(Timestamp::from_millis(now)) < OLD);
         if sound_since.iter().any(|since| now > since + OLDEST) {
-            assert!(contact.age(now) < OLDEST, "seed {seed}: {} at {now}", contact.age(now));
+            assert!(
+                contact.age_ms(Timestamp::from_millis(now)) < OLDEST,
+                "seed {seed}: {} at {now}",
+                contact.age_ms(Timestamp::from_millis(now))
+            );
         }
     }
     (fresh, turns, digest.finish())
--- a/crates/config-store/examples/at_size.rs
+++ b/crates/config-store/examples/at_size.rs
@@ -2,8 +2,9 @@
 //! and an empty machine, to hold all again. `cargo run --profile system -p cairn --example at_size [CHANGES]`; one process,
 //! messages handed over as the bytes that they are on the wire, no clock but the processor's own.
 
-use ivygate_config_store::{CallId, Change, Disk, Kept, Output, Store};
-use ivygate_control_state::{Amended, Tables};
+use ivygate_config_store::{Command, CommandId, Disk, DurableState, Effect, Store};
+use ivygate_control_state::{ConfigUpdate, Tables};
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -22,13 +23,13 @@
 struct Fleet {
     now: f64,
     stores: Vec<Option<Store>>,
-    saved: Vec<Kept>,
+    saved: Vec<DurableState>,
     /// Of the first store.
     disk: Option<Disk>,
     save: Duration,
     saves: u32,
     messages: VecDeque<Message>,
-    answered: Option<CallId>,
+    answered: Option<CommandId>,
     /// Bytes from and to each store, and its processor time.
     bytes: Vec<usize>,
     busy: Vec<Duration>,
@@ -51,27 +52,27 @@
         let begun = Instant::now();
         let store = self.stores[n].as_mut()?;
         let value = act(store, now);
-        let outputs = store.take_outputs();
+        let outputs = store.take_effects();
         self.busy[n] += begun.elapsed();
         for output in outputs {
             match output {
-                Output::Save => {
+                Effect::Save => {
                     let Some(store) = &self.stores[n] else { continue };
-                    self.saved[n] = store.kept().clone();
+                    self.saved[n] = store.state().clone();
                     if let (0, Some(disk)) = (n, &mut self.disk) {
                         let begun = Instant::now();
-                        disk.save(store.kept()).expect("the disk takes it");
+                        disk.save(store.state()).expect("the disk takes it");
                         self.save += begun.elapsed();
                         self.saves += 1;
                     }
                 }
-                Output::Send { to, number, ask } => {
+                Effect::Send { to, number, request: ask } => {
                     let begun = Instant::now();
                     let bytes = serde_json::to_vec(&ask).expect("it is JSON");
                     self.busy[n] += begun.elapsed();
                     self.send((n, usize::from(to.octets()[3]) - 1, number, false, bytes));
                 }
-                Output::Answer { call, .. } => self.answered = Some(call),
+                Effect::Complete { command: call, .. } => self.answered = Some(call),
             }
         }
         Some(value)
@@ -89,7 +90,7 @@
         while self.now < end {
             self.now += 10.0;
             for n in 0..self.stores.len() {
-                self.timed(n, |store, now| store.tick(now));
+                self.timed(n, |store, now| store.tick(Timestamp::from_millis(now)));
             }
             self.deliver();
         }
@@ -100,13 +101,14 @@
             if is_answer {
                 self.timed(to, |store, now| {
                     let reply = serde_json::from_slice(&bytes).expect("it is JSON");
-                    store.replied(now, number, Some(reply));
+                    store.handle_response(Timestamp::from_millis(now), number, Some(reply));
                 });
                 continue;
             }
             let answer = self.timed(to, |store, now| {
                 let ask = serde_json::from_slice(&bytes).expect("it is JSON");
-                serde_json::to_vec(&store.asked(now, ip(from), ask)).expect("it is JSON")
+                serde_json::to_vec(&store.handle_request(Timestamp::from_millis(now), ip(from), ask))
+                    .expect("it is JSON")
             });
             if let Some(answer) = answer {
                 self.send((to, from, number, true, answer));
@@ -114,8 +116,8 @@
         }
     }
 
-    fn call(&mut self, n: usize, id: CallId, change: Change) {
-        self.timed(n, |store, now| store.call(now, id, change));
+    fn call(&mut self, n: usize, id: CommandId, change: Command) {
+        self.timed(n, |store, now| store.submit(Timestamp::from_millis(now), id, change));
         while self.answered != Some(id) {
             self.deliver();
             if self.answered != Some(id) {
@@ -125,7 +127,7 @@
     }
 
     fn digest(&self, n: usize) -> Option<u64> {
-        self.stores[n].as_ref().map(|store| store.kept().items.digest(Tables::KEPT))
+        self.stores[n].as_ref().map(|store| store.state().items.digest(Tables::DURABLE))
     }
 
     /// Lets time pass until a store holds what the first one does; tells how long that took, and with how many bytes.
@@ -145,16 +147,16 @@
     (format!("r-{n:04}"), body)
 }
 
-fn amend(upsert: serde_json::Value) -> Change {
+fn apply_update(upsert: serde_json::Value) -> Command {
     let call = json!({ "upsert": upsert });
-    Change::Amend(Amended::read(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
 }
 
 fn main() {
     let changes: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(2_500);
     let folder = std::env::temp_dir().join(format!("cairn-at-size-{}", std::process::id()));
     let (disk, kept) = Disk::open(&folder, 1).map(|opened| (opened.0, opened.1)).expect("a folder");
-    let mut saved: Vec<Kept> = (0..=STORES).map(|n| Kept::new(n as u64 + 1)).collect();
+    let mut saved: Vec<DurableState> = (0..=STORES).map(|n| DurableState::new(n as u64 + 1)).collect();
     saved[0] = kept;
     let mut fleet = Fleet {
         now: 0.0,
@@ -182,7 +184,7 @@
         })
         .collect();
     let begun = Instant::now();
-    fleet.call(0, 1, amend(json!({ "backends": services, "routes": routes, "tenants": tenants })));
+    fleet.call(0, 1, apply_update(json!({ "backends": services, "routes": routes, "tenants": tenants })));
     println!("first call, all items: {:?}, largest message {} B", begun.elapsed(), fleet.largest);
     fleet.pass(3_000.0);
     // One is away while the others go on.
@@ -191,7 +193,7 @@
     (fleet.save, fleet.saves, fleet.largest) = (Duration::ZERO, 0, 0);
     for n in 0..changes {
         let (name, body) = route(n % ROUTES, 2 + n / ROUTES);
-        fleet.call(n % 3, 2 + n as u64, amend(json!({ "routes": { name: body } })));
+        fleet.call(n % 3, 2 + n as u64, apply_update(json!({ "routes": { name: body } })));
     }
     let of = |n: usize| (fleet.bytes[n] - bytes[n], fleet.busy[n] - busy[n]);
     let all: (usize, Duration) =
--- a/crates/config-store/examples/write_stored_state.rs
+++ b/crates/config-store/examples/write_stored_state.rs
@@ -1,7 +1,7 @@
 //! Writes a store's folder and what it holds, as test data for later versions: `cargo run -p cairn --example
 //! write_stored_state FOLDER`. The fixture in `tests/data` was written once and must not be written again.
 
-use ivygate_config_store::{Accepted, Ballot, Disk};
+use ivygate_config_store::{AcceptedProposal, Ballot, Disk};
 use ivygate_control_state::{Item, Table, Tables};
 use serde_json::{json, Value};
 use std::net::Ipv4Addr;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, by: Ipv4Addr::new(10, 1, 0, 5), incarnation: 7 }
+    Ballot { counter, proposer: Ipv4Addr::new(10, 1, 0, 5), incarnation: 7 }
 }
 
 fn item(table: Table, name: &str, version: u64, body: Option<Value>) -> Arc<Item> {
@@ -23,10 +23,10 @@
     let group =
         json!({ "members": ["10.1.0.5", "10.2.0.5", "10.3.0.5"], "incarnations": [7, 8, 9], "size": 3 });
     kept.promised = ballot(1);
-    kept.adopt(ballot(1), [item(Table::Group, "core", 1, Some(group))]);
+    kept.apply_chosen(ballot(1), [item(Table::Membership, "core", 1, Some(group))]);
     disk.save(&kept)?;
     kept.promised = ballot(4);
-    kept.adopt(
+    kept.apply_chosen(
         ballot(4),
         [
             item(
@@ -51,27 +51,32 @@
                 "note": "x".repeat(9_000) })),
             ),
             item(Table::Limits, "limits", 6, Some(json!({ "gen": "r6", "hdrBytes": 9000 }))),
-            item(Table::Past, "routes/pay", 1, Some(json!("0 11:00112233445566778899aabbccddeeff"))),
+            item(
+                Table::VersionHistory,
+                "routes/pay",
+                1,
+                Some(json!("0 11:00112233445566778899aabbccddeeff")),
+            ),
         ],
     );
     disk.save(&kept)?;
-    kept.adopt(
+    kept.apply_chosen(
         ballot(5),
         [
             item(Table::Drains, "zone-a", 1, Some(json!({}))),
             item(Table::Drains, "zone-b", 2, None),
-            item(Table::Duties, "warden", 17, Some(json!({ "holder": "10.1.0.5" }))),
+            item(Table::SingletonRoles, "warden", 17, Some(json!({ "holder": "10.1.0.5" }))),
         ],
     );
     kept.promised = ballot(9);
     let next = json!({ "gen": "r13", "vhost": "shop", "pathPrefix": "/pay/", "kind": "upload", "backend": "checkout" });
-    kept.accepted = Some(Accepted {
+    kept.accepted = Some(AcceptedProposal {
         ballot: ballot(8),
         items: vec![item(Table::Routes, "pay", 13, Some(next)), item(Table::Routes, "gone", 2, None)],
     });
     disk.save(&kept)?;
     disk.close();
-    let items: Vec<_> = kept.items.all(Tables::KEPT).collect();
+    let items: Vec<_> = kept.items.all(Tables::DURABLE).collect();
     let holds = json!({ "incarnation": kept.incarnation, "promised": kept.promised, "chosen": kept.chosen,
         "accepted": kept.accepted, "items": items });
     std::fs::write(folder.join("expected.json"), serde_json::to_string_pretty(&holds)?)?;
--- /dev/null
+++ b/crates/config-store/src/acceptor.rs
@@ -0,0 +1,73 @@
+//! The acceptor: promises and accepts rounds ("Paxos Made Simple", section 2.2).
+//!
+//! Invariant: a promise and an acceptance are saved before the reply goes out, since the proposer counts on them for good.
+
+use crate::effect::Effect;
+use crate::messages::{AcceptedProposal, Ballot, PeerResponse};
+use crate::store::Store;
+use ivygate_control_state::Item;
+use ivygate_time::{millis, Timestamp};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// An accepted proposal that is not heard to be chosen is proposed again by whoever holds it, after a time drawn between
+/// these: all that hold it begin to wait at once.
+const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(350);
+const MAX_RECOVERY_DELAY: Duration = Duration::from_millis(1_800);
+/// Most items that a promise carries; a proposer that lags by more catches up first.
+const MAX_PROMISE_ITEMS: usize = 256;
+
+impl Store {
+    /// Phase 1b: promises to take part in no round below `ballot`.
+    pub(crate) fn handle_prepare(&mut self, ballot: Ballot, chosen: Ballot) -> PeerResponse {
+        let highest_seen = self.state.highest_seen_ballot();
+        if ballot <= highest_seen {
+            return PeerResponse::Nack { promised: highest_seen };
+        }
+        self.promise(ballot);
+        self.effects.push(Effect::Save);
+        let items = self.state.items_since(chosen);
+        PeerResponse::Promised {
+            accepted: self.state.accepted.clone(),
+            chosen: self.state.chosen,
+            items: (items.len() <= MAX_PROMISE_ITEMS).then_some(items),
+        }
+    }
+
+    /// Phase 2b: accepts the round's items, unless a higher round was promised or chosen.
+    pub(crate) fn handle_accept(
+        &mut self,
+        now: Timestamp,
+        ballot: Ballot,
+        base: Ballot,
+        missing: Vec<Arc<Item>>,
+        items: Vec<Arc<Item>>,
+    ) -> PeerResponse {
+        if ballot < self.state.promised || ballot <= self.state.chosen {
+            return PeerResponse::Nack { promised: self.state.highest_seen_ballot() };
+        }
+        self.promise(ballot);
+        self.apply_chosen(base, missing);
+        self.state.accepted = Some(AcceptedProposal { ballot, items });
+        self.proposer.recovery_deadline = Some(self.draw_recovery_deadline(now));
+        self.effects.push(Effect::Save);
+        PeerResponse::Accepted
+    }
+
+    pub(crate) fn promise(&mut self, ballot: Ballot) {
+        self.state.promised = self.state.promised.max(ballot);
+        self.proposer.note_counter(ballot);
+    }
+
+    /// Sees to it that what is accepted and not known to be chosen is proposed again in time.
+    pub(crate) fn schedule_recovery(&mut self, now: Timestamp) {
+        if self.state.accepted.is_some() && self.proposer.recovery_deadline.is_none() {
+            self.proposer.recovery_deadline = Some(self.draw_recovery_deadline(now));
+        }
+    }
+
+    fn draw_recovery_deadline(&mut self, now: Timestamp) -> Timestamp {
+        let spread_ms = millis(MAX_RECOVERY_DELAY) - millis(MIN_RECOVERY_DELAY);
+        (now + MIN_RECOVERY_DELAY).plus_millis(self.rng.f64() * spread_ms)
+    }
+}
--- /dev/null
+++ b/crates/config-store/src/learner.rs
@@ -0,0 +1,241 @@
+//! The learner: takes in what is chosen, and fetches what it lacks from a peer.
+
+use crate::effect::Effect;
+use crate::membership::MAX_MEMBERS;
+use crate::messages::{Ballot, PeerRequest, PeerResponse};
+use crate::snapshot_transfer::{ChunkRequest, SnapshotTransfer, TransferStep, MAX_CHUNK_ITEMS};
+use crate::store::{MembershipStatus, Store};
+use ivygate_control_state::{Item, Key};
+use ivygate_time::Timestamp;
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What was learned is saved within this time also where nothing rests on it, so that a restart does not lag far behind.
+const LAZY_SAVE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Another peer is asked where the next chunk takes longer than this.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// For the first chunk ...
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_millis(800);
+/// ... and for the first chunk of a peer that has not answered anything yet.
+const UNKNOWN_PEER_CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// A snapshot transfer in progress, with the deadline after which another peer is tried.
+#[derive(Clone, Debug)]
+struct CatchUp {
+    transfer: SnapshotTransfer,
+    deadline: Timestamp,
+}
+
+/// The learner's state.
+#[derive(Clone, Debug)]
+pub(crate) struct Learner {
+    catch_up: Option<CatchUp>,
+    /// The number of the last request for a chunk: a reply to an earlier one is not taken for its reply.
+    chunk_request: u64,
+    /// Peers that sent requests while this replica was no member: they may know the membership.
+    requesters: BTreeSet<Ipv4Addr>,
+    /// Which source of snapshots is asked next where none has answered yet.
+    next_source: usize,
+    /// The round up to which the state was last saved for its own sake, and when.
+    lazily_saved: Ballot,
+    lazily_saved_at: Timestamp,
+    /// What was known to be chosen at the last ping and at the one before: a candidate must not lag behind the older.
+    chosen_at_pings: [Ballot; 2],
+}
+
+impl Default for Learner {
+    fn default() -> Self {
+        Self {
+            catch_up: None,
+            chunk_request: 0,
+            requesters: BTreeSet::new(),
+            next_source: 0,
+            lazily_saved: Ballot::NONE,
+            lazily_saved_at: Timestamp::DISTANT_PAST,
+            chosen_at_pings: [Ballot::NONE; 2],
+        }
+    }
+}
+
+impl Learner {
+    /// A peer can't be reached: a transfer from it is given up.
+    pub fn abort_transfer_from(&mut self, peer: Ipv4Addr) {
+        self.catch_up.take_if(|catch_up| catch_up.transfer.request().from == peer);
+    }
+
+    /// The members are being pinged.
+    pub fn note_ping(&mut self, chosen: Ballot) {
+        self.chosen_at_pings = [self.chosen_at_pings[1], chosen];
+    }
+
+    /// What was known to be chosen at the ping before the last.
+    pub fn chosen_before_last_ping(&self) -> Ballot {
+        self.chosen_at_pings[0]
+    }
+
+    fn is_catching_up(&self, now: Timestamp) -> bool {
+        self.catch_up.as_ref().is_some_and(|catch_up| now < catch_up.deadline)
+    }
+}
+
+impl Store {
+    /// Remembers who sends requests while this replica is no member.
+    pub(crate) fn note_requester(&mut self, peer: Ipv4Addr) {
+        if self.status() == MembershipStatus::Learner && self.learner.requesters.len() < MAX_MEMBERS {
+            self.learner.requesters.insert(peer);
+        }
+    }
+
+    /// A round is chosen. Where what it builds on is lacking, that is fetched: with these items alone, the register would
+    /// be in a state that never was.
+    pub(crate) fn handle_learn(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        base: Ballot,
+        items: Vec<Arc<Item>>,
+    ) -> PeerResponse {
+        let was_accepted = self.state.accepted.as_ref().is_some_and(|accepted| accepted.ballot == ballot);
+        if was_accepted || self.state.chosen >= base {
+            self.apply_chosen(ballot, items);
+        } else {
+            self.start_catch_up(now, from);
+        }
+        PeerResponse::Learned
+    }
+
+    /// Gives the next chunk of what was chosen after a round.
+    pub(crate) fn handle_catch_up(&self, chosen: Ballot, after: Option<Key>) -> PeerResponse {
+        let mut items = self.state.items_since(chosen);
+        items.retain(|item| after.as_ref().is_none_or(|after| item.key > *after));
+        items.sort_unstable_by(|a, b| a.key.cmp(&b.key));
+        let more = items.len() > MAX_CHUNK_ITEMS;
+        items.truncate(MAX_CHUNK_ITEMS);
+        PeerResponse::SnapshotChunk { chosen: self.state.chosen, items, more }
+    }
+
+    pub(crate) fn handle_pong(&mut self, now: Timestamp, from: Ipv4Addr, chosen: Ballot) {
+        if chosen > self.state.chosen {
+            self.start_catch_up(now, from);
+        }
+    }
+
+    /// Applies a chosen round, and a change of the membership in it.
+    pub(crate) fn apply_chosen(&mut self, chosen: Ballot, items: Vec<Arc<Item>>) {
+        self.proposer.note_counter(chosen);
+        let changes_membership = Self::change_membership(&items);
+        self.state.apply_chosen(chosen, items);
+        if self.state.accepted.is_none() {
+            self.proposer.recovery_deadline = None;
+        }
+        if changes_membership {
+            self.apply_membership();
+        }
+    }
+
+    fn apply_membership(&mut self) {
+        let had_place = self.is_member() || self.change.was_replaced();
+        // Until a quorum of the new membership has it on disk, a quorum of the old one is needed.
+        self.effects.push(Effect::Save);
+        self.membership = self.state.membership();
+        let membership = self.membership.as_ref();
+        self.peers.retain_contacts(|member| membership.is_some_and(|membership| membership.contains(member)));
+        let was_replaced = had_place && self.status() == MembershipStatus::Learner;
+        self.change.set_successor(self.membership.clone().filter(|_| was_replaced));
+    }
+
+    /// Fetches what was chosen from a peer that knows more, unless a transfer is in progress.
+    pub(crate) fn start_catch_up(&mut self, now: Timestamp, from: Ipv4Addr) {
+        if self.learner.is_catching_up(now) {
+            return;
+        }
+        self.forget_latency_of_source();
+        let transfer = SnapshotTransfer::new(from, self.state.chosen);
+        let request = transfer.request().clone();
+        let timeout = match self.peers.latency_ms(from) {
+            Some(_) => FIRST_CHUNK_TIMEOUT,
+            None => UNKNOWN_PEER_CHUNK_TIMEOUT,
+        };
+        self.learner.catch_up = Some(CatchUp { transfer, deadline: now + timeout });
+        self.request_chunk(now, request);
+    }
+
+    /// The peer of a transfer that is over time did not answer: it is among the last to be asked again.
+    fn forget_latency_of_source(&mut self) {
+        if let Some(catch_up) = &self.learner.catch_up {
+            self.peers.forget_latency(catch_up.transfer.request().from);
+        }
+    }
+
+    fn request_chunk(&mut self, now: Timestamp, request: ChunkRequest) {
+        let ChunkRequest { from, chosen, after } = request;
+        self.send(now, from, Ballot::NONE, PeerRequest::CatchUp { chosen, after });
+        self.learner.chunk_request = self.peers.last_number();
+    }
+
+    /// A chunk has come, for the request of this number.
+    pub(crate) fn handle_snapshot_chunk(
+        &mut self,
+        now: Timestamp,
+        number: u64,
+        chosen: Ballot,
+        items: Vec<Arc<Item>>,
+        more: bool,
+    ) {
+        if number != self.learner.chunk_request {
+            return;
+        }
+        let Some(catch_up) = self.learner.catch_up.take() else { return };
+        match catch_up.transfer.add_chunk(chosen, items, more) {
+            (transfer, TransferStep::Request(request)) => {
+                let deadline = now + CATCH_UP_TIMEOUT;
+                self.learner.catch_up = transfer.map(|transfer| CatchUp { transfer, deadline });
+                self.request_chunk(now, request);
+            }
+            (_, TransferStep::Complete(chosen, items)) => {
+                if chosen > self.state.chosen {
+                    self.apply_chosen(chosen, items);
+                }
+            }
+            (_, TransferStep::Aborted) => {}
+        }
+    }
+
+    /// A replica that is no member fetches from one of these peers, unless a transfer is in progress: from the nearest that
+    /// has answered, or from one after the other where none has.
+    pub(crate) fn catch_up_from_any(&mut self, now: Timestamp, sources: &[Ipv4Addr]) {
+        if self.learner.is_catching_up(now) {
+            return;
+        }
+        self.forget_latency_of_source();
+        let measured = sources.iter().filter_map(|source| Some((self.peers.latency_ms(*source)?, *source)));
+        let nearest = measured.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, source)| source);
+        self.learner.next_source = (self.learner.next_source + 1) % sources.len();
+        let source = nearest.unwrap_or(sources[self.learner.next_source]);
+        self.start_catch_up(now, source);
+    }
+
+    /// The peers that a replica which is no member may fetch from.
+    pub(crate) fn snapshot_sources(&self) -> Vec<Ipv4Addr> {
+        let mut sources = self.members();
+        sources.extend(&self.seeds);
+        sources.extend(&self.learner.requesters);
+        sources.sort_unstable();
+        sources.dedup();
+        sources.retain(|source| *source != self.address);
+        sources
+    }
+
+    /// Has what was learned saved now and then.
+    pub(crate) fn save_learned(&mut self, now: Timestamp) {
+        let is_due = now > self.learner.lazily_saved_at + LAZY_SAVE_INTERVAL;
+        if self.state.chosen > self.learner.lazily_saved && is_due {
+            self.learner.lazily_saved = self.state.chosen;
+            self.learner.lazily_saved_at = now;
+            self.effects.push(Effect::Save);
+        }
+    }
+}
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,18 +1,48 @@
-//! The store of configuration, a replicated register of items: rounds over more than half of the core machines, in
-//! which any of them takes a write; and the store's own state on disk.
+//! The configuration store: a replicated register of items that any of its members may write.
 //!
-//! Called by the program `cairn` and by tests of a fleet in memory. [`Store`] must never do I/O or read a clock; only
-//! [`Disk`] touches files.
+//! [`Store`] is one replica as a state machine without I/O; [`Disk`] keeps its state; [`DiskSupervisor`] decides whether it
+//! may act. The program `ivygate-config-store` ([`run`]) carries messages between the network, the disk and the store, and
+//! never decides anything.
+//!
+//! ```
+//! use ivygate_config_store::{DurableState, MembershipStatus, Store};
+//! use ivygate_time::Timestamp;
+//!
+//! let address = "10.0.0.1".parse().unwrap();
+//! let mut store = Store::new(address, vec![address], true, DurableState::new(7), 42);
+//! // A store of one machine is founded once no other machine has announced itself for a while.
+//! for tick in 0..40 {
+//!     store.tick(Timestamp::from_millis(50.0 * f64::from(tick)));
+//! }
+//! assert_eq!(store.status(), MembershipStatus::Member);
+//! ```
 
+mod acceptor;
+mod commands;
 mod disk;
-mod gathering;
-mod group;
-mod keeper;
+mod disk_supervisor;
+mod durable_state;
+mod effect;
+mod learner;
+mod member;
+mod membership;
+mod membership_change;
 mod messages;
+mod peers;
+mod proposer;
+mod service;
+mod snapshot_transfer;
 mod store;
 
-pub use disk::{Disk, Fsync, System};
-pub use group::Group;
-pub use keeper::{DiskState, Keeper, Saves};
-pub use messages::{Accepted, Answer, Ask, Ballot, Candidate, Change, Kept, Outcome, Reply};
-pub use store::{CallId, Output, Standing, Store};
+pub use disk::{Disk, Fsync, StorageError, SystemFsync};
+pub use disk_supervisor::{DiskStatus, DiskSupervisor, StateStorage};
+pub use durable_state::{DurableState, Watermark};
+pub use effect::Effect;
+pub use member::Member;
+pub use membership::Membership;
+pub use messages::{
+    AcceptedProposal, Ballot, Command, CommandId, CommandOutcome, JoinCandidate, PeerEnvelope, PeerReply,
+    PeerRequest, PeerResponse,
+};
+pub use service::{run, RoleRequest};
+pub use store::{MembershipStatus, Store};
--- /dev/null
+++ b/crates/config-store/src/membership_change.rs
@@ -0,0 +1,335 @@
+//! Changes of the membership: founding, joining, replacement of failed members, planned leave.
+//!
+//! A machine that is no member catches up as a learner and asks all for a place. The first member in order that is in
+//! contact then proposes a replacement; the change itself is a command like others, see `commands`.
+
+use crate::effect::Effect;
+use crate::member::Member;
+use crate::membership::{Membership, MAX_MEMBERS};
+use crate::messages::{Ballot, Command, JoinCandidate, PeerRequest, PeerResponse};
+use crate::peers::CONTACT_TIMEOUT;
+use crate::proposer::PendingCommand;
+use crate::store::{MembershipStatus, Store};
+use ivygate_control_state::Table;
+use ivygate_time::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::Ipv4Addr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Interval in which a replica that is no member asks its peers.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// The store is founded when no new machine has announced itself for this long.
+const FOUNDING_QUIET_PERIOD: Duration = Duration::from_millis(1_200);
+/// A member that has answered nothing for this long has failed, if a candidate waits for its place.
+const MEMBER_FAILURE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// A candidate asks again and again; one that has not asked for this long has given up.
+const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Least time between two changes of the membership that one member proposes.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(600);
+/// The id of commands that nobody waits for.
+const INTERNAL_COMMAND: u64 = 0;
+
+/// A candidate, and when it last asked.
+#[derive(Clone, Copy, Debug)]
+struct WaitingCandidate {
+    asked_at: Timestamp,
+    candidate: JoinCandidate,
+}
+
+/// The membership that replaced this member, and who of it is known to have it on disk.
+#[derive(Clone, Debug)]
+struct Successor {
+    membership: Membership,
+    informed: BTreeSet<Member>,
+}
+
+/// A place among the members.
+#[derive(Clone, Copy, Debug)]
+enum Place {
+    /// One that nobody has.
+    Free,
+    /// The place of a member.
+    Of(Member),
+}
+
+/// The state of membership changes.
+#[derive(Clone, Debug)]
+pub(crate) struct MembershipChange {
+    /// Machines that have announced themselves, at the founder.
+    announced: BTreeMap<Ipv4Addr, u64>,
+    last_announced_at: Timestamp,
+    candidates: BTreeMap<Ipv4Addr, WaitingCandidate>,
+    next_change_at: Timestamp,
+    next_retry_at: Timestamp,
+    /// Whether the process is about to end, and gives its place to a candidate.
+    leaving: bool,
+    successor: Option<Successor>,
+}
+
+impl Default for MembershipChange {
+    fn default() -> Self {
+        Self {
+            announced: BTreeMap::new(),
+            last_announced_at: Timestamp::DISTANT_FUTURE,
+            candidates: BTreeMap::new(),
+            next_change_at: Timestamp::DISTANT_PAST,
+            next_retry_at: Timestamp::DISTANT_PAST,
+            leaving: false,
+            successor: None,
+        }
+    }
+}
+
+impl MembershipChange {
+    /// Whether another machine has taken this member's place.
+    pub fn was_replaced(&self) -> bool {
+        self.successor.is_some()
+    }
+
+    /// Whether the process is about to end.
+    pub fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
+    /// A membership is in force; it is given where it replaced this member.
+    pub fn set_successor(&mut self, membership: Option<Membership>) {
+        self.successor = membership.map(|membership| Successor { membership, informed: BTreeSet::new() });
+    }
+
+    /// A peer has told which membership it has on disk.
+    pub fn note_reply(&mut self, from: Member, membership_version: Option<u64>) {
+        if let Some(successor) = &mut self.successor {
+            if membership_version.is_some_and(|version| version >= successor.membership.version) {
+                successor.informed.insert(from);
+            }
+        }
+    }
+
+    /// Whether peers are to be asked again; if so, the next time is scheduled.
+    pub fn is_retry_due(&mut self, now: Timestamp) -> bool {
+        let is_due = now >= self.next_retry_at;
+        if is_due {
+            self.next_retry_at = now + JOIN_RETRY_INTERVAL;
+        }
+        is_due
+    }
+
+    fn drop_stale_candidates(&mut self, now: Timestamp) {
+        self.candidates.retain(|_, waiting| now < waiting.asked_at + CANDIDATE_TIMEOUT);
+    }
+}
+
+impl Store {
+    // Founding.
+
+    fn is_founder(&self) -> bool {
+        self.status() == MembershipStatus::Founding && self.seeds.iter().min() == Some(&self.address)
+    }
+
+    /// At the first start of the system a machine announces itself to the founder.
+    pub(crate) fn handle_announce(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        incarnation: u64,
+    ) -> PeerResponse {
+        if self.is_member() {
+            return PeerResponse::Pong { chosen: self.state.chosen };
+        }
+        let announced = &self.change.announced;
+        let has_room = announced.len() < MAX_MEMBERS || announced.contains_key(&from);
+        if self.is_founder() && has_room {
+            let known = self.change.announced.insert(from, incarnation);
+            if known != Some(incarnation) {
+                self.change.last_announced_at = now;
+            }
+        }
+        PeerResponse::NotAMember
+    }
+
+    /// At the first start of the system: the founder waits for machines to announce themselves and founds the store; the
+    /// others announce themselves.
+    pub(crate) fn found_or_announce(&mut self, now: Timestamp) {
+        if !self.is_founder() {
+            return self.announce(now);
+        }
+        if self.change.announced.insert(self.address, self.state.incarnation).is_none() {
+            self.change.last_announced_at = now;
+        }
+        let announced_seeds =
+            self.seeds.iter().filter(|seed| self.change.announced.contains_key(seed)).count();
+        let has_most_seeds = announced_seeds > self.seeds.len() / 2;
+        if has_most_seeds && now > self.change.last_announced_at + FOUNDING_QUIET_PERIOD {
+            self.found();
+        }
+    }
+
+    fn announce(&mut self, now: Timestamp) {
+        let incarnation = self.state.incarnation;
+        for seed in self.seeds.clone() {
+            if seed != self.address {
+                self.send(now, seed, Ballot::NONE, PeerRequest::Announce { incarnation });
+            }
+        }
+    }
+
+    fn found(&mut self) {
+        let membership = Membership::founded(std::mem::take(&mut self.change.announced));
+        let ballot = Ballot { counter: 1, proposer: self.address, incarnation: self.state.incarnation };
+        self.promise(ballot);
+        self.apply_chosen(ballot, vec![Arc::new(membership.to_item())]);
+        self.effects.push(Effect::Save);
+    }
+
+    // Joining.
+
+    /// A replica that is no member catches up, and asks all for a place once it knows the membership.
+    pub(crate) fn ask_for_place(&mut self, now: Timestamp) {
+        let sources = self.snapshot_sources();
+        if sources.is_empty() {
+            return;
+        }
+        let chosen = self.state.chosen;
+        self.catch_up_from_any(now, &sources);
+        if let Some(membership) = &self.membership {
+            let candidate = JoinCandidate {
+                incarnation: self.state.incarnation,
+                membership_version: membership.version,
+                chosen,
+            };
+            for source in sources {
+                self.send(now, source, Ballot::NONE, PeerRequest::Join(candidate));
+            }
+        }
+    }
+
+    pub(crate) fn handle_join(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        candidate: JoinCandidate,
+    ) -> PeerResponse {
+        let candidates = &mut self.change.candidates;
+        if candidates.len() < MAX_MEMBERS || candidates.contains_key(&from) {
+            candidates.insert(from, WaitingCandidate { asked_at: now, candidate });
+        }
+        PeerResponse::Learned
+    }
+
+    /// A candidate that holds all but the newest rounds. A machine that lost its disk takes its own place before others come.
+    fn eligible_candidate(&self, now: Timestamp) -> Option<Member> {
+        let membership = self.membership.as_ref()?;
+        let required = self.learner.chosen_before_last_ping().min(self.state.chosen);
+        let eligible = |(address, waiting): (&Ipv4Addr, &WaitingCandidate)| {
+            let candidate = &waiting.candidate;
+            let member = Member::new(*address, candidate.incarnation);
+            let is_current = now < waiting.asked_at + CANDIDATE_TIMEOUT
+                && candidate.membership_version == membership.version
+                && candidate.chosen >= required;
+            (is_current && !membership.contains(member)).then_some(member)
+        };
+        let eligible = || self.change.candidates.iter().filter_map(eligible);
+        let returning = eligible().find(|member| membership.members.contains_key(&member.address));
+        returning.or_else(|| eligible().next())
+    }
+
+    // Replacement.
+
+    /// Proposes to give a place to a candidate: its own of an earlier incarnation, a free one, that of a member that has
+    /// failed, or this member's when it leaves. Of several members that could, the first one that is in contact does.
+    pub(crate) fn replace_member_if_due(&mut self, now: Timestamp) {
+        self.change.drop_stale_candidates(now);
+        let is_due = !self.change.candidates.is_empty() && now >= self.change.next_change_at;
+        if !is_due || self.contact_age_ms(now).is_none() {
+            return;
+        }
+        let Some(joining) = self.eligible_candidate(now) else { return };
+        let leaving = match self.place_for(now, joining) {
+            Some(Place::Free) => None,
+            Some(Place::Of(member)) => Some(member),
+            None => return,
+        };
+        self.change.next_change_at = now + MIN_CHANGE_INTERVAL;
+        self.proposer.pending.push_back(PendingCommand {
+            id: INTERNAL_COMMAND,
+            command: Command::ReplaceMember { leaving, joining },
+            since: now,
+            first_version: None,
+        });
+    }
+
+    /// The place that a candidate takes; `None` if this member is not to propose it.
+    fn place_for(&self, now: Timestamp, joining: Member) -> Option<Place> {
+        let membership = self.membership.as_ref()?;
+        let is_first = self.first_member_in_contact(now, membership) == Some(self.address);
+        if let Some(earlier) = membership.iter().find(|member| member.address == joining.address) {
+            return is_first.then_some(Place::Of(earlier));
+        }
+        if self.change.leaving {
+            return Some(Place::Of(self.own_member()));
+        }
+        if !is_first {
+            return None;
+        }
+        if membership.members.len() < membership.capacity {
+            return Some(Place::Free);
+        }
+        self.failed_member(now, membership).map(Place::Of)
+    }
+
+    /// When a member was last heard, at the earliest since this process has run without a pause.
+    fn heard_at(&self, now: Timestamp, member: Member) -> Timestamp {
+        if member.address == self.address {
+            return now;
+        }
+        let running_since = self.peers.running_since();
+        self.peers.last_contact(member).map_or(running_since, |contact| contact.max(running_since))
+    }
+
+    fn first_member_in_contact(&self, now: Timestamp, membership: &Membership) -> Option<Ipv4Addr> {
+        let is_in_contact = |member: &Member| now < self.heard_at(now, *member) + CONTACT_TIMEOUT;
+        membership.iter().find(is_in_contact).map(|member| member.address)
+    }
+
+    /// The member that has been silent longest, if that is long enough.
+    fn failed_member(&self, now: Timestamp, membership: &Membership) -> Option<Member> {
+        let failed =
+            membership.iter().filter(|member| now > self.heard_at(now, *member) + MEMBER_FAILURE_TIMEOUT);
+        failed.min_by(|a, b| self.heard_at(now, *a).total_cmp(&self.heard_at(now, *b)))
+    }
+
+    // Planned leave.
+
+    /// The process is about to end: its place goes to a candidate, if there is one. Tells whether that is worth waiting for.
+    pub fn leave(&mut self, now: Timestamp) -> bool {
+        self.change.leaving = true;
+        self.replace_member_if_due(now);
+        self.start_round(now);
+        match self.status() {
+            MembershipStatus::Founding => false,
+            MembershipStatus::Learner => !self.can_stop(),
+            MembershipStatus::Member => self.eligible_candidate(now).is_some(),
+        }
+    }
+
+    /// Whether nothing rests on this replica any more: it is no member, and a quorum of the members that replaced it has the
+    /// new membership on disk.
+    pub fn can_stop(&self) -> bool {
+        self.status() == MembershipStatus::Learner
+            && !self.has_accepted_own_membership()
+            && self
+                .change
+                .successor
+                .as_ref()
+                .is_none_or(|successor| successor.membership.is_quorum(&successor.informed))
+    }
+
+    /// Whether it has accepted a membership in which it is a member: that may be chosen by now.
+    fn has_accepted_own_membership(&self) -> bool {
+        let accepted = self.state.accepted.iter().flat_map(|accepted| &accepted.items);
+        let changes = accepted.filter(|item| item.key.table == Table::Membership);
+        let mut memberships = changes.filter_map(|item| Membership::from_item(item));
+        memberships.any(|membership| membership.contains(self.own_member()))
+    }
+}
--- a/crates/config-store/src/messages.rs
+++ b/crates/config-store/src/messages.rs
@@ -1,51 +1,68 @@
-//! What stores say to each other, and what each keeps.
+//! What replicas of the store say to each other, and the commands that they carry out together.
+//!
+//! The names on the wire and on disk are those of the first release and are pinned here with `rename`: a fleet is
+//! upgraded one machine at a time, and disks outlive every version.
 
-use crate::group::Group;
-use ivygate_control_state::{Amended, Item, Items, Key, Tables};
+use crate::member::Member;
+use ivygate_control_state::{ConfigUpdate, Item, Items, Key};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// The number of a round, the same at no two stores, nor in two incarnations of one.
+/// The path at which a replica takes its peers' requests.
+pub const PEER_PATH: &str = "/round";
+
+/// The number of a round: unique to one proposer and one incarnation of it, and totally ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts up.
+    /// Counts up; the most significant part of the order.
     pub counter: u64,
-    /// The store whose round it is.
-    pub by: Ipv4Addr,
-    /// And its incarnation: one whose disk was lost knows nothing of the ballots that it used before.
+    /// The replica that started the round.
+    #[serde(rename = "by")]
+    pub proposer: Ipv4Addr,
+    /// The proposer's incarnation: one whose disk was lost does not know which ballots it used before.
     #[serde(default)]
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// Below every other.
-    pub const NONE: Self = Self { counter: 0, by: Ipv4Addr::UNSPECIFIED, incarnation: 0 };
+    /// Below every ballot of a round.
+    pub const NONE: Self = Self { counter: 0, proposer: Ipv4Addr::UNSPECIFIED, incarnation: 0 };
 }
 
-/// What a store has accepted in a round, on top of what was chosen before it.
+/// What an acceptor has accepted in a round, on top of what was chosen before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedProposal {
     /// The round.
     pub ballot: Ballot,
-    /// Its items.
+    /// The round's items.
     pub items: Vec<Arc<Item>>,
 }
 
-/// What a store asks another.
+/// A request on the wire, with its sender.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct PeerEnvelope {
+    /// The replica that asks.
+    pub from: Ipv4Addr,
+    /// Its request.
+    #[serde(rename = "ask")]
+    pub request: PeerRequest,
+}
+
+/// A request of one replica to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
-    /// To take part in a round and in none below it.
+pub enum PeerRequest {
+    /// Phase 1a: take part in this round, and in none below it.
     Prepare {
         /// The round.
         ballot: Ballot,
-        /// The incarnation that is asked: another one is another acceptor.
+        /// The incarnation that is asked; another incarnation is another acceptor.
         incarnation: u64,
-        /// The highest round known to be chosen by the asker.
+        /// The highest round that the proposer knows to be chosen.
         chosen: Ballot,
     },
-    /// To accept a round's items, safe against a loss of power.
+    /// Phase 2a: accept the round's items, durably.
     Accept {
         /// The round.
         ballot: Ballot,
@@ -53,223 +70,152 @@
         incarnation: u64,
         /// The highest round known to be chosen, on which this one builds.
         base: Ballot,
-        /// All items of that which the other lacks.
+        /// All items chosen up to `base` that the acceptor lacks.
         missing: Vec<Arc<Item>>,
         /// The round's items.
         items: Vec<Arc<Item>>,
     },
-    /// To learn that a round is chosen.
+    /// The round is chosen.
     Learn {
         /// The round.
         ballot: Ballot,
-        /// The one on which it builds.
+        /// The chosen round on which it builds.
         base: Ballot,
-        /// Its items.
+        /// The round's items.
         items: Vec<Arc<Item>>,
     },
-    /// For the highest round that it knows to be chosen, which also tells that it is there.
+    /// Asks for the highest round that the peer knows to be chosen; the answer is also proof of contact.
     Ping {
-        /// The highest that the asker knows.
+        /// The highest round that the sender knows to be chosen.
         chosen: Ballot,
     },
-    /// For all that was chosen after a round, in parts.
+    /// Asks for the next chunk of all that was chosen after a round.
     CatchUp {
-        /// The round.
+        /// The round up to which the sender holds everything.
         chosen: Ballot,
-        /// The last item of the part before.
+        /// The last item of the chunk before; `None` for the first chunk.
         after: Option<Key>,
     },
-    /// For the group, at the first start of the whole system.
-    Hello {
-        /// The asker's incarnation.
+    /// At the first start of the system: a machine announces itself to the founder.
+    #[serde(rename = "hello")]
+    Announce {
+        /// The sender's incarnation.
         incarnation: u64,
     },
-    /// For a place in the group, of one that has none.
-    Join(Candidate),
+    /// A machine that is no member asks to become one.
+    Join(JoinCandidate),
 }
 
-/// A machine that waits for a place in the group.
+/// A machine that waits to become a member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Candidate {
+pub struct JoinCandidate {
     /// Its incarnation.
     pub incarnation: u64,
-    /// The version of the group that it knows.
-    pub group: u64,
-    /// The highest round that it knows to be chosen; it holds all that was chosen up to it.
+    /// The version of the membership that it knows.
+    #[serde(rename = "group")]
+    pub membership_version: u64,
+    /// It holds all that was chosen up to this round.
     pub chosen: Ballot,
 }
 
-/// What a store answers.
+/// The answer to a request, with who answers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Reply {
+pub struct PeerReply {
     /// The incarnation that answers.
     pub incarnation: u64,
-    /// The version of the group in which it has a place as far as it knows, if it has one.
-    pub group: Option<u64>,
+    /// The version of the membership that the answering replica knows, if it is a member by that.
+    #[serde(rename = "group")]
+    pub membership_version: Option<u64>,
     /// The answer.
-    pub answer: Answer,
+    #[serde(rename = "answer")]
+    pub response: PeerResponse,
 }
 
-/// What there is to answer.
+/// The answer to a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
-    /// It takes part in the round that was prepared.
+pub enum PeerResponse {
+    /// Phase 1b: the acceptor takes part in the round.
     Promised {
-        /// What it has accepted and does not know to be chosen or excluded.
-        accepted: Option<Accepted>,
+        /// What it has accepted and does not know to be chosen or superseded.
+        accepted: Option<AcceptedProposal>,
         /// The highest round that it knows to be chosen.
         chosen: Ballot,
-        /// All that was chosen after the asker's highest; nothing where that is more than a promise should carry.
+        /// All that was chosen after the proposer's highest; `None` where that is more than a promise carries.
         items: Option<Vec<Arc<Item>>>,
     },
-    /// It has promised a higher round, or knows one to be chosen.
+    /// The acceptor has promised a higher round, or knows a higher one to be chosen.
     Nack {
         /// That round.
         promised: Ballot,
     },
-    /// It has accepted.
+    /// Phase 2b: the items are accepted, durably.
     Accepted,
-    /// It has learnt, or will ask for what it lacks.
+    /// The message was taken in; what is lacking will be asked for.
     Learned,
-    /// The highest round that it knows to be chosen.
+    /// Answers a ping.
     Pong {
-        /// The round.
+        /// The highest round that the peer knows to be chosen.
         chosen: Ballot,
     },
-    /// Of all that was chosen up to a round, but for what the asker has, the next part.
-    Snapshot {
-        /// The round.
+    /// The next chunk of all that was chosen up to a round, without what the asker holds.
+    #[serde(rename = "snapshot")]
+    SnapshotChunk {
+        /// The round; chunks of one transfer may be of different rounds.
         chosen: Ballot,
         /// The items, in order of their keys.
         items: Vec<Arc<Item>>,
-        /// Whether there are others after these.
+        /// Whether more follow.
         more: bool,
     },
-    /// It has no say in this: it is no member of a group, or another incarnation was asked.
-    Blank,
+    /// The replica has no say: it is no member, or another incarnation was asked.
+    #[serde(rename = "blank")]
+    NotAMember,
 }
 
-/// A call to be carried out by the group.
+/// Names a command to whoever submitted it.
+pub type CommandId = u64;
+
+/// A command that the members carry out together, in one round.
 #[derive(Clone, Debug)]
-pub enum Change {
-    /// The operator's items.
-    Amend(Amended),
-    /// A zone is emptied, or taken back.
-    Drain {
+pub enum Command {
+    /// Applies an operator's update of the configuration.
+    ApplyUpdate(ConfigUpdate),
+    /// Begins or ends draining a zone.
+    DrainZone {
         /// The zone.
         zone: String,
-        /// Emptied.
-        on: bool,
+        /// Whether it is to be drained.
+        drained: bool,
     },
-    /// A registry takes a duty, under the next epoch.
-    Duty {
-        /// The duty.
-        name: String,
+    /// Gives a singleton role to a registry, under the role's next epoch.
+    AcquireRole {
+        /// The role.
+        role: String,
         /// The registry.
         holder: Ipv4Addr,
     },
-    /// One machine takes the place of another, or one that is free.
-    Regroup {
-        /// The member whose place is given away, and its incarnation.
-        goes: Option<(Ipv4Addr, u64)>,
-        /// The one that takes it, and its incarnation.
-        comes: (Ipv4Addr, u64),
+    /// Makes a machine a member, in the place of another or in a free one.
+    ReplaceMember {
+        /// The member that goes; `None` where a place is free.
+        leaving: Option<Member>,
+        /// The member that comes.
+        joining: Member,
     },
-    /// Nothing: what stands is to be read.
+    /// Reads the register, linearizably.
     Read,
 }
 
-/// What came of a call.
+/// What came of a command.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// It is in force, or changes nothing.
     Applied,
-    /// A duty was taken under this epoch, which no other call was ever given.
-    Epoch(u64),
-    /// What stood at some moment while the call was under way.
+    /// The role was acquired under this epoch, which no other command was ever given: the role's fencing token.
+    RoleAcquired {
+        /// The epoch.
+        epoch: u64,
+    },
+    /// The register at some moment while the command was under way.
     Read(Items),
 }
-
-/// What a store keeps on disk.
-#[derive(Clone, Debug)]
-pub struct Kept {
-    /// Drawn when the disk was new: an acceptor is one incarnation of one machine.
-    pub incarnation: u64,
-    /// The highest round that it has promised.
-    pub promised: Ballot,
-    /// What it has accepted and does not know to be chosen or excluded.
-    pub accepted: Option<Accepted>,
-    /// The highest round that it knows to be chosen.
-    pub chosen: Ballot,
-    /// All that was chosen up to that round.
-    pub items: Items,
-    /// The change of `items` at which each of some rounds was complete, in order.
-    pub marks: Vec<(Ballot, u64)>,
-}
-
-/// Most rounds whose change is remembered: those of some days, in 0.4 MB.
-const MARKS_MOST: usize = 8_192;
-
-impl Kept {
-    /// What is kept on a new disk.
-    pub fn new(incarnation: u64) -> Self {
-        Self {
-            incarnation,
-            promised: Ballot::NONE,
-            accepted: None,
-            chosen: Ballot::NONE,
-            items: Items::default(),
-            marks: Vec::new(),
-        }
-    }
-
-    /// Below this, it takes part in nothing.
-    pub fn floor(&self) -> Ballot {
-        self.promised.max(self.chosen)
-    }
-
-    /// The group that was chosen last, if any.
-    pub fn group(&self) -> Option<Group> {
-        Group::read(&self.items)
-    }
-
-    /// Takes in a round that is chosen: with what is held, these items are all that was chosen up to it.
-    pub fn adopt(&mut self, chosen: Ballot, items: impl IntoIterator<Item = Arc<Item>>) {
-        for item in items {
-            if Tables::KEPT.contains(item.key.table.set()) {
-                self.items.merge_shared(item);
-            }
-        }
-        if chosen > self.chosen {
-            self.chosen = chosen;
-            self.mark();
-        }
-        // What was accepted below is contained in what is chosen, or excluded by it.
-        if self.accepted.as_ref().is_some_and(|accepted| accepted.ballot <= self.chosen) {
-            self.accepted = None;
-        }
-    }
-
-    fn mark(&mut self) {
-        if self.marks.len() >= MARKS_MOST {
-            // The older half is thinned: who lags as far as that is told a little more than it lacks.
-            let half = self.marks.len() / 2;
-            let mut at = 0;
-            self.marks.retain(|_| {
-                at += 1;
-                at > half || at % 2 == 1
-            });
-        }
-        self.marks.push((self.chosen, self.items.changes()));
-    }
-
-    /// All that was chosen after a round: items that one who holds all up to that round may lack.
-    pub fn since(&self, chosen: Ballot) -> Vec<Arc<Item>> {
-        if chosen >= self.chosen {
-            return Vec::new();
-        }
-        let mark = self.marks.iter().rev().find(|(ballot, _)| *ballot <= chosen);
-        self.items.since(mark.map_or(0, |(_, change)| *change), Tables::KEPT)
-    }
-}
--- /dev/null
+++ b/crates/config-store/src/service/mod.rs
@@ -0,0 +1,78 @@
+//! The service round a replica: carries calls between the network, the disk and the [`Store`].
+
+mod api;
+mod replica;
+
+pub use api::RoleRequest;
+
+use crate::disk::Disk;
+use crate::disk_supervisor::DiskSupervisor;
+use crate::durable_state::DurableState;
+use crate::store::Store;
+use api::Api;
+use ivygate_cluster::StateReplica;
+use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcClient, RpcError};
+use ivygate_time::MonotonicClock;
+use replica::Replica;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::time::{interval, Instant, MissedTickBehavior};
+
+/// Interval of the replica's ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a process that ends tries to give its replica's place to another machine.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Stands for the incarnation while no disk has been opened: the replica does not act then.
+const NO_INCARNATION: u64 = 0;
+
+/// Starts a replica with what its disk held.
+fn start_store(settings: &BootstrapSettings, bootstrap: bool, state: DurableState) -> Store {
+    let store = Store::new(settings.ip, settings.seed_machines(), bootstrap, state, fastrand::u64(..));
+    let items = store.state().items.len();
+    tracing::info!(status = store.status().as_str(), items, "replica started");
+    store
+}
+
+/// Runs the store's service until the process is told to end.
+///
+/// # Errors
+/// If the settings name no folder, or the address can't be listened on.
+pub async fn run(settings: BootstrapSettings) -> Result<(), RpcError> {
+    let configuration = |what: String| RpcError::new(ErrorKind::Configuration, what);
+    let folder =
+        settings.datadir.clone().ok_or_else(|| configuration("datadir: a store needs a disk".to_owned()))?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(|error| configuration(error.to_string()))?;
+    // A hangup must not end the process; the store has nothing to read again.
+    let _hangup = signal(SignalKind::hangup()).map_err(|error| configuration(error.to_string()))?;
+    let address = SocketAddr::from((settings.ip, settings.ports().store));
+    let clock = MonotonicClock::start();
+    let (disk, state) = DiskSupervisor::new(clock.now(), Disk::open(&folder, fastrand::u64(1..)));
+    let state = state.unwrap_or_else(|| DurableState::new(NO_INCARNATION));
+    let store = start_store(&settings, settings.bootstrap, state);
+    let published = StateReplica::new(fastrand::u64(1..));
+    let replica = Replica::new(settings, clock, RpcClient::default(), store, disk, folder, published);
+    let api = Rc::new(Api::new(replica.clone()));
+    let server = serve(address, Rc::new(move |request| Box::pin(api.clone().handle(request))))?;
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut leave_deadline: Option<Instant> = None;
+    loop {
+        tokio::select! {
+            _ = ticks.tick() => replica.tick(),
+            _ = terminate.recv(), if leave_deadline.is_none() => {
+                if !replica.leave() {
+                    break;
+                }
+                tracing::info!("leaving, waiting for another machine to take this member's place");
+                leave_deadline = Some(Instant::now() + LEAVE_TIMEOUT);
+            }
+        }
+        if leave_deadline.is_some_and(|deadline| Instant::now() >= deadline || replica.can_stop()) {
+            break;
+        }
+    }
+    server.shut_down().await;
+    Ok(())
+}
--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -2,7 +2,7 @@
 //! covered, and of each folder the names at its last sync; each later write is there, absent or torn, each later name
 //! there or not.
 
-use ivygate_config_store::{Accepted, Ballot, Disk, Fsync, Kept};
+use ivygate_config_store::{AcceptedProposal, Ballot, Disk, DurableState, Fsync};
 use ivygate_control_state::{Item, Table, Tables};
 use serde_json::json;
 use std::cell::RefCell;
@@ -22,7 +22,7 @@
     fn new() -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("cairn-disk-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("ivygate-disk-{}-{number}", std::process::id()));
         fs::create_dir_all(&path).expect("the folder for tests can be written");
         Self(path)
     }
@@ -180,7 +180,7 @@
 const LIFE: u64 = 7;
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, by: Ipv4Addr::new(10, 1, 0, 5), incarnation: LIFE }
+    Ballot { counter, proposer: Ipv4Addr::new(10, 1, 0, 5), incarnation: LIFE }
 }
 
 fn item(name: &str, version: u64, bytes: usize) -> Item {
@@ -189,18 +189,18 @@
 }
 
 /// What must be the same of what was saved and what is read.
-fn told(kept: &Kept) -> String {
+fn told(kept: &DurableState) -> String {
     let names = |item: &Arc<Item>| format!("{}:{}", item.key.name, item.version);
-    let items: Vec<_> = kept.items.all(Tables::KEPT).map(names).collect();
+    let items: Vec<_> = kept.items.all(Tables::DURABLE).map(names).collect();
     let accepted: Option<(Ballot, Vec<_>)> =
         kept.accepted.as_ref().map(|a| (a.ballot, a.items.iter().map(names).collect()));
-    let digest = kept.items.digest(Tables::KEPT);
-    let Kept { incarnation, promised, chosen, .. } = kept;
+    let digest = kept.items.digest(Tables::DURABLE);
+    let DurableState { incarnation, promised, chosen, .. } = kept;
     format!("{incarnation} {} {} {digest:x} {accepted:?} {items:?}", promised.counter, chosen.counter)
 }
 
 /// What a store may come to keep: promises, items accepted, items chosen.
-fn step(kept: &mut Kept, rng: &mut fastrand::Rng, round: u64) {
+fn step(kept: &mut DurableState, rng: &mut fastrand::Rng, round: u64) {
     kept.promised = ballot(round);
     match rng.u8(..4) {
         0 => {}
@@ -213,14 +213,14 @@
                 _ => (rng.usize(1..30), rng.usize(..600)),
             };
             let items = (0..count).map(|n| Arc::new(item(&format!("route-{n}"), round, bytes))).collect();
-            kept.accepted = Some(Accepted { ballot: ballot(round), items });
+            kept.accepted = Some(AcceptedProposal { ballot: ballot(round), items });
         }
         2 => {
             if let Some(accepted) = kept.accepted.take() {
-                kept.adopt(accepted.ballot, accepted.items);
+                kept.apply_chosen(accepted.ballot, accepted.items);
             }
         }
-        _ => kept.adopt(
+        _ => kept.apply_chosen(
             ballot(round),
             [Arc::new(item(&format!("route-{}", rng.u8(..200)), round, rng.usize(..2_000)))],
         ),
@@ -359,7 +359,7 @@
 fn given_a_snapshot_that_sled_has_half_written_when_the_disk_is_opened_then_nothing_is_lost() {
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
-    kept.adopt(ballot(1), [Arc::new(item("a", 1, 10))]);
+    kept.apply_chosen(ballot(1), [Arc::new(item("a", 1, 10))]);
     disk.save(&kept).expect("it saves");
     disk.close();
     for name in ["snap.0000000000000400", "snap.0000000000000400.generating"] {
@@ -375,13 +375,14 @@
 fn given_a_folder_that_can_not_be_understood_when_it_is_opened_then_it_counts_as_lost_and_is_put_aside() {
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
-    kept.adopt(ballot(1), [Arc::new(item("a", 1, 10))]);
+    kept.apply_chosen(ballot(1), [Arc::new(item("a", 1, 10))]);
     disk.save(&kept).expect("it saves");
     disk.close();
-    let log = folder.0.join("cairn.1").join("db");
+    let first = listed(&folder.0).into_iter().next().expect("there is a folder");
+    let log = folder.0.join(first).join("db");
     fs::write(&log, vec![b'x'; 1 << 20]).expect("it can be written");
     let (_disk, found) = Disk::open(&folder.0, LIFE + 1).expect("it opens");
-    assert_eq!(told(&found), told(&Kept::new(LIFE + 1)));
+    assert_eq!(told(&found), told(&DurableState::new(LIFE + 1)));
     assert!(listed(&folder.0).contains("unread.1"), "{:?}", listed(&folder.0));
 }
 
@@ -390,17 +391,17 @@
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
     for (round, name) in [(1, "a"), (2, "b"), (3, "a"), (4, "c")] {
-        kept.adopt(ballot(round), [Arc::new(item(name, round, 10))]);
+        kept.apply_chosen(ballot(round), [Arc::new(item(name, round, 10))]);
         disk.save(&kept).expect("it saves");
     }
-    kept.adopt(ballot(5), []);
+    kept.apply_chosen(ballot(5), []);
     disk.save(&kept).expect("it saves");
     disk.close();
     let (_, found) = Disk::open(&folder.0, LIFE + 1).expect("it opens");
     for (chosen, lacks) in
         [(0, vec!["b", "a", "c"]), (2, vec!["a", "c"]), (3, vec!["c"]), (4, vec![]), (5, vec![])]
     {
-        let told: Vec<_> = found.since(ballot(chosen)).iter().map(|i| i.key.name.clone()).collect();
+        let told: Vec<_> = found.items_since(ballot(chosen)).iter().map(|i| i.key.name.clone()).collect();
         assert_eq!(told, lacks, "after round {chosen}");
     }
 }
--- a/crates/config-store/tests/fleet/main.rs
+++ b/crates/config-store/tests/fleet/main.rs
@@ -2,9 +2,9 @@
 
 mod world;
 
-use ivygate_config_store::{Change, Standing};
-use ivygate_control_state::{check, Table, Tables};
-use ivygate_rpc::Kind;
+use ivygate_config_store::{Command, Member, MembershipStatus};
+use ivygate_control_state::{check_config, Table, Tables, COORDINATOR_ROLE};
+use ivygate_rpc::ErrorKind;
 use std::collections::BTreeMap;
 use world::{drop_route, routes, Defect, World};
 
@@ -12,9 +12,9 @@
 fn given_a_first_start_when_all_come_forward_then_one_group_is_founded_of_all() {
     for seed in 0..20 {
         let world = World::founded(seed, Defect::None);
-        let group = world.items(0).body(Table::Group, "core").cloned();
+        let group = world.items(0).body(Table::Membership, "core").cloned();
         assert_eq!(group.as_ref().and_then(|g| g["members"].as_array()).map(Vec::len), Some(6));
-        assert!((1..6).all(|n| world.items(n).body(Table::Group, "core") == group.as_ref()));
+        assert!((1..6).all(|n| world.items(n).body(Table::Membership, "core") == group.as_ref()));
     }
 }
 
@@ -30,9 +30,9 @@
 fn given_a_cut_in_halves_when_either_side_is_called_then_neither_acknowledges_until_it_heals() {
     let mut world = World::founded(2, Defect::None);
     world.cut_off(&[0, 1, 2]);
-    assert_eq!(world.answer(0, routes(2, &[("a", "/a/", 1.0)])), Err(Kind::NoMajority));
-    assert_eq!(world.answer(5, routes(3, &[("a", "/a/", 2.0)])), Err(Kind::NoMajority));
-    assert_eq!(world.answer(4, Change::Read), Err(Kind::NoMajority));
+    assert_eq!(world.answer(0, routes(2, &[("a", "/a/", 1.0)])), Err(ErrorKind::NoQuorum));
+    assert_eq!(world.answer(5, routes(3, &[("a", "/a/", 2.0)])), Err(ErrorKind::NoQuorum));
+    assert_eq!(world.answer(4, Command::Read), Err(ErrorKind::NoQuorum));
     world.cut.clear();
     assert_eq!(world.answer(0, routes(4, &[("a", "/a/", 3.0)])), Ok(()));
 }
@@ -63,7 +63,7 @@
         world.pass(6_000.0);
         assert!(!(world.acknowledged(one) && world.acknowledged(two)), "seed {seed}");
         assert!(world.acknowledged(one) || world.acknowledged(two), "seed {seed}");
-        assert!((0..6).all(|n| check(world.items(n)).is_ok()), "seed {seed}");
+        assert!((0..6).all(|n| check_config(world.items(n)).is_ok()), "seed {seed}");
     }
 }
 
@@ -82,8 +82,8 @@
         world.wipe(region + 1);
         (0..6).for_each(|n| world.start(n));
         world.pass(5_000.0);
-        assert!((0..6).all(|n| world.standing(n) == Some(Standing::Member)), "seed {seed}");
-        assert_eq!(world.answer(region, Change::Read), Ok(()));
+        assert!((0..6).all(|n| world.standing(n) == Some(MembershipStatus::Member)), "seed {seed}");
+        assert_eq!(world.answer(region, Command::Read), Ok(()));
         assert_eq!(world.timeout_of(region, "a"), Some(1.0), "seed {seed}");
     }
 }
@@ -97,18 +97,18 @@
     world.kill(3);
     world.wipe(4);
     world.pass(5_000.0);
-    assert_eq!(world.standing(4), Some(Standing::Learner));
-    assert_eq!(world.answer(4, Change::Read), Err(Kind::Unready));
+    assert_eq!(world.standing(4), Some(MembershipStatus::Learner));
+    assert_eq!(world.answer(4, Command::Read), Err(ErrorKind::NotReady));
     // Three of six hold all that was chosen, and still may not say so without a fourth: what a round under way has counted
     // of the lost disk must be known to be dead before its machine counts again.
     world.start(0);
     world.start(1);
     world.pass(2_000.0);
-    assert_eq!(world.standing(4), Some(Standing::Learner));
-    assert_eq!(world.answer(0, Change::Read), Err(Kind::NoMajority));
+    assert_eq!(world.standing(4), Some(MembershipStatus::Learner));
+    assert_eq!(world.answer(0, Command::Read), Err(ErrorKind::NoQuorum));
     world.start(2);
     world.pass(2_000.0);
-    assert_eq!(world.standing(4), Some(Standing::Member));
+    assert_eq!(world.standing(4), Some(MembershipStatus::Member));
 }
 
 #[test]
@@ -183,14 +183,14 @@
 #[test]
 fn given_a_duty_that_is_taken_again_after_a_loss_of_all_power_then_its_epoch_is_higher() {
     let mut world = World::founded(6, Defect::None);
-    let take = || Change::Duty { name: "warden".into(), holder: world::ip(0) };
+    let take = || Command::AcquireRole { role: COORDINATOR_ROLE.into(), holder: world::ip(0) };
     assert_eq!(world.answer(0, take()), Ok(()));
-    let epoch = world.items(0).version(Table::Duties, "warden");
+    let epoch = world.items(0).version(Table::SingletonRoles, "warden");
     (0..6).for_each(|n| world.kill(n));
     (0..6).for_each(|n| world.start(n));
     world.pass(1_000.0);
     assert_eq!(world.answer(0, take()), Ok(()));
-    assert!(world.items(0).version(Table::Duties, "warden") > epoch);
+    assert!(world.items(0).version(Table::SingletonRoles, "warden") > epoch);
 }
 
 #[test]
@@ -203,23 +203,22 @@
         world.kill(gone);
         let new = world.add();
         world.pass(12_000.0);
-        assert_eq!(world.standing(new), Some(Standing::Member), "seed {seed}");
+        assert_eq!(world.standing(new), Some(MembershipStatus::Member), "seed {seed}");
         assert_eq!(world.timeout_of(new, "a"), Some(1.0));
         let stays: Vec<usize> = (0..=6).filter(|n| *n != gone).collect();
-        assert!(stays.iter().all(
-            |n| world.items(*n).body(Table::Group, "core") == world.items(new).body(Table::Group, "core")
-        ));
+        assert!(stays.iter().all(|n| world.items(*n).body(Table::Membership, "core")
+            == world.items(new).body(Table::Membership, "core")));
         // The old one comes back with its disk: its place is taken, and it waits for one.
         world.start(gone);
         world.pass(3_000.0);
-        assert_eq!(world.standing(gone), Some(Standing::Learner), "seed {seed}");
+        assert_eq!(world.standing(gone), Some(MembershipStatus::Learner), "seed {seed}");
         // Two more may go, and what was acknowledged goes on standing.
         world.kill(stays[0]);
         world.kill(stays[1]);
         assert_eq!(world.answer(new, routes(3, &[("a", "/a/", 2.0)])), Ok(()), "seed {seed}");
         // It takes the place of one of them.
         world.pass(3_000.0);
-        assert_eq!(world.standing(gone), Some(Standing::Member), "seed {seed}");
+        assert_eq!(world.standing(gone), Some(MembershipStatus::Member), "seed {seed}");
         assert_eq!(world.group(new).map(|group| group.members.len()), Some(6));
     }
 }
@@ -232,10 +231,10 @@
     world.pass(1_500.0);
     world.cut.clear();
     world.pass(9_000.0);
-    assert_eq!(world.standing(new), Some(Standing::Learner));
-    assert_eq!(world.standing(5), Some(Standing::Member));
+    assert_eq!(world.standing(new), Some(MembershipStatus::Learner));
+    assert_eq!(world.standing(5), Some(MembershipStatus::Member));
     assert_eq!(
-        world.items(0).body(Table::Group, "core").and_then(|g| g["members"].as_array()).map(Vec::len),
+        world.items(0).body(Table::Membership, "core").and_then(|g| g["members"].as_array()).map(Vec::len),
         Some(6)
     );
     // A longer cut is no proof that a machine is gone, but another stands ready: the place changes hands, and whoever lost
@@ -244,9 +243,9 @@
     world.pass(5_500.0);
     world.cut.clear();
     world.pass(5_000.0);
-    assert_eq!(world.standing(new), Some(Standing::Member));
-    assert_eq!(world.standing(5), Some(Standing::Learner));
-    assert_eq!(world.group(0).map(|group| (group.members.len(), group.size)), Some((6, 6)));
+    assert_eq!(world.standing(new), Some(MembershipStatus::Member));
+    assert_eq!(world.standing(5), Some(MembershipStatus::Learner));
+    assert_eq!(world.group(0).map(|group| (group.members.len(), group.capacity)), Some((6, 6)));
 }
 
 #[test]
@@ -262,7 +261,7 @@
         world.cut.clear();
         for _ in 0..60 {
             world.pass(100.0);
-            assert!((0..6).all(|n| check(world.items(n)).is_ok()), "seed {seed}");
+            assert!((0..6).all(|n| check_config(world.items(n)).is_ok()), "seed {seed}");
         }
         assert!(!world.acknowledged(orphan), "seed {seed}");
         assert!((0..6).all(|n| world.timeout_of(n, "a").is_none()), "seed {seed}");
@@ -283,7 +282,7 @@
             world.pass(10.0);
             assert_eq!(world.contact(0), None, "seed {seed}");
         }
-        assert_eq!(world.answer(0, Change::Read), Err(Kind::NoMajority));
+        assert_eq!(world.answer(0, Command::Read), Err(ErrorKind::NoQuorum));
     }
 }
 
@@ -312,9 +311,9 @@
         let alive = stays.iter().copied().find(|n| world.standing(*n).is_some()).expect("four run");
         assert_eq!(world.answer(alive, routes(3, &[("b", "/b/", 2.0)])), Ok(()), "seed {seed}");
         assert_eq!(world.timeout_of(alive, "a"), Some(1.0), "seed {seed}");
-        let runs = stays.iter().all(|n| world.standing(*n).is_none_or(|s| s == Standing::Member));
+        let runs = stays.iter().all(|n| world.standing(*n).is_none_or(|s| s == MembershipStatus::Member));
         assert!(
-            runs && world.group(alive).is_some_and(|group| group.has(world::ip(new), 101)),
+            runs && world.group(alive).is_some_and(|group| group.contains(Member::new(world::ip(new), 101))),
             "seed {seed}"
         );
     }
@@ -333,7 +332,7 @@
         let id = world.call(0, routes(2, &[("a", "/a/", 1.0)]));
         world.pass(1_500.0);
         assert!(world.acknowledged(id) && world.leave(0), "seed {seed}");
-        while world.standing(0) == Some(Standing::Member) {
+        while world.standing(0) == Some(MembershipStatus::Member) {
             world.pass(1.0);
         }
         // Of what the leaver tells, nothing reaches the new one; store 2 lacks what it builds on.
@@ -367,7 +366,9 @@
         }
         // It hears nothing of its round; store 1 or 2 ends it, and tells it, and nobody else.
         world.cut.extend([(1, 0), (2, 0), (new, 0)]);
-        while world.standing(1) != Some(Standing::Member) || world.group(1).is_some_and(|g| g.version == 1) {
+        while world.standing(1) != Some(MembershipStatus::Member)
+            || world.group(1).is_some_and(|g| g.version == 1)
+        {
             if world.group(2).is_some_and(|group| group.version > 1) {
                 break;
             }
@@ -389,7 +390,7 @@
         world.kill(by);
         world.cut.clear();
         world.pass(6_000.0);
-        assert_eq!(world.answer(new, Change::Read), Ok(()), "seed {seed}");
+        assert_eq!(world.answer(new, Command::Read), Ok(()), "seed {seed}");
     }
     assert!(carried > 5, "it was relieved {carried} times");
 }
@@ -403,7 +404,7 @@
         let new = world.add();
         world.pass(1_200.0);
         world.kill(new);
-        let called = world.call(1, Change::Read);
+        let called = world.call(1, Command::Read);
         assert!(world.leave(0), "seed {seed}");
         world.pass(2_500.0);
         world.kill(0);
@@ -424,7 +425,7 @@
             world.pass(1.0);
         }
         world.cut.insert((0, 1));
-        while world.standing(new) != Some(Standing::Member) {
+        while world.standing(new) != Some(MembershipStatus::Member) {
             world.pass(1.0);
         }
         // Of the new group two are left, and only the new one knows it.
@@ -444,12 +445,12 @@
         let (first, second) = (seed as usize % count, (seed as usize + 1) % count);
         world.wipe(first);
         world.pass(4_000.0);
-        assert_eq!(world.standing(first), Some(Standing::Member), "seed {seed}");
+        assert_eq!(world.standing(first), Some(MembershipStatus::Member), "seed {seed}");
         (0..count).for_each(|n| world.kill(n));
         world.wipe(second);
         (0..count).for_each(|n| world.start(n));
         world.pass(6_000.0);
-        assert!((0..count).all(|n| world.standing(n) == Some(Standing::Member)), "seed {seed}");
+        assert!((0..count).all(|n| world.standing(n) == Some(MembershipStatus::Member)), "seed {seed}");
     }
 }
 
@@ -459,13 +460,13 @@
     // Found by the checker: the promises had been given before the call, and were read after it.
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
-        let first = world.call(2, Change::Read);
+        let first = world.call(2, Command::Read);
         world.freeze(2, 700.0);
         world.pass(130.0 + seed as f64);
         let call = world.call(0, routes(2, &[("a", "/a/", 1.0)]));
         world.pass(570.0 - seed as f64);
         assert!(world.acknowledged(call) && world.read(first).is_none(), "seed {seed}");
-        let second = world.call(2, Change::Read);
+        let second = world.call(2, Command::Read);
         world.pass(3_000.0);
         let read = world.read(second).expect("it was answered");
         assert_eq!(read.version(Table::Routes, "a"), 2, "seed {seed}");
@@ -489,8 +490,8 @@
         world.pass(150.0);
     }
     world.pass(4_000.0);
-    assert_eq!(world.standing(new), Some(Standing::Member));
-    assert_eq!(world.items(new).digest(Tables::KEPT), world.items(0).digest(Tables::KEPT));
+    assert_eq!(world.standing(new), Some(MembershipStatus::Member));
+    assert_eq!(world.items(new).digest(Tables::DURABLE), world.items(0).digest(Tables::DURABLE));
     assert_eq!(world.timeout_of(new, &names[39 * 117]), Some(2.0));
     assert!((1..=2_000).contains(&world.largest), "{}", world.largest);
 }
@@ -533,7 +534,7 @@
             }
             world.pass(5.0);
             for n in 0..3 {
-                let digest = world.items(n).digest(Tables::KEPT);
+                let digest = world.items(n).digest(Tables::DURABLE);
                 let chosen = world.chosen(n).expect("it runs");
                 assert_eq!(*states.entry(chosen).or_insert(digest), digest, "seed {seed}, {n} at {step}");
             }
@@ -564,7 +565,7 @@
     world.kill(2);
     world.start(2);
     world.pass(1_000.0);
-    assert_eq!(world.standing(2), Some(Standing::Member));
+    assert_eq!(world.standing(2), Some(MembershipStatus::Member));
 }
 
 #[test]
@@ -604,8 +605,8 @@
             world.pass(3_000.0);
         }
         world.pass(3_000.0);
-        assert!((0..count).all(|n| world.standing(n) == Some(Standing::Member)), "seed {seed}");
-        assert_eq!(world.answer(0, Change::Read), Ok(()), "seed {seed}");
+        assert!((0..count).all(|n| world.standing(n) == Some(MembershipStatus::Member)), "seed {seed}");
+        assert_eq!(world.answer(0, Command::Read), Ok(()), "seed {seed}");
         for (_, name, timeout) in calls.iter().filter(|(id, ..)| world.acknowledged(*id)) {
             assert_eq!(world.timeout_of(0, name), Some(*timeout), "seed {seed}: {name} of {count} stores");
         }
@@ -618,7 +619,7 @@
     let (mut carried, drained) = (0, |world: &World, n| world.items(n).body(Table::Drains, "z").is_some());
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
-        let begin = world.call(0, Change::Drain { zone: "z".into(), on: true });
+        let begin = world.call(0, Command::DrainZone { zone: "z".into(), drained: true });
         while !(1..6).any(|n| world.has_accepted(n)) {
             world.pass(1.0);
         }
@@ -629,7 +630,7 @@
             world.pass(10.0);
         }
         let seen = drained(&world, 3);
-        let finish = world.call(3, Change::Drain { zone: "z".into(), on: false });
+        let finish = world.call(3, Command::DrainZone { zone: "z".into(), drained: false });
         while !world.acknowledged(finish) && world.now < until + 1_000.0 {
             world.pass(10.0);
         }
@@ -650,7 +651,7 @@
     let mut joined = 0;
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
-        let drain = |on| Change::Drain { zone: "z".into(), on };
+        let drain = |on| Command::DrainZone { zone: "z".into(), drained: on };
         // Its round is promised, which it reads only after others have emptied the zone and taken it back.
         world.call(0, routes(2, &[("a", "/a/", 1.0)]));
         let begun = world.now;
@@ -676,7 +677,7 @@
 #[test]
 fn given_an_order_that_waited_in_a_store_that_stood_still_when_it_goes_on_then_it_is_not_carried_out() {
     for seed in 0..60 {
-        let drain = |on| Change::Drain { zone: "z".into(), on };
+        let drain = |on| Command::DrainZone { zone: "z".into(), drained: on };
         let mut world = World::founded(seed, Defect::None);
         // Whether its clock, answers to its own questions or a call come first when it goes on is chance.
         world.pass(seed as f64 * 7.0);
@@ -712,7 +713,7 @@
     for _ in 0..40 {
         world.pass(20.0 + 600.0 * rng.f64());
         let n = rng.usize(0..6);
-        let lost = (0..6).filter(|n| world.standing(*n) != Some(Standing::Member)).count();
+        let lost = (0..6).filter(|n| world.standing(*n) != Some(MembershipStatus::Member)).count();
         match rng.u8(0..12) {
             0 => world.kill(n),
             1 | 2 => (0..6).for_each(|n| world.start(n)),
@@ -746,15 +747,15 @@
     world.cut.clear();
     (0..6).for_each(|n| world.start(n));
     world.pass(15_000.0);
-    if (0..6).any(|n| world.standing(n) != Some(Standing::Member)) {
+    if (0..6).any(|n| world.standing(n) != Some(MembershipStatus::Member)) {
         return Err("a store did not come back".into());
     }
-    if world.answer(0, Change::Read) != Ok(()) {
+    if world.answer(0, Command::Read) != Ok(()) {
         return Err("what stands can't be read".into());
     }
     world.pass(3_000.0);
-    let digest = world.items(0).digest(Tables::KEPT);
-    if (1..6).any(|n| world.items(n).digest(Tables::KEPT) != digest) {
+    let digest = world.items(0).digest(Tables::DURABLE);
+    if (1..6).any(|n| world.items(n).digest(Tables::DURABLE) != digest) {
         return Err("copies differ".into());
     }
     let mut told: BTreeMap<(String, u64), Option<f64>> = BTreeMap::new();
@@ -772,7 +773,7 @@
             told.insert((name.clone(), *version), *stands);
         }
     }
-    check(world.items(0)).map(drop).map_err(|fault| fault.to_string())
+    check_config(world.items(0)).map(drop).map_err(|fault| fault.to_string())
 }
 
 #[test]
@@ -799,7 +800,7 @@
     world.start(2);
     world.start(3);
     world.pass(5_000.0);
-    assert_eq!(world.answer(4, Change::Read), Ok(()));
+    assert_eq!(world.answer(4, Command::Read), Ok(()));
     if world.timeout_of(4, "a") != Some(1.0) {
         return Err("what was acknowledged is lost".into());
     }
--- a/crates/config-store/tests/fleet/world.rs
+++ b/crates/config-store/tests/fleet/world.rs
@@ -1,8 +1,12 @@
 //! A fleet of stores in memory: their clock, the links between them and their disks. Nothing sleeps.
 
-use ivygate_config_store::{Answer, Ask, CallId, Change, Kept, Outcome, Output, Reply, Standing, Store};
-use ivygate_control_state::{Amended, Items, Table};
-use ivygate_rpc::{Fault, Kind};
+use ivygate_config_store::{
+    Command, CommandId, CommandOutcome, DurableState, Effect, MembershipStatus, PeerReply, PeerRequest,
+    PeerResponse, Store,
+};
+use ivygate_control_state::{ConfigUpdate, Items, Table};
+use ivygate_rpc::{ErrorKind, RpcError};
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -22,23 +26,23 @@
 }
 
 enum Message {
-    Ask { from: usize, to: usize, number: u64, ask: Ask },
-    Reply { from: usize, to: usize, number: u64, reply: Reply },
+    PeerRequest { from: usize, to: usize, number: u64, ask: PeerRequest },
+    PeerReply { from: usize, to: usize, number: u64, reply: PeerReply },
 }
 
 pub struct World {
     pub now: f64,
     rng: fastrand::Rng,
     stores: Vec<Option<Store>>,
-    disks: Vec<Kept>,
+    disks: Vec<DurableState>,
     /// Until when each stands still.
     frozen: Vec<f64>,
     /// Directions in which nothing passes.
     pub cut: BTreeSet<(usize, usize)>,
     queue: BTreeMap<(u64, u64), Message>,
     order: u64,
-    next_call: CallId,
-    pub answers: BTreeMap<CallId, Result<Outcome, Fault>>,
+    next_call: CommandId,
+    pub answers: BTreeMap<CommandId, Result<CommandOutcome, RpcError>>,
     tick_at: f64,
     defect: Defect,
     lives: u64,
@@ -61,7 +65,7 @@
 }
 
 /// A call with one service and routes at places, each with a service of its own where named.
-pub fn routes(version: u64, list: &[(&str, &str, f64)]) -> Change {
+pub fn routes(version: u64, list: &[(&str, &str, f64)]) -> Command {
     let mut all = serde_json::Map::new();
     for (name, prefix, timeout) in list {
         let body = json!({ "vhost": "h", "pathPrefix": prefix, "kind": "idempotent", "backend": "b",
@@ -69,12 +73,12 @@
         all.insert((*name).to_owned(), body);
     }
     let call = json!({ "upsert": { "routes": all, "backends": { "b": { "gen": "r1" } } } });
-    Change::Amend(Amended::read(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
 }
 
-pub fn drop_route(name: &str, version: u64) -> Change {
+pub fn drop_route(name: &str, version: u64) -> Command {
     let call = json!({ "remove": { "routes": [{ "name": name, "gen": format!("r{version}") }] } });
-    Change::Amend(Amended::read(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
 }
 
 impl World {
@@ -84,7 +88,7 @@
             now: 0.0,
             rng: fastrand::Rng::with_seed(seed),
             stores: Vec::new(),
-            disks: (0..count).map(|n| Kept::new(n as u64 + 1)).collect(),
+            disks: (0..count).map(|n| DurableState::new(n as u64 + 1)).collect(),
             frozen: vec![0.0; count],
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
@@ -113,46 +117,46 @@
     pub fn founded_of(count: usize, seed: u64, defect: Defect) -> Self {
         let mut world = Self::new(count, seed, defect);
         world.pass(4_000.0);
-        assert!((0..count).all(|n| world.standing(n) == Some(Standing::Member)), "all are members");
+        assert!((0..count).all(|n| world.standing(n) == Some(MembershipStatus::Member)), "all are members");
         world
     }
 
     /// A store is told that it is about to end; tells whether it wants to be waited for.
     pub fn leave(&mut self, n: usize) -> bool {
         let now = self.now;
-        let waits = self.stores[n].as_mut().is_some_and(|store| store.leave(now));
+        let waits = self.stores[n].as_mut().is_some_and(|store| store.leave(Timestamp::from_millis(now)));
         self.carry_out(n);
         waits
     }
 
     pub fn is_relieved(&self, n: usize) -> bool {
-        self.stores[n].as_ref().is_some_and(Store::is_relieved)
+        self.stores[n].as_ref().is_some_and(Store::can_stop)
     }
 
     /// How long ago a store surely had contact with more than half of the group.
     pub fn contact(&self, n: usize) -> Option<f64> {
-        self.stores[n].as_ref()?.contact(self.now)
+        self.stores[n].as_ref()?.contact_age_ms(Timestamp::from_millis(self.now))
     }
 
     pub fn has_accepted(&self, n: usize) -> bool {
-        self.stores[n].as_ref().is_some_and(|store| store.kept().accepted.is_some())
+        self.stores[n].as_ref().is_some_and(|store| store.state().accepted.is_some())
     }
 
-    pub fn group(&self, n: usize) -> Option<ivygate_config_store::Group> {
-        ivygate_config_store::Group::read(self.items(n))
+    pub fn group(&self, n: usize) -> Option<ivygate_config_store::Membership> {
+        ivygate_config_store::Membership::from_items(self.items(n))
     }
 
-    pub fn standing(&self, n: usize) -> Option<Standing> {
-        self.stores[n].as_ref().map(Store::standing)
+    pub fn standing(&self, n: usize) -> Option<MembershipStatus> {
+        self.stores[n].as_ref().map(Store::status)
     }
 
     pub fn items(&self, n: usize) -> &Items {
-        &self.stores[n].as_ref().expect("it runs").kept().items
+        &self.stores[n].as_ref().expect("it runs").state().items
     }
 
     /// The highest round that a store knows to be chosen.
     pub fn chosen(&self, n: usize) -> Option<ivygate_config_store::Ballot> {
-        self.stores[n].as_ref().map(|store| store.kept().chosen)
+        self.stores[n].as_ref().map(|store| store.state().chosen)
     }
 
     /// Whether a store knows of a round that its disk does not.
@@ -177,11 +181,11 @@
         if self.defect == Defect::ForgetsWhatWasDropped {
             let dropped: Vec<_> = kept
                 .items
-                .all(ivygate_control_state::Tables::KEPT)
+                .all(ivygate_control_state::Tables::DURABLE)
                 .filter(|i| i.body.is_none())
                 .cloned()
                 .collect();
-            kept.items.forget(&dropped.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
+            kept.items.purge(&dropped.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
         }
         if self.defect == Defect::ForgetsPromises {
             kept.promised = ivygate_config_store::Ballot::NONE;
@@ -197,8 +201,8 @@
         self.kill(n);
         self.lives += 1;
         let before = self.disks[n].incarnation;
-        let group = self.disks[n].items.get(Table::Group, "core").cloned();
-        self.disks[n] = Kept::new(self.lives);
+        let group = self.disks[n].items.get(Table::Membership, "core").cloned();
+        self.disks[n] = DurableState::new(self.lives);
         if self.defect == Defect::TakesPartAfterALostDisk {
             self.disks[n].incarnation = before;
             self.disks[n].items.merge_shared(group.expect("it was founded"));
@@ -209,7 +213,7 @@
     /// A machine with an empty disk at an address that nobody knows; gives its number.
     pub fn add(&mut self) -> usize {
         self.lives += 1;
-        self.disks.push(Kept::new(self.lives));
+        self.disks.push(DurableState::new(self.lives));
         self.frozen.push(0.0);
         self.stores.push(None);
         self.start(self.stores.len() - 1);
@@ -230,13 +234,13 @@
         }
     }
 
-    pub fn call(&mut self, n: usize, change: Change) -> CallId {
+    pub fn call(&mut self, n: usize, change: Command) -> CommandId {
         let id = self.next_call;
         self.next_call += 1;
         match &mut self.stores[n] {
-            Some(store) => store.call(self.now, id, change),
+            Some(store) => store.submit(Timestamp::from_millis(self.now), id, change),
             None => {
-                self.answers.insert(id, Err(Fault::new(Kind::Unreachable, "it does not run")));
+                self.answers.insert(id, Err(RpcError::new(ErrorKind::Unreachable, "it does not run")));
             }
         }
         self.carry_out(n);
@@ -244,50 +248,50 @@
     }
 
     /// Makes a call and waits for its answer.
-    pub fn answer(&mut self, n: usize, change: Change) -> Result<(), Kind> {
+    pub fn answer(&mut self, n: usize, change: Command) -> Result<(), ErrorKind> {
         let id = self.call(n, change);
         self.pass(4_000.0);
         match self.answers.get(&id) {
             Some(answer) => answer.clone().map(drop).map_err(|fault| fault.kind),
-            None => Err(Kind::Late),
+            None => Err(ErrorKind::Timeout),
         }
     }
 
     /// What a reading was answered with.
-    pub fn read(&self, id: CallId) -> Option<&Items> {
+    pub fn read(&self, id: CommandId) -> Option<&Items> {
         match self.answers.get(&id) {
-            Some(Ok(Outcome::Read(items))) => Some(items),
+            Some(Ok(CommandOutcome::Read(items))) => Some(items),
             _ => None,
         }
     }
 
-    pub fn acknowledged(&self, id: CallId) -> bool {
+    pub fn acknowledged(&self, id: CommandId) -> bool {
         matches!(self.answers.get(&id), Some(Ok(_)))
     }
 
     fn carry_out(&mut self, n: usize) {
         let Some(store) = &mut self.stores[n] else { return };
-        let outputs = store.take_outputs();
+        let outputs = store.take_effects();
         for output in outputs {
             match output {
-                Output::Save => {
+                Effect::Save => {
                     // With the defect a loss of power takes all but what was written some time ago.
                     if self.defect != Defect::AnswersBeforeTheSync || self.rng.u8(..) < 20 {
                         if let Some(store) = &self.stores[n] {
-                            self.disks[n] = store.kept().clone();
+                            self.disks[n] = store.state().clone();
                         }
                     }
                 }
-                Output::Send { to, number, ask } => {
+                Effect::Send { to, number, request: ask } => {
                     let to = number_of(to);
                     let at = self.now + self.delay(n, to);
                     self.order += 1;
                     self.queue.insert(
                         ((at * 1000.0) as u64, self.order),
-                        Message::Ask { from: n, to, number, ask },
+                        Message::PeerRequest { from: n, to, number, ask },
                     );
                 }
-                Output::Answer { call, result } => {
+                Effect::Complete { command: call, result } => {
                     self.answers.insert(call, result);
                 }
             }
@@ -321,7 +325,7 @@
                     if self.runs(n) {
                         let now = self.now;
                         if let Some(store) = &mut self.stores[n] {
-                            store.tick(now);
+                            store.tick(Timestamp::from_millis(now));
                         }
                         self.carry_out(n);
                     }
@@ -337,7 +341,7 @@
 
     fn deliver(&mut self, message: Message) {
         let (from, to) = match &message {
-            Message::Ask { from, to, .. } | Message::Reply { from, to, .. } => (*from, *to),
+            Message::PeerRequest { from, to, .. } | Message::PeerReply { from, to, .. } => (*from, *to),
         };
         if self.cut.contains(&(from, to)) || self.stores.get(to).is_none_or(Option::is_none) {
             return;
@@ -351,19 +355,19 @@
         let now = self.now;
         let Some(store) = &mut self.stores[to] else { return };
         match message {
-            Message::Ask { number, ask, .. } => {
-                let reply = store.asked(now, ip(from), ask);
-                if let Answer::Snapshot { items, .. } = &reply.answer {
+            Message::PeerRequest { number, ask, .. } => {
+                let reply = store.handle_request(Timestamp::from_millis(now), ip(from), ask);
+                if let PeerResponse::SnapshotChunk { items, .. } = &reply.response {
                     self.largest = self.largest.max(items.len());
                 }
                 self.carry_out(to);
                 let at = self.now + self.delay(from, to);
                 self.order += 1;
-                let reply = Message::Reply { from: to, to: from, number, reply };
+                let reply = Message::PeerReply { from: to, to: from, number, reply };
                 self.queue.insert(((at * 1000.0) as u64, self.order), reply);
             }
-            Message::Reply { number, reply, .. } => {
-                store.replied(now, number, Some(reply));
+            Message::PeerReply { number, reply, .. } => {
+                store.handle_response(Timestamp::from_millis(now), number, Some(reply));
                 self.carry_out(to);
             }
         }
--- a/crates/config-store/tests/messages.rs
+++ b/crates/config-store/tests/messages.rs
@@ -1,6 +1,6 @@
 //! What stores of the version before say to each other is understood and said on, byte for byte.
 
-use ivygate_config_store::{Accepted, Ask, Ballot, Candidate, Reply};
+use ivygate_config_store::{AcceptedProposal, Ballot, JoinCandidate, PeerReply, PeerRequest};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -29,7 +29,7 @@
         format!(r#"{{"join":{{"incarnation":5,"group":2,"chosen":{BALLOT}}}}}"#),
     ];
     for ask in &asks {
-        is_spoken_on::<Ask>(ask);
+        is_spoken_on::<PeerRequest>(ask);
     }
 }
 
@@ -48,16 +48,16 @@
         r#""blank""#.to_owned(),
     ];
     for answer in &answers {
-        is_spoken_on::<Reply>(&format!(r#"{{"incarnation":9,"group":2,"answer":{answer}}}"#));
+        is_spoken_on::<PeerReply>(&format!(r#"{{"incarnation":9,"group":2,"answer":{answer}}}"#));
     }
-    is_spoken_on::<Reply>(r#"{"incarnation":9,"group":null,"answer":"blank"}"#);
+    is_spoken_on::<PeerReply>(r#"{"incarnation":9,"group":null,"answer":"blank"}"#);
 }
 
 #[test]
 fn parts_of_messages_keep_their_spelling() {
     is_spoken_on::<Ballot>(BALLOT);
-    is_spoken_on::<Accepted>(&format!(r#"{{"ballot":{BALLOT},"items":[{ITEM}]}}"#));
-    is_spoken_on::<Candidate>(&format!(r#"{{"incarnation":5,"group":2,"chosen":{BALLOT}}}"#));
+    is_spoken_on::<AcceptedProposal>(&format!(r#"{{"ballot":{BALLOT},"items":[{ITEM}]}}"#));
+    is_spoken_on::<JoinCandidate>(&format!(r#"{{"incarnation":5,"group":2,"chosen":{BALLOT}}}"#));
     // Ballots of before incarnations.
     let old: Ballot = serde_json::from_str(r#"{"counter":7,"by":"10.1.0.5"}"#).expect("it is understood");
     assert_eq!((old.counter, old.incarnation), (7, 0));
--- a/crates/control-state/src/config.rs
+++ b/crates/control-state/src/config.rs
@@ -1,179 +1,15 @@
-//! The operator's items as checked types, and what makes them sound together.
-
-use crate::item::{Items, Table};
-use ivygate_rpc::{Fault, Kind};
-use serde::Deserialize;
-use serde_json::Value;
+//! The operator's configuration as a whole.
+
+use crate::error::ConfigError;
+use crate::items::Items;
+use crate::schema::{parse_body, Backend, ClientLimits, Route, Tenant};
+use crate::table::Table;
+use crate::update::LIMITS_ITEM;
+use serde_json::{Map, Value};
 use std::collections::HashMap;
-use validator::{Validate, ValidationError};
-
-/// Whether a request may run again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Effect {
-    /// Any number of times.
-    Idempotent,
-    /// Once at most.
-    Mutating,
-    /// The same, with a large body.
-    Upload,
-}
-
-/// A part of a route's requests for a service.
-#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-pub struct Share {
-    /// The service.
-    pub backend: String,
-    /// Its part, against the others'.
-    #[validate(range(min = 0.0, max = 1e9))]
-    pub weight: f64,
-}
-
-/// A route. Times are seconds.
-#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-#[serde(rename_all = "camelCase")]
-pub struct Route {
-    /// The host it is for.
-    #[validate(length(min = 1, max = 255))]
-    pub vhost: String,
-    /// What the paths begin with; it begins and ends with a slash.
-    #[validate(custom(function = "between_slashes"))]
-    pub path_prefix: String,
-    /// Whether its requests may run again.
-    pub kind: Effect,
-    /// How long a request may be held.
-    #[serde(default = "ten")]
-    #[validate(range(min = 0.001, max = 86_400.0))]
-    pub timeout_s: f64,
-    /// An answer within this time earns all.
-    #[serde(default = "one")]
-    #[validate(range(min = 0.001, max = 86_400.0))]
-    pub target_s: f64,
-    /// Its rank; 0 is highest.
-    #[serde(default)]
-    pub prio: u32,
-    /// The service, where there is one.
-    pub backend: Option<String>,
-    /// Or several with weights.
-    #[validate(nested)]
-    pub split: Option<Vec<Share>>,
-    /// Most servers that one try may be sent to.
-    #[serde(default = "two")]
-    #[validate(range(min = 1, max = 100))]
-    pub tries: u32,
-    /// Whether no key is needed.
-    #[serde(default)]
-    pub public: bool,
-    /// The only regions in which it may be served; none for all.
-    #[serde(default)]
-    pub home_regions: Vec<String>,
-}
-
-/// A tenant.
-#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-#[serde(rename_all = "camelCase")]
-pub struct Tenant {
-    /// What its clients show.
-    #[serde(default)]
-    pub api_keys: Vec<String>,
-    /// Its rank, before that of the route.
-    pub prio: Option<u32>,
-    /// Requests a second; 0 for no limit.
-    #[serde(default)]
-    #[validate(range(min = 0.0, max = 1e9))]
-    pub rate_per_s: f64,
-    /// Requests on top.
-    #[serde(default)]
-    #[validate(range(min = 0.0, max = 1e9))]
-    pub burst: f64,
-    /// The only regions in which it may be served; none for all.
-    #[serde(default)]
-    pub home_regions: Vec<String>,
-}
-
-/// A service.
-#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-#[serde(rename_all = "camelCase")]
-pub struct Backend {
-    /// Where its servers tell of their health.
-    #[serde(default = "healthz")]
-    pub health_path: String,
-    /// Connections that one server takes.
-    #[serde(default = "hundred")]
-    pub max_conns: u32,
-    /// How long a server stays cold, in seconds.
-    #[serde(default)]
-    #[validate(range(min = 0.0, max = 86_400.0))]
-    pub warmup_s: f64,
-    /// Requests a second that a cold one bears; 0 for no bound.
-    #[serde(default)]
-    #[validate(range(min = 0.0, max = 1e9))]
-    pub warmup_per_s: f64,
-}
+use validator::Validate;
 
-/// What bounds clients. Times are seconds.
-#[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
-#[serde(rename_all = "camelCase")]
-pub struct Limits {
-    /// Longest head.
-    #[serde(default = "head_most")]
-    #[validate(range(min = 256, max = 1_048_576))]
-    pub hdr_bytes: usize,
-    /// Longest body.
-    #[serde(default = "body_most")]
-    pub body_max_bytes: u64,
-    /// Time for a head.
-    #[serde(default = "ten")]
-    #[validate(range(min = 0.001, max = 3600.0))]
-    pub hdr_timeout_s: f64,
-    /// Time that a connection may stay idle.
-    #[serde(default = "ten")]
-    #[validate(range(min = 0.001, max = 86_400.0))]
-    pub idle_timeout_s: f64,
-}
-
-fn one() -> f64 {
-    1.0
-}
-fn two() -> u32 {
-    2
-}
-fn ten() -> f64 {
-    10.0
-}
-fn hundred() -> u32 {
-    100
-}
-fn head_most() -> usize {
-    16 << 10
-}
-fn body_most() -> u64 {
-    64 << 20
-}
-fn healthz() -> String {
-    "/healthz".to_owned()
-}
-
-fn between_slashes(prefix: &str) -> Result<(), ValidationError> {
-    if prefix.starts_with('/') && prefix.ends_with('/') {
-        Ok(())
-    } else {
-        Err(ValidationError::new("does not begin and end with a slash"))
-    }
-}
-
-impl Route {
-    /// The services it names, with their weights.
-    pub fn shares(&self) -> Vec<Share> {
-        match (&self.split, &self.backend) {
-            (Some(split), _) => split.clone(),
-            (None, Some(backend)) => vec![Share { backend: backend.clone(), weight: 1.0 }],
-            (None, None) => Vec::new(),
-        }
-    }
-}
-
-/// The operator's items that stand, as checked types.
+/// The operator's current items, as typed values.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     /// Routes by name.
@@ -182,75 +18,86 @@
     pub tenants: HashMap<String, Tenant>,
     /// Services by name.
     pub backends: HashMap<String, Backend>,
-    /// Limits, once set.
-    pub limits: Option<Limits>,
+    /// Limits on clients, once set.
+    pub limits: Option<ClientLimits>,
 }
 
-fn invalid(what: String) -> Fault {
-    Fault::new(Kind::Invalid, what)
-}
-
-fn table<T: serde::de::DeserializeOwned + Validate>(
+fn parse_table<T: serde::de::DeserializeOwned + Validate>(
     items: &Items,
     table: Table,
-) -> Result<HashMap<String, T>, Fault> {
-    items.standing(table).map(|(name, body)| Ok((name.to_owned(), typed(table, name, body)?))).collect()
-}
-
-/// Reads and checks one item by itself.
-pub(crate) fn typed<T: serde::de::DeserializeOwned + Validate>(
-    table: Table,
-    name: &str,
-    body: &Value,
-) -> Result<T, Fault> {
-    let what = |e: String| invalid(format!("{table:?} '{name}': {}", e.replace('\n', "; ")));
-    let item = T::deserialize(body).map_err(|e| what(e.to_string()))?;
-    item.validate().map_err(|e| what(e.to_string()))?;
-    Ok(item)
+) -> Result<HashMap<String, T>, ConfigError> {
+    items.live(table).map(|(name, body)| Ok((name.to_owned(), parse_body(table, name, body)?))).collect()
 }
 
 impl Config {
-    /// Reads what stands in a copy.
+    /// Parses the current items of a replica.
     ///
     /// # Errors
-    /// Names the item that can't be read.
-    pub fn read(items: &Items) -> Result<Self, Fault> {
+    /// Names the item that can't be parsed.
+    pub fn from_items(items: &Items) -> Result<Self, ConfigError> {
         Ok(Self {
-            routes: table(items, Table::Routes)?,
-            tenants: table(items, Table::Tenants)?,
-            backends: table(items, Table::Backends)?,
-            limits: table(items, Table::Limits)?.into_values().next(),
+            routes: parse_table(items, Table::Routes)?,
+            tenants: parse_table(items, Table::Tenants)?,
+            backends: parse_table(items, Table::Backends)?,
+            limits: parse_table(items, Table::Limits)?.into_values().next(),
         })
     }
 }
 
-/// Checks that what stands in a copy is sound as a whole.
+/// Checks that the current items of a replica are valid as a whole.
 ///
 /// # Errors
 /// Names the first items that are not.
-pub fn check(items: &Items) -> Result<Config, Fault> {
-    let config = Config::read(items)?;
-    let mut places: HashMap<(String, &str), &str> = HashMap::new();
+pub fn check_config(items: &Items) -> Result<Config, ConfigError> {
+    let config = Config::from_items(items)?;
+    check_routes(&config)?;
+    check_keys(&config)?;
+    Ok(config)
+}
+
+fn check_routes(config: &Config) -> Result<(), ConfigError> {
+    let mut prefixes: HashMap<(String, &str), &str> = HashMap::new();
     for (name, route) in &config.routes {
-        let shares = route.shares();
-        if shares.is_empty() {
-            return Err(invalid(format!("route '{name}' names no service")));
+        let backends = route.weighted_backends();
+        if backends.is_empty() {
+            return Err(ConfigError::NoBackend { route: name.clone() });
         }
-        if let Some(share) = shares.iter().find(|share| !config.backends.contains_key(&share.backend)) {
-            return Err(invalid(format!("route '{name}' names the unknown service '{}'", share.backend)));
+        if let Some(unknown) = backends.iter().find(|share| !config.backends.contains_key(&share.backend)) {
+            let backend = unknown.backend.clone();
+            return Err(ConfigError::UnknownBackend { route: name.clone(), backend });
         }
-        let place = (route.vhost.to_ascii_lowercase(), route.path_prefix.as_str());
-        if let Some(other) = places.insert(place, name) {
-            return Err(invalid(format!("routes '{other}' and '{name}' share host and prefix")));
+        let prefix = (route.vhost.to_ascii_lowercase(), route.path_prefix.as_str());
+        if let Some(other) = prefixes.insert(prefix, name) {
+            return Err(ConfigError::SharedPrefix { first: other.to_owned(), second: name.clone() });
         }
     }
+    Ok(())
+}
+
+fn check_keys(config: &Config) -> Result<(), ConfigError> {
     let mut keys: HashMap<&str, &str> = HashMap::new();
     for (name, tenant) in &config.tenants {
         for key in &tenant.api_keys {
-            if keys.insert(key, name).is_some_and(|other| other != name) {
-                return Err(invalid(format!("tenant '{name}' shares a key with another")));
+            match keys.insert(key, name) {
+                Some(other) if other != name => {
+                    return Err(ConfigError::SharedKey { first: name.clone(), second: other.to_owned() });
+                }
+                _ => {}
             }
         }
     }
-    Ok(config)
+    Ok(())
+}
+
+/// The current items of a replica, laid out as the operator sends them.
+pub fn config_document(items: &Items) -> Value {
+    let mut document = Map::new();
+    for table in [Table::Routes, Table::Tenants, Table::Backends] {
+        let bodies = items.live(table).map(|(name, body)| (name.to_owned(), body.clone())).collect();
+        document.insert(table.as_str().to_owned(), Value::Object(bodies));
+    }
+    if let Some(limits) = items.body(Table::Limits, LIMITS_ITEM) {
+        document.insert(LIMITS_ITEM.to_owned(), limits.clone());
+    }
+    Value::Object(document)
 }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,15 +1,33 @@
-//! Control state of the whole system: named items, each with its own version, in copies that merge item by item;
-//! and what makes a configuration of them sound.
+//! The control state of the system: named items, each with its own version, in replicas that merge item by item; and what
+//! makes a configuration of them valid.
 //!
-//! Called by the store, the registry and the proxy. Must never do I/O or read a clock.
+//! Called by the store, the registry and the proxy. It does no I/O and reads no clock.
+//!
+//! ```
+//! use ivygate_control_state::{apply_update, ConfigUpdate, Items, Table};
+//!
+//! let update = ConfigUpdate::parse(br#"{"upsert": {"backends": {"checkout": {"gen": "r1"}}}}"#).unwrap();
+//! let (items, newer) = apply_update(&Items::default(), &update).unwrap();
+//! assert_eq!(items.version(Table::Backends, "checkout"), 1);
+//! assert_eq!(newer.len(), 1);
+//! ```
 
-mod amend;
 mod config;
+mod entry;
+mod error;
 mod item;
-mod judged;
-mod past;
+mod items;
+mod schema;
+mod table;
+mod update;
+mod validation;
+mod version_history;
 
-pub use amend::{amend, listing, verdict, Amended, Verdict};
-pub use config::{check, Backend, Config, Effect, Limits, Route, Share, Tenant};
-pub use item::{Item, Items, Key, Table, Tables};
-pub use past::REMEMBERED;
+pub use config::{check_config, config_document, Config};
+pub use error::ConfigError;
+pub use item::{Item, Key};
+pub use items::Items;
+pub use schema::{Backend, ClientLimits, RequestKind, Route, Tenant, WeightedBackend};
+pub use table::{Table, Tables, COORDINATOR_ROLE, MEMBERSHIP_ITEM};
+pub use update::{apply_update, check_version, ConfigUpdate, VersionCheck};
+pub use version_history::MAX_REMEMBERED_VERSIONS;
--- a/crates/control-state/tests/items.rs
+++ b/crates/control-state/tests/items.rs
@@ -1,7 +1,9 @@
 //! Copies merge to the same whatever the order; the operator's calls are judged as a whole.
 
 use arbtest::arbtest;
-use ivygate_control_state::{amend, check, listing, Amended, Item, Items, Table, Tables};
+use ivygate_control_state::{
+    apply_update, check_config, config_document, ConfigUpdate, Item, Items, Table, Tables,
+};
 use serde_json::json;
 
 fn items(u: &mut arbtest::arbitrary::Unstructured) -> arbtest::arbitrary::Result<Vec<Item>> {
@@ -31,10 +33,10 @@
             let first = copy(&[&a, &b, &c]);
             let other = copy(&[&c, &a, &b, &a, &c]);
             assert_eq!(first.digest(Tables::all()), other.digest(Tables::all()));
-            assert!(first.lacking_in(&other, Tables::all()).is_empty());
+            assert!(first.missing_from(&other, Tables::all()).is_empty());
             // What lacks brings a copy to the same, and the digest of some tables is that of their items alone.
             let mut behind = copy(&[&b]);
-            for item in first.lacking_in(&behind, Tables::all()) {
+            for item in first.missing_from(&behind, Tables::all()) {
                 behind.merge_shared(item);
             }
             assert_eq!(first.digest(Tables::all()), behind.digest(Tables::all()));
@@ -50,15 +52,15 @@
     }
 }
 
-fn call(text: &str) -> Amended {
-    Amended::read(text.as_bytes()).expect("each item is sound")
+fn call(text: &str) -> ConfigUpdate {
+    ConfigUpdate::parse(text.as_bytes()).expect("each item is sound")
 }
 
 fn first() -> Items {
     let text = r#"{"upsert":{"backends":{"b":{"gen":"r1"},"c":{"gen":"r1"}},"tenants":{"t":{"apiKeys":["k"],"gen":"r1"}},
         "routes":{"a":{"vhost":"h","pathPrefix":"/a/","kind":"mutating","backend":"b","gen":"r3"}},
         "limits":{"hdrBytes":16384,"bodyMaxBytes":10,"hdrTimeoutS":3,"idleTimeoutS":15,"gen":"r1"}},"remove":{"routes":[]}}"#;
-    amend(&Items::default(), &call(text)).expect("it is sound").0
+    apply_update(&Items::default(), &call(text)).expect("it is sound").0
 }
 
 #[test]
@@ -84,8 +86,8 @@
             "another content",
         ),
     ] {
-        let fault = amend(&stands, &call(text)).expect_err(text);
-        assert!(fault.detail.contains(why), "{text}: {fault}");
+        let fault = apply_update(&stands, &call(text)).expect_err(text);
+        assert!(fault.to_string().contains(why), "{text}: {fault}");
     }
     for text in [
         r#"{"upsert":{"routes":{"x":{"vhost":"h","pathPrefix":"x/","kind":"upload","backend":"b","gen":"r1"}}}}"#,
@@ -93,24 +95,24 @@
         r#"{"upsert":{"routes":{"x":{"vhost":"h","pathPrefix":"/x/","kind":"upload","backend":"b"}}}}"#,
         r#"{"upsert":{"routes":{"x":{"vhost"#,
     ] {
-        assert!(Amended::read(text.as_bytes()).is_err(), "{text}");
+        assert!(ConfigUpdate::parse(text.as_bytes()).is_err(), "{text}");
     }
 }
 
 #[test]
 fn given_an_older_call_when_it_comes_again_then_it_changes_nothing_and_what_was_dropped_stays_dropped() {
     let stands = first();
-    let (dropped, _) =
-        amend(&stands, &call(r#"{"remove":{"routes":[{"name":"a","gen":"r9"}]}}"#)).expect("it is sound");
+    let (dropped, _) = apply_update(&stands, &call(r#"{"remove":{"routes":[{"name":"a","gen":"r9"}]}}"#))
+        .expect("it is sound");
     let old = r#"{"upsert":{"routes":{"a":{"vhost":"h","pathPrefix":"/a/","kind":"mutating","backend":"c","gen":"r5"}}}}"#;
-    let (after, newer) = amend(&dropped, &call(old)).expect("an older call is no fault");
+    let (after, newer) = apply_update(&dropped, &call(old)).expect("an older call is no fault");
     // Its number was never acknowledged before: that it is now is remembered, and nothing else.
-    assert!(newer.iter().all(|item| item.key.table == Table::Past) && newer.len() == 1);
+    assert!(newer.iter().all(|item| item.key.table == Table::VersionHistory) && newer.len() == 1);
     assert!(after.body(Table::Routes, "a").is_none());
     assert_eq!(after.get(Table::Routes, "a"), dropped.get(Table::Routes, "a"));
-    let (again, newer) = amend(&after, &call(old)).expect("an older call is no fault");
+    let (again, newer) = apply_update(&after, &call(old)).expect("an older call is no fault");
     assert!(newer.is_empty() && again.digest(Tables::all()) == after.digest(Tables::all()));
-    assert!(check(&after).is_ok());
-    assert_eq!(listing(&after)["routes"], json!({}));
-    assert_eq!(listing(&stands)["limits"]["gen"], json!("r1"));
+    assert!(check_config(&after).is_ok());
+    assert_eq!(config_document(&after)["routes"], json!({}));
+    assert_eq!(config_document(&stands)["limits"]["gen"], json!("r1"));
 }
--- a/crates/control-state/tests/judged.rs
+++ b/crates/control-state/tests/judged.rs
@@ -2,7 +2,9 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use ivygate_control_state::{amend, check, verdict, Amended, Item, Items, Key, Table, Tables, Verdict};
+use ivygate_control_state::{
+    apply_update, check_config, check_version, ConfigUpdate, Item, Items, Key, Table, Tables, VersionCheck,
+};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -78,12 +80,12 @@
 impl Beside {
     fn merge(&mut self, item: Item) {
         if self.copy.merge(item.clone()) {
-            self.plain.insert(item.key.clone(), (self.copy.changes(), item));
+            self.plain.insert(item.key.clone(), (self.copy.last_change(), item));
         }
     }
 
     fn forget(&mut self, keys: &[Key]) {
-        self.copy.forget(keys);
+        self.copy.purge(keys);
         keys.iter().for_each(|key| drop(self.plain.remove(key)));
     }
 
@@ -97,9 +99,9 @@
     }
 
     fn judge(&self) -> bool {
-        let (item_by_item, whole) = (self.copy.sound(), check(&self.copy));
+        let (item_by_item, whole) = (self.copy.validate(), check_config(&self.copy));
         assert_eq!(item_by_item.is_ok(), whole.is_ok(), "{item_by_item:?}, {:?}", whole.err());
-        assert_eq!(self.anew().sound().is_ok(), whole.is_ok(), "the way there makes no difference");
+        assert_eq!(self.anew().validate().is_ok(), whole.is_ok(), "the way there makes no difference");
         whole.is_ok()
     }
 
@@ -113,15 +115,16 @@
             let mut newer: Vec<_> = self.plain.values().filter(|(change, _)| *change > since).collect();
             newer.retain(|(_, item)| tables.contains(item.key.table.set()));
             newer.sort_by_key(|(change, _)| *change);
-            let told: Vec<Item> = self.copy.since(since, tables).iter().map(|i| Item::clone(i)).collect();
+            let told: Vec<Item> =
+                self.copy.changes_since(since, tables).iter().map(|i| Item::clone(i)).collect();
             assert_eq!(told, newer.into_iter().map(|(_, item)| item.clone()).collect::<Vec<_>>());
         }
     }
 
     /// A call is judged against the copy; tells whether it came to that, and what came of it.
-    fn call(&mut self, call: &Amended) -> Option<bool> {
-        let verdicts: Vec<_> = call.items.iter().map(|item| verdict(&self.copy, item)).collect();
-        if !verdicts.contains(&Verdict::Newer) {
+    fn call(&mut self, call: &ConfigUpdate) -> Option<bool> {
+        let verdicts: Vec<_> = call.items.iter().map(|item| check_version(&self.copy, item)).collect();
+        if !verdicts.contains(&VersionCheck::Newer) {
             return None;
         }
         let mut naive = self.copy.clone();
@@ -129,17 +132,17 @@
             naive.merge(item.clone());
         });
         let before = self.copy.digest(Tables::all());
-        let made = amend(&self.copy, call);
+        let made = apply_update(&self.copy, call);
         assert_eq!(self.copy.digest(Tables::all()), before, "a call leaves the copy as it was");
         match made {
             Ok((next, newer)) => {
-                assert!(check(&naive).is_ok() && check(&next).is_ok());
+                assert!(check_config(&naive).is_ok() && check_config(&next).is_ok());
                 newer.into_iter().for_each(|item| self.merge(item));
                 assert_eq!(self.copy.digest(Tables::all()), next.digest(Tables::all()));
                 Some(true)
             }
-            Err(fault) if fault.kind == ivygate_rpc::Kind::Invalid => {
-                assert!(check(&naive).is_err(), "{fault}");
+            Err(fault) if fault.kind() == ivygate_rpc::ErrorKind::Invalid => {
+                assert!(check_config(&naive).is_err(), "{fault}");
                 Some(false)
             }
             Err(_) => None,
@@ -166,7 +169,7 @@
                     0..=2 => copies[at].merge(item(u, highest)?),
                     3..=6 => {
                         let items = (0..=u.int_in_range(0..=2)?).map(|_| item(u, highest));
-                        let call = Amended { items: items.collect::<Result<_>>()? };
+                        let call = ConfigUpdate { items: items.collect::<Result<_>>()? };
                         if let Some(taken) = copies[at].call(&call) {
                             count(if taken { 2 } else { 3 });
                         }
@@ -174,7 +177,7 @@
                     7 => {
                         // Two operators' halves meet: what was sound in each need not be together.
                         let from = copies[(at + 1) % 3].copy.clone();
-                        for item in from.lacking_in(&copies[at].copy, Tables::all()) {
+                        for item in from.missing_from(&copies[at].copy, Tables::all()) {
                             copies[at].merge(Item::clone(&item));
                         }
                     }
@@ -186,7 +189,7 @@
                     }
                     10 => count(usize::from(copies[at].judge())),
                     _ => {
-                        let since = u.int_in_range(0..=copies[at].copy.changes() + 1)?;
+                        let since = u.int_in_range(0..=copies[at].copy.last_change() + 1)?;
                         copies[at].compare(since);
                     }
                 }
@@ -212,14 +215,14 @@
     let body = json!({ "vhost": "h", "pathPrefix": "/", "kind": "upload", "backend": "b" });
     copy.merge(Item::new(Table::Routes, "r", 1, Some(body.clone())));
     let early = copy.clone();
-    assert!(copy.sound().is_ok());
+    assert!(copy.validate().is_ok());
     let mut next = copy.clone();
     next.merge(Item::new(Table::Backends, "b", 2, None));
-    assert!(next.sound().is_err_and(|fault| fault.detail.contains("unknown service 'b'")));
-    assert!(copy.sound().is_ok() && early.sound().is_ok());
+    assert!(next.validate().is_err_and(|fault| fault.to_string().contains("unknown service 'b'")));
+    assert!(copy.validate().is_ok() && early.validate().is_ok());
     copy.merge(Item::new(Table::Routes, "s", 1, Some(body)));
-    assert!(copy.sound().is_err_and(|fault| fault.detail.contains("share host and prefix")));
-    assert!(early.sound().is_ok());
+    assert!(copy.validate().is_err_and(|fault| fault.to_string().contains("share host and prefix")));
+    assert!(early.validate().is_ok());
     copy.merge(Item::new(Table::Routes, "r", 2, None));
-    assert!(copy.sound().is_ok(), "what broke it is gone");
+    assert!(copy.validate().is_ok(), "what broke it is gone");
 }
--- a/crates/control-state/tests/numbers.rs
+++ b/crates/control-state/tests/numbers.rs
@@ -1,28 +1,31 @@
 //! No two contents are acknowledged under one number of an item, and a repeat of what was acknowledged is never refused.
 
 use arbtest::arbtest;
-use ivygate_control_state::{amend, check, listing, Amended, Item, Items, Table, Tables, REMEMBERED};
-use ivygate_rpc::Kind;
+use ivygate_control_state::{
+    apply_update, check_config, config_document, ConfigUpdate, Item, Items, Table, Tables,
+    MAX_REMEMBERED_VERSIONS,
+};
+use ivygate_rpc::ErrorKind;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A call about tenants: names, numbers, and a burst each, or none for one to be dropped.
-fn tenants(list: &[(&str, u64, Option<f64>)]) -> Amended {
+fn tenants(list: &[(&str, u64, Option<f64>)]) -> ConfigUpdate {
     let item = |(name, number, burst): &(&str, u64, Option<f64>)| {
         let gen = format!("r{number}");
         Item::new(Table::Tenants, *name, *number, burst.map(|burst| json!({ "burst": burst, "gen": gen })))
     };
-    Amended { items: list.iter().map(item).collect() }
+    ConfigUpdate { items: list.iter().map(item).collect() }
 }
 
-fn text(text: &str) -> Amended {
-    Amended::read(text.as_bytes()).expect("each item is sound")
+fn text(text: &str) -> ConfigUpdate {
+    ConfigUpdate::parse(text.as_bytes()).expect("each item is sound")
 }
 
 /// What a store has after a loss of all power: each item as it was written on disk.
 fn restarted(copy: &Items) -> Items {
     let mut read = Items::default();
-    for item in copy.all(Tables::KEPT) {
+    for item in copy.all(Tables::DURABLE) {
         let text = serde_json::to_vec(&**item).expect("it can be written");
         read.merge(serde_json::from_slice(&text).expect("it can be read"));
     }
@@ -42,13 +45,13 @@
 
     /// Gives the items that the call was written down as.
     fn acknowledges(&mut self, call: &[(&str, u64, Option<f64>)]) -> Vec<Item> {
-        let (next, newer) = amend(&self.0, &tenants(call)).unwrap_or_else(|e| panic!("{call:?}: {e}"));
+        let (next, newer) = apply_update(&self.0, &tenants(call)).unwrap_or_else(|e| panic!("{call:?}: {e}"));
         self.0 = next;
         newer
     }
 
-    fn refuses(&self, call: &[(&str, u64, Option<f64>)]) -> Kind {
-        amend(&self.0, &tenants(call)).expect_err("it was acknowledged").kind
+    fn refuses(&self, call: &[(&str, u64, Option<f64>)]) -> ErrorKind {
+        apply_update(&self.0, &tenants(call)).expect_err("it was acknowledged").kind()
     }
 
     fn burst(&self, name: &str) -> Option<f64> {
@@ -59,9 +62,9 @@
 #[test]
 fn given_a_newer_number_stands_when_another_content_comes_under_one_before_then_it_is_refused() {
     let mut store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0))]]);
-    assert_eq!(store.refuses(&[("t", 5, Some(3.0))]), Kind::Conflict);
-    assert_eq!(store.refuses(&[("t", 5, None)]), Kind::Conflict);
-    assert_eq!(store.refuses(&[("t", 6, Some(3.0))]), Kind::Conflict);
+    assert_eq!(store.refuses(&[("t", 5, Some(3.0))]), ErrorKind::Conflict);
+    assert_eq!(store.refuses(&[("t", 5, None)]), ErrorKind::Conflict);
+    assert_eq!(store.refuses(&[("t", 6, Some(3.0))]), ErrorKind::Conflict);
     assert!(store.acknowledges(&[("t", 5, Some(1.0))]).is_empty(), "its repeat changes nothing");
     assert!(store.acknowledges(&[("t", 6, Some(2.0))]).is_empty());
     assert_eq!(store.burst("t"), Some(2.0));
@@ -76,19 +79,19 @@
         assert!(store.acknowledges(&[repeat]).is_empty(), "{repeat:?}");
     }
     for other in [("t", 5, None), ("t", 6, Some(1.0)), ("t", 8, None), ("t", 9, Some(4.0))] {
-        assert_eq!(store.refuses(&[other]), Kind::Conflict, "{other:?}");
+        assert_eq!(store.refuses(&[other]), ErrorKind::Conflict, "{other:?}");
     }
     assert_eq!(store.burst("t"), None);
-    assert_eq!(listing(&store.0)["tenants"], json!({}));
+    assert_eq!(config_document(&store.0)["tenants"], json!({}));
 }
 
 #[test]
 fn given_a_number_never_used_when_it_comes_below_what_stands_then_it_is_taken_up_once_and_changes_nothing() {
     let mut store = Store::after(&[&[("t", 9, Some(9.0))]]);
     let remembered = store.acknowledges(&[("t", 4, Some(4.0))]);
-    assert!(remembered.len() == 1 && remembered[0].key.table == Table::Past, "{remembered:?}");
+    assert!(remembered.len() == 1 && remembered[0].key.table == Table::VersionHistory, "{remembered:?}");
     store.0 = restarted(&store.0);
-    assert_eq!(store.refuses(&[("t", 4, Some(5.0))]), Kind::Conflict);
+    assert_eq!(store.refuses(&[("t", 4, Some(5.0))]), ErrorKind::Conflict);
     assert!(store.acknowledges(&[("t", 4, Some(4.0))]).is_empty());
     assert_eq!(store.burst("t"), Some(9.0));
 }
@@ -96,34 +99,40 @@
 #[test]
 fn given_an_item_never_changed_when_it_is_kept_then_nothing_is_remembered_beside_it() {
     let mut store = Store::after(&[&[("t", 1, Some(1.0)), ("u", 7, Some(1.0))], &[("t", 1, Some(1.0))]]);
-    assert_eq!(store.0.all(Tables::PAST).count(), 0);
+    assert_eq!(store.0.all(Tables::VERSION_HISTORY).count(), 0);
     let written = store.acknowledges(&[("t", 2, Some(2.0))]);
     let named: BTreeSet<_> = written.iter().map(|i| (i.key.table, i.key.name.as_str(), i.version)).collect();
-    let expected = [(Table::Tenants, "t", 2), (Table::Past, "tenants/t", 1)];
+    let expected = [(Table::Tenants, "t", 2), (Table::VersionHistory, "tenants/t", 1)];
     assert_eq!(named, BTreeSet::from(expected), "both are written in one round");
-    assert!(!Tables::PUBLISHED.contains(Tables::PAST) && Tables::KEPT == Tables::PUBLISHED | Tables::PAST);
+    assert!(
+        !Tables::PUBLISHED.contains(Tables::VERSION_HISTORY)
+            && Tables::DURABLE == Tables::PUBLISHED | Tables::VERSION_HISTORY
+    );
 }
 
 #[test]
 fn given_one_name_twice_in_a_call_when_it_is_judged_then_both_numbers_are_remembered_or_none_is() {
     let both = r#"{"upsert":{"tenants":{"t":{"burst":1,"gen":"r5"}}},"remove":{"tenants":[{"name":"t","gen":"r6"},
         {"name":"t","gen":"r6"}]}}"#;
-    let (copy, newer) = amend(&Items::default(), &text(both)).expect("two numbers are no conflict");
+    let (copy, newer) = apply_update(&Items::default(), &text(both)).expect("two numbers are no conflict");
     assert_eq!(newer.len(), 2, "each name once: {newer:?}");
     assert!(copy.body(Table::Tenants, "t").is_none());
-    assert!(amend(&copy, &text(both)).expect("it is a repeat").1.is_empty());
+    assert!(apply_update(&copy, &text(both)).expect("it is a repeat").1.is_empty());
     let other = r#"{"upsert":{"tenants":{"t":{"burst":2,"gen":"r5"}}}}"#;
-    assert_eq!(amend(&copy, &text(other)).expect_err("r5 is used").kind, Kind::Conflict);
+    assert_eq!(apply_update(&copy, &text(other)).expect_err("r5 is used").kind(), ErrorKind::Conflict);
 
     let reversed = r#"{"upsert":{"tenants":{"t":{"burst":1,"gen":"r6"}}},"remove":{"tenants":[{"name":"t","gen":"r5"}]}}"#;
-    let (copy, _) = amend(&Items::default(), &text(reversed)).expect("two numbers are no conflict");
+    let (copy, _) = apply_update(&Items::default(), &text(reversed)).expect("two numbers are no conflict");
     assert!(copy.body(Table::Tenants, "t").is_some());
-    assert!(amend(&copy, &text(reversed)).expect("it is a repeat").1.is_empty());
-    assert_eq!(amend(&copy, &text(both)).expect_err("r5 dropped it").kind, Kind::Conflict);
+    assert!(apply_update(&copy, &text(reversed)).expect("it is a repeat").1.is_empty());
+    assert_eq!(apply_update(&copy, &text(both)).expect_err("r5 dropped it").kind(), ErrorKind::Conflict);
 
     let torn = r#"{"upsert":{"tenants":{"s":{"gen":"r1"},"t":{"burst":1,"gen":"r5"}}},
         "remove":{"tenants":[{"name":"t","gen":"r5"}]}}"#;
-    assert_eq!(amend(&Items::default(), &text(torn)).expect_err("one number").kind, Kind::Conflict);
+    assert_eq!(
+        apply_update(&Items::default(), &text(torn)).expect_err("one number").kind(),
+        ErrorKind::Conflict
+    );
 }
 
 #[test]
@@ -133,8 +142,9 @@
         let twice = format!(
             r#"{{"upsert":{{"tenants":{{"{first}":{{"burst":1,"gen":"r5"}},"{second}":{{"burst":2,"gen":"r5"}}}}}}}}"#
         );
-        let fault = Amended::read(twice.as_bytes()).expect_err("which of the two is meant can't be told");
-        assert!(fault.kind == Kind::Malformed && fault.detail.contains("twice"), "{fault}");
+        let fault =
+            ConfigUpdate::parse(twice.as_bytes()).expect_err("which of the two is meant can't be told");
+        assert!(fault.kind() == ErrorKind::Malformed && fault.to_string().contains("twice"), "{fault}");
     }
 }
 
@@ -142,7 +152,7 @@
 fn given_one_conflict_in_a_call_when_it_is_refused_then_nothing_else_of_it_was_taken_up() {
     let mut store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0)), ("u", 6, Some(2.0))]]);
     let torn = [("s", 1, Some(1.0)), ("u", 4, Some(1.0)), ("t", 5, Some(9.0))];
-    assert_eq!(store.refuses(&torn), Kind::Conflict);
+    assert_eq!(store.refuses(&torn), ErrorKind::Conflict);
     // Had they been acknowledged, other contents would be refused.
     store.acknowledges(&[("s", 1, Some(2.0)), ("u", 4, Some(2.0))]);
 }
@@ -156,39 +166,39 @@
             "limits":{{"hdrTimeoutS":{seconds},"gen":"r{number}"}}}}}}"#
         ))
     };
-    let (copy, _) = amend(&Items::default(), &call(1, 1.0)).expect("it is sound");
-    let (copy, _) = amend(&copy, &call(2, 2.0)).expect("it is sound");
+    let (copy, _) = apply_update(&Items::default(), &call(1, 1.0)).expect("it is sound");
+    let (copy, _) = apply_update(&copy, &call(2, 2.0)).expect("it is sound");
     let copy = restarted(&copy);
     for item in call(1, 3.0).items {
-        let alone = Amended { items: vec![item] };
-        assert_eq!(amend(&copy, &alone).expect_err("r1 is used").kind, Kind::Conflict);
+        let alone = ConfigUpdate { items: vec![item] };
+        assert_eq!(apply_update(&copy, &alone).expect_err("r1 is used").kind(), ErrorKind::Conflict);
     }
-    assert!(amend(&copy, &call(1, 1.0)).expect("it is a repeat").1.is_empty());
-    assert!(check(&copy).is_ok());
+    assert!(apply_update(&copy, &call(1, 1.0)).expect("it is a repeat").1.is_empty());
+    assert!(check_config(&copy).is_ok());
 }
 
 #[test]
 fn given_a_history_longer_than_the_window_when_old_numbers_come_then_neither_yes_nor_no_is_said() {
-    let (mut store, last) = (Store(Items::default()), 3 * REMEMBERED as u64);
+    let (mut store, last) = (Store(Items::default()), 3 * MAX_REMEMBERED_VERSIONS as u64);
     for number in 1..=last {
         store.acknowledges(&[("t", number, Some(number as f64))]);
     }
     store.0 = restarted(&store.0);
-    let oldest = last - REMEMBERED as u64;
+    let oldest = last - MAX_REMEMBERED_VERSIONS as u64;
     for number in 1..=last {
         let (same, other) = ([("t", number, Some(number as f64))], [("t", number, None)]);
         if number < oldest {
-            assert_eq!(store.refuses(&same), Kind::Forgotten, "r{number}");
-            assert_eq!(store.refuses(&other), Kind::Forgotten, "r{number}");
+            assert_eq!(store.refuses(&same), ErrorKind::VersionForgotten, "r{number}");
+            assert_eq!(store.refuses(&other), ErrorKind::VersionForgotten, "r{number}");
         } else {
             assert!(store.acknowledges(&same).is_empty(), "r{number}");
-            assert_eq!(store.refuses(&other), Kind::Conflict, "r{number}");
+            assert_eq!(store.refuses(&other), ErrorKind::Conflict, "r{number}");
         }
     }
-    assert!(Kind::Forgotten.is_passing(), "it promises nothing");
+    assert!(ErrorKind::VersionForgotten.is_retryable(), "it promises nothing");
     // A conflict is sure, whatever else of the call is forgotten.
-    assert_eq!(store.refuses(&[("t", 1, None), ("t", last, None)]), Kind::Conflict);
-    let kept: Vec<_> = store.0.all(Tables::PAST).collect();
+    assert_eq!(store.refuses(&[("t", 1, None), ("t", last, None)]), ErrorKind::Conflict);
+    let kept: Vec<_> = store.0.all(Tables::VERSION_HISTORY).collect();
     let size = serde_json::to_vec(&kept).expect("it can be written").len();
     assert!(kept.len() == 1 && size < 3_500, "{size} bytes");
 }
@@ -196,12 +206,12 @@
 #[test]
 fn given_a_window_is_full_when_a_number_below_it_is_used_then_it_is_acknowledged_once_at_most() {
     let mut store = Store(Items::default());
-    for number in 100..=100 + REMEMBERED as u64 {
+    for number in 100..=100 + MAX_REMEMBERED_VERSIONS as u64 {
         store.acknowledges(&[("t", number, Some(1.0))]);
     }
     store.acknowledges(&[("t", 50, Some(1.0))]);
-    assert_eq!(store.refuses(&[("t", 50, Some(2.0))]), Kind::Forgotten);
-    assert_eq!(store.refuses(&[("t", 40, Some(2.0))]), Kind::Forgotten);
+    assert_eq!(store.refuses(&[("t", 50, Some(2.0))]), ErrorKind::VersionForgotten);
+    assert_eq!(store.refuses(&[("t", 40, Some(2.0))]), ErrorKind::VersionForgotten);
     store.acknowledges(&[("t", 60, Some(1.0))]);
 }
 
@@ -210,10 +220,10 @@
     let store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0))]]);
     for body in [None, Some(json!([[5, "x"]])), Some(json!("")), Some(json!("0 5")), Some(json!("0 x:y"))] {
         let mut torn = Store(store.0.clone());
-        torn.0.merge(Item::new(Table::Past, "tenants/t", 2, body));
-        assert_eq!(torn.refuses(&[("t", 5, Some(1.0))]), Kind::Forgotten);
+        torn.0.merge(Item::new(Table::VersionHistory, "tenants/t", 2, body));
+        assert_eq!(torn.refuses(&[("t", 5, Some(1.0))]), ErrorKind::VersionForgotten);
         torn.acknowledges(&[("t", 7, Some(3.0))]);
-        assert_eq!(torn.refuses(&[("t", 6, Some(3.0))]), Kind::Conflict);
+        assert_eq!(torn.refuses(&[("t", 6, Some(3.0))]), ErrorKind::Conflict);
     }
 }
 
@@ -228,11 +238,11 @@
     let known = "0.00000017545801014029472".to_owned();
     for burst in std::iter::once(known).chain((0..1_000).map(|_| draw())) {
         let sent = format!(r#"{{"upsert":{{"tenants":{{"t":{{"burst":{burst},"gen":"r5"}}}}}}}}"#);
-        let (first, _) = amend(&Items::default(), &text(&sent)).expect("it is sound");
+        let (first, _) = apply_update(&Items::default(), &text(&sent)).expect("it is sound");
         let first = restarted(&first);
-        assert!(amend(&first, &text(&sent)).expect(&sent).1.is_empty());
-        let (second, _) = amend(&first, &tenants(&[("t", 6, None)])).expect("it is sound");
-        assert!(amend(&restarted(&second), &text(&sent)).expect(&sent).1.is_empty());
+        assert!(apply_update(&first, &text(&sent)).expect(&sent).1.is_empty());
+        let (second, _) = apply_update(&first, &tenants(&[("t", 6, None)])).expect("it is sound");
+        assert!(apply_update(&restarted(&second), &text(&sent)).expect(&sent).1.is_empty());
     }
 }
 
@@ -240,11 +250,11 @@
 fn given_two_ways_to_write_a_number_when_a_newer_stands_then_what_was_the_same_stays_the_same() {
     let call =
         |burst: &str| text(&format!(r#"{{"upsert":{{"tenants":{{"t":{{"gen":"r5","burst":{burst}}}}}}}}}"#));
-    let (first, _) = amend(&Items::default(), &call("-0.0")).expect("it is sound");
-    let (second, _) = amend(&first, &tenants(&[("t", 6, None)])).expect("it is sound");
+    let (first, _) = apply_update(&Items::default(), &call("-0.0")).expect("it is sound");
+    let (second, _) = apply_update(&first, &tenants(&[("t", 6, None)])).expect("it is sound");
     for other in ["0.0", "0", "-0", "0e0", "-0.0"] {
-        let before = amend(&first, &call(other)).map(drop).map_err(|e| e.kind);
-        assert_eq!(amend(&second, &call(other)).map(drop).map_err(|e| e.kind), before, "{other}");
+        let before = apply_update(&first, &call(other)).map(drop).map_err(|e| e.kind());
+        assert_eq!(apply_update(&second, &call(other)).map(drop).map_err(|e| e.kind()), before, "{other}");
     }
 }
 
@@ -254,7 +264,7 @@
 
 impl Oracle {
     /// Whether one of a call's numbers was used with another content, before or in the call itself.
-    fn conflicts(&self, call: &Amended) -> bool {
+    fn conflicts(&self, call: &ConfigUpdate) -> bool {
         call.items.iter().enumerate().any(|(n, item)| {
             let before = self.0.get(&(item.key.name.clone(), item.version));
             let twice = |other: &Item| (&other.key, other.version) == (&item.key, item.version);
@@ -263,7 +273,7 @@
         })
     }
 
-    fn acknowledged(&mut self, call: &Amended) {
+    fn acknowledged(&mut self, call: &ConfigUpdate) {
         for item in &call.items {
             self.0.insert((item.key.name.clone(), item.version), item.body.clone());
         }
@@ -277,7 +287,7 @@
 /// Plays one history; gives how many calls were acknowledged, refused, and left unclear.
 fn play(u: &mut arbtest::arbitrary::Unstructured, span: u64) -> arbtest::arbitrary::Result<[usize; 3]> {
     let (mut copy, mut oracle, mut said) = (Items::default(), Oracle::default(), [0; 3]);
-    let mut made: Vec<Amended> = Vec::new();
+    let mut made: Vec<ConfigUpdate> = Vec::new();
     let mut highest = 1;
     while !u.is_empty() {
         if u.ratio(1, 16)? {
@@ -295,7 +305,7 @@
             }
             tenants(&list)
         };
-        match amend(&copy, &call) {
+        match apply_update(&copy, &call) {
             Ok((next, newer)) => {
                 assert!(!oracle.conflicts(&call), "two contents under one number: {call:?}");
                 let keys: BTreeSet<_> = newer.iter().map(|item| item.key.clone()).collect();
@@ -309,14 +319,14 @@
                 made.push(call);
                 said[0] += 1;
             }
-            Err(fault) if fault.kind == Kind::Conflict => {
+            Err(fault) if fault.kind() == ErrorKind::Conflict => {
                 assert!(oracle.conflicts(&call), "a repeat was refused: {call:?}");
                 said[1] += 1;
             }
             Err(fault) => {
-                assert_eq!(fault.kind, Kind::Forgotten);
+                assert_eq!(fault.kind(), ErrorKind::VersionForgotten);
                 let most = call.items.iter().map(|item| oracle.numbers(&item.key.name)).max();
-                assert!(most > Some(REMEMBERED), "forgotten too soon: {call:?}");
+                assert!(most > Some(MAX_REMEMBERED_VERSIONS), "forgotten too soon: {call:?}");
                 said[2] += 1;
             }
         }
--- a/crates/control-state/tests/spelling.rs
+++ b/crates/control-state/tests/spelling.rs
@@ -1,7 +1,7 @@
 //! How items, tables and the operator's calls are spelled, on disk, between processes and at the outside.
 
-use ivygate_control_state::{amend, listing, Amended, Item, Items, Table, Tables};
-use ivygate_rpc::Kind;
+use ivygate_control_state::{apply_update, config_document, ConfigUpdate, Item, Items, Table, Tables};
+use ivygate_rpc::ErrorKind;
 use serde_json::json;
 
 const TABLES: [(Table, &str, u16); 10] = [
@@ -10,11 +10,11 @@
     (Table::Backends, "backends", 4),
     (Table::Limits, "limits", 8),
     (Table::Drains, "drains", 16),
-    (Table::Group, "group", 32),
+    (Table::Membership, "group", 32),
     (Table::Nodes, "nodes", 64),
     (Table::Servers, "servers", 128),
-    (Table::Duties, "duties", 256),
-    (Table::Past, "past", 512),
+    (Table::SingletonRoles, "duties", 256),
+    (Table::VersionHistory, "past", 512),
 ];
 
 #[test]
@@ -24,7 +24,7 @@
         assert_eq!(table.set().bits(), bit);
     }
     assert!(TABLES.windows(2).all(|pair| pair[0].0 < pair[1].0));
-    let sets = [Tables::CONFIG, Tables::PUBLISHED, Tables::KEPT, Tables::TOLD, Tables::all()];
+    let sets = [Tables::CONFIG, Tables::PUBLISHED, Tables::DURABLE, Tables::SOFT, Tables::all()];
     assert_eq!(
         sets.map(|set| set.bits()),
         [0b1111, 0b1_0011_1111, 0b11_0011_1111, 0b1100_0000, 0b11_1111_1111]
@@ -61,12 +61,12 @@
 
 #[test]
 fn calls_of_operators_are_read_and_read_back_as_they_were_sent() {
-    let call = Amended::read(&call()).expect("it is sound");
-    let (copy, newer) = amend(&Items::default(), &call).expect("it is sound as a whole");
+    let call = ConfigUpdate::parse(&call()).expect("it is sound");
+    let (copy, newer) = apply_update(&Items::default(), &call).expect("it is sound as a whole");
     assert_eq!(newer.len(), 5);
     let dropped =
-        Amended::read(br#"{"remove":{"tenants":[{"name":"acme","gen":"r3"}]}}"#).expect("it is sound");
-    let (copy, newer) = amend(&copy, &dropped).expect("it is sound as a whole");
+        ConfigUpdate::parse(br#"{"remove":{"tenants":[{"name":"acme","gen":"r3"}]}}"#).expect("it is sound");
+    let (copy, newer) = apply_update(&copy, &dropped).expect("it is sound as a whole");
     let newer: Vec<String> =
         newer.iter().map(|item| serde_json::to_string(item).expect("it can be written")).collect();
     assert_eq!(
@@ -78,7 +78,7 @@
         .map(|text| text.replace("DIGEST", "67662bf6a07341401b4e4a833bdef3ae"))
     );
     assert_eq!(
-        listing(&copy).to_string(),
+        config_document(&copy).to_string(),
         concat!(
             r#"{"backends":{"checkout":{"gen":"r3","healthPath":"/ok","maxConns":9,"warmupPerS":2,"warmupS":1}},"#,
             r#""limits":{"bodyMaxBytes":1000,"gen":"r6","hdrBytes":9000,"hdrTimeoutS":3,"idleTimeoutS":4},"#,
@@ -88,35 +88,43 @@
             r#""vhost":"shop"}},"tenants":{}}"#
         )
     );
-    assert_eq!(copy.digest(Tables::KEPT), 11_630_465_217_288_692_553);
+    assert_eq!(copy.digest(Tables::DURABLE), 11_630_465_217_288_692_553);
 }
 
 #[test]
 fn faults_of_calls_keep_their_kinds() {
     let kinds = [
-        ("{", Kind::Malformed),
-        (r#"{"remove":{"routes":["route-5"]}}"#, Kind::Malformed),
-        (r#"{"remove":{"routes":[{"name":"x"}]}}"#, Kind::Malformed),
-        (r#"{"remove":{"routes":[{"name":"x","gen":"y"}]}}"#, Kind::Malformed),
-        (r#"{"upsert":{"routes":{"":{"gen":1}}}}"#, Kind::Malformed),
-        (r#"{"upsert":{"routes":{"a":{}}}}"#, Kind::Malformed),
-        (r#"{"upsert":{"routes":{"a":{"gen":1},"a":{"gen":2}}}}"#, Kind::Malformed),
-        (r#"{"upsert":{"routes":{"a":{"gen":1}}}}"#, Kind::Invalid),
+        ("{", ErrorKind::Malformed),
+        (r#"{"remove":{"routes":["route-5"]}}"#, ErrorKind::Malformed),
+        (r#"{"remove":{"routes":[{"name":"x"}]}}"#, ErrorKind::Malformed),
+        (r#"{"remove":{"routes":[{"name":"x","gen":"y"}]}}"#, ErrorKind::Malformed),
+        (r#"{"upsert":{"routes":{"":{"gen":1}}}}"#, ErrorKind::Malformed),
+        (r#"{"upsert":{"routes":{"a":{}}}}"#, ErrorKind::Malformed),
+        (r#"{"upsert":{"routes":{"a":{"gen":1},"a":{"gen":2}}}}"#, ErrorKind::Malformed),
+        (r#"{"upsert":{"routes":{"a":{"gen":1}}}}"#, ErrorKind::Invalid),
         (
             r#"{"upsert":{"routes":{"a":{"gen":1,"vhost":"h","pathPrefix":"x","kind":"idempotent"}}}}"#,
-            Kind::Invalid,
+            ErrorKind::Invalid,
         ),
-        (r#"{"upsert":{"limits":{"gen":1,"hdrBytes":1}}}"#, Kind::Invalid),
+        (r#"{"upsert":{"limits":{"gen":1,"hdrBytes":1}}}"#, ErrorKind::Invalid),
     ];
     for (text, kind) in kinds {
-        assert_eq!(Amended::read(text.as_bytes()).map(drop).map_err(|fault| fault.kind), Err(kind), "{text}");
+        assert_eq!(
+            ConfigUpdate::parse(text.as_bytes()).map(drop).map_err(|error| error.kind()),
+            Err(kind),
+            "{text}"
+        );
     }
     let unknown = br#"{"upsert":{"routes":{"a":{"gen":1,"vhost":"h","pathPrefix":"/","kind":"idempotent","backend":"b"}}}}"#;
-    let unknown = Amended::read(unknown).expect("it is sound by itself");
-    assert_eq!(amend(&Items::default(), &unknown).map(drop).map_err(|fault| fault.kind), Err(Kind::Invalid));
-    let copy =
-        amend(&Items::default(), &Amended::read(&call()).expect("it is sound")).expect("it is sound").0;
+    let unknown = ConfigUpdate::parse(unknown).expect("it is sound by itself");
+    assert_eq!(
+        apply_update(&Items::default(), &unknown).map(drop).map_err(|error| error.kind()),
+        Err(ErrorKind::Invalid)
+    );
+    let copy = apply_update(&Items::default(), &ConfigUpdate::parse(&call()).expect("it is sound"))
+        .expect("it is sound")
+        .0;
     let other = br#"{"upsert":{"tenants":{"acme":{"gen":"r2","apiKeys":["k2"]}}}}"#;
-    let other = Amended::read(other).expect("it is sound by itself");
-    assert_eq!(amend(&copy, &other).map(drop).map_err(|fault| fault.kind), Err(Kind::Conflict));
+    let other = ConfigUpdate::parse(other).expect("it is sound by itself");
+    assert_eq!(apply_update(&copy, &other).map(drop).map_err(|error| error.kind()), Err(ErrorKind::Conflict));
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -151,9 +151,9 @@
                 cell: server / 2,
                 state: if self.rng.u8(..6) == 0 { ServerState::Draining } else { ServerState::Ready },
                 weight: 1.0,
-                started: (self.rng.u8(..4) == 0).then(|| self.now - 3_000.0),
+                started: (self.rng.u8(..4) == 0).then_some(self.now - 3_000.0),
                 detour: [0.0, 15.0, 220.0][server as usize % 3],
-                fence: (self.rng.u8(..6) == 0).then(|| Fence { per_s: 5.0, until: self.now + 2_000.0 }),
+                fence: (self.rng.u8(..6) == 0).then_some(Fence { per_s: 5.0, until: self.now + 2_000.0 }),
             })
             .collect();
         let kind = match self.rng.u8(..8) {
--- a/crates/model-checker/src/adapter.rs
+++ b/crates/model-checker/src/adapter.rs
@@ -1,9 +1,13 @@
 //! All that touches the store's messages, disks and answers from the inside: the rest takes them as they come.
 
 use crate::defects::Defect;
-use ivygate_config_store::{Answer, Ask, Ballot, Change, Kept, Outcome, Reply, Standing, Store};
-use ivygate_control_state::{Amended, Item, Items, Key, Table, Tables};
-use ivygate_rpc::Fault;
+use ivygate_config_store::{
+    Ballot, Command, CommandOutcome, DurableState, MembershipStatus, PeerReply, PeerRequest, PeerResponse,
+    Store,
+};
+use ivygate_control_state::{ConfigUpdate, Item, Items, Key, Table, Tables};
+use ivygate_rpc::RpcError;
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -25,7 +29,7 @@
 }
 
 /// A store that starts with what its disk held.
-pub fn start(machine: usize, seeds: Vec<Ipv4Addr>, first: bool, kept: Kept, seed: u64) -> Store {
+pub fn start(machine: usize, seeds: Vec<Ipv4Addr>, first: bool, kept: DurableState, seed: u64) -> Store {
     Store::new(ip(machine), seeds, first, kept, seed)
 }
 
@@ -70,7 +74,7 @@
 
 impl Op {
     /// The call that the store takes.
-    pub fn change(&self) -> Change {
+    pub fn change(&self) -> Command {
         match self {
             Self::Put { name, place, number, content } => {
                 let route = json!({ "vhost": "h", "pathPrefix": place, "kind": "idempotent", "backend": "b",
@@ -82,9 +86,9 @@
             Self::Remove { name, number } => {
                 amended(&json!({ "remove": { "routes": [{ "name": name, "gen": format!("r{number}") }] } }))
             }
-            Self::Drain { zone, on } => Change::Drain { zone: zone.clone(), on: *on },
-            Self::Duty { name, holder } => Change::Duty { name: name.clone(), holder: *holder },
-            Self::Read => Change::Read,
+            Self::Drain { zone, on } => Command::DrainZone { zone: zone.clone(), drained: *on },
+            Self::Duty { name, holder } => Command::AcquireRole { role: name.clone(), holder: *holder },
+            Self::Read => Command::Read,
         }
     }
 
@@ -93,15 +97,15 @@
         let (table, name) = match self {
             Self::Put { name, .. } | Self::Remove { name, .. } => (Table::Routes, name),
             Self::Drain { zone, .. } => (Table::Drains, zone),
-            Self::Duty { name, .. } => (Table::Duties, name),
+            Self::Duty { name, .. } => (Table::SingletonRoles, name),
             Self::Read => return None,
         };
         Some(Key { table, name: name.clone() })
     }
 }
 
-fn amended(call: &serde_json::Value) -> Change {
-    Change::Amend(Amended::read(call.to_string().as_bytes()).unwrap_or_default())
+fn amended(call: &serde_json::Value) -> Command {
+    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).unwrap_or_default())
 }
 
 /// What tells a route's contents apart; 0 for one that was dropped.
@@ -123,146 +127,148 @@
 
 /// The group's item.
 pub fn group(items: &Items) -> Option<&Arc<Item>> {
-    items.get(Table::Group, "core")
+    items.get(Table::Membership, "core")
 }
 
 /// Items that a question says to be chosen.
-pub fn standing_in_ask(ask: &Ask) -> &[Arc<Item>] {
+pub fn standing_in_ask(ask: &PeerRequest) -> &[Arc<Item>] {
     match ask {
-        Ask::Accept { missing, .. } => missing,
-        Ask::Learn { items, .. } => items,
+        PeerRequest::Accept { missing, .. } => missing,
+        PeerRequest::Learn { items, .. } => items,
         _ => &[],
     }
 }
 
 /// Items that an answer says to be chosen.
-pub fn standing_in_reply(reply: &Reply) -> &[Arc<Item>] {
-    match &reply.answer {
-        Answer::Promised { items: Some(items), .. } | Answer::Snapshot { items, .. } => items,
+pub fn standing_in_reply(reply: &PeerReply) -> &[Arc<Item>] {
+    match &reply.response {
+        PeerResponse::Promised { items: Some(items), .. } | PeerResponse::SnapshotChunk { items, .. } => {
+            items
+        }
         _ => &[],
     }
 }
 
 /// A round's items, where a question has them accepted.
-pub fn proposal(ask: &Ask) -> Option<(Ballot, &[Arc<Item>])> {
+pub fn proposal(ask: &PeerRequest) -> Option<(Ballot, &[Arc<Item>])> {
     match ask {
-        Ask::Accept { ballot, items, .. } => Some((*ballot, items)),
+        PeerRequest::Accept { ballot, items, .. } => Some((*ballot, items)),
         _ => None,
     }
 }
 
 /// A round of a store's own that it has accepted itself: nobody else may have been asked yet.
-pub fn own_proposal(n: usize, kept: &Kept) -> Option<(Ballot, &[Arc<Item>])> {
-    let own = kept.accepted.as_ref().filter(|accepted| accepted.ballot.by == ip(n))?;
+pub fn own_proposal(n: usize, kept: &DurableState) -> Option<(Ballot, &[Arc<Item>])> {
+    let own = kept.accepted.as_ref().filter(|accepted| accepted.ballot.proposer == ip(n))?;
     Some((own.ballot, &own.items))
 }
 
 /// A round that is chosen, where a question says so.
-pub fn settled(ask: &Ask) -> Option<Ballot> {
+pub fn settled(ask: &PeerRequest) -> Option<Ballot> {
     match ask {
-        Ask::Learn { ballot, .. } => Some(*ballot),
+        PeerRequest::Learn { ballot, .. } => Some(*ballot),
         _ => None,
     }
 }
 
 /// Whether an answer says that items are accepted.
-pub fn is_written(reply: &Reply) -> bool {
-    matches!(reply.answer, Answer::Accepted)
+pub fn is_written(reply: &PeerReply) -> bool {
+    matches!(reply.response, PeerResponse::Accepted)
 }
 
 /// Which group an answer tells of contact with: any, if who answers has a place in its own; that version, if it waits to
 /// learn of its place; none, if it has no say.
-pub fn contact_of(answerer: &Store, reply: &Reply) -> Option<u64> {
-    let version = group(&answerer.kept().items).map_or(0, |group| group.version);
-    match (&reply.answer, answerer.standing()) {
-        (Answer::Blank, _) => None,
-        (_, Standing::Member) => Some(0),
+pub fn contact_of(answerer: &Store, reply: &PeerReply) -> Option<u64> {
+    let version = group(&answerer.state().items).map_or(0, |group| group.version);
+    match (&reply.response, answerer.status()) {
+        (PeerResponse::NotAMember, _) => None,
+        (_, MembershipStatus::Member) => Some(0),
         _ => Some(version + 1),
     }
 }
 
 /// Whether an answer is contact to an asker: a machine that lost its place to another in a later group is none.
 pub fn is_contact(asker: &Store, least: Option<u64>) -> bool {
-    let version = group(&asker.kept().items).map_or(0, |group| group.version);
+    let version = group(&asker.state().items).map_or(0, |group| group.version);
     least.is_some_and(|least| least <= version)
 }
 
 /// Questions that come again and again, without which nothing is wrong but late.
-pub fn is_routine(ask: &Ask) -> bool {
-    matches!(ask, Ask::CatchUp { .. } | Ask::Ping { .. })
+pub fn is_routine(ask: &PeerRequest) -> bool {
+    matches!(ask, PeerRequest::CatchUp { .. } | PeerRequest::Ping { .. })
 }
 
 /// What a store has accepted and does not know to be chosen: its group, if it is one.
-pub fn pending_group(kept: &Kept) -> Option<&Arc<Item>> {
-    kept.accepted.as_ref()?.items.iter().find(|item| item.key.table == Table::Group)
+pub fn pending_group(kept: &DurableState) -> Option<&Arc<Item>> {
+    kept.accepted.as_ref()?.items.iter().find(|item| item.key.table == Table::Membership)
 }
 
 /// Which disk it is.
-pub fn incarnation(kept: &Kept) -> u64 {
+pub fn incarnation(kept: &DurableState) -> u64 {
     kept.incarnation
 }
 
 /// How long ago a store was in contact with more than half.
 pub fn contact(store: &Store, now: f64) -> Option<f64> {
-    store.contact(now)
+    store.contact_age_ms(Timestamp::from_millis(now))
 }
 
 /// Begins a planned leave; tells whether it is worth waiting for.
 pub fn leave(store: &mut Store, now: f64) -> bool {
-    store.leave(now)
+    store.leave(Timestamp::from_millis(now))
 }
 
 /// Whether one that leaves has nothing left that is needed.
 pub fn is_relieved(store: &Store) -> bool {
-    store.is_relieved()
+    store.can_stop()
 }
 
 /// What a call is answered with.
-pub type Result = std::result::Result<Outcome, Fault>;
+pub type Result = std::result::Result<CommandOutcome, RpcError>;
 
 /// An answer in the spelling of the wire; of a fault only its kind, since its text is for people.
 pub fn spelled(result: &Result) -> String {
     match result {
-        Ok(Outcome::Applied) => "applied".to_owned(),
-        Ok(Outcome::Epoch(epoch)) => format!("epoch {epoch}"),
-        Ok(Outcome::Read(items)) => format!("read {:016x}", items.digest(Tables::KEPT)),
+        Ok(CommandOutcome::Applied) => "applied".to_owned(),
+        Ok(CommandOutcome::RoleAcquired { epoch }) => format!("epoch {epoch}"),
+        Ok(CommandOutcome::Read(items)) => format!("read {:016x}", items.digest(Tables::DURABLE)),
         Err(fault) => serde_json::to_string(&fault.kind).unwrap_or_default(),
     }
 }
 
 /// The epoch that a duty's call was answered with.
-pub fn epoch(done: &Outcome) -> Option<u64> {
+pub fn epoch(done: &CommandOutcome) -> Option<u64> {
     match done {
-        Outcome::Epoch(epoch) => Some(*epoch),
+        CommandOutcome::RoleAcquired { epoch } => Some(*epoch),
         _ => None,
     }
 }
 
 /// What a read was answered with.
-pub fn read(done: &Outcome) -> Option<&Items> {
+pub fn read(done: &CommandOutcome) -> Option<&Items> {
     match done {
-        Outcome::Read(items) => Some(items),
+        CommandOutcome::Read(items) => Some(items),
         _ => None,
     }
 }
 
 /// What a disk holds that was lost: nothing, and an incarnation of its own.
-pub fn lost(before: &Kept, incarnation: u64, defect: Option<Defect>) -> Kept {
+pub fn lost(before: &DurableState, incarnation: u64, defect: Option<Defect>) -> DurableState {
     match defect {
-        Some(Defect::OldLife) => Kept::new(before.incarnation),
-        _ => Kept::new(incarnation),
+        Some(Defect::OldLife) => DurableState::new(before.incarnation),
+        _ => DurableState::new(incarnation),
     }
 }
 
 /// A disk of which the items were saved, and the rest was not.
-pub fn torn(before: &Kept, now: &Kept) -> Kept {
-    Kept { items: now.items.clone(), ..before.clone() }
+pub fn torn(before: &DurableState, now: &DurableState) -> DurableState {
+    DurableState { items: now.items.clone(), ..before.clone() }
 }
 
 /// What a store starts with, from a disk; with the rounds that it had marked or without.
-pub fn loaded(mut kept: Kept, marks: bool, defect: Option<Defect>) -> Kept {
+pub fn loaded(mut kept: DurableState, marks: bool, defect: Option<Defect>) -> DurableState {
     if !marks {
-        kept.marks.clear();
+        kept.watermarks.clear();
     }
     match defect {
         Some(Defect::PromiseLost) => {
@@ -270,8 +276,8 @@
             kept.accepted = None;
         }
         Some(Defect::NumberForgotten) => {
-            let past: Vec<_> = kept.items.all(Tables::PAST).map(|item| item.key.clone()).collect();
-            kept.items.forget(&past);
+            let past: Vec<_> = kept.items.all(Tables::VERSION_HISTORY).map(|item| item.key.clone()).collect();
+            kept.items.purge(&past);
         }
         _ => {}
     }
@@ -279,18 +285,18 @@
 }
 
 fn without_past(items: &mut Vec<Arc<Item>>) {
-    items.retain(|item| item.key.table != Table::Past);
+    items.retain(|item| item.key.table != Table::VersionHistory);
 }
 
 /// A question as it arrives, with a defect.
-pub fn tampered_ask(mut ask: Ask, defect: Option<Defect>) -> Ask {
+pub fn tampered_ask(mut ask: PeerRequest, defect: Option<Defect>) -> PeerRequest {
     if defect == Some(Defect::NumberForgotten) {
         match &mut ask {
-            Ask::Accept { missing, items, .. } => {
+            PeerRequest::Accept { missing, items, .. } => {
                 without_past(missing);
                 without_past(items);
             }
-            Ask::Learn { items, .. } => without_past(items),
+            PeerRequest::Learn { items, .. } => without_past(items),
             _ => {}
         }
     }
@@ -298,16 +304,16 @@
 }
 
 /// An answer as it arrives, with a defect.
-pub fn tampered_reply(asker: &Store, mut reply: Reply, defect: Option<Defect>) -> Reply {
-    match (defect, &mut reply.answer) {
-        (Some(Defect::MemberBeforeAll), Answer::Snapshot { items, .. })
-            if asker.standing() == Standing::Learner =>
+pub fn tampered_reply(asker: &Store, mut reply: PeerReply, defect: Option<Defect>) -> PeerReply {
+    match (defect, &mut reply.response) {
+        (Some(Defect::MemberBeforeAll), PeerResponse::SnapshotChunk { items, .. })
+            if asker.status() == MembershipStatus::Learner =>
         {
-            items.retain(|item| item.key.table == Table::Group);
+            items.retain(|item| item.key.table == Table::Membership);
         }
-        (Some(Defect::NoStandingBallot), Answer::Promised { accepted: Some(accepted), .. }) => {
+        (Some(Defect::NoStandingBallot), PeerResponse::Promised { accepted: Some(accepted), .. }) => {
             // Whatever is known to be chosen, it seems to be newer.
-            let chosen = asker.kept().chosen;
+            let chosen = asker.state().chosen;
             let above = Ballot { incarnation: chosen.incarnation.saturating_add(1), ..chosen };
             accepted.ballot = accepted.ballot.max(above);
         }
@@ -318,22 +324,22 @@
 
 /// Whether a store that is no member waits for a place.
 pub fn waits(store: &Store) -> bool {
-    store.standing() == Standing::Learner
+    store.status() == MembershipStatus::Learner
 }
 
 /// Whether an answer changes nothing but contact.
-pub fn is_idle(reply: &Reply) -> bool {
-    matches!(reply.answer, Answer::Learned | Answer::Pong { .. })
+pub fn is_idle(reply: &PeerReply) -> bool {
+    matches!(reply.response, PeerResponse::Learned | PeerResponse::Pong { .. })
 }
 
 /// How a store stands, in a line.
 pub fn brief(store: &Store) -> String {
-    let kept = store.kept();
+    let kept = store.state();
     let accepted = kept.accepted.as_ref().map(|accepted| accepted.ballot);
     let group = group(&kept.items).map(|group| group.body.clone().unwrap_or_default().to_string());
     format!(
         "{:?}, incarnation {}, chosen {:?}, promised {:?}, accepted {accepted:?}, group {}",
-        store.standing(),
+        store.status(),
         kept.incarnation,
         kept.chosen,
         kept.promised,
--- a/crates/model-checker/src/judge.rs
+++ b/crates/model-checker/src/judge.rs
@@ -2,9 +2,9 @@
 
 use crate::adapter::{self, Op};
 use crate::linear::{search, Act, Entry, Found, Told};
-use ivygate_config_store::{Ballot, CallId, Store};
-use ivygate_control_state::{check, Item, Items, Key, Table, Tables};
-use ivygate_rpc::{Fault, Kind};
+use ivygate_config_store::{Ballot, CommandId, Store};
+use ivygate_control_state::{check_config, Item, Items, Key, Table, Tables};
+use ivygate_rpc::{ErrorKind, RpcError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Arc;
@@ -78,7 +78,7 @@
     /// When it was answered.
     pub end: f64,
     /// What it was told; `None` if nothing was.
-    pub told: Option<Result<(), Kind>>,
+    pub told: Option<Result<(), ErrorKind>>,
     /// What a read gave.
     read: Option<Items>,
     /// What was acknowledged when it began.
@@ -109,10 +109,10 @@
     seen: BTreeMap<usize, u64>,
     sound: BTreeSet<u64>,
     /// The calls.
-    pub calls: BTreeMap<CallId, Called>,
+    pub calls: BTreeMap<CommandId, Called>,
     acknowledged: BTreeMap<Key, u64>,
     confirmed: BTreeMap<(Key, u64), u64>,
-    epochs: BTreeMap<(String, u64), CallId>,
+    epochs: BTreeMap<(String, u64), CommandId>,
     highest: BTreeMap<String, u64>,
     proposed: BTreeMap<(Key, u64), Vec<Proposed>>,
     /// When the last question went out that a member answered: of asker and answerer.
@@ -142,7 +142,7 @@
                 );
                 self.breaks(now, Invariant::Agreement, what);
             }
-            if item.key.table == Table::Group {
+            if item.key.table == Table::Membership {
                 let members = adapter::named(item);
                 if members.iter().collect::<BTreeSet<_>>().len() < members.len() {
                     self.breaks(now, Invariant::OnePlaceEach, format!("{members:?} at {place}"));
@@ -168,19 +168,19 @@
 
     /// A store has taken a step.
     pub fn stepped(&mut self, now: f64, n: usize, store: &Store) {
-        let items = &store.kept().items;
+        let items = &store.state().items;
         let seen = self.seen.entry(n).or_insert(0);
-        if *seen == items.changes() {
+        if *seen == items.last_change() {
             return;
         }
-        let since = if *seen > items.changes() { 0 } else { *seen };
-        *seen = items.changes();
-        let newer = items.since(since, Tables::KEPT);
+        let since = if *seen > items.last_change() { 0 } else { *seen };
+        *seen = items.last_change();
+        let newer = items.changes_since(since, Tables::DURABLE);
         self.stands(now, &format!("store {n}"), &newer);
         if newer.iter().any(|item| Tables::CONFIG.contains(item.key.table.set()))
             && self.sound.insert(items.digest(Tables::CONFIG))
         {
-            if let Err(fault) = check(items) {
+            if let Err(fault) = check_config(items) {
                 self.breaks(now, Invariant::Soundness, format!("store {n} holds: {fault}"));
             }
         }
@@ -189,10 +189,10 @@
     /// A round's items are to be written down, by a store that judged them.
     pub fn proposes(&mut self, now: f64, n: usize, ballot: Ballot, items: &[Arc<Item>]) {
         // What is remembered of numbers goes with the item that it is about.
-        for item in items.iter().filter(|item| item.key.table != Table::Past) {
+        for item in items.iter().filter(|item| item.key.table != Table::VersionHistory) {
             let owed = self.calls.values().any(|call| {
                 call.store == n && call.told.is_none() && call.op.key().as_ref() == Some(&item.key)
-            }) || matches!(item.key.table, Table::Group | Table::Backends);
+            }) || matches!(item.key.table, Table::Membership | Table::Backends);
             let all = self.proposed.entry((item.key.clone(), item.version)).or_default();
             match all.iter_mut().find(|known| known.body.body == item.body) {
                 None => all.push(Proposed { body: item.clone(), last: ballot, dead: None }),
@@ -254,7 +254,7 @@
     }
 
     /// A call begins.
-    pub fn called(&mut self, now: f64, id: CallId, store: usize, op: Op) {
+    pub fn called(&mut self, now: f64, id: CommandId, store: usize, op: Op) {
         let called = Called {
             store,
             op,
@@ -271,7 +271,7 @@
     /// A call that no answer can come to any more.
     pub fn dropped(&mut self, store: usize) {
         for call in self.calls.values_mut().filter(|call| call.store == store && call.told.is_none()) {
-            call.told = Some(Err(Kind::Unreachable));
+            call.told = Some(Err(ErrorKind::Unreachable));
         }
     }
 
@@ -279,8 +279,8 @@
     pub fn answered(
         &mut self,
         now: f64,
-        id: CallId,
-        result: &Result<(), Fault>,
+        id: CommandId,
+        result: &Result<(), RpcError>,
         read: Option<&Items>,
         items: &Items,
     ) {
@@ -333,7 +333,7 @@
     }
 
     /// A registry is told the epoch of a duty.
-    pub fn told_epoch(&mut self, now: f64, id: CallId, epoch: u64) {
+    pub fn told_epoch(&mut self, now: f64, id: CommandId, epoch: u64) {
         let Some(call) = self.calls.get(&id).cloned() else { return };
         let Op::Duty { name, holder } = &call.op else { return };
         if let Some(other) = self.epochs.insert((name.clone(), epoch), id) {
@@ -346,7 +346,7 @@
             let what = format!("call {id} is told epoch {epoch} of '{name}', after a higher one was told");
             self.breaks(now, Invariant::EpochsNeverShared, what);
         }
-        let key = Key { table: Table::Duties, name: name.clone() };
+        let key = Key { table: Table::SingletonRoles, name: name.clone() };
         if let Some(item) = self.stood.get(&(key.clone(), epoch)) {
             if adapter::holder(item) != Some(*holder) {
                 let what = format!(
@@ -364,7 +364,7 @@
 
     /// What tells two plays apart to which the same may still happen.
     pub fn facts(&self) -> impl fmt::Debug + '_ {
-        let digest = |items: &Items| items.digest(Tables::KEPT);
+        let digest = |items: &Items| items.digest(Tables::DURABLE);
         let calls: Vec<_> = self
             .calls
             .values()
@@ -409,7 +409,7 @@
     pub fn ended(&mut self, now: f64, steps: usize) {
         let mut histories: BTreeMap<Key, Vec<Entry>> = BTreeMap::new();
         for call in self.calls.values() {
-            if let Some(key) = call.op.key().filter(|key| key.table != Table::Duties) {
+            if let Some(key) = call.op.key().filter(|key| key.table != Table::SingletonRoles) {
                 histories.entry(key).or_default();
             }
         }
@@ -431,9 +431,9 @@
             let Some(key) = call.op.key() else { continue };
             let told = match &call.told {
                 Some(Ok(())) => Told::Confirmed,
-                Some(Err(Kind::Conflict | Kind::Forgotten)) => Told::Refused,
+                Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Told::Refused,
                 // Refused as unsound: it took nowhere.
-                Some(Err(Kind::Invalid | Kind::Malformed)) => continue,
+                Some(Err(ErrorKind::Invalid | ErrorKind::Malformed)) => continue,
                 _ => Told::Unclear,
             };
             let act = match &call.op {
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,4 +1,4 @@
-//! The model checker of the store: it plays fleets of the real state machine `cairn::Store`, through made-up weather and
+//! The model checker of the store: it plays fleets of the real state machine `ivygate_config_store::Store`, through made-up weather and
 //! losses on seeds, and through every way that a small world can take; and judges each step by named invariants.
 //!
 //! Called by its own tests and by the program `avalanche`. Must never be shipped, nor be used by any other package; it
