--- a/crates/model-checker/src/small.rs
+++ b/crates/model-checker/src/small.rs
@@ -8,7 +8,10 @@
 use crate::adapter::{self, Op};
 use crate::defects::Defect;
 use crate::judge::{Break, Invariant, Judge};
-use ivygate_config_store::{Ask, CallId, Kept, Output, Reply, Standing, Store};
+use ivygate_config_store::{
+    CommandId, DurableState, Effect, MembershipStatus, PeerReply, PeerRequest, Store,
+};
+use ivygate_time::Timestamp;
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::fmt::{self, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -76,14 +79,14 @@
 
 #[derive(Clone, Debug)]
 enum Body {
-    Ask(Ask),
-    Reply(Reply, Option<u64>),
+    PeerRequest(PeerRequest),
+    PeerReply(PeerReply, Option<u64>),
 }
 
 #[derive(Clone, Debug)]
 struct Machine {
     store: Store,
-    disk: Kept,
+    disk: DurableState,
     run: u64,
     /// Of all that it is, once it has taken a step.
     print: u64,
@@ -155,7 +158,7 @@
     /// A world whose group is founded, and in which nothing is on its way.
     fn founded(bounds: &Bounds, defect: Option<Defect>, but: &BTreeSet<Invariant>) -> Self {
         let machine = |n: usize| {
-            let disk = Kept::new(n as u64 + 1);
+            let disk = DurableState::new(n as u64 + 1);
             let store = adapter::start(n, adapter::seeds(bounds.stores, false), true, disk.clone(), n as u64);
             Machine { store, disk, run: 1, print: 0 }
         };
@@ -223,9 +226,9 @@
             Action::Call(n) => {
                 let (store, op) = &bounds.calls[n];
                 next.called[n] = true;
-                let id = n as CallId + 1;
+                let id = n as CommandId + 1;
                 next.judge.called(next.now, id, *store, op.clone());
-                next.machines[*store].store.call(next.now, id, op.change());
+                next.machines[*store].store.submit(Timestamp::from_millis(next.now), id, op.change());
                 next.carry_out(*store, Crash::Never, None);
                 format!("store {store} is called: {op:?}")
             }
@@ -298,13 +301,13 @@
         self.judge.dropped(n);
         // The connections of the life before are gone.
         let run = self.machines[n].run;
-        self.messages.retain(|m| !(m.to == n && matches!(m.body, Body::Reply(..)) && m.run != run));
+        self.messages.retain(|m| !(m.to == n && matches!(m.body, Body::PeerReply(..)) && m.run != run));
         self.print(n);
     }
 
     fn tick(&mut self, n: usize, calm: Option<&mut VecDeque<Message>>) {
         let now = self.now;
-        self.machines[n].store.tick(now);
+        self.machines[n].store.tick(Timestamp::from_millis(now));
         self.carry_out(n, Crash::Never, calm);
         let store = &self.machines[n].store;
         let members: Vec<usize> = store.members().into_iter().map(adapter::machine).collect();
@@ -316,10 +319,10 @@
     fn carry_out(&mut self, n: usize, crash: Crash, mut calm: Option<&mut VecDeque<Message>>) -> bool {
         self.steps += 1;
         let now = self.now;
-        for output in self.machines[n].store.take_outputs() {
+        for output in self.machines[n].store.take_effects() {
             match output {
-                Output::Save => {
-                    if let Some((ballot, items)) = adapter::own_proposal(n, self.machines[n].store.kept()) {
+                Effect::Save => {
+                    if let Some((ballot, items)) = adapter::own_proposal(n, self.machines[n].store.state()) {
                         self.judge.proposes(now, n, ballot, items);
                     }
                     if crash == Crash::BeforeSave {
@@ -327,30 +330,37 @@
                         return false;
                     }
                     let machine = &mut self.machines[n];
-                    machine.disk = machine.store.kept().clone();
+                    machine.disk = machine.store.state().clone();
                     if crash == Crash::AfterSave {
                         self.restart(n);
                         return false;
                     }
                 }
-                Output::Send { to, number, ask } => {
+                Effect::Send { to, number, request: ask } => {
                     self.judge.stands(now, "what is said", adapter::standing_in_ask(&ask));
                     if let Some(ballot) = adapter::settled(&ask) {
-                        let items = self.machines[n].store.kept().items.clone();
+                        let items = self.machines[n].store.state().items.clone();
                         self.judge.settles(ballot, &items);
                     }
                     if let Some((ballot, items)) = adapter::proposal(&ask) {
                         self.judge.proposes(now, n, ballot, items);
                     }
                     let (to, run) = (adapter::machine(to), self.machines[n].run);
-                    let message =
-                        Message { from: n, to, run, number, asked: now, body: Body::Ask(ask), print: 0 };
+                    let message = Message {
+                        from: n,
+                        to,
+                        run,
+                        number,
+                        asked: now,
+                        body: Body::PeerRequest(ask),
+                        print: 0,
+                    };
                     self.put(message, calm.as_deref_mut());
                 }
-                Output::Answer { call, result } => {
+                Effect::Complete { command: call, result } => {
                     let told = result.as_ref().map(drop).map_err(Clone::clone);
                     let read = result.as_ref().ok().and_then(adapter::read);
-                    self.judge.answered(now, call, &told, read, &self.machines[n].store.kept().items);
+                    self.judge.answered(now, call, &told, read, &self.machines[n].store.state().items);
                     if let Some(epoch) = result.ok().as_ref().and_then(adapter::epoch) {
                         self.judge.told_epoch(now, call, epoch);
                     }
@@ -387,15 +397,15 @@
         let now = self.now;
         let Message { from, to, run, number, asked, body, .. } = message;
         let runs = match body {
-            Body::Ask(ask) => {
+            Body::PeerRequest(ask) => {
                 let ask = adapter::tampered_ask(ask, self.defect);
                 let store = &mut self.machines[to].store;
-                let reply = store.asked(now, adapter::ip(from), ask);
+                let reply = store.handle_request(Timestamp::from_millis(now), adapter::ip(from), ask);
                 let contact = adapter::contact_of(store, &reply);
                 let runs = self.carry_out(to, crash, calm.as_deref_mut());
                 if runs {
                     self.judge.stands(now, "what is said", adapter::standing_in_reply(&reply));
-                    let body = Body::Reply(reply, contact);
+                    let body = Body::PeerReply(reply, contact);
                     let reply = Message { from: to, to: from, run, number, asked, body, print: 0 };
                     if self.machines[from].run == run {
                         self.put(reply, calm);
@@ -403,13 +413,13 @@
                 }
                 runs
             }
-            Body::Reply(reply, contact) => {
+            Body::PeerReply(reply, contact) => {
                 let store = &mut self.machines[to].store;
                 if adapter::is_contact(store, contact) {
                     self.judge.contact(to, from, asked);
                 }
                 let reply = adapter::tampered_reply(store, reply, self.defect);
-                store.replied(now, number, Some(reply));
+                store.handle_response(Timestamp::from_millis(now), number, Some(reply));
                 self.carry_out(to, crash, calm)
             }
         };
@@ -428,7 +438,7 @@
                 self.tick(n, Some(&mut calm));
                 while let Some(message) = calm.pop_front() {
                     let ends = [message.from, message.to];
-                    let fresh = !matches!(message.body, Body::Reply(..))
+                    let fresh = !matches!(message.body, Body::PeerReply(..))
                         || self.machines[message.to].run == message.run;
                     if fresh && !cut.is_some_and(|cut| ends.contains(&cut)) {
                         self.hand(message, Crash::Never, Some(&mut calm));
@@ -442,16 +452,16 @@
 
 fn is_routine(message: &Message) -> bool {
     match &message.body {
-        Body::Ask(ask) => adapter::is_routine(ask),
-        Body::Reply(reply, _) => adapter::is_idle(reply),
+        Body::PeerRequest(ask) => adapter::is_routine(ask),
+        Body::PeerReply(reply, _) => adapter::is_idle(reply),
     }
 }
 
 fn told(message: &Message) -> String {
     let (from, to) = (message.from, message.to);
     match &message.body {
-        Body::Ask(ask) => format!("{from} to {to}: {ask:?}"),
-        Body::Reply(reply, _) => format!("{from} answers {to}: {reply:?}"),
+        Body::PeerRequest(ask) => format!("{from} to {to}: {ask:?}"),
+        Body::PeerReply(reply, _) => format!("{from} answers {to}: {reply:?}"),
     }
 }
 
@@ -602,5 +612,5 @@
 /// Whether all stores of a founded world are members, as a check of the start.
 pub fn is_founded(bounds: &Bounds) -> bool {
     let world = World::founded(bounds, None, &BTreeSet::new());
-    world.machines.iter().all(|machine| machine.store.standing() == Standing::Member)
+    world.machines.iter().all(|machine| machine.store.status() == MembershipStatus::Member)
 }
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -5,8 +5,11 @@
 use crate::judge::{Break, Invariant, Judge};
 use crate::story::{Blow, Event, Mishap, Story, Trigger, Way, Which, BEGIN};
 use fnv::FnvHasher;
-use ivygate_config_store::{Ask, CallId, Kept, Output, Reply, Standing, Store};
-use ivygate_rpc::{Fault, Kind};
+use ivygate_config_store::{
+    CommandId, DurableState, Effect, MembershipStatus, PeerReply, PeerRequest, Store,
+};
+use ivygate_rpc::{ErrorKind, RpcError};
+use ivygate_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
@@ -41,9 +44,9 @@
     Thaw(usize),
     Message(Message),
     /// A registry's epoch is read.
-    Epoch(usize, u64, CallId),
+    Epoch(usize, u64, CommandId),
     /// A save that was owed happens.
-    Save(usize, u64, Box<Kept>),
+    Save(usize, u64, Box<DurableState>),
 }
 
 struct Message {
@@ -58,17 +61,17 @@
 }
 
 enum Body {
-    Ask(Ask),
+    PeerRequest(PeerRequest),
     /// The answer, and what group it is contact with.
-    Reply(Reply, Option<u64>),
+    PeerReply(PeerReply, Option<u64>),
     /// It is known that no answer will come.
     Nothing,
 }
 
 struct Machine {
     store: Option<Store>,
-    disk: Kept,
-    snapshots: VecDeque<Kept>,
+    disk: DurableState,
+    snapshots: VecDeque<DurableState>,
     run: u64,
     frozen: bool,
     waiting: Vec<Message>,
@@ -107,7 +110,7 @@
     pub mishaps: BTreeMap<Which, Mishap>,
     /// Histories that the search could not decide.
     pub undecided: u64,
-    /// Calls, and how many of them were confirmed.
+    /// RpcClient, and how many of them were confirmed.
     pub calls: (u64, u64),
     /// What happened, for a reader, if it was asked for.
     pub log: Vec<String>,
@@ -153,7 +156,7 @@
     weather: Vec<(f64, Event)>,
     mishaps: BTreeMap<Which, Mishap>,
     judge: Judge,
-    next_call: CallId,
+    next_call: CommandId,
     lives: u64,
     steps: u64,
     blows: u64,
@@ -218,7 +221,7 @@
         self.lives += 1;
         self.machines.push(Machine {
             store: None,
-            disk: Kept::new(self.lives),
+            disk: DurableState::new(self.lives),
             snapshots: VecDeque::new(),
             run: 0,
             frozen: false,
@@ -304,7 +307,7 @@
         let mut groups = Vec::new();
         let mut highest = 0;
         for machine in &self.machines {
-            let now = machine.store.as_ref().map(Store::kept);
+            let now = machine.store.as_ref().map(Store::state);
             for kept in now.into_iter().chain([&machine.disk]) {
                 groups.extend(adapter::group(&kept.items));
                 groups.extend(adapter::pending_group(kept));
@@ -419,19 +422,19 @@
     // Steps.
 
     /// Adds an output of a store to the digest.
-    fn recorded(&mut self, n: usize, output: &Output) {
+    fn recorded(&mut self, n: usize, output: &Effect) {
         let Some(record) = &mut self.record else { return };
         let text = match output {
-            Output::Save => {
-                let kept = self.machines[n].store.as_ref().map(Store::kept);
+            Effect::Save => {
+                let kept = self.machines[n].store.as_ref().map(Store::state);
                 let kept =
-                    kept.map(|k| (k.incarnation, k.promised, k.chosen, &k.accepted, k.items.changes()));
+                    kept.map(|k| (k.incarnation, k.promised, k.chosen, &k.accepted, k.items.last_change()));
                 serde_json::to_string(&kept).unwrap_or_default()
             }
-            Output::Send { to, ask, .. } => {
+            Effect::Send { to, request: ask, .. } => {
                 format!("{to} {}", serde_json::to_string(ask).unwrap_or_default())
             }
-            Output::Answer { call, result } => format!("{call} {}", adapter::spelled(result)),
+            Effect::Complete { command: call, result } => format!("{call} {}", adapter::spelled(result)),
         };
         record.write(format!("{n} {:.3} {text}\n", self.now).as_bytes());
     }
@@ -440,14 +443,14 @@
     fn carry_out(&mut self, n: usize) -> bool {
         self.steps += 1;
         let Some(store) = &mut self.machines[n].store else { return false };
-        let outputs = store.take_outputs();
+        let outputs = store.take_effects();
         for output in outputs {
             self.recorded(n, &output);
             match output {
-                Output::Save => {
+                Effect::Save => {
                     let (now, store) = (self.now, self.machines[n].store.as_ref());
                     if let Some((ballot, items)) =
-                        store.and_then(|store| adapter::own_proposal(n, store.kept()))
+                        store.and_then(|store| adapter::own_proposal(n, store.state()))
                     {
                         self.judge.proposes(now, n, ballot, items);
                     }
@@ -464,18 +467,18 @@
                         return false;
                     }
                 }
-                Output::Send { to, number, ask } => {
+                Effect::Send { to, number, request: ask } => {
                     let writes = self.before_send(n, &ask);
                     let machine_to = machine(to);
                     let run = self.machines[n].run;
                     self.machines[n].out.insert(number, machine_to);
-                    let body = Body::Ask(ask);
+                    let body = Body::PeerRequest(ask);
                     self.send(Message { from: n, to: machine_to, run, number, asked: self.now, body });
                     if writes && self.strikes(n, Trigger::Writes) {
                         return false;
                     }
                 }
-                Output::Answer { call, result } => {
+                Effect::Complete { command: call, result } => {
                     self.answer(n, call, &result);
                     if self.strikes(n, Trigger::Answers) {
                         return false;
@@ -489,7 +492,7 @@
 
     fn save(&mut self, n: usize) {
         let Some(store) = &self.machines[n].store else { return };
-        let kept = store.kept().clone();
+        let kept = store.state().clone();
         if self.defect == Some(Defect::AnswerBeforeSave) {
             let run = self.machines[n].run;
             return self.at(self.now + 300.0, Due::Save(n, run, Box::new(kept)));
@@ -499,22 +502,22 @@
 
     /// What a save leaves that is cut short: the new disk, or the old one with the new items, which is more than the
     /// program's disk allows.
-    fn torn(&self, n: usize) -> Option<Kept> {
+    fn torn(&self, n: usize) -> Option<DurableState> {
         let machine = &self.machines[n];
         machine.armed.iter().any(|(trigger, _)| *trigger == Trigger::WithinSave).then_some(())?;
-        let now = machine.store.as_ref()?.kept();
+        let now = machine.store.as_ref()?.state();
         let torn = drawn(self.story.seed, (n, 2, machine.run), 7).bool();
         Some(if torn { adapter::torn(&machine.disk, now) } else { now.clone() })
     }
 
-    fn tear(&mut self, n: usize, torn: Option<Kept>) {
+    fn tear(&mut self, n: usize, torn: Option<DurableState>) {
         let Some(torn) = torn else { return };
         if adapter::incarnation(&torn) == adapter::incarnation(&self.machines[n].disk) {
             self.machines[n].disk = torn;
         }
     }
 
-    fn put(&mut self, n: usize, kept: Kept) {
+    fn put(&mut self, n: usize, kept: DurableState) {
         let machine = &mut self.machines[n];
         if self.defect == Some(Defect::StaleSnapshot) {
             machine.snapshots.push_back(machine.disk.clone());
@@ -525,18 +528,18 @@
         machine.disk = kept;
     }
 
-    fn before_send(&mut self, n: usize, ask: &Ask) -> bool {
+    fn before_send(&mut self, n: usize, ask: &PeerRequest) -> bool {
         let now = self.now;
         self.judge.stands(now, &format_of(n), adapter::standing_in_ask(ask));
         if let (Some(ballot), Some(store)) = (adapter::settled(ask), &self.machines[n].store) {
-            self.judge.settles(ballot, &store.kept().items);
+            self.judge.settles(ballot, &store.state().items);
         }
         let Some((ballot, items)) = adapter::proposal(ask) else { return false };
         self.judge.proposes(now, n, ballot, items);
         true
     }
 
-    fn answer(&mut self, n: usize, id: CallId, result: &adapter::Result) {
+    fn answer(&mut self, n: usize, id: CommandId, result: &adapter::Result) {
         // Of a fault only its kind: which of several items its text names is left to chance.
         let brief = result.as_ref().map_err(|fault| fault.kind);
         self.tell(|| format!("store {n} answers call {id}: {brief:?}"));
@@ -548,11 +551,11 @@
             let taken = |call: &&crate::judge::Called| call.op == *op && matches!(call.told, Some(Ok(())));
             let numbered = matches!(op, Op::Put { .. } | Op::Remove { .. });
             if numbered && self.judge.calls.values().any(|call| taken(&call)) {
-                told = Err(Fault::new(Kind::Conflict, "it is older than what stands"));
+                told = Err(RpcError::new(ErrorKind::Conflict, "it is older than what stands"));
             }
         }
         let read = result.as_ref().ok().and_then(adapter::read);
-        self.judge.answered(now, id, &told, read, &store.kept().items);
+        self.judge.answered(now, id, &told, read, &store.state().items);
         if let (Ok(done), Some(Op::Duty { .. })) = (result, &called) {
             match adapter::epoch(done).filter(|_| self.defect != Some(Defect::EpochReadLate)) {
                 Some(epoch) => self.judge.told_epoch(now, id, epoch),
@@ -571,8 +574,8 @@
         let Some(store) = &self.machines[n].store else { return };
         self.judge.stepped(now, n, store);
         if self.machines[n].lost {
-            let is_member = store.standing() == Standing::Member;
-            let whole = is_member && self.judge.holds_all(&store.kept().items);
+            let is_member = store.status() == MembershipStatus::Member;
+            let whole = is_member && self.judge.holds_all(&store.state().items);
             let machine = &mut self.machines[n];
             match (whole, machine.caught_up) {
                 (true, None) => machine.caught_up = Some(now),
@@ -588,7 +591,7 @@
     fn tick(&mut self, n: usize) {
         let now = self.now;
         let Some(store) = &mut self.machines[n].store else { return };
-        store.tick(now);
+        store.tick(Timestamp::from_millis(now));
         if !self.carry_out(n) {
             return;
         }
@@ -660,7 +663,7 @@
         if let Some(mishap) = mishap {
             self.mishaps.insert(which, mishap);
         }
-        let is_ask = matches!(message.body, Body::Ask(_));
+        let is_ask = matches!(message.body, Body::PeerRequest(_));
         if is_ask && self.story.impatient {
             self.nothing(self.now + PATIENCE, &message);
         }
@@ -715,8 +718,8 @@
     fn hand(&mut self, message: Message) {
         if self.logs && self.now > BEGIN {
             let what = match &message.body {
-                Body::Ask(ask) => format!("{ask:?}"),
-                Body::Reply(reply, _) => format!("{reply:?}"),
+                Body::PeerRequest(ask) => format!("{ask:?}"),
+                Body::PeerReply(reply, _) => format!("{reply:?}"),
                 Body::Nothing => "no answer".to_owned(),
             };
             let (from, to, number, asked) =
@@ -728,9 +731,9 @@
         let target = &mut self.machines[to];
         let Some(store) = &mut target.store else { return };
         match body {
-            Body::Ask(ask) => {
+            Body::PeerRequest(ask) => {
                 let ask = adapter::tampered_ask(ask, self.defect);
-                let reply = store.asked(now, adapter::ip(from), ask);
+                let reply = store.handle_request(Timestamp::from_millis(now), adapter::ip(from), ask);
                 let contact = adapter::contact_of(store, &reply);
                 if let Some(record) = &mut self.record {
                     record.write(serde_json::to_string(&reply).unwrap_or_default().as_bytes());
@@ -740,27 +743,27 @@
                 }
                 self.judge.stands(now, &format_of(to), adapter::standing_in_reply(&reply));
                 let written = adapter::is_written(&reply);
-                let body = Body::Reply(reply, contact);
+                let body = Body::PeerReply(reply, contact);
                 self.send(Message { from: to, to: from, run, number, asked, body });
                 if written {
                     self.strikes(to, Trigger::Written);
                 }
             }
             // The connection of one that has started again is gone.
-            Body::Reply(..) | Body::Nothing if target.run != run => {}
-            Body::Reply(reply, contact) => {
+            Body::PeerReply(..) | Body::Nothing if target.run != run => {}
+            Body::PeerReply(reply, contact) => {
                 let first = target.out.remove(&number).is_some();
                 if first && adapter::is_contact(store, contact) {
                     self.judge.contact(to, from, asked);
                     self.read.insert((to, from), now);
                 }
                 let reply = adapter::tampered_reply(store, reply, self.defect);
-                store.replied(now, number, Some(reply));
+                store.handle_response(Timestamp::from_millis(now), number, Some(reply));
                 self.carry_out(to);
             }
             Body::Nothing => {
                 target.out.remove(&number);
-                store.replied(now, number, None);
+                store.handle_response(Timestamp::from_millis(now), number, None);
                 self.carry_out(to);
             }
         }
@@ -844,7 +847,7 @@
         self.blows += 1;
     }
 
-    fn call(&mut self, n: usize, op: &Op) -> Option<CallId> {
+    fn call(&mut self, n: usize, op: &Op) -> Option<CommandId> {
         let now = self.now;
         let machine = &mut self.machines[n];
         // Who calls one that stands still or is down is told nothing, and nothing is begun.
@@ -852,7 +855,7 @@
         let id = self.next_call;
         self.next_call += 1;
         self.judge.called(now, id, n, op.clone());
-        store.call(now, id, op.change());
+        store.submit(Timestamp::from_millis(now), id, op.change());
         self.tell(|| format!("store {n} takes call {id}: {op:?}"));
         self.carry_out(n);
         Some(id)
@@ -896,7 +899,7 @@
                 let machine = &self.machines[n];
                 let (Some(store), true) = (&machine.store, machine.run == run) else { return };
                 let Some(key) = self.judge.calls.get(&id).and_then(|call| call.op.key()) else { return };
-                let epoch = store.kept().items.version(key.table, &key.name);
+                let epoch = store.state().items.version(key.table, &key.name);
                 self.judge.told_epoch(self.now, id, epoch);
             }
             Due::Save(n, run, kept) => {
@@ -959,7 +962,7 @@
     }
 
     fn is_member(&self, n: usize) -> bool {
-        self.machines[n].store.as_ref().is_some_and(|store| store.standing() == Standing::Member)
+        self.machines[n].store.as_ref().is_some_and(|store| store.status() == MembershipStatus::Member)
     }
 
     /// The faults are over: all that is left runs, and everything passes.
@@ -979,20 +982,20 @@
     fn missing(&self) -> Option<String> {
         let stores = || self.machines.iter().enumerate().filter_map(|(n, m)| Some((n, m.store.as_ref()?)));
         let group =
-            stores().filter_map(|(_, s)| adapter::group(&s.kept().items)).max_by_key(|g| g.version)?;
+            stores().filter_map(|(_, s)| adapter::group(&s.state().items)).max_by_key(|g| g.version)?;
         let members: Vec<usize> = adapter::named(group).into_iter().map(machine).collect();
         let is_member = |n: usize| members.contains(&n);
         for (n, store) in stores() {
-            let held = adapter::group(&store.kept().items).map_or(0, |group| group.version);
-            if is_member(n) && (store.standing() != Standing::Member || held < group.version) {
+            let held = adapter::group(&store.state().items).map_or(0, |group| group.version);
+            if is_member(n) && (store.status() != MembershipStatus::Member || held < group.version) {
                 return Some(format!(
                     "store {n} is {:?}, with group {held} of {}",
-                    store.standing(),
+                    store.status(),
                     group.version
                 ));
             }
-            if is_member(n) && !self.judge.holds_all(&store.kept().items) {
-                return Some(format!("store {n} lacks {:?}", self.judge.lacks(&store.kept().items)));
+            if is_member(n) && !self.judge.holds_all(&store.state().items) {
+                return Some(format!("store {n} lacks {:?}", self.judge.lacks(&store.state().items)));
             }
         }
         let waiting = stores().filter(|(n, store)| !is_member(*n) && adapter::waits(store)).count();
@@ -1038,8 +1041,8 @@
 impl Message {
     fn twin(&self) -> Option<Self> {
         let body = match &self.body {
-            Body::Ask(ask) => Body::Ask(ask.clone()),
-            Body::Reply(reply, contact) => Body::Reply(reply.clone(), *contact),
+            Body::PeerRequest(ask) => Body::PeerRequest(ask.clone()),
+            Body::PeerReply(reply, contact) => Body::PeerReply(reply.clone(), *contact),
             Body::Nothing => return None,
         };
         Some(Self { body, ..*self })
--- /dev/null
+++ b/crates/proxy/src/body.rs
@@ -0,0 +1,70 @@
+//! Bodies of requests: read completely before a request is dispatched, within a bound on all that are held.
+
+use crate::response::{Rejection, RETRY_SOON_MS};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::StatusCode;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{timeout, Instant};
+
+/// A body may take this long to come in.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Most bytes of bodies that are held at once.
+const MAX_HELD_BYTES: usize = 96 << 20;
+
+/// Counts the bytes of bodies that are held.
+#[derive(Clone, Default)]
+pub(crate) struct BodyBudget {
+    held: Rc<Cell<usize>>,
+}
+
+/// A body that is held; its bytes are free again when this is dropped.
+pub(crate) struct HeldBody {
+    /// The body.
+    pub bytes: Bytes,
+    held: Rc<Cell<usize>>,
+    size: usize,
+}
+
+impl Drop for HeldBody {
+    fn drop(&mut self) {
+        self.held.set(self.held.get() - self.size);
+    }
+}
+
+impl BodyBudget {
+    fn hold(&self, bytes: Bytes) -> HeldBody {
+        let size = bytes.len();
+        self.held.set(self.held.get() + size);
+        HeldBody { bytes, held: self.held.clone(), size }
+    }
+
+    /// Reads a body completely: a request whose body breaks off never reaches a server.
+    pub async fn read(&self, body: Incoming, max_bytes: u64, begun: Instant) -> Result<HeldBody, Rejection> {
+        if body.is_end_stream() {
+            return Ok(self.hold(Bytes::new()));
+        }
+        let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+        let least_bytes = body.size_hint().lower();
+        if least_bytes > max_bytes {
+            return Err(too_large());
+        }
+        let max_bytes = (max_bytes as usize).min(MAX_HELD_BYTES.saturating_sub(self.held.get()));
+        if least_bytes as usize > max_bytes {
+            return Err(Rejection::unavailable("too many bodies are held", RETRY_SOON_MS));
+        }
+        let time_left = BODY_TIMEOUT.saturating_sub(begun.elapsed());
+        match timeout(time_left, Limited::new(body, max_bytes).collect()).await {
+            Err(_) => Err(Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+            Ok(Ok(body)) => Ok(self.hold(body.to_bytes())),
+            Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
+            Ok(Err(error)) => match error.downcast::<hyper::Error>() {
+                Ok(error) => Err(Rejection::ConnectionLost(*error)),
+                Err(_) => Err(Rejection::new(StatusCode::BAD_REQUEST, "the body is malformed")),
+            },
+        }
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,14 +1,23 @@
-//! The proxy of the whole system: one more front over the runtime and the decision module. It follows the news of
-//! configuration, nodes and servers, and passes them on to the proxies of its zone.
+//! The proxy: carries clients' requests to servers. One more front over the runtime and the decision module, which follows the
+//! control state and passes it on to the other proxies of its zone.
 //!
-//! Called by the program `waymark` only. Must never decide which server, whether again or what is refused: that is the
-//! gateway's.
+//! A request passes these steps, each a module: `request` parses it, `routing_snapshot` finds its route and tenant, `quota`
+//! takes it off the tenant's quota, `upstream_pools` names the decision module that dispatches it, and `response` maps the
+//! outcome. Which server, whether to retry and what to reject is the decision module's alone (`ivygate-gateway`).
 
-mod answers;
+mod body;
+mod cluster_client;
 mod front;
-mod pools;
+mod messages;
 mod proxy;
-mod sight;
-mod team;
+mod quota;
+mod request;
+mod response;
+mod routing_snapshot;
+mod server_protocol;
+mod service;
+mod slow_start;
+mod upstream_pools;
 
-pub use proxy::run;
+pub use messages::{QuotaBorrowRequest, QuotaBorrowResponse, QUOTA_BORROW_PATH};
+pub use service::run;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the proxy. It reads arguments and settings.
+//! The program of the proxy: reads arguments and settings, and runs the service.
 
 use argh::FromArgs;
 
@@ -12,6 +12,6 @@
 
 fn main() -> miette::Result<()> {
     let arguments: Arguments = argh::from_env();
-    ivygate_rpc::start_logs("waymark", arguments.verbose);
+    ivygate_rpc::init_logging(arguments.verbose);
     ivygate_rpc::run_program(ivygate_proxy::run)
 }
--- /dev/null
+++ b/crates/proxy/src/request.rs
@@ -0,0 +1,118 @@
+//! Parsing of a client's request: its route, its tenant, its attempt and how long the client waits.
+
+use crate::response::{Rejection, RETRY_LATE_MS, RETRY_SOON_MS};
+use crate::routing_snapshot::{common_zones, ResolvedRoute, ResolvedTenant, RoutingSnapshot};
+use crate::server_protocol::{API_KEY, ATTEMPT_ID, DEADLINE, TENANT, WANTED_INSTANCE};
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, StatusCode};
+use ivygate_gateway::{Millis, Zones};
+use ivygate_runtime::{end_to_end, one};
+use std::rc::Rc;
+
+/// Longest id of an attempt, in bytes.
+const MAX_ATTEMPT_ID_BYTES: usize = 128;
+/// Longest time that a client may say it waits, in milliseconds.
+const MAX_WAIT_MS: Millis = 3_600_000.0;
+
+/// A client's request, resolved against one version of the configuration.
+pub(crate) struct ParsedRequest {
+    pub route: Rc<ResolvedRoute>,
+    /// `None` on a public route without a key, and where there are no tenants.
+    pub tenant: Option<Rc<ResolvedTenant>>,
+    pub attempt_id: String,
+    /// How long the client waits.
+    pub wait_ms: Millis,
+    /// The only zones that may serve it; `None` for all.
+    pub zones: Option<Zones>,
+}
+
+fn bad_request(reason: &'static str) -> Rejection {
+    Rejection::new(StatusCode::BAD_REQUEST, reason)
+}
+
+impl ParsedRequest {
+    /// Parses a request's head.
+    pub fn parse(snapshot: &RoutingSnapshot, parts: &Parts) -> Result<Self, Rejection> {
+        if snapshot.config.routes.is_empty() {
+            return Err(Rejection::unavailable("no configuration yet", RETRY_SOON_MS));
+        }
+        let route = find_route(snapshot, parts)?;
+        let tenant = authenticate(snapshot, &route, &parts.headers)?;
+        let attempt_id = parse_attempt_id(&parts.headers)?;
+        let wait_ms = parse_wait_ms(&parts.headers)?.min(1000.0 * route.route.timeout_s);
+        let zones = allowed_zones(&route, tenant.as_deref())?;
+        Ok(Self { route, tenant, attempt_id, wait_ms, zones })
+    }
+}
+
+fn find_route(snapshot: &RoutingSnapshot, parts: &Parts) -> Result<Rc<ResolvedRoute>, Rejection> {
+    let host = match parts.uri.host() {
+        Some(host) => host,
+        None => {
+            let host = one(&parts.headers, "host").ok().flatten();
+            host.ok_or_else(|| bad_request("Host is missing or repeated"))?
+        }
+    };
+    let route = snapshot.find_route(host, parts.uri.path());
+    route.cloned().ok_or_else(|| Rejection::new(StatusCode::NOT_FOUND, "no route is for this"))
+}
+
+/// The tenant of a request. None is needed on public routes, and where there are no tenants.
+fn authenticate(
+    snapshot: &RoutingSnapshot,
+    route: &ResolvedRoute,
+    headers: &HeaderMap,
+) -> Result<Option<Rc<ResolvedTenant>>, Rejection> {
+    let unknown_key = || Rejection::new(StatusCode::UNAUTHORIZED, "the key is not known");
+    if !snapshot.has_tenants {
+        return Ok(None);
+    }
+    let key = one(headers, API_KEY.as_str()).map_err(|_| unknown_key())?;
+    match key.and_then(|key| snapshot.find_tenant(key)) {
+        Some(tenant) => Ok(Some(tenant.clone())),
+        None if route.route.public => Ok(None),
+        None => Err(unknown_key()),
+    }
+}
+
+fn parse_attempt_id(headers: &HeaderMap) -> Result<String, Rejection> {
+    let id = one(headers, ATTEMPT_ID.as_str()).map_err(bad_request)?;
+    let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ATTEMPT_ID_BYTES);
+    let id = id.ok_or_else(|| bad_request("Ivygate-Attempt-Id is missing or malformed"))?;
+    Ok(id.to_owned())
+}
+
+/// How long the client says that it waits; infinite where it does not say.
+fn parse_wait_ms(headers: &HeaderMap) -> Result<Millis, Rejection> {
+    let wait_ms = one(headers, DEADLINE.as_str()).map_err(bad_request)?;
+    let wait_ms = wait_ms.and_then(|text| text.parse::<f64>().ok());
+    let wait_ms = wait_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
+    Ok(wait_ms.map_or(f64::INFINITY, |ms| ms.min(MAX_WAIT_MS)))
+}
+
+/// The only zones that may serve a request; `None` for all.
+fn allowed_zones(route: &ResolvedRoute, tenant: Option<&ResolvedTenant>) -> Result<Option<Zones>, Rejection> {
+    let zones = common_zones(&route.zones, &tenant.and_then(|tenant| tenant.zones.clone()));
+    if zones.as_ref().is_some_and(|zones| zones.is_empty()) {
+        // No server may have it while route and tenant are as they are.
+        let reason = "the route's and the tenant's home regions have none in common";
+        return Err(Rejection::unavailable(reason, RETRY_LATE_MS));
+    }
+    Ok(zones)
+}
+
+/// The headers that a server gets: the client's without its key, with the tenant's name in place of what it said.
+pub(crate) fn forwarded_headers(headers: &HeaderMap, tenant: Option<&ResolvedTenant>) -> HeaderMap {
+    let own = [&ATTEMPT_ID, &DEADLINE, &WANTED_INSTANCE, &TENANT, &API_KEY];
+    let mut forwarded = end_to_end(headers.clone(), |name| own.contains(&name));
+    forwarded.remove(API_KEY);
+    forwarded.remove(TENANT);
+    forwarded.remove(WANTED_INSTANCE);
+    if let Some(tenant) = tenant {
+        if let Ok(name) = HeaderValue::from_str(&tenant.name) {
+            forwarded.insert(TENANT, name);
+        }
+    }
+    forwarded
+}
--- /dev/null
+++ b/crates/proxy/src/upstream_pools.rs
@@ -0,0 +1,300 @@
+//! The servers of each service, with the decision module that chooses among them.
+
+use crate::routing_snapshot::{class_name, RoutingSnapshot};
+use crate::server_protocol;
+use crate::slow_start::{slow_start_share, SlowStarts};
+use ivygate_cluster::{Node, Role};
+use ivygate_control_state::{Items, RequestKind, Route, Table};
+use ivygate_gateway::{Class, Effect, Event, Fence, Gateway, Millis, Plan, Retries, Settings, SettingsError};
+use ivygate_registry::ServerRecord;
+use ivygate_rpc::BootstrapSettings;
+use ivygate_runtime::{Clock, Driver, Listing, Reading, Seal, Target, TargetState, Upstream, UpstreamLimits};
+use serde::Deserialize;
+use std::collections::{BTreeMap, HashMap};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The one plan of a pool: quotas are the tenants', over all services.
+pub(crate) const PLAN: &str = "all";
+/// Largest answer of a server, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// What the way to another zone of the region is taken to cost, in milliseconds.
+const OTHER_ZONE_COST_MS: Millis = 15.0;
+/// And to another region.
+const OTHER_REGION_COST_MS: Millis = 220.0;
+/// Part of the retry budget that is used.
+const RETRY_BUDGET_RATIO: f64 = 0.7;
+/// The retry budget where the rules give none: retries for each request, and on top.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+const DEFAULT_RETRY_EXTRA: f64 = 10.0;
+/// A connection to a server must come up within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// An idle connection to a server is kept this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// An idle connection is not used again before this time.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(1);
+/// Idle connections kept to one server: it is asked by many proxies, and takes only so many connections of all.
+const MAX_IDLE_PER_SERVER: usize = 4;
+/// Read buffer of a connection, in bytes.
+const BUFFER_BYTES: usize = 64 << 10;
+/// Most servers that any request is sent to; its route may say fewer.
+const MAX_ATTEMPTS: u32 = 5;
+/// Longest advice to stay away that is told to clients, in milliseconds.
+const MAX_RETRY_AFTER_MS: Millis = 5_000.0;
+/// The value of a request of the highest priority; it is divided by the priority's number and one.
+const HIGHEST_VALUE: f64 = 4.0;
+/// The part of its value that an answer after the latency target still has.
+const LATE_VALUE_RATIO: f64 = 0.2;
+
+/// How much may be retried, as the rules say.
+#[derive(Clone, Copy)]
+struct RetryBudget {
+    ratio: f64,
+    extra: f64,
+}
+
+struct Pool {
+    driver: Rc<Driver>,
+    classes: HashMap<String, Class>,
+    retries: Retries,
+}
+
+/// The pools of all services.
+pub(crate) struct UpstreamPools {
+    zone: String,
+    own: Ipv4Addr,
+    regions: BTreeMap<String, String>,
+    retry_budget: RetryBudget,
+    clock: Clock,
+    max_connections: usize,
+    pools: HashMap<String, Pool>,
+    slow_starts: SlowStarts,
+}
+
+/// What the decision modules are told of a route's requests.
+fn request_class(route: &Route) -> Class {
+    Class {
+        name: class_name(route),
+        aim: route.target_s * 1000.0,
+        deadline: route.timeout_s * 1000.0,
+        worth: HIGHEST_VALUE / (1.0 + f64::from(route.prio)),
+        late_worth: LATE_VALUE_RATIO,
+        effect: match route.kind {
+            RequestKind::Idempotent => Effect::Safe,
+            RequestKind::Mutating | RequestKind::Upload => Effect::Unsafe,
+        },
+        first_work: None,
+        key_window: 0.0,
+    }
+}
+
+/// The classes of requests of each service.
+fn classes_by_backend(snapshot: &RoutingSnapshot) -> HashMap<String, HashMap<String, Class>> {
+    let mut classes: HashMap<String, HashMap<String, Class>> = HashMap::new();
+    for route in snapshot.config.routes.values() {
+        for share in route.weighted_backends() {
+            let class = request_class(route);
+            classes.entry(share.backend).or_default().insert(class.name.clone(), class);
+        }
+    }
+    classes
+}
+
+impl UpstreamPools {
+    /// No pool yet. All pools together may have `max_connections` to servers.
+    pub fn new(settings: &BootstrapSettings, clock: Clock, max_connections: usize) -> Self {
+        Self {
+            zone: settings.az.clone(),
+            own: settings.ip,
+            regions: settings.zones.clone(),
+            retry_budget: RetryBudget {
+                ratio: settings.bound("retryRatio", DEFAULT_RETRY_RATIO),
+                extra: settings.bound("retryExtra", DEFAULT_RETRY_EXTRA),
+            },
+            clock,
+            max_connections,
+            pools: HashMap::new(),
+            slow_starts: SlowStarts::default(),
+        }
+    }
+
+    /// The decision module of a service.
+    pub fn driver(&self, backend: &str) -> Option<&Rc<Driver>> {
+        self.pools.get(backend).map(|pool| &pool.driver)
+    }
+
+    /// Whether some service has a server.
+    pub fn has_servers(&self) -> bool {
+        self.pools.values().any(|pool| pool.driver.ready())
+    }
+
+    /// This proxy's part of the retry budget, which holds over all proxies together.
+    fn retries(&self, proxies: usize) -> Retries {
+        let RetryBudget { ratio, extra } = self.retry_budget;
+        let store = (RETRY_BUDGET_RATIO * extra / proxies.max(1) as f64).max(1.0);
+        Retries { part: RETRY_BUDGET_RATIO * ratio, store, all: true }
+    }
+
+    /// The configuration or the number of proxies has changed: makes pools for new services, and tells the others of new
+    /// classes and of the retry budget.
+    pub fn configure(&mut self, snapshot: &RoutingSnapshot, proxies: usize) {
+        let retries = self.retries(proxies);
+        for (backend, classes) in classes_by_backend(snapshot) {
+            match self.pools.get_mut(&backend) {
+                Some(pool) => pool.update(classes, retries),
+                None => match self.start(&classes, retries) {
+                    Ok(driver) => {
+                        self.pools.insert(backend, Pool { driver, classes, retries });
+                    }
+                    Err(error) => tracing::warn!(backend, %error, "no pool for a service"),
+                },
+            }
+        }
+        // A service that no longer exists is dropped once no request to it is open.
+        self.pools.retain(|name, pool| snapshot.config.backends.contains_key(name) || pool.driver.open() > 0);
+    }
+
+    fn start(&self, classes: &HashMap<String, Class>, retries: Retries) -> Result<Rc<Driver>, SettingsError> {
+        let settings = decision_settings(&self.zone, classes.values().cloned().collect(), retries);
+        let gateway = Gateway::new(settings, fastrand::u64(..))?;
+        let limits = UpstreamLimits {
+            connections: self.max_connections,
+            connect: CONNECT_TIMEOUT,
+            keep: IDLE_TIMEOUT,
+            idle: MAX_IDLE_PER_SERVER,
+            rest: MIN_IDLE_TIME,
+            buffer: BUFFER_BYTES,
+        };
+        let seal = Seal {
+            echo: server_protocol::ATTEMPT_ID,
+            most: MAX_ANSWER_BYTES,
+            judge: server_protocol::outcome_of,
+        };
+        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, Reading::Sealed(seal)));
+        tokio::task::spawn_local(driver.clone().run_timers());
+        Ok(driver)
+    }
+
+    /// Servers, nodes, draining zones or services have changed: tells each pool of its servers.
+    pub fn update_servers(&mut self, items: &Items, snapshot: &RoutingSnapshot) {
+        let now = self.clock.now();
+        let proxies = Node::all(items, Role::Proxy);
+        let draining = items.live(Table::Drains).map(|(zone, _)| zone.to_owned()).collect();
+        self.slow_starts.update_zones(now, draining);
+        let mut targets: HashMap<String, Vec<Target>> = HashMap::new();
+        for (id, body) in items.live(Table::Servers) {
+            let Ok(server) = ServerRecord::deserialize(body) else { continue };
+            let backend = snapshot.config.backends.get(&server.backend);
+            let slow_start_rate = backend.map_or(0.0, |backend| backend.warmup_per_s);
+            let target = self.target(now, id, &server, slow_start_rate, &proxies);
+            targets.entry(server.backend).or_default().push(target);
+        }
+        self.slow_starts.finish_list();
+        for (backend, pool) in &self.pools {
+            let targets = targets.remove(backend).unwrap_or_default();
+            pool.driver.list(Listing { rev: 0, all: true, targets });
+        }
+    }
+
+    /// What a pool is told of a server. A server that warms up takes `slow_start_rate` requests a second; 0 for no bound.
+    fn target(
+        &mut self,
+        now: Millis,
+        id: &str,
+        server: &ServerRecord,
+        slow_start_rate: f64,
+        proxies: &[Node],
+    ) -> Target {
+        let ends_at = self.slow_starts.end_of(now, id, server);
+        let is_bounded = slow_start_rate > 0.0 && now < ends_at;
+        let bound = || Fence {
+            per_s: slow_start_share(self.own, id, server, self.region(&server.zone), proxies)
+                * slow_start_rate,
+            until: ends_at,
+        };
+        let is_draining = server.draining || self.slow_starts.is_draining(&server.zone);
+        Target {
+            uid: id.to_owned(),
+            endpoint: Some(server.address),
+            detour: self.distance_cost(&server.zone),
+            az: server.zone.clone(),
+            pod_group: 0,
+            state: if is_draining { TargetState::Draining } else { TargetState::Serving },
+            capacity_hint: server.capacity,
+            boot_ms: 0.0,
+            fence: is_bounded.then(bound),
+        }
+    }
+
+    fn region<'a>(&'a self, zone: &'a str) -> &'a str {
+        self.regions.get(zone).map_or(zone, String::as_str)
+    }
+
+    fn distance_cost(&self, zone: &str) -> Millis {
+        if zone == self.zone {
+            0.0
+        } else if self.region(zone) == self.region(&self.zone) {
+            OTHER_ZONE_COST_MS
+        } else {
+            OTHER_REGION_COST_MS
+        }
+    }
+}
+
+impl Pool {
+    fn update(&mut self, classes: HashMap<String, Class>, retries: Retries) {
+        for (name, class) in classes {
+            if !self.classes.contains_key(&name) {
+                self.driver.tell(Event::Class(class.clone()));
+                self.classes.insert(name, class);
+            }
+        }
+        if self.retries != retries {
+            self.retries = retries;
+            self.driver.tell(Event::Retries(retries));
+        }
+    }
+}
+
+/// A plan without quotas of its own.
+fn unlimited_plan() -> Plan {
+    Plan {
+        name: PLAN.to_owned(),
+        rate: 0.0,
+        burst: 0.0,
+        open: 0,
+        price: 1.0,
+        extra_worth: 0.0,
+        excess_cost: 1.0,
+        ceiling_rate: 0.0,
+        ceiling_burst: 0.0,
+        ceiling_slack: 0.0,
+    }
+}
+
+/// The settings of a pool's decision module.
+fn decision_settings(zone: &str, classes: Vec<Class>, retries: Retries) -> Settings {
+    Settings {
+        gateways: 1,
+        rank: 0,
+        zone: zone.to_owned(),
+        classes,
+        plans: vec![unlimited_plan()],
+        max_attempts: MAX_ATTEMPTS,
+        // A server that is silent may be at work: another is asked beside it, and it is not given up.
+        hedging: true,
+        probing: true,
+        trial: true,
+        retries,
+        cancelling: true,
+        list_on_request: false,
+        max_retry_after: Some(MAX_RETRY_AFTER_MS),
+        meter_period: None,
+        cross_zone_price: 0.0,
+        cold_from: 1.0,
+        warm_after: 0.0,
+        fall_multiple: 2.0,
+        fall_window: 1_000.0,
+    }
+}
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -1,10 +1,10 @@
 //! The whole proxy between clients and servers on real sockets, with a registry that tells it of routes and servers: whose
 //! answer a client gets, how often a server runs a request, and what is promised.
 
-use ivygate_cluster::{News, Pull};
+use ivygate_cluster::{PullRequest, StateReplica};
 use ivygate_control_state::{Item, Table};
-use ivygate_registry::{Beaten, Server};
-use ivygate_rpc::{answer_of, serve, Boot, Fault, Handler, Kind};
+use ivygate_registry::{HeartbeatResponse, ServerRecord};
+use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
 use ivygate_standin::{read_message, reset, until, Client, Message, Scripted};
 use serde_json::json;
 use std::io::{BufReader, Write};
@@ -32,13 +32,13 @@
         json!({"vhost": "h.example", "pathPrefix": prefix, "kind": kind, "backend": "s", "tries": 4,
                "timeoutS": 20, "targetS": 5, "public": true})
     };
-    let server = Server {
+    let server = ServerRecord {
         backend: "s".to_owned(),
         address: server,
         zone: "north".to_owned(),
         capacity: 8.0,
         draining: false,
-        cold_s: 0.0,
+        slow_start_s: 0.0,
     };
     vec![
         item(Table::Backends, "s", json!({})),
@@ -50,19 +50,19 @@
 
 /// A registry that tells a proxy what it is given.
 fn registry(ip: Ipv4Addr, items: Vec<Arc<Item>>) {
-    let news = News::new(7);
+    let news = StateReplica::new(7);
     news.merge(items);
     let handler: Handler = std::rc::Rc::new(move |incoming| {
         let news = news.clone();
         Box::pin(async move {
-            news.freshen(0.0);
+            news.record_contact(0.0);
             match incoming.path.as_str() {
-                "/beat" => answer_of(Ok(Beaten { version: 1, registries: vec![ip] })),
+                "/beat" => json_response(Ok(HeartbeatResponse { version: 1, registries: vec![ip] })),
                 "/news" => {
-                    let pull: Pull = serde_json::from_slice(&incoming.body).expect("a pull");
-                    answer_of(Ok(news.pulled(pull).await))
+                    let pull: PullRequest = serde_json::from_slice(&incoming.body).expect("a pull");
+                    json_response(Ok(news.handle_pull(pull).await))
                 }
-                _ => answer_of::<()>(Err(Fault::new(Kind::Unready, "it gives nothing else"))),
+                _ => json_response::<()>(Err(RpcError::new(ErrorKind::NotReady, "it gives nothing else"))),
             }
         })
     });
@@ -77,7 +77,7 @@
     let text = json!({"hostname": "edge-1", "ip": ip, "az": "north", "region": "r",
         "zones": {"north": "r"}, "portRange": [7740, 7742], "listen": {"http": http},
         "seeds": [SocketAddr::from((ip, 7801))], "bounds": ["retryRatio=1.0", "retryExtra=100"]});
-    let boot = Boot::parse(&text.to_string()).expect("it is sound");
+    let boot = BootstrapSettings::parse(&text.to_string()).expect("it is sound");
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -5,7 +5,8 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ivygate_quota::{Grant, Keeper, Rations, Report, WHOLE};
+use ivygate_quota::{LeasedQuota, QuotaAllocator, QuotaGrant, UsageReport, MAX_TOTAL_SHARE};
+use ivygate_time::Timestamp;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
@@ -20,12 +21,12 @@
 /// What a proxy uses that was never granted anything.
 const START: f64 = 0.01;
 /// What the rule allows beyond a tenth over the rate, in any window.
-const RULE: f64 = WHOLE * BURST + 20.0;
+const RULE: f64 = MAX_TOTAL_SHARE * BURST + 20.0;
 /// Plays of two minutes each.
 const PLAYS: u64 = 60;
 
 struct Proxy {
-    rations: Rations,
+    rations: LeasedQuota,
     /// Its clock against the true time: how fast it goes, and where it began.
     pace: f64,
     began: f64,
@@ -50,7 +51,7 @@
 
 #[derive(Default)]
 struct Registry {
-    keeper: Option<Keeper>,
+    keeper: Option<QuotaAllocator>,
     /// The life that each proxy's last report here was of, and the number of its last grant.
     given: BTreeMap<usize, (u64, u64)>,
     taken: u64,
@@ -62,8 +63,8 @@
 }
 
 enum Message {
-    Report { to: usize, from: usize, asked: f64, report: Report },
-    Grant { to: usize, life: u64, asked: f64, grant: Grant },
+    Report { to: usize, from: usize, asked: f64, report: UsageReport },
+    Grant { to: usize, life: u64, asked: f64, grant: QuotaGrant },
 }
 
 /// A clause that is left out.
@@ -107,7 +108,7 @@
     fn new(seed: u64, planted: Planted) -> Self {
         let mut rng = Rng::with_seed(seed);
         let proxies = (0..PROXIES).map(|n| Proxy {
-            rations: Rations::new(n as u64 + 1),
+            rations: LeasedQuota::new(n as u64 + 1),
             pace: 0.98 + 0.04 * rng.f64(),
             began: 1e6 * rng.f64(),
             frozen_until: 0.0,
@@ -150,7 +151,7 @@
             11..=13 => self.proxies[proxy].frozen_until = until,
             14..=17 => {
                 self.lives += 1;
-                self.proxies[proxy].rations = Rations::new(self.lives);
+                self.proxies[proxy].rations = LeasedQuota::new(self.lives);
                 self.proxies[proxy].life = self.lives;
                 self.proxies[proxy].report_at = self.now;
             }
@@ -249,7 +250,7 @@
             for _ in 0..wanted {
                 let one = &mut self.proxies[n];
                 let clock = one.clock(now);
-                if one.rations.take(clock, tenant, RATE, BURST).is_ok() {
+                if one.rations.acquire(Timestamp::from_millis(clock), tenant, RATE, BURST).is_ok() {
                     self.level[of] += 1.0;
                 }
             }
@@ -263,14 +264,14 @@
         if now >= one.report_at {
             one.report_at = now + 600.0;
             let asked = one.clock(now);
-            let report = one.rations.report(asked);
+            let report = one.rations.report(Timestamp::from_millis(asked));
             one.last = (asked, report.epoch, report.number);
             let to = one.holder.1;
             self.send(Message::Report { to, from: n, asked, report });
         }
     }
 
-    fn keep(&mut self, to: usize, from: usize, asked: f64, report: &Report) {
+    fn keep(&mut self, to: usize, from: usize, asked: f64, report: &UsageReport) {
         let now = self.now;
         let registry = &mut self.registries[to];
         let age = if self.planted == Planted::NoContact { 0.0 } else { now - registry.touched };
@@ -279,18 +280,18 @@
         }
         let taken = registry.taken;
         if registry.keeper.as_ref().is_none_or(|keeper| keeper.epoch() != taken) {
-            registry.keeper = Some(Keeper::new(now, taken));
+            registry.keeper = Some(QuotaAllocator::new(Timestamp::from_millis(now), taken));
             registry.given.clear();
         }
         let Some(keeper) = &mut registry.keeper else { return };
-        let (mut report, mut tell) = (report.clone(), |report: &Report| {
-            keeper.report(now, age, &name(from), report, &self.known, |_| RATE)
+        let (mut report, mut tell) = (report.clone(), |report: &UsageReport| {
+            keeper.handle_report(Timestamp::from_millis(now), age, &name(from), report, &self.known, |_| RATE)
         });
         match (self.planted, registry.given.get(&from)) {
-            (Planted::FreedEarly, Some((life, number))) if *life == report.life => {
+            (Planted::FreedEarly, Some((life, number))) if *life == report.incarnation => {
                 (report.epoch, report.number) = (taken, *number);
             }
-            (Planted::AnyLife, Some((life, _))) if *life != report.life => {
+            (Planted::AnyLife, Some((life, _))) if *life != report.incarnation => {
                 let first = tell(&report);
                 (report.epoch, report.number) = (taken, first.map_or(0, |grant| grant.number));
             }
@@ -298,12 +299,12 @@
         }
         if let Some(grant) = tell(&report) {
             self.grants += 1;
-            registry.given.insert(from, (report.life, grant.number));
-            self.send(Message::Grant { to: from, life: report.life, asked, grant });
+            registry.given.insert(from, (report.incarnation, grant.number));
+            self.send(Message::Grant { to: from, life: report.incarnation, asked, grant });
         }
     }
 
-    fn take(&mut self, to: usize, life: u64, mut asked: f64, mut grant: Grant) {
+    fn take(&mut self, to: usize, life: u64, mut asked: f64, mut grant: QuotaGrant) {
         let one = &mut self.proxies[to];
         // An answer to a life that has ended reaches nobody.
         if one.life != life {
@@ -315,13 +316,13 @@
             grant.epoch = grant.epoch.max(epoch);
             grant.number = grant.number.max(number + 1);
         }
-        one.rations.granted(asked, grant);
+        one.rations.handle_grant(Timestamp::from_millis(asked), grant);
     }
 
     fn check(&mut self) {
         let now = self.now;
         for tenant in TENANTS {
-            let part = |proxy: &Proxy| proxy.rations.part(proxy.clock(now), tenant);
+            let part = |proxy: &Proxy| proxy.rations.share(Timestamp::from_millis(proxy.clock(now)), tenant);
             let sum: f64 = self.proxies.iter().map(part).sum();
             self.worst = self.worst.max(sum - START * PROXIES as f64);
         }
@@ -339,7 +340,7 @@
     for _ in 0..2_400 {
         play.step();
         for level in &mut play.level {
-            *level = (*level - WHOLE * RATE * STEP / 1000.0).max(0.0);
+            *level = (*level - MAX_TOTAL_SHARE * RATE * STEP / 1000.0).max(0.0);
             assert!(planted != Planted::Nothing || *level <= RULE, "seed {seed}: {level} at {}", play.now);
         }
     }
@@ -362,7 +363,7 @@
     // And one in which a keeper read the newer of two reports first, found by a longer run.
     for seed in (0..PLAYS).chain([792]) {
         let (worst, given, changed) = play(seed, Planted::Nothing);
-        assert!(worst <= WHOLE + 1e-6, "seed {seed}: {worst}");
+        assert!(worst <= MAX_TOTAL_SHARE + 1e-6, "seed {seed}: {worst}");
         (grants, changes) = (grants + given, changes + changed);
     }
     assert!(grants > 500 * PLAYS && changes > 5 * PLAYS, "{grants} grants, {changes} changes");
@@ -371,7 +372,7 @@
 #[test]
 fn given_a_clause_left_out_when_the_same_faults_come_then_the_whole_is_exceeded_soon() {
     for planted in [Planted::OlderGrant, Planted::FreedEarly, Planted::AnyLife, Planted::NoContact] {
-        let found = (0..PLAYS).find(|seed| play(*seed, planted).0 > WHOLE + 1e-6);
+        let found = (0..PLAYS).find(|seed| play(*seed, planted).0 > MAX_TOTAL_SHARE + 1e-6);
         println!("{planted:?} is found by play {found:?}");
         assert!(found.is_some(), "{planted:?}");
     }
--- a/crates/registry/examples/slopes.rs
+++ b/crates/registry/examples/slopes.rs
@@ -1,12 +1,13 @@
 //! Measures how the state machines of the control plane grow: processor time, bytes on the wire and memory against the
 //! number of items, for `docs/CAPACITY.md`. Each slope is fitted to three sizes and compared with two others.
 //!
-//!     cargo run --profile system -p hutbook --example slopes
+//!     cargo run --profile system -p ivygate-registry --example slopes
 
 use ivygate_cluster::{Node, Role};
-use ivygate_control_state::{amend, check, Amended, Item, Items, Table, Tables};
-use ivygate_quota::{Keeper, Rations};
-use ivygate_registry::{Beat, Book};
+use ivygate_control_state::{apply_update, check_config, ConfigUpdate, Item, Items, Table, Tables};
+use ivygate_quota::{LeasedQuota, QuotaAllocator};
+use ivygate_registry::{HeartbeatRequest, Registry};
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -67,16 +68,16 @@
     let held = resident() - before;
     println!("\n| on 46,000 tenants and 810 routes | |\n| --- | --- |");
     println!("| memory of a copy | {:.1} MB |", held / 1e6);
-    println!("| judged as a whole | {:.0} us |", time(|| check(&items).is_ok()));
+    println!("| judged as a whole | {:.0} us |", time(|| check_config(&items).is_ok()));
     let one = |table, name: &str, field: &str| {
         let mut body = items.body(table, name).cloned().unwrap_or_default();
         body[field] = json!(9);
         body["gen"] = json!("r8");
-        Amended { items: vec![Item::new(table, name, 8, Some(body))] }
+        ConfigUpdate { items: vec![Item::new(table, name, 8, Some(body))] }
     };
     let route = one(Table::Routes, "r-7", "timeoutS");
     let begun = Instant::now();
-    assert!(amend(&items.clone(), &route).is_ok(), "it is sound");
+    assert!(apply_update(&items.clone(), &route).is_ok(), "it is sound");
     println!("| the first call after a start | {:.0} us |", begun.elapsed().as_secs_f64() * 1e6);
     println!("| memory of the copy then | {:.1} MB |", (resident() - before) / 1e6);
     println!("| a round's copy | {:.2} us |", time(|| items.clone()));
@@ -85,9 +86,9 @@
         ("a tenant", &one(Table::Tenants, "tenant-7", "burst")),
         ("the service of all routes", &one(Table::Backends, "b", "maxConns")),
     ] {
-        println!("| a call with {what} | {:.1} us |", time(|| amend(&items.clone(), call).is_ok()));
+        println!("| a call with {what} | {:.1} us |", time(|| apply_update(&items.clone(), call).is_ok()));
     }
-    let all = items.since(0, Tables::all());
+    let all = items.changes_since(0, Tables::all());
     let merged = || {
         let mut copy = Items::default();
         all.iter().for_each(|item| assert!(copy.merge_shared(item.clone())));
@@ -96,10 +97,10 @@
     println!("| a copy made of all items | {:.0} us |", time(merged));
     println!(
         "| what one lacks of another, all there | {:.0} us |",
-        time(|| items.lacking_in(&items, Tables::all()))
+        time(|| items.missing_from(&items, Tables::all()))
     );
-    let last = items.changes() - 1;
-    println!("| one change found | {:.2} us |", time(|| items.since(last, Tables::all())));
+    let last = items.last_change() - 1;
+    println!("| one change found | {:.2} us |", time(|| items.changes_since(last, Tables::all())));
 }
 
 fn servers(count: usize) -> Items {
@@ -127,12 +128,12 @@
     }
 }
 
-fn watched(count: usize) -> (Book, Items) {
-    let (mut book, mut items) = (Book::new(Ipv4Addr::new(10, 0, 0, 1)), Items::default());
+fn watched(count: usize) -> (Registry, Items) {
+    let (mut book, mut items) = (Registry::new(Ipv4Addr::new(10, 0, 0, 1)), Items::default());
     for n in 0..count {
-        let beat = Beat { entry: node(n).item(1) };
+        let beat = HeartbeatRequest { entry: node(n).to_item(1) };
         items.merge(beat.entry.clone());
-        let _ = book.beat(0.0, &items, beat);
+        let _ = book.handle_heartbeat(Timestamp::from_millis(0.0), &items, beat);
     }
     (book, items)
 }
@@ -140,19 +141,22 @@
 /// The time of one report to the keeper, of so many proxies that are all asked for so many tenants.
 fn report(proxies: usize, heavy: usize) -> (f64, f64) {
     let known: BTreeMap<String, bool> = (0..proxies).map(|n| (node(n).name(), true)).collect();
-    let mut keeper = Keeper::new(0.0, 1);
-    let mut rations = Rations::new(1);
+    let mut keeper = QuotaAllocator::new(Timestamp::from_millis(0.0), 1);
+    let mut rations = LeasedQuota::new(1);
     for tenant in 0..heavy {
         for _ in 0..20 {
-            let _ = rations.take(10.0, &format!("tenant-{tenant}"), 100.0, 100.0);
+            let _ = rations.acquire(Timestamp::from_millis(10.0), &format!("tenant-{tenant}"), 100.0, 100.0);
         }
     }
-    let told = rations.report(20.0);
+    let told = rations.report(Timestamp::from_millis(20.0));
     for name in known.keys() {
-        keeper.report(6_000.0, 0.0, name, &told, &known, |_| 100.0);
+        keeper.handle_report(Timestamp::from_millis(6_000.0), 0.0, name, &told, &known, |_| 100.0);
     }
-    let spent = time(|| keeper.report(6_100.0, 0.0, &node(0).name(), &told, &known, |_| 100.0));
-    let grant = keeper.report(6_200.0, 0.0, &node(0).name(), &told, &known, |_| 100.0);
+    let spent = time(|| {
+        keeper.handle_report(Timestamp::from_millis(6_100.0), 0.0, &node(0).name(), &told, &known, |_| 100.0)
+    });
+    let grant =
+        keeper.handle_report(Timestamp::from_millis(6_200.0), 0.0, &node(0).name(), &told, &known, |_| 100.0);
     let bytes =
         serde_json::to_vec(&told).map_or(0, |b| b.len()) + serde_json::to_vec(&grant).map_or(0, |b| b.len());
     (spent, bytes as f64)
@@ -208,38 +212,40 @@
     head();
     slope("a configuration judged as a whole, a tenant", "us", small, wide, 46_000, |n| {
         let items = tenants(n);
-        time(|| check(&items).is_ok())
+        time(|| check_config(&items).is_ok())
     });
     slope("the same, a route", "us", [100, 400, 800], [200, 1_600], 810, |n| {
         let items = routes(n);
-        time(|| check(&items).is_ok())
+        time(|| check_config(&items).is_ok())
     });
     slope("a copy cloned for a round, a tenant", "us", small, wide, 46_000, |n| {
         let items = tenants(n);
         time(|| items.clone())
     });
     slope("a whole copy on the wire, a tenant", "B", small, wide, 46_000, |n| {
-        serde_json::to_vec(&tenants(n).since(0, Tables::all())).map_or(0.0, |bytes| bytes.len() as f64)
+        serde_json::to_vec(&tenants(n).changes_since(0, Tables::all()))
+            .map_or(0.0, |bytes| bytes.len() as f64)
     });
     slope("the same, a server", "B", [200, 800, 1_600], [400, 3_200], 3_200, |n| {
-        serde_json::to_vec(&servers(n).since(0, Tables::all())).map_or(0.0, |bytes| bytes.len() as f64)
+        serde_json::to_vec(&servers(n).changes_since(0, Tables::all()))
+            .map_or(0.0, |bytes| bytes.len() as f64)
     });
     slope("one change found in a copy, an item", "us", small, wide, 52_000, |n| {
         let items = tenants(n);
-        let last = items.changes() - 1;
-        time(|| items.since(last, Tables::all()))
+        let last = items.last_change() - 1;
+        time(|| items.changes_since(last, Tables::all()))
     });
     slope("a tick of a registry, a node that it watches", "us", [50, 100, 200], [150, 400], 160, |n| {
         let (mut book, items) = watched(n);
-        time(|| book.tick(100.0, 0.0, &items))
+        time(|| book.tick(Timestamp::from_millis(100.0), 0.0, &items))
     });
     slope("the same, a node of the system", "us", [50, 100, 200], [150, 400], 530, |n| {
         let items = watched(n).1;
-        time(|| Book::new(Ipv4Addr::new(10, 0, 0, 1)).tick(100.0, 0.0, &items))
+        time(|| Registry::new(Ipv4Addr::new(10, 0, 0, 1)).tick(Timestamp::from_millis(100.0), 0.0, &items))
     });
     slope("a look-up, a proxy", "us", [50, 100, 200], [150, 400], 523, |n| {
         let items = watched(n).1;
-        time(|| ivygate_registry::addresses(&items, "z1", "r1"))
+        time(|| ivygate_registry::proxy_addresses(&items, "z1", "r1"))
     });
     slope("a report to the keeper, a proxy, 20 heavy tenants", "us", [50, 100, 200], [150, 400], 523, |n| {
         report(n, 20).0
--- /dev/null
+++ b/crates/registry/src/cli/diff.rs
@@ -0,0 +1,31 @@
+//! What an update would change.
+
+use ivygate_control_state::{check_version, ConfigUpdate, Item, Items, VersionCheck};
+
+/// One line for each item of an update.
+pub(super) fn describe(items: &Items, update: &ConfigUpdate) -> String {
+    let line = |item: &Item| {
+        let (table, name) = (item.key.table, &item.key.name);
+        format!("{table:?} {name} r{}: {}", item.version, change(items, item))
+    };
+    update.items.iter().map(line).collect::<Vec<_>>().join("\n")
+}
+
+fn change(items: &Items, item: &Item) -> String {
+    let current = items.get(item.key.table, &item.key.name).map(|held| held.version);
+    match (check_version(items, item), current, item.body.is_some()) {
+        (VersionCheck::Newer, None, true) => "new".to_owned(),
+        (VersionCheck::Newer, None, false) => "removes what was never there".to_owned(),
+        (VersionCheck::Newer, Some(version), true) => format!("changes r{version}"),
+        (VersionCheck::Newer, Some(version), false) => format!("removes r{version}"),
+        (VersionCheck::Current, ..) => "same".to_owned(),
+        (VersionCheck::Conflict, current, _) if current == Some(item.version) => {
+            "CONFLICT: the current content is another".to_owned()
+        }
+        // What was acknowledged under lower versions is known to the stores alone.
+        (_, current, _) => format!(
+            "older than r{}, changes nothing; rejected if acknowledged with another content",
+            current.unwrap_or_default()
+        ),
+    }
+}
--- /dev/null
+++ b/crates/registry/src/service/anti_entropy.rs
@@ -0,0 +1,84 @@
+//! Anti-entropy: registries compare their soft state, and send each other what is lacking.
+
+use super::node::{RegistryNode, PEER_TIMEOUT};
+use crate::messages::{AntiEntropyRequest, ANTI_ENTROPY_PATH};
+use ivygate_control_state::{Item, Items, Tables};
+use ivygate_rpc::RpcError;
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Interval in which soft state is compared with one other registry.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(1_000);
+
+impl RegistryNode {
+    /// Compares soft state with one other registry after the other, for as long as the process runs.
+    pub async fn compare_replicas(self: Rc<Self>) {
+        loop {
+            sleep(COMPARE_INTERVAL.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
+            if let Some(other) = fastrand::choice(self.other_registries()) {
+                self.compare_with(other).await;
+            }
+        }
+    }
+
+    async fn compare_with(&self, other: Ipv4Addr) {
+        let digest = Some(self.replica.items().digest(Tables::SOFT));
+        let asked = self.now();
+        let request = AntiEntropyRequest { items: Vec::new(), digest };
+        let Ok(received) = self.exchange(other, &request).await else { return };
+        self.record_answer(other, asked);
+        if received.is_empty() {
+            return;
+        }
+        let missing = self.missing_from(&received);
+        self.merge_received(received);
+        self.send_items(other, missing).await;
+    }
+
+    /// Sends items to another registry. What does not arrive is found missing the next time.
+    pub async fn send_items(&self, other: Ipv4Addr, items: Vec<Arc<Item>>) {
+        let request = AntiEntropyRequest { items, digest: None };
+        if let Err(error) = self.exchange(other, &request).await {
+            tracing::debug!(peer = %other, %error, "items not sent");
+        }
+    }
+
+    async fn exchange(
+        &self,
+        other: Ipv4Addr,
+        request: &AntiEntropyRequest,
+    ) -> Result<Vec<Arc<Item>>, RpcError> {
+        self.client.post(self.registry_at(other), ANTI_ENTROPY_PATH, request, PEER_TIMEOUT).await
+    }
+
+    /// The items of this replica that another, which holds these, lacks.
+    fn missing_from(&self, items: &[Arc<Item>]) -> Vec<Arc<Item>> {
+        let mut other = Items::default();
+        for item in items {
+            other.merge_shared(item.clone());
+        }
+        self.replica.items().missing_from(&other, Tables::SOFT)
+    }
+
+    /// Merges soft state of another registry. The last version of what was purged here reaches the others as they compare.
+    fn merge_received(&self, items: Vec<Arc<Item>>) {
+        let registry = self.registry.borrow();
+        let soft = items.into_iter().filter(|item| Tables::SOFT.contains(item.key.table.set()));
+        self.replica.merge(soft.filter_map(|item| registry.filter_received(item)));
+    }
+
+    /// Handles what another registry sends: gives all soft state if the other asks for that and it differs.
+    pub fn handle_anti_entropy(&self, request: AntiEntropyRequest) -> Vec<Arc<Item>> {
+        self.merge_received(request.items);
+        let items = self.replica.items();
+        let differs = request.digest.is_some_and(|digest| digest != items.digest(Tables::SOFT));
+        if differs {
+            items.all(Tables::SOFT).cloned().collect()
+        } else {
+            Vec::new()
+        }
+    }
+}
--- /dev/null
+++ b/crates/registry/src/service/api.rs
@@ -0,0 +1,125 @@
+//! The calls that the registry answers.
+
+use super::node::{RegistryNode, PEER_TIMEOUT};
+use crate::messages::{AntiEntropyRequest, HeartbeatRequest, HeartbeatResponse, UsageReportRequest};
+use crate::proxy_directory::proxy_addresses;
+use crate::request_forwarding::OperatorRequest;
+use ivygate_cluster::{PullRequest, PullResponse};
+use ivygate_control_state::{Table, COORDINATOR_ROLE};
+use ivygate_rpc::{json_response, ErrorKind, RouteMatcher, RpcError, RpcRequest, RpcResponse};
+use serde_json::{json, Value};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// How long a client may use an answer of the directory, in seconds, where the rules allow as much.
+const DIRECTORY_TTL_S: f64 = 1.5;
+
+#[derive(Clone, Copy)]
+pub(super) enum Endpoint {
+    Pull,
+    Heartbeat,
+    AntiEntropy,
+    Lookup,
+    UsageReport,
+    Store(OperatorRequest),
+    Status,
+}
+
+pub(super) fn routes() -> Vec<RouteMatcher<Endpoint>> {
+    use RouteMatcher::{Endpoint as End, Parameter, Segment};
+    vec![
+        Segment("lookup", vec![End("GET", Endpoint::Lookup)]),
+        Segment("news", vec![End("POST", Endpoint::Pull)]),
+        Segment("beat", vec![End("POST", Endpoint::Heartbeat)]),
+        Segment("told", vec![End("POST", Endpoint::AntiEntropy)]),
+        Segment("shares", vec![End("POST", Endpoint::UsageReport)]),
+        Segment(
+            "config",
+            vec![
+                Segment("amend", vec![End("POST", Endpoint::Store(OperatorRequest::Update))]),
+                Segment("read", vec![End("GET", Endpoint::Store(OperatorRequest::Read))]),
+            ],
+        ),
+        Segment(
+            "drain",
+            vec![Parameter(vec![
+                Segment("begin", vec![End("POST", Endpoint::Store(OperatorRequest::Drain))]),
+                Segment("finish", vec![End("POST", Endpoint::Store(OperatorRequest::Drain))]),
+            ])],
+        ),
+        Segment("status", vec![End("GET", Endpoint::Status)]),
+    ]
+}
+
+impl RegistryNode {
+    /// Answers a call.
+    pub async fn handle(self: Rc<Self>, request: RpcRequest) -> RpcResponse {
+        let endpoint = match RouteMatcher::find(&self.routes, &request.method, &request.path) {
+            Ok(found) => found.endpoint,
+            Err(error) => return json_response::<()>(Err(error)),
+        };
+        match endpoint {
+            Endpoint::Pull => json_response(self.handle_pull(&request).await),
+            Endpoint::Heartbeat => json_response(self.handle_heartbeat(&request)),
+            Endpoint::AntiEntropy => {
+                let request = request.json::<AntiEntropyRequest>();
+                json_response(request.map(|request| self.handle_anti_entropy(request)))
+            }
+            Endpoint::Lookup => json_response(self.look_up(&request.query)),
+            Endpoint::UsageReport => {
+                let request = request.json::<UsageReportRequest>();
+                json_response(request.and_then(|request| self.handle_usage_report(&request)))
+            }
+            Endpoint::Store(operation) => self.call_store(operation, request).await,
+            Endpoint::Status => json_response(Ok(self.status().await)),
+        }
+    }
+
+    async fn handle_pull(&self, request: &RpcRequest) -> Result<PullResponse, RpcError> {
+        let pull: PullRequest = request.json()?;
+        Ok(self.replica.handle_pull(pull).await)
+    }
+
+    fn handle_heartbeat(self: &Rc<Self>, request: &RpcRequest) -> Result<HeartbeatResponse, RpcError> {
+        let heartbeat: HeartbeatRequest = request.json()?;
+        if heartbeat.entry.key.table != Table::Nodes {
+            return Err(RpcError::new(ErrorKind::Invalid, "a heartbeat must be of a node"));
+        }
+        let (newer, response) = {
+            let items = self.replica.items();
+            self.registry.borrow_mut().handle_heartbeat(self.now(), &items, heartbeat)
+        };
+        self.publish(newer.into_iter().collect());
+        Ok(response)
+    }
+
+    /// The proxies for a client, by its zone and region.
+    fn look_up(&self, query: &str) -> Result<Value, RpcError> {
+        let parameters: HashMap<_, _> = form_urlencoded::parse(query.as_bytes()).collect();
+        let parameter = |name: &str| parameters.get(name).map(AsRef::as_ref).unwrap_or_default();
+        let (zone, region) = (parameter("az"), parameter("region"));
+        let region = if region.is_empty() { self.settings.region_of(zone) } else { region };
+        let addresses = proxy_addresses(&self.replica.items(), zone, region);
+        if addresses.is_empty() {
+            return Err(RpcError::new(ErrorKind::NotReady, "no proxy is known that can serve"));
+        }
+        let ttl_s = DIRECTORY_TTL_S.min(self.settings.bound("ttl_max_s", DIRECTORY_TTL_S));
+        Ok(json!({ "addresses": addresses, "ttlS": ttl_s }))
+    }
+
+    /// The status of the registry and of its machine's store.
+    async fn status(&self) -> Value {
+        let store: Result<Value, RpcError> = self.client.get(self.own_store(), "/status", PEER_TIMEOUT).await;
+        let store = store.unwrap_or_else(|error| json!({ "standing": error.detail }));
+        let items = self.replica.items();
+        let nodes: HashMap<&str, _> = items.live(Table::Nodes).collect();
+        json!({
+            "store": store,
+            "nodes": nodes,
+            "servers": items.live(Table::Servers).count(),
+            "warden": items.body(Table::SingletonRoles, COORDINATOR_ROLE),
+            "epoch": items.version(Table::SingletonRoles, COORDINATOR_ROLE),
+            "ageMs": self.replica.contact_age_ms(),
+        })
+    }
+}
--- /dev/null
+++ b/crates/registry/src/service/mod.rs
@@ -0,0 +1,56 @@
+//! The service round a registry: carries messages between the network and the [`Registry`].
+
+mod anti_entropy;
+mod api;
+mod coordinator_role;
+mod heartbeats;
+mod node;
+mod quota;
+mod server_list_task;
+mod store_calls;
+mod ticks;
+
+use ivygate_cluster::follow;
+use ivygate_control_state::Tables;
+use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcError};
+use node::{RegistryNode, StoreSource};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::task::JoinSet;
+
+/// Runs the registry's service until the process is told to end.
+///
+/// # Errors
+/// If an address can't be listened on.
+pub async fn run(settings: BootstrapSettings) -> Result<(), RpcError> {
+    let configuration = |error: std::io::Error| RpcError::new(ErrorKind::Configuration, error.to_string());
+    let mut terminate = signal(SignalKind::terminate()).map_err(configuration)?;
+    // A hangup must not end the process; the registry has nothing to read again.
+    let _hangup = signal(SignalKind::hangup()).map_err(configuration)?;
+    let own = SocketAddr::from((settings.ip, settings.ports().registry));
+    let public = [settings.listen.ctl, settings.listen.dir].into_iter().flatten();
+    let addresses: Vec<SocketAddr> = [own].into_iter().chain(public).collect();
+    let node = RegistryNode::new(settings);
+    let mut servers = Vec::new();
+    for address in addresses {
+        let node = node.clone();
+        servers.push(serve(address, Rc::new(move |request| Box::pin(node.clone().handle(request))))?);
+    }
+    tracing::info!(address = %own, "registry started");
+    // Ended with the process.
+    let mut tasks = JoinSet::new();
+    let source = Rc::new(StoreSource(node.clone()));
+    tasks.spawn_local(follow(node.replica.clone(), node.client.clone(), source, Tables::DURABLE));
+    tasks.spawn_local(node.clone().send_heartbeats());
+    tasks.spawn_local(node.clone().compare_replicas());
+    tasks.spawn_local(node.clone().read_server_list());
+    tasks.spawn_local(node.clone().tick());
+    let _ = terminate.recv().await;
+    tracing::info!("shutting down");
+    node.announce_shutdown();
+    for server in servers {
+        server.shut_down().await;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/registry/src/service/ticks.rs
@@ -0,0 +1,57 @@
+//! The registry's periodic tick: lost nodes, the coordinator role, removal of soft state.
+
+use super::node::RegistryNode;
+use ivygate_cluster::core_members;
+use ivygate_control_state::Table;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{interval, MissedTickBehavior};
+
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+
+impl RegistryNode {
+    /// Ticks until the registry is shutting down: others turn to other watchers then, so what it does not hear is no sign, and
+    /// no role is its any more.
+    pub async fn tick(self: Rc<Self>) {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            if self.is_leaving.get() {
+                return;
+            }
+            self.update_soft_state();
+            self.acquire_role_if_due();
+            let own_version = self.replica.items().version(Table::Nodes, &self.own_node().name());
+            self.exceed_version(own_version);
+        }
+    }
+
+    /// Declares nodes lost, and purges what was removed long ago.
+    fn update_soft_state(self: &Rc<Self>) {
+        let now = self.now();
+        let (lost, purgeable) = {
+            let items = self.replica.items();
+            let mut registry = self.registry.borrow_mut();
+            (registry.tick(now, self.replica.contact_age_ms(), &items), registry.purgeable(now, &items))
+        };
+        for item in &lost {
+            tracing::info!(node = item.key.name, "node lost");
+        }
+        self.publish(lost);
+        if !purgeable.is_empty() {
+            self.replica.purge(&purgeable);
+        }
+    }
+
+    fn acquire_role_if_due(self: &Rc<Self>) {
+        let now = self.now();
+        let should_acquire = {
+            let items = self.replica.items();
+            self.registry.borrow_mut().should_acquire_role(now, &items, &core_members(&items))
+        };
+        if should_acquire {
+            tokio::task::spawn_local(self.clone().acquire_role(now));
+        }
+    }
+}
--- a/crates/registry/tests/cut.rs
+++ b/crates/registry/tests/cut.rs
@@ -1,10 +1,11 @@
 //! A core machine that is cut off from the other core machines for 20 s, as its registry and a proxy that follows it see
 //! that: its store hears no answers, whichever way the cut goes. Times are counted from the cut, and from its end.
 
-use ivygate_cluster::{age_when_read, Contact, Follower, Node, Role};
+use ivygate_cluster::{age_when_read_ms, CoreContact, Node, ParentSelector, Role};
 use ivygate_control_state::Items;
-use ivygate_registry::{Beat, Book, Errand, Order, Other};
-use ivygate_rpc::Kind;
+use ivygate_registry::{HeartbeatRequest, OperatorRequest, PeerStore, Registry, RequestForwarding};
+use ivygate_rpc::ErrorKind;
+use ivygate_time::Timestamp;
 use std::net::{Ipv4Addr, SocketAddr};
 
 const CUT: f64 = 10_000.0;
@@ -38,12 +39,14 @@
 
 /// Plays the cut. `deaf` where heartbeats don't arrive either; else only what it sends is lost.
 fn play(deaf: bool) {
-    let (mut store, mut registry, mut proxy) = (Contact::default(), Contact::default(), Contact::default());
-    let (mut book, mut items, mut follower) = (Book::new(ip(1)), Items::default(), Follower::default());
+    let (mut store, mut registry, mut proxy) =
+        (CoreContact::default(), CoreContact::default(), CoreContact::default());
+    let (mut book, mut items, mut follower) =
+        (Registry::new(ip(1)), Items::default(), ParentSelector::default());
     let parents: [SocketAddr; 2] = [(ip(1), 1).into(), (ip(2), 1).into()];
     let nodes = [node(2, Role::Registry), node(3, Role::Registry), node(9, Role::Proxy)];
     nodes.iter().for_each(|node| {
-        items.merge(node.item(1));
+        items.merge(node.to_item(1));
     });
     let (mut pulled, mut followed) = (0.0, 0.0);
     let [mut grants, mut names_none, mut elsewhere] = [Spans::default(), Spans::default(), Spans::default()];
@@ -53,36 +56,50 @@
         let cut = (CUT..END).contains(&now);
         // The store asks the others each second.
         if !cut && turn % 10 == 0 {
-            store.freshen(now, 40.0);
+            store.record(Timestamp::from_millis(now), 40.0);
         }
         // The registry pulls from it, the proxy from the registry or another one, held for 600 ms each.
         if now >= pulled + HOLD {
-            registry.freshen(now, age_when_read(pulled, now, store.age(now), HOLD));
+            registry.record(
+                Timestamp::from_millis(now),
+                age_when_read_ms(
+                    Timestamp::from_millis(pulled),
+                    Timestamp::from_millis(now),
+                    store.age_ms(Timestamp::from_millis(now)),
+                    HOLD,
+                ),
+            );
             pulled = now;
         }
         if now >= followed + HOLD {
-            let (to, ..) = follower.next(now, &parents).expect("there are two");
-            let age = if to == parents[0] { registry.age(now) } else { 900.0 };
-            let age = age_when_read(followed, now, age, HOLD);
-            follower.came(now, to, 1, 1, age);
-            proxy.freshen(now, age);
+            let to = follower.select(Timestamp::from_millis(now), &parents).expect("there are two").address;
+            let age = if to == parents[0] { registry.age_ms(Timestamp::from_millis(now)) } else { 900.0 };
+            let age =
+                age_when_read_ms(Timestamp::from_millis(followed), Timestamp::from_millis(now), age, HOLD);
+            follower.handle_answer(Timestamp::from_millis(now), to, 1, 1, age);
+            proxy.record(Timestamp::from_millis(now), age);
             followed = now;
             if to != parents[0] {
                 elsewhere.0.push(now);
             }
         }
-        oldest = oldest.max(if now > 2_000.0 { proxy.age(now) } else { 0.0 });
+        oldest = oldest.max(if now > 2_000.0 { proxy.age_ms(Timestamp::from_millis(now)) } else { 0.0 });
         if turn % 6 == 0 && !(cut && deaf) {
             for node in &nodes {
-                let (_, beaten) = book.beat(now, &items, Beat { entry: node.item(1) });
+                let (_, beaten) = book.handle_heartbeat(
+                    Timestamp::from_millis(now),
+                    &items,
+                    HeartbeatRequest { entry: node.to_item(1) },
+                );
                 if beaten.registries.is_empty() && now > 1_000.0 {
                     names_none.0.push(now);
                 }
             }
         }
-        let lost = book.tick(now, registry.age(now), &items);
+        let lost =
+            book.tick(Timestamp::from_millis(now), registry.age_ms(Timestamp::from_millis(now)), &items);
         assert!(lost.is_empty(), "it calls nobody lost: {lost:?} at {now}");
-        if registry.age(now) <= FRESH {
+        if registry.age_ms(Timestamp::from_millis(now)) <= FRESH {
             grants.0.push(now);
         }
     }
@@ -111,15 +128,25 @@
 
 #[test]
 fn given_an_order_at_a_machine_that_is_cut_off_when_its_store_says_no_then_the_operator_hears_that_at_once() {
-    let others = |answered| vec![Other { at: (ip(2), 1).into(), near: true, answered: Some(answered) }];
+    let others = |answered| {
+        vec![PeerStore { address: (ip(2), 1).into(), is_same_region: true, last_answer_at: Some(answered) }]
+    };
     // For two seconds from the cut another may be tried, within the operator's second; from then on the no stands.
-    let early = Errand::new(CUT + 1_000.0, Order::Amend, others(CUT - 100.0));
-    let next = early.clone().failed(CUT + 1_300.0, Kind::NoMajority);
-    assert!(next.is_some_and(|(_, wait)| wait <= 600.0));
-    let late = Errand::new(CUT + 3_000.0, Order::Amend, others(CUT - 100.0));
-    assert_eq!(late.clone().failed(CUT + 3_300.0, Kind::NoMajority), None);
+    let early = RequestForwarding::new(
+        Timestamp::from_millis(CUT + 1_000.0),
+        OperatorRequest::Update,
+        others(Timestamp::from_millis(CUT - 100.0)),
+    );
+    let next = early.clone().next_after(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::NoQuorum);
+    assert!(next.is_some_and(|next| next.wait_ms <= 600.0));
+    let late = RequestForwarding::new(
+        Timestamp::from_millis(CUT + 3_000.0),
+        OperatorRequest::Update,
+        others(Timestamp::from_millis(CUT - 100.0)),
+    );
+    assert_eq!(late.clone().next_after(Timestamp::from_millis(CUT + 3_300.0), ErrorKind::NoQuorum), None);
     assert_eq!(
-        early.clone().failed(CUT + 1_300.0, Kind::Late),
+        early.clone().next_after(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::Timeout),
         None,
         "what may have been taken is not asked again"
     );
--- a/crates/registry/tests/errand.rs
+++ b/crates/registry/tests/errand.rs
@@ -1,20 +1,26 @@
 //! Stories of an operator's call that the own machine's store can't carry out.
 
-use ivygate_registry::{Errand, Order, Other};
-use ivygate_rpc::Kind;
+use ivygate_registry::{ForwardTo, OperatorRequest, PeerStore, RequestForwarding};
+use ivygate_rpc::ErrorKind;
+use ivygate_time::Timestamp;
 use std::net::SocketAddr;
 
-const ORDERS: [Order; 3] = [Order::Read, Order::Amend, Order::Drain];
+const ORDERS: [OperatorRequest; 3] = [OperatorRequest::Read, OperatorRequest::Update, OperatorRequest::Drain];
 
 fn at(last: u8) -> SocketAddr {
     ([10, 0, 0, last], 1).into()
 }
 
-fn other(last: u8, near: bool, answered: Option<f64>) -> Other {
-    Other { at: at(last), near, answered }
+fn forward(address: SocketAddr, wait_ms: f64) -> Option<ForwardTo> {
+    Some(ForwardTo { address, wait_ms })
 }
 
-fn others() -> Vec<Other> {
+fn other(last: u8, near: bool, answered: Option<f64>) -> PeerStore {
+    let last_answer_at = answered.map(Timestamp::from_millis);
+    PeerStore { address: at(last), is_same_region: near, last_answer_at }
+}
+
+fn others() -> Vec<PeerStore> {
     vec![
         other(2, true, None),
         other(3, false, Some(9_900.0)),
@@ -27,30 +33,49 @@
 fn given_a_store_that_rebuilds_its_state_when_a_call_comes_then_it_goes_on_to_two_others_the_near_and_sure_first(
 ) {
     for order in ORDERS {
-        let mut errand = Errand::new(10_000.0, order, others());
-        assert_eq!(errand.failed(10_005.0, Kind::Unready), Some((at(4), 895.0)));
-        assert_eq!(errand.failed(10_105.0, Kind::Unready), Some((at(3), 795.0)));
-        assert_eq!(errand.failed(10_205.0, Kind::Unready), None, "two are enough");
+        let mut errand = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others());
+        assert_eq!(
+            errand.next_after(Timestamp::from_millis(10_005.0), ErrorKind::NotReady),
+            forward(at(4), 895.0)
+        );
+        assert_eq!(
+            errand.next_after(Timestamp::from_millis(10_105.0), ErrorKind::NotReady),
+            forward(at(3), 795.0)
+        );
+        assert_eq!(
+            errand.next_after(Timestamp::from_millis(10_205.0), ErrorKind::NotReady),
+            None,
+            "two are enough"
+        );
     }
 }
 
 #[test]
 fn given_an_answer_after_which_it_may_have_taken_when_it_is_a_drain_then_it_is_not_sent_again() {
-    for kind in [Kind::NoMajority, Kind::Disk, Kind::Unreachable] {
+    for kind in [ErrorKind::NoQuorum, ErrorKind::Disk, ErrorKind::Unreachable] {
         for order in ORDERS {
-            let next = Errand::new(10_000.0, order, others()).failed(10_300.0, kind);
-            assert_eq!(next.is_some(), order != Order::Drain, "{order:?} after {kind:?}");
+            let next = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others())
+                .next_after(Timestamp::from_millis(10_300.0), kind);
+            assert_eq!(next.is_some(), order != OperatorRequest::Drain, "{order:?} after {kind:?}");
         }
     }
 }
 
 #[test]
 fn given_an_answer_that_stands_when_it_comes_then_no_other_is_asked() {
-    let stands = [Kind::Late, Kind::Malformed, Kind::Invalid, Kind::Conflict, Kind::Unknown, Kind::TooLarge];
+    let stands = [
+        ErrorKind::Timeout,
+        ErrorKind::Malformed,
+        ErrorKind::Invalid,
+        ErrorKind::Conflict,
+        ErrorKind::NotFound,
+        ErrorKind::TooLarge,
+    ];
     for kind in stands {
         for order in ORDERS {
             assert_eq!(
-                Errand::new(0.0, order, others()).failed(10.0, kind),
+                RequestForwarding::new(Timestamp::from_millis(0.0), order, others())
+                    .next_after(Timestamp::from_millis(10.0), kind),
                 None,
                 "{order:?} after {kind:?}"
             );
@@ -61,21 +86,36 @@
 #[test]
 fn given_a_machine_that_is_cut_off_when_its_store_has_no_majority_then_that_is_the_answer_at_once() {
     let cut = vec![other(2, true, Some(5_000.0)), other(3, false, Some(7_000.0))];
-    assert_eq!(Errand::new(10_000.0, Order::Amend, cut.clone()).failed(10_300.0, Kind::NoMajority), None);
+    assert_eq!(
+        RequestForwarding::new(Timestamp::from_millis(10_000.0), OperatorRequest::Update, cut.clone())
+            .next_after(Timestamp::from_millis(10_300.0), ErrorKind::NoQuorum),
+        None
+    );
     // One whose own store is down knows no more than that: it tries.
-    assert!(Errand::new(10_000.0, Order::Amend, cut).failed(10_001.0, Kind::Unreachable).is_some());
+    assert!(RequestForwarding::new(Timestamp::from_millis(10_000.0), OperatorRequest::Update, cut)
+        .next_after(Timestamp::from_millis(10_001.0), ErrorKind::Unreachable)
+        .is_some());
 }
 
 #[test]
 fn given_any_answers_when_a_call_goes_on_then_all_waits_end_within_the_operator_s_second() {
     let mut rng = fastrand::Rng::with_seed(7);
-    let kinds = [Kind::Unready, Kind::NoMajority, Kind::Disk, Kind::Unreachable, Kind::Late];
+    let kinds = [
+        ErrorKind::NotReady,
+        ErrorKind::NoQuorum,
+        ErrorKind::Disk,
+        ErrorKind::Unreachable,
+        ErrorKind::Timeout,
+    ];
     for _ in 0..10_000 {
         let mut now = 1_000.0;
-        let mut errand = Errand::new(now, ORDERS[rng.usize(..3)], others());
+        let mut errand =
+            RequestForwarding::new(Timestamp::from_millis(now), ORDERS[rng.usize(..3)], others());
         now += 400.0 * rng.f64();
         let mut asked = Vec::new();
-        while let Some((to, wait)) = errand.failed(now, kinds[rng.usize(..5)]) {
+        while let Some(ForwardTo { address: to, wait_ms: wait }) =
+            errand.next_after(Timestamp::from_millis(now), kinds[rng.usize(..5)])
+        {
             assert!(!asked.contains(&to) && now + wait <= 1_900.0 + 1e-6);
             asked.push(to);
             now += wait * rng.f64();
--- a/crates/registry/tests/messages.rs
+++ b/crates/registry/tests/messages.rs
@@ -1,6 +1,9 @@
-//! Heartbeats, entries of servers and the platform's list, as they are spoken.
+//! HeartbeatTargets, entries of servers and the platform's list, as they are spoken.
 
-use ivygate_registry::{Beat, Beaten, Page, Server, WARDEN, WATCHERS};
+use ivygate_control_state::COORDINATOR_ROLE;
+use ivygate_registry::{
+    HeartbeatRequest, HeartbeatResponse, ServerListPage, ServerRecord, WATCHERS_PER_NODE,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
@@ -13,28 +16,28 @@
 
 #[test]
 fn heartbeats_keep_their_spelling() {
-    is_spoken_on::<Beat>(
+    is_spoken_on::<HeartbeatRequest>(
         r#"{"entry":{"t":"nodes","k":"proxy@10.1.0.9","v":7,"b":{"ip":"10.1.0.9","leaving":false,"lost":false,"ready":true,"region":"r","role":"proxy","zone":"a"}}}"#,
     );
-    is_spoken_on::<Beaten>(r#"{"version":8,"registries":["10.1.0.5","10.2.0.5"]}"#);
-    is_spoken_on::<Beaten>(r#"{"version":8,"registries":[]}"#);
+    is_spoken_on::<HeartbeatResponse>(r#"{"version":8,"registries":["10.1.0.5","10.2.0.5"]}"#);
+    is_spoken_on::<HeartbeatResponse>(r#"{"version":8,"registries":[]}"#);
 }
 
 #[test]
 fn entries_of_servers_keep_their_spelling() {
-    is_spoken_on::<Server>(
+    is_spoken_on::<ServerRecord>(
         r#"{"backend":"checkout","address":"10.9.0.1:80","zone":"a","capacity":4.0,"draining":false,"cold_s":2.5}"#,
     );
 }
 
 #[test]
 fn the_key_of_the_singleton_and_the_number_of_watchers_are_data() {
-    assert_eq!((WARDEN, WATCHERS), ("warden", 2));
+    assert_eq!((COORDINATOR_ROLE, WATCHERS_PER_NODE), ("warden", 2));
 }
 
 #[test]
 fn a_page_of_the_list_is_read_as_the_platform_words_it() {
-    let page: Page = serde_json::from_value(json!({
+    let page: ServerListPage = serde_json::from_value(json!({
         "instances": {
             "cols": ["id", "backend", "address", "az", "capacity", "state", "warmLeftS", "later"],
             "rows": [
@@ -48,8 +51,10 @@
     .expect("it is a page");
     assert_eq!(page.next_cursor.as_deref(), Some("c2"));
     let rows = page.rows();
-    let servers: Vec<String> =
-        rows.iter().map(|row| serde_json::to_string(&row.server(None)).expect("it can be written")).collect();
+    let servers: Vec<String> = rows
+        .iter()
+        .map(|row| serde_json::to_string(&row.to_record(None)).expect("it can be written"))
+        .collect();
     assert_eq!(
         servers,
         [
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -10,9 +10,12 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ivygate_cluster::{Heartbeats, Node, Role};
-use ivygate_control_state::{Item, Items, Table, Tables};
-use ivygate_registry::{Beat, Beaten, Book, Page, Reading, Row, WARDEN, WATCHERS};
+use ivygate_cluster::{HeartbeatTargets, Node, Role};
+use ivygate_control_state::{Item, Items, Table, Tables, COORDINATOR_ROLE};
+use ivygate_registry::{
+    HeartbeatRequest, HeartbeatResponse, ListReading, Registry, ServerListPage, ServerRow, WATCHERS_PER_NODE,
+};
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -74,13 +77,13 @@
     frozen_until: f64,
     cut_until: f64,
     beat_at: f64,
-    heartbeats: Heartbeats,
+    heartbeats: HeartbeatTargets,
     /// Of a registry.
-    book: Book,
+    book: Registry,
     touched: f64,
     compare_at: f64,
     read_at: f64,
-    reading: Option<(Reading, Vec<Row>)>,
+    reading: Option<(ListReading, Vec<ServerRow>)>,
 }
 
 impl Machine {
@@ -93,8 +96,8 @@
             frozen_until: 0.0,
             cut_until: 0.0,
             beat_at: 0.0,
-            heartbeats: Heartbeats::new((0..3).map(ip).collect()),
-            book: Book::new(ip(machine)),
+            heartbeats: HeartbeatTargets::new((0..3).map(ip).collect()),
+            book: Registry::new(ip(machine)),
             touched: f64::NEG_INFINITY,
             compare_at: 0.0,
             read_at: 0.0,
@@ -109,26 +112,26 @@
 
 #[derive(Clone)]
 enum Message {
-    Beat { asked: f64, beat: Beat },
-    Beaten { asked: f64, beaten: Beaten },
+    HeartbeatRequest { asked: f64, beat: HeartbeatRequest },
+    HeartbeatResponse { asked: f64, beaten: HeartbeatResponse },
     Told { items: Vec<Arc<Item>>, digest: Option<u64> },
     Lacking { items: Vec<Arc<Item>> },
     Take { asked: f64 },
     Taken { asked: f64, epoch: u64 },
-    Pull,
-    Pulled { items: Vec<Arc<Item>> },
+    PullRequest,
+    PullResponse { items: Vec<Arc<Item>> },
 }
 
 impl Message {
     fn spelled(&self) -> String {
         let text = match self {
-            Message::Beat { beat, .. } => serde_json::to_string(beat),
-            Message::Beaten { beaten, .. } => serde_json::to_string(beaten),
+            Message::HeartbeatRequest { beat, .. } => serde_json::to_string(beat),
+            Message::HeartbeatResponse { beaten, .. } => serde_json::to_string(beaten),
             Message::Told { items, digest } => serde_json::to_string(&(items, digest)),
-            Message::Lacking { items } | Message::Pulled { items } => serde_json::to_string(items),
+            Message::Lacking { items } | Message::PullResponse { items } => serde_json::to_string(items),
             Message::Take { asked } => serde_json::to_string(asked),
             Message::Taken { asked, epoch } => serde_json::to_string(&(asked, epoch)),
-            Message::Pull => Ok("pull".to_owned()),
+            Message::PullRequest => Ok("pull".to_owned()),
         };
         text.expect("it can be written")
     }
@@ -193,7 +196,7 @@
         self.broken.get_or_insert_with(|| format!("at {now}: {what}"));
     }
 
-    fn rows(&self) -> Vec<Row> {
+    fn rows(&self) -> Vec<ServerRow> {
         let rows: Vec<String> = self
             .servers
             .iter()
@@ -207,7 +210,7 @@
         let cols = r#"["backend","address","az","capacity","state","id"]"#;
         let text =
             format!(r#"{{"instances":{{"cols":{cols},"rows":[{}]}},"nextCursor":null}}"#, rows.join(","));
-        serde_json::from_str::<Page>(&text).expect("a page").rows()
+        serde_json::from_str::<ServerListPage>(&text).expect("a page").rows()
     }
 
     fn faults(&mut self) {
@@ -271,7 +274,7 @@
                 continue;
             }
             if n < REGISTRIES {
-                // Contact with the core brings the news of the duty.
+                // CoreContact with the core brings the news of the duty.
                 if touching && self.machines[n].cut_until <= now && self.rng.u8(..6) == 0 {
                     self.machines[n].touched = now;
                     self.learn(n);
@@ -281,7 +284,7 @@
                 // It pulls from one after the other, each 600 ms.
                 let turn = (now / STEP) as usize + n;
                 if turn % 6 == 0 {
-                    self.post(n, turn / 6 % REGISTRIES, None, Message::Pull);
+                    self.post(n, turn / 6 % REGISTRIES, None, Message::PullRequest);
                 }
             }
             self.beat(n);
@@ -295,7 +298,12 @@
     fn learn(&mut self, n: usize) {
         if let Some((holder, _)) = self.given.get(&self.epoch) {
             let body = Some(json!({ "holder": ip(*holder) }));
-            self.machines[n].items.merge(Item::new(Table::Duties, WARDEN, self.epoch, body));
+            self.machines[n].items.merge(Item::new(
+                Table::SingletonRoles,
+                COORDINATOR_ROLE,
+                self.epoch,
+                body,
+            ));
         }
     }
 
@@ -318,30 +326,35 @@
         if own > one.version {
             one.version = own + 1;
             one.beat_at = now;
-            one.book.was_lost(now);
+            one.book.note_declared_lost(Timestamp::from_millis(now));
         }
         if now < one.beat_at {
             return;
         }
         one.beat_at = now + 600.0;
-        let item = node(n).item(one.version);
+        let item = node(n).to_item(one.version);
         let to: Vec<Ipv4Addr> = if n < REGISTRIES {
-            let up = one.book.registries(&one.items);
+            let up = one.book.live_registries(&one.items);
             let seeds = || (0..3).map(ip).filter(|ip| *ip != node(n).ip).collect();
-            if up.len() > WATCHERS {
-                node(n).watchers(&up, WATCHERS)
+            if up.len() > WATCHERS_PER_NODE {
+                node(n).watchers(&up, WATCHERS_PER_NODE)
             } else {
                 seeds()
             }
         } else {
-            one.heartbeats.to(now, &node(n), WATCHERS)
+            one.heartbeats.targets(Timestamp::from_millis(now), &node(n), WATCHERS_PER_NODE)
         };
         if n < REGISTRIES {
             self.spread(n, vec![item.clone()]);
         }
         for to in to {
             let to = usize::from(to.octets()[3]) - 1;
-            self.post(n, to, None, Message::Beat { asked: now, beat: Beat { entry: item.clone() } });
+            self.post(
+                n,
+                to,
+                None,
+                Message::HeartbeatRequest { asked: now, beat: HeartbeatRequest { entry: item.clone() } },
+            );
         }
     }
 
@@ -350,18 +363,18 @@
         let in_touch = self.planted == Planted::AlwaysInTouch;
         let one = &mut self.machines[n];
         let age = if in_touch { 0.0 } else { now - one.touched };
-        let news = one.book.tick(now, age, &one.items);
-        for node in news.iter().filter_map(|item| Node::read(item.body.as_ref()?)) {
+        let news = one.book.tick(Timestamp::from_millis(now), age, &one.items);
+        for node in news.iter().filter_map(|item| Node::from_body(item.body.as_ref()?)) {
             let other = usize::from(node.ip.octets()[3]) - 1;
             if now > self.machines[other].trouble_until() + QUITE {
                 self.broke(format!("{n} calls {other} lost, which is well"));
             }
         }
         let one = &mut self.machines[n];
-        let over = one.book.forgettable(now, &one.items);
-        one.items.forget(&over);
+        let over = one.book.purgeable(Timestamp::from_millis(now), &one.items);
+        one.items.purge(&over);
         let group: Vec<Ipv4Addr> = (0..REGISTRIES).map(ip).collect();
-        let wants = one.book.wants_duty(now, &one.items, &group);
+        let wants = one.book.should_acquire_role(Timestamp::from_millis(now), &one.items, &group);
         self.spread(n, news);
         if wants {
             // Any store on its way may be slow to take it.
@@ -371,7 +384,7 @@
         let one = &mut self.machines[n];
         if now >= one.compare_at {
             one.compare_at = now + 800.0 + 400.0 * self.rng.f64();
-            let digest = Some(one.items.digest(Tables::TOLD));
+            let digest = Some(one.items.digest(Tables::SOFT));
             let to = (n + self.rng.usize(1..REGISTRIES)) % REGISTRIES;
             self.post(n, to, None, Message::Told { items: Vec::new(), digest });
         }
@@ -384,21 +397,28 @@
         let cut = self.machines[n].cut_until > now && self.rng.bool();
         let one = &mut self.machines[n];
         match one.reading.take() {
-            None if now >= one.read_at && one.book.holds(&one.items) => {
-                one.reading = Some((Reading::new(now, one.book.epoch(), one.items.changes()), Vec::new()));
+            None if now >= one.read_at && one.book.holds_role(&one.items) => {
+                one.reading = Some((
+                    ListReading::new(Timestamp::from_millis(now), one.book.epoch(), one.items.last_change()),
+                    Vec::new(),
+                ));
             }
             None => {}
             Some((mut reading, had)) if had.is_empty() && !cut => {
-                reading.page(now, rows.clone());
+                reading.add_page(Timestamp::from_millis(now), rows.clone());
                 one.reading = Some((reading, rows));
             }
             Some((mut reading, had)) if !cut => {
                 one.read_at = now + 300.0;
                 if self.planted == Planted::StaleRows {
-                    reading = Reading::new(now, one.book.epoch(), one.items.changes());
-                    reading.page(now, had);
+                    reading = ListReading::new(
+                        Timestamp::from_millis(now),
+                        one.book.epoch(),
+                        one.items.last_change(),
+                    );
+                    reading.add_page(Timestamp::from_millis(now), had);
                 }
-                let news = one.book.listed(now, &one.items, reading);
+                let news = one.book.apply_server_list(Timestamp::from_millis(now), &one.items, reading);
                 if !news.is_empty() {
                     let (epoch, life) = (one.book.epoch(), one.life);
                     self.written += 1;
@@ -453,27 +473,27 @@
         let Letter { from, to, message, .. } = letter;
         let back = Some(self.machines[from].life);
         match message {
-            Message::Beat { asked, beat } => {
+            Message::HeartbeatRequest { asked, beat } => {
                 let one = &mut self.machines[to];
-                let (news, beaten) = one.book.beat(now, &one.items, beat);
+                let (news, beaten) = one.book.handle_heartbeat(Timestamp::from_millis(now), &one.items, beat);
                 self.spread(to, news.into_iter().collect());
-                self.post(to, from, back, Message::Beaten { asked, beaten });
+                self.post(to, from, back, Message::HeartbeatResponse { asked, beaten });
             }
-            Message::Beaten { asked, beaten } => {
+            Message::HeartbeatResponse { asked, beaten } => {
                 let one = &mut self.machines[to];
                 if beaten.version > one.version {
                     one.version = beaten.version + 1;
                     one.beat_at = now;
-                    one.book.was_lost(now);
+                    one.book.note_declared_lost(Timestamp::from_millis(now));
                 }
-                one.heartbeats.answered(asked, beaten.registries);
+                one.heartbeats.handle_answer(Timestamp::from_millis(asked), beaten.registries);
             }
             Message::Told { items, digest } => {
                 let one = &mut self.machines[to];
-                let differs = digest.is_some_and(|digest| digest != one.items.digest(Tables::TOLD));
+                let differs = digest.is_some_and(|digest| digest != one.items.digest(Tables::SOFT));
                 self.told(to, items);
                 if differs {
-                    let items = self.machines[to].items.all(Tables::TOLD).cloned().collect();
+                    let items = self.machines[to].items.all(Tables::SOFT).cloned().collect();
                     self.post(to, from, back, Message::Lacking { items });
                 }
             }
@@ -482,7 +502,7 @@
                 items.iter().for_each(|item| {
                     copy.merge_shared(item.clone());
                 });
-                let lacking = self.machines[to].items.lacking_in(&copy, Tables::TOLD);
+                let lacking = self.machines[to].items.missing_from(&copy, Tables::SOFT);
                 self.told(to, items);
                 self.post(to, from, back, Message::Told { items: lacking, digest: None });
             }
@@ -507,13 +527,17 @@
             }
             Message::Taken { asked, epoch } => {
                 let epoch = if self.planted == Planted::EpochReadLate { self.epoch } else { epoch };
-                self.machines[to].book.took_duty(asked, now, epoch);
+                self.machines[to].book.handle_role_acquired(
+                    Timestamp::from_millis(asked),
+                    Timestamp::from_millis(now),
+                    epoch,
+                );
             }
-            Message::Pull => {
-                let items = self.machines[to].items.all(Tables::TOLD).cloned().collect();
-                self.post(to, from, back, Message::Pulled { items });
+            Message::PullRequest => {
+                let items = self.machines[to].items.all(Tables::SOFT).cloned().collect();
+                self.post(to, from, back, Message::PullResponse { items });
             }
-            Message::Pulled { items } => {
+            Message::PullResponse { items } => {
                 let one = &mut self.machines[to];
                 for item in items {
                     if !has(&one.items, &item) {
@@ -527,7 +551,7 @@
     fn told(&mut self, n: usize, items: Vec<Arc<Item>>) {
         let one = &mut self.machines[n];
         for item in items {
-            if let Some(item) = one.book.recalled(item).filter(|item| !has(&one.items, item)) {
+            if let Some(item) = one.book.filter_received(item).filter(|item| !has(&one.items, item)) {
                 one.items.merge_shared(item);
             }
         }
@@ -541,7 +565,7 @@
         for n in (0..REGISTRIES).filter(|n| well[*n]) {
             for other in (0..MACHINES).filter(|other| well[*other]) {
                 let body = self.machines[n].items.body(Table::Nodes, &node(other).name());
-                if body.and_then(Node::read).is_none_or(|node| node.lost) {
+                if body.and_then(Node::from_body).is_none_or(|node| node.lost) {
                     if now > *self.lost_since.entry((n, other)).or_insert(now) + 2_000.0 {
                         broken = Some(format!("{n} takes {other} for lost, and both are well"));
                     }
@@ -550,7 +574,7 @@
                 }
             }
         }
-        let holds = |n: usize| well[n] && self.machines[n].book.holds(&self.machines[n].items);
+        let holds = |n: usize| well[n] && self.machines[n].book.holds_role(&self.machines[n].items);
         if !(0..REGISTRIES).any(holds) {
             self.held_since = f64::INFINITY;
         } else if self.held_since.is_infinite() {
@@ -582,7 +606,7 @@
     fn settled(&mut self) {
         let holders = (0..REGISTRIES).filter(|n| {
             let one = &self.machines[*n];
-            one.book.holds(&one.items)
+            one.book.holds_role(&one.items)
         });
         let holders: Vec<usize> = holders.collect();
         if holders.len() != 1 {
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -1,8 +1,9 @@
 //! Stories of registries that watch, take the warden's duty and read the platform's list.
 
 use ivygate_cluster::{watchers, Node, Role};
-use ivygate_control_state::{Item, Items, Table};
-use ivygate_registry::{addresses, Beat, Book, Page, Reading, Row, WARDEN};
+use ivygate_control_state::{Item, Items, Table, COORDINATOR_ROLE};
+use ivygate_registry::{proxy_addresses, HeartbeatRequest, ListReading, Registry, ServerListPage, ServerRow};
+use ivygate_time::Timestamp;
 use serde_json::json;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -17,16 +18,16 @@
 }
 
 /// Passes time in the steps of a registry that is not held up and is in touch with the core.
-fn pass(book: &mut Book, items: &mut Items, from: f64, until: f64) -> Vec<Item> {
+fn pass(book: &mut Registry, items: &mut Items, from: f64, until: f64) -> Vec<Item> {
     pass_cut(book, items, from, until, f64::INFINITY)
 }
 
 /// The same for one that is cut off at some time.
-fn pass_cut(book: &mut Book, items: &mut Items, from: f64, until: f64, cut: f64) -> Vec<Item> {
+fn pass_cut(book: &mut Registry, items: &mut Items, from: f64, until: f64, cut: f64) -> Vec<Item> {
     let mut news = Vec::new();
     let mut now = from;
     while now <= until {
-        for item in book.tick(now, 100.0_f64.max(now - cut), items) {
+        for item in book.tick(Timestamp::from_millis(now), 100.0_f64.max(now - cut), items) {
             items.merge(item.clone());
             news.push(item);
         }
@@ -37,50 +38,74 @@
 
 #[test]
 fn given_a_proxy_that_falls_silent_when_two_seconds_pass_then_it_is_lost_and_its_next_beat_takes_that_back() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let proxy = node(9, Role::Proxy, "r1");
-    let (news, answer) = book.beat(0.0, &items, Beat { entry: proxy.item(1) });
+    let (news, answer) = book.handle_heartbeat(
+        Timestamp::from_millis(0.0),
+        &items,
+        HeartbeatRequest { entry: proxy.to_item(1) },
+    );
     items.merge(news.expect("it was not known"));
     assert_eq!(answer.version, 1);
     let news = pass(&mut book, &mut items, 0.0, 2_500.0);
     assert_eq!(news.iter().map(|i| i.version).collect::<Vec<_>>(), [2]);
     assert!(Node::all(&items, Role::Proxy)[0].lost);
-    let (_, answer) = book.beat(2_600.0, &items, Beat { entry: proxy.item(1) });
-    let (news, _) = book.beat(2_700.0, &items, Beat { entry: proxy.item(answer.version + 1) });
+    let (_, answer) = book.handle_heartbeat(
+        Timestamp::from_millis(2_600.0),
+        &items,
+        HeartbeatRequest { entry: proxy.to_item(1) },
+    );
+    let (news, _) = book.handle_heartbeat(
+        Timestamp::from_millis(2_700.0),
+        &items,
+        HeartbeatRequest { entry: proxy.to_item(answer.version + 1) },
+    );
     items.merge(news.expect("it goes above what was said of it"));
     assert!(!Node::all(&items, Role::Proxy)[0].lost);
 }
 
 #[test]
 fn given_a_registry_that_stood_still_when_it_goes_on_then_it_declares_nobody_lost() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
-    items.merge(node(9, Role::Proxy, "r1").item(1));
-    let _ = book.beat(0.0, &items, Beat { entry: node(9, Role::Proxy, "r1").item(1) });
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
+    items.merge(node(9, Role::Proxy, "r1").to_item(1));
+    let _ = book.handle_heartbeat(
+        Timestamp::from_millis(0.0),
+        &items,
+        HeartbeatRequest { entry: node(9, Role::Proxy, "r1").to_item(1) },
+    );
     pass(&mut book, &mut items, 0.0, 500.0);
-    assert!(book.tick(9_000.0, 0.0, &items).is_empty());
+    assert!(book.tick(Timestamp::from_millis(9_000.0), 0.0, &items).is_empty());
     assert_eq!(pass(&mut book, &mut items, 9_100.0, 10_500.0).len(), 0);
 }
 
 #[test]
 fn given_a_node_that_another_watches_now_when_it_is_silent_here_then_that_is_no_sign() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let proxy = node(9, Role::Proxy, "r1");
-    let _ = book.beat(0.0, &items, Beat { entry: proxy.item(1) });
-    items.merge(proxy.item(1));
+    let _ = book.handle_heartbeat(
+        Timestamp::from_millis(0.0),
+        &items,
+        HeartbeatRequest { entry: proxy.to_item(1) },
+    );
+    items.merge(proxy.to_item(1));
     let all: Vec<Ipv4Addr> = (1..=8).map(ip).collect();
     let chosen = watchers(&proxy.name(), proxy.ip, &all, 2);
     // Those that the ring names are up and beat on, and this one is not among them.
     let others: Vec<Node> =
         chosen.iter().filter(|w| **w != ip(1)).map(|w| node(w.octets()[3], Role::Registry, "r1")).collect();
     for other in &others {
-        items.merge(other.item(1));
+        items.merge(other.to_item(1));
     }
-    let watches = watchers(&proxy.name(), proxy.ip, &book.registries(&items), 2).contains(&ip(1));
+    let watches = watchers(&proxy.name(), proxy.ip, &book.live_registries(&items), 2).contains(&ip(1));
     let mut news = Vec::new();
     for turn in 0..6 {
         let now = 500.0 * f64::from(turn);
         for other in &others {
-            let _ = book.beat(now, &items, Beat { entry: other.item(1) });
+            let _ = book.handle_heartbeat(
+                Timestamp::from_millis(now),
+                &items,
+                HeartbeatRequest { entry: other.to_item(1) },
+            );
         }
         news.extend(pass(&mut book, &mut items, now, now + 400.0));
     }
@@ -93,34 +118,37 @@
     let group = [ip(1), ip(2), ip(3)];
     let mut items = Items::default();
     for last in 1..=3 {
-        items.merge(node(last, Role::Registry, "r1").item(1));
+        items.merge(node(last, Role::Registry, "r1").to_item(1));
     }
-    let mut books: Vec<Book> = group.iter().map(|ip| Book::new(*ip)).collect();
-    let wants = |books: &mut Vec<Book>, items: &Items, now: f64| -> Vec<bool> {
-        books.iter_mut().map(|book| book.wants_duty(now, items, &group)).collect()
+    let mut books: Vec<Registry> = group.iter().map(|ip| Registry::new(*ip)).collect();
+    let wants = |books: &mut Vec<Registry>, items: &Items, now: f64| -> Vec<bool> {
+        books
+            .iter_mut()
+            .map(|book| book.should_acquire_role(Timestamp::from_millis(now), items, &group))
+            .collect()
     };
     // The first need not hear who else is there; the others wait.
     assert_eq!(wants(&mut books, &items, 0.0), [true, false, false]);
-    items.merge(Item::new(Table::Duties, WARDEN, 1, Some(json!({ "holder": ip(1) }))));
-    books[0].took_duty(0.0, 100.0, 1);
+    items.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 1, Some(json!({ "holder": ip(1) }))));
+    books[0].handle_role_acquired(Timestamp::from_millis(0.0), Timestamp::from_millis(100.0), 1);
     assert_eq!(wants(&mut books, &items, 4_000.0), [false, false, false]);
-    items.merge(Node { lost: true, ..node(1, Role::Registry, "r1") }.item(2));
+    items.merge(Node { lost: true, ..node(1, Role::Registry, "r1") }.to_item(2));
     assert_eq!(wants(&mut books, &items, 5_000.0)[1..], [true, false]);
-    items.merge(Item::new(Table::Duties, WARDEN, 2, Some(json!({ "holder": ip(2) }))));
-    books[1].took_duty(5_000.0, 5_100.0, 2);
-    assert!(!books[0].holds(&items) && books[1].holds(&items));
+    items.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 2, Some(json!({ "holder": ip(2) }))));
+    books[1].handle_role_acquired(Timestamp::from_millis(5_000.0), Timestamp::from_millis(5_100.0), 2);
+    assert!(!books[0].holds_role(&items) && books[1].holds_role(&items));
 }
 
 #[test]
 fn given_a_holder_that_lost_its_memory_when_the_duty_still_names_it_then_it_takes_it_anew() {
     let mut items = Items::default();
-    items.merge(Item::new(Table::Duties, WARDEN, 7, Some(json!({ "holder": ip(1) }))));
-    let mut book = Book::new(ip(1));
-    assert!(!book.holds(&items));
-    assert!(book.wants_duty(0.0, &items, &[ip(1), ip(2)]));
+    items.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 7, Some(json!({ "holder": ip(1) }))));
+    let mut book = Registry::new(ip(1));
+    assert!(!book.holds_role(&items));
+    assert!(book.should_acquire_role(Timestamp::from_millis(0.0), &items, &[ip(1), ip(2)]));
 }
 
-fn page(rows: &str) -> Page {
+fn page(rows: &str) -> ServerListPage {
     let text = format!(
         r#"{{"instances":{{"cols":["backend","address","az","gen","capacity","state","warmLeftS","id"],"rows":[{rows}]}},"nextCursor":null}}"#
     );
@@ -128,17 +156,17 @@
 }
 
 /// A registry that was told that it has the duty under this epoch.
-fn holder(last: u8, epoch: u64) -> Book {
-    let mut book = Book::new(ip(last));
-    assert!(book.wants_duty(0.0, &Items::default(), &[ip(last)]));
-    book.took_duty(0.0, 100.0, epoch);
+fn holder(last: u8, epoch: u64) -> Registry {
+    let mut book = Registry::new(ip(last));
+    assert!(book.should_acquire_role(Timestamp::from_millis(0.0), &Items::default(), &[ip(last)]));
+    book.handle_role_acquired(Timestamp::from_millis(0.0), Timestamp::from_millis(100.0), epoch);
     book
 }
 
 /// A reading that took no time.
-fn reading(epoch: u64, rows: Vec<Row>) -> Reading {
-    let mut reading = Reading::new(1_000.0, epoch, u64::MAX);
-    reading.page(1_000.0, rows);
+fn reading(epoch: u64, rows: Vec<ServerRow>) -> ListReading {
+    let mut reading = ListReading::new(Timestamp::from_millis(1_000.0), epoch, u64::MAX);
+    reading.add_page(Timestamp::from_millis(1_000.0), rows);
     reading
 }
 
@@ -152,17 +180,18 @@
     let draining = page(r#"["b","10.9.0.1:80","r1","v1",2,"draining",0,"i-1"]"#).rows();
     let mut items = Items::default();
     let mut old = holder(1, 1);
-    let news = old.listed(1_000.0, &Items::default(), reading(1, ready.clone()));
+    let news =
+        old.apply_server_list(Timestamp::from_millis(1_000.0), &Items::default(), reading(1, ready.clone()));
     merge(&mut items, news);
     // It reads on and on under epoch 1, and then stands still while another holds epoch 2.
-    let late = old.listed(1_000.0, &items, reading(1, ready.clone()));
+    let late = old.apply_server_list(Timestamp::from_millis(1_000.0), &items, reading(1, ready.clone()));
     assert!(late.is_empty(), "what has not changed is no news");
     let before = items.clone();
-    let news = holder(2, 2).listed(1_000.0, &items, reading(2, draining));
+    let news = holder(2, 2).apply_server_list(Timestamp::from_millis(1_000.0), &items, reading(2, draining));
     assert_eq!(merge(&mut items, news), 1);
     // Whether it has heard the later one's word already, but not of its epoch, or neither.
     for known in [&items.clone(), &before, &Items::default()] {
-        let news = old.listed(1_000.0, known, reading(1, ready.clone()));
+        let news = old.apply_server_list(Timestamp::from_millis(1_000.0), known, reading(1, ready.clone()));
         assert_eq!(merge(&mut items, news), 0);
     }
     assert_eq!(items.body(Table::Servers, "i-1").map(|b| b["draining"].clone()), Some(json!(true)));
@@ -172,19 +201,19 @@
 fn given_a_reading_in_which_the_process_stood_still_when_it_ends_then_nothing_is_written_by_it() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, items) = (holder(1, 1), Items::default());
-    let mut in_page = Reading::new(1_000.0, 1, u64::MAX);
-    in_page.page(1_100.0, rows());
-    in_page.page(21_100.0, Vec::new());
-    assert!(book.listed(21_100.0, &items, in_page).is_empty());
-    let mut behind = Reading::new(1_000.0, 1, u64::MAX);
-    behind.page(1_100.0, rows());
-    assert!(book.listed(21_100.0, &items, behind.clone()).is_empty());
-    assert_eq!(book.listed(1_200.0, &items, behind).len(), 1);
+    let mut in_page = ListReading::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
+    in_page.add_page(Timestamp::from_millis(1_100.0), rows());
+    in_page.add_page(Timestamp::from_millis(21_100.0), Vec::new());
+    assert!(book.apply_server_list(Timestamp::from_millis(21_100.0), &items, in_page).is_empty());
+    let mut behind = ListReading::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
+    behind.add_page(Timestamp::from_millis(1_100.0), rows());
+    assert!(book.apply_server_list(Timestamp::from_millis(21_100.0), &items, behind.clone()).is_empty());
+    assert_eq!(book.apply_server_list(Timestamp::from_millis(1_200.0), &items, behind).len(), 1);
     // Nor by one that began under another epoch, or when the duty is another's by now.
-    assert!(book.listed(1_000.0, &items, reading(0, rows())).is_empty());
+    assert!(book.apply_server_list(Timestamp::from_millis(1_000.0), &items, reading(0, rows())).is_empty());
     let mut later = Items::default();
-    later.merge(Item::new(Table::Duties, WARDEN, 2, Some(json!({ "holder": ip(2) }))));
-    assert!(book.listed(1_000.0, &later, reading(1, rows())).is_empty());
+    later.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 2, Some(json!({ "holder": ip(2) }))));
+    assert!(book.apply_server_list(Timestamp::from_millis(1_000.0), &later, reading(1, rows())).is_empty());
 }
 
 #[test]
@@ -192,13 +221,13 @@
 ) {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, mut items) = (holder(2, 2), Items::default());
-    let mut reading = Reading::new(1_000.0, 2, items.changes());
-    reading.page(1_100.0, rows());
+    let mut reading = ListReading::new(Timestamp::from_millis(1_000.0), 2, items.last_change());
+    reading.add_page(Timestamp::from_millis(1_100.0), rows());
     items.merge(Item::new(Table::Servers, "i-1", 1 << 32 | 7, None));
-    assert!(book.listed(1_200.0, &items, reading).is_empty());
-    let mut next = Reading::new(1_500.0, 2, items.changes());
-    next.page(1_600.0, rows());
-    assert_eq!(book.listed(1_600.0, &items, next).len(), 1);
+    assert!(book.apply_server_list(Timestamp::from_millis(1_200.0), &items, reading).is_empty());
+    let mut next = ListReading::new(Timestamp::from_millis(1_500.0), 2, items.last_change());
+    next.add_page(Timestamp::from_millis(1_600.0), rows());
+    assert_eq!(book.apply_server_list(Timestamp::from_millis(1_600.0), &items, next).len(), 1);
 }
 
 #[test]
@@ -206,11 +235,11 @@
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, mut other) = (holder(1, 1), Items::default());
     for rows in [rows(), Vec::new()] {
-        let news = book.listed(1_000.0, &other, reading(1, rows));
+        let news = book.apply_server_list(Timestamp::from_millis(1_000.0), &other, reading(1, rows));
         merge(&mut other, news);
     }
     // Here it was dropped and forgotten; a proxy still holds that it was dropped.
-    let news = book.listed(1_000.0, &Items::default(), reading(1, rows()));
+    let news = book.apply_server_list(Timestamp::from_millis(1_000.0), &Items::default(), reading(1, rows()));
     assert_eq!(merge(&mut other, news), 1);
 }
 
@@ -220,7 +249,7 @@
     let mut book = holder(1, 1);
     let mut items = Items::default();
     let mut read = |left: &str| {
-        let news = book.listed(1_000.0, &items, reading(1, rows(left)));
+        let news = book.apply_server_list(Timestamp::from_millis(1_000.0), &items, reading(1, rows(left)));
         merge(&mut items, news)
     };
     assert_eq!(
@@ -232,59 +261,71 @@
 #[test]
 fn given_an_answer_about_the_duty_when_it_is_read_late_or_twice_then_only_a_fresh_one_to_the_last_question_counts(
 ) {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
-    assert!(book.wants_duty(0.0, &items, &[ip(1)]));
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
+    assert!(book.should_acquire_role(Timestamp::from_millis(0.0), &items, &[ip(1)]));
     // It stood still; its own clock has asked once more before the old answer is read.
-    assert!(book.wants_duty(20_000.0, &items, &[ip(1)]));
-    book.took_duty(0.0, 20_000.0, 5);
-    assert!(!book.holds(&items));
-    book.missed_duty(0.0, 20_000.0);
-    book.took_duty(20_000.0, 20_100.0, 6);
-    assert!(book.holds(&items) && book.epoch() == 6);
-    book.took_duty(20_000.0, 20_200.0, 7);
+    assert!(book.should_acquire_role(Timestamp::from_millis(20_000.0), &items, &[ip(1)]));
+    book.handle_role_acquired(Timestamp::from_millis(0.0), Timestamp::from_millis(20_000.0), 5);
+    assert!(!book.holds_role(&items));
+    book.handle_acquisition_failed(Timestamp::from_millis(0.0), Timestamp::from_millis(20_000.0));
+    book.handle_role_acquired(Timestamp::from_millis(20_000.0), Timestamp::from_millis(20_100.0), 6);
+    assert!(book.holds_role(&items) && book.epoch() == 6);
+    book.handle_role_acquired(Timestamp::from_millis(20_000.0), Timestamp::from_millis(20_200.0), 7);
     assert_eq!(book.epoch(), 6, "one answer to a question");
     // Another was told the same epoch, or a higher one is known.
-    items.merge(Item::new(Table::Duties, WARDEN, 6, Some(json!({ "holder": ip(2) }))));
-    assert!(!book.holds(&items));
-    let mut late = Book::new(ip(1));
-    assert!(late.wants_duty(0.0, &Items::default(), &[ip(1)]));
-    late.took_duty(0.0, 20_000.0, 5);
-    assert!(!late.holds(&Items::default()), "an answer read 20 s late");
+    items.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 6, Some(json!({ "holder": ip(2) }))));
+    assert!(!book.holds_role(&items));
+    let mut late = Registry::new(ip(1));
+    assert!(late.should_acquire_role(Timestamp::from_millis(0.0), &Items::default(), &[ip(1)]));
+    late.handle_role_acquired(Timestamp::from_millis(0.0), Timestamp::from_millis(20_000.0), 5);
+    assert!(!late.holds_role(&Items::default()), "an answer read 20 s late");
 }
 
 #[test]
 fn given_a_node_whose_watchers_die_with_it_when_others_watch_in_their_place_then_they_call_it_lost() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     for last in 1..=4 {
-        items.merge(node(last, Role::Registry, "r1").item(1));
+        items.merge(node(last, Role::Registry, "r1").to_item(1));
     }
-    items.merge(node(9, Role::Proxy, "r1").item(1));
+    items.merge(node(9, Role::Proxy, "r1").to_item(1));
     // This one never heard the proxy; all other registries and the proxy fall silent for good.
     for last in 2..=4 {
-        let _ = book.beat(0.0, &items, Beat { entry: node(last, Role::Registry, "r1").item(1) });
+        let _ = book.handle_heartbeat(
+            Timestamp::from_millis(0.0),
+            &items,
+            HeartbeatRequest { entry: node(last, Role::Registry, "r1").to_item(1) },
+        );
     }
     pass(&mut book, &mut items, 0.0, 8_000.0);
     assert!(Node::all(&items, Role::Proxy)[0].lost);
     // Nor one that told another once that it is there, and was never heard again.
-    items.merge(node(8, Role::Proxy, "r1").item(1));
+    items.merge(node(8, Role::Proxy, "r1").to_item(1));
     pass(&mut book, &mut items, 8_100.0, 12_000.0);
     assert!(Node::all(&items, Role::Proxy).iter().all(|node| node.lost));
 }
 
 #[test]
 fn given_a_registry_that_is_cut_off_when_it_hears_nobody_then_it_calls_nobody_lost_nor_when_it_is_back() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     for last in 1..=3 {
-        items.merge(node(last, Role::Registry, "r1").item(1));
+        items.merge(node(last, Role::Registry, "r1").to_item(1));
     }
     let nodes = || [node(2, Role::Registry, "r1"), node(3, Role::Registry, "r1"), node(9, Role::Proxy, "r1")];
     for node in nodes() {
-        let _ = book.beat(900.0, &items, Beat { entry: node.item(1) });
-        items.merge(node.item(1));
+        let _ = book.handle_heartbeat(
+            Timestamp::from_millis(900.0),
+            &items,
+            HeartbeatRequest { entry: node.to_item(1) },
+        );
+        items.merge(node.to_item(1));
     }
     // The cut comes 500 ms after the last heartbeats, and lasts 20 s.
     assert_eq!(pass_cut(&mut book, &mut items, 1_000.0, 21_400.0, 1_400.0), []);
-    let (_, beaten) = book.beat(21_400.0, &items, Beat { entry: node(9, Role::Proxy, "r1").item(1) });
+    let (_, beaten) = book.handle_heartbeat(
+        Timestamp::from_millis(21_400.0),
+        &items,
+        HeartbeatRequest { entry: node(9, Role::Proxy, "r1").to_item(1) },
+    );
     assert!(beaten.registries.is_empty(), "a node that still reaches it is to ask others");
     // It is back in touch; the others' heartbeats take their way.
     assert_eq!(pass(&mut book, &mut items, 21_500.0, 22_500.0), []);
@@ -294,25 +335,36 @@
 
 #[test]
 fn given_what_was_dropped_and_forgotten_when_one_that_was_cut_off_tells_it_then_it_does_not_come_back() {
-    let (mut book, mut items) = (Book::new(ip(1)), Items::default());
+    let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let old = Item::new(Table::Servers, "i-1", 1 << 32, Some(json!({})));
     items.merge(Item::new(Table::Servers, "i-1", 1 << 32 | 1, None));
-    items.merge(Node { lost: true, ..node(9, Role::Proxy, "r1") }.item(3));
-    assert!(book.forgettable(0.0, &items).is_empty());
-    assert!(book.forgettable(600_000.0, &items).is_empty(), "one that is away for so long hears it yet");
-    let over = book.forgettable(901_000.0, &items);
+    items.merge(Node { lost: true, ..node(9, Role::Proxy, "r1") }.to_item(3));
+    assert!(book.purgeable(Timestamp::from_millis(0.0), &items).is_empty());
+    assert!(
+        book.purgeable(Timestamp::from_millis(600_000.0), &items).is_empty(),
+        "one that is away for so long hears it yet"
+    );
+    let over = book.purgeable(Timestamp::from_millis(901_000.0), &items);
     assert_eq!(over.len(), 2);
     let last = items.get(Table::Servers, "i-1").cloned();
-    items.forget(&over);
+    items.purge(&over);
     // One that held it as it was before is told the last word; one that forgets a moment later tells nothing.
-    assert_eq!(book.recalled(Arc::new(old)), last);
-    assert_eq!(book.recalled(last.expect("it was dropped")), None);
+    assert_eq!(book.filter_received(Arc::new(old)), last);
+    assert_eq!(book.filter_received(last.expect("it was dropped")), None);
     let later = Arc::new(Item::new(Table::Servers, "i-1", 2 << 32, Some(json!({}))));
-    assert_eq!(book.recalled(later.clone()), Some(later));
+    assert_eq!(book.filter_received(later.clone()), Some(later));
     // A node that begins anew goes above what copies that forget nothing may hold of it.
-    let (news, answer) = book.beat(902_000.0, &items, Beat { entry: node(9, Role::Proxy, "r1").item(1) });
+    let (news, answer) = book.handle_heartbeat(
+        Timestamp::from_millis(902_000.0),
+        &items,
+        HeartbeatRequest { entry: node(9, Role::Proxy, "r1").to_item(1) },
+    );
     assert!(news.is_none() && answer.version == 3);
-    let (news, _) = book.beat(902_100.0, &items, Beat { entry: node(9, Role::Proxy, "r1").item(4) });
+    let (news, _) = book.handle_heartbeat(
+        Timestamp::from_millis(902_100.0),
+        &items,
+        HeartbeatRequest { entry: node(9, Role::Proxy, "r1").to_item(4) },
+    );
     assert!(news.is_some());
 }
 
@@ -320,7 +372,7 @@
 fn given_rows_that_cannot_be_read_or_columns_in_another_order_when_a_page_comes_then_the_others_count() {
     let text = r#"{"instances":{"cols":["id","state","backend","address","more"],"rows":[
         ["i-1","ready","b","10.9.0.1:80",1],["i-2","ready","b","nowhere",1],["i-3","ready",null,"10.9.0.3:80",1]]},"nextCursor":"p"}"#;
-    let page: Page = serde_json::from_str(text).expect("a page");
+    let page: ServerListPage = serde_json::from_str(text).expect("a page");
     assert_eq!(page.rows().iter().map(|r| r.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
     assert_eq!(page.next_cursor.as_deref(), Some("p"));
 }
@@ -329,13 +381,13 @@
 fn given_proxies_near_and_far_when_a_client_asks_then_it_is_sent_to_those_of_its_region_that_can_serve() {
     let mut items = Items::default();
     for (last, zone) in [(1, "r1"), (2, "r1"), (3, "r2"), (4, "s1")] {
-        items.merge(node(last, Role::Proxy, zone).item(1));
+        items.merge(node(last, Role::Proxy, zone).to_item(1));
     }
-    assert_eq!(addresses(&items, "r1", "r").len(), 3);
-    items.merge(Node { leaving: true, ..node(1, Role::Proxy, "r1") }.item(2));
-    items.merge(Node { lost: true, ..node(3, Role::Proxy, "r2") }.item(2));
+    assert_eq!(proxy_addresses(&items, "r1", "r").len(), 3);
+    items.merge(Node { leaving: true, ..node(1, Role::Proxy, "r1") }.to_item(2));
+    items.merge(Node { lost: true, ..node(3, Role::Proxy, "r2") }.to_item(2));
     // Where too few are left, one of another region is better than none.
-    assert_eq!(addresses(&items, "r1", "r").len(), 2);
-    items.merge(Node { ready: false, ..node(2, Role::Proxy, "r1") }.item(2));
-    assert_eq!(addresses(&items, "r1", "r"), [([10, 0, 0, 4], 80).into()]);
+    assert_eq!(proxy_addresses(&items, "r1", "r").len(), 2);
+    items.merge(Node { ready: false, ..node(2, Role::Proxy, "r1") }.to_item(2));
+    assert_eq!(proxy_addresses(&items, "r1", "r"), [([10, 0, 0, 4], 80).into()]);
 }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,86 +1,81 @@
 //! The side that calls: kept connections, one call at a time on each, every wait with an end.
 //!
-//! No call is sent again here once a byte of it may have left. Each bears an id which its answer must bring back, so that
-//! one meant for another call reaches nobody (`docs/design/resending.md`).
+//! A call is not sent again once a byte of it may have left. Each has an id that its response must bring back, so that a
+//! response to another call reaches nobody (`docs/design/resending.md`).
 
-use crate::errors::{Fault, Kind};
+use crate::connection::{connect, Connection};
+use crate::error::{ErrorKind, RpcError};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::client::conn::http1::SendRequest;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, HOST, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response};
-use hyper_util::rt::TokioIo;
-use ivygate_runtime::has_news;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::io;
 use std::net::SocketAddr;
-use std::pin::Pin;
-use std::rc::{Rc, Weak};
-use std::task::{ready, Context, Poll};
+use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// The id of a call, which its answer brings back. No two calls of a process have the same.
-pub(crate) const CALL: HeaderName = HeaderName::from_static("call-id");
+/// The id of a call, which its response brings back. No two calls of a process have the same.
+pub(crate) const CALL_ID: HeaderName = HeaderName::from_static("call-id");
 /// An idle connection is kept this long.
-const KEEP: Duration = Duration::from_secs(4);
-/// A connection not established by then never will be: the other machine has no power or is cut off.
-const CONNECT: Duration = Duration::from_millis(350);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Most idle connections to one address.
-const IDLE_MOST: usize = 4;
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 /// Most addresses with idle connections.
-const ADDRESSES_MOST: usize = 256;
+const MAX_IDLE_ADDRESSES: usize = 256;
 
-/// A connection as its caller holds it.
-struct Link {
-    sender: SendRequest<Full<Bytes>>,
-    /// Its socket, for as long as it stands.
-    socket: Weak<TcpStream>,
-}
-
-struct Idle {
-    link: Link,
+struct IdleConnection {
+    connection: Connection,
     since: Instant,
 }
 
-impl Link {
-    /// Whether another call may be written: the other side has neither closed it nor sent what nobody asked for.
-    fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.socket.upgrade().is_some_and(|socket| !has_news(&socket))
+impl IdleConnection {
+    fn is_fresh(&self) -> bool {
+        self.since.elapsed() < IDLE_TIMEOUT
     }
 }
 
-/// Calls other processes.
+/// The head of a response, and the connection on which it came.
+struct Exchange {
+    connection: Connection,
+    /// Whether the connection has carried another call before.
+    is_reused: bool,
+    response: Response<Incoming>,
+}
+
+/// Calls other processes. Clones share their connections.
 #[derive(Clone, Default)]
-pub struct Calls {
-    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
-    made: Rc<Cell<u64>>,
+pub struct RpcClient {
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
+    last_call: Rc<Cell<u64>>,
 }
 
-impl Calls {
-    /// Calls with a body in JSON, and reads the answer as JSON.
+fn unreachable(to: SocketAddr, cause: impl std::fmt::Display) -> RpcError {
+    RpcError::new(ErrorKind::Unreachable, format!("{to}: {cause}"))
+}
+
+impl RpcClient {
+    /// Sends a body as JSON, and reads the response as JSON.
     ///
     /// # Errors
-    /// The fault that the other side told, or that it could not be reached, or not in time.
+    /// The error that the other side told, or that it can't be reached, or did not answer in time.
     pub async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         to: SocketAddr,
         path: &str,
-        question: &Q,
+        body: &Q,
         wait: Duration,
-    ) -> Result<A, Fault> {
-        let body = serde_json::to_vec(question).map_err(|e| Fault::new(Kind::Malformed, e.to_string()))?;
-        let (status, body) = self.raw(to, Method::POST, path, body.into(), wait).await?;
-        read(to, status, &body)
+    ) -> Result<A, RpcError> {
+        let body = serde_json::to_vec(body).map_err(|error| RpcError::malformed(&error))?;
+        let (status, body) = self.call(to, Method::POST, path, body.into(), wait).await?;
+        parse_response(to, status, &body)
     }
 
-    /// Asks, and reads the answer as JSON.
+    /// Gets a path, and reads the response as JSON.
     ///
     /// # Errors
     /// As for [`Self::post`].
@@ -89,28 +84,28 @@
         to: SocketAddr,
         path: &str,
         wait: Duration,
-    ) -> Result<A, Fault> {
-        let (status, body) = self.raw(to, Method::GET, path, Bytes::new(), wait).await?;
-        read(to, status, &body)
+    ) -> Result<A, RpcError> {
+        let (status, body) = self.call(to, Method::GET, path, Bytes::new(), wait).await?;
+        parse_response(to, status, &body)
     }
 
-    /// One call; the answer as it came.
+    /// Makes one call; gives the status and body of the response as they came.
     ///
     /// # Errors
-    /// If there was no whole answer in time, or one that is not known to be this call's. It may have run then.
-    pub async fn raw(
+    /// If there was no complete response in time, or one that is not known to be this call's. The call may have run then.
+    pub async fn call(
         &self,
         to: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
         wait: Duration,
-    ) -> Result<(u16, Bytes), Fault> {
-        let asked = Instant::now();
+    ) -> Result<(u16, Bytes), RpcError> {
+        let started = Instant::now();
         match timeout(wait, self.exchange(to, method, path, body)).await {
-            // Guards against an answer that lay there while this process stood still: what it says is long over.
-            Ok(answer) if asked.elapsed() < wait => answer,
-            Ok(_) | Err(_) => Err(Fault::new(Kind::Late, format!("{to} gave no answer in time"))),
+            // A response that was there while this process was paused is long out of date.
+            Ok(result) if started.elapsed() < wait => result,
+            Ok(_) | Err(_) => Err(RpcError::new(ErrorKind::Timeout, format!("{to} gave no answer in time"))),
         }
     }
 
@@ -120,169 +115,104 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<(u16, Bytes), Fault> {
-        let lost = |what: String| Fault::new(Kind::Unreachable, format!("{to}: {what}"));
-        self.made.set(self.made.get() + 1);
-        let call = HeaderValue::from(self.made.get());
+    ) -> Result<(u16, Bytes), RpcError> {
+        let call_id = self.next_call_id();
         let request = Request::builder()
             .method(method)
             .uri(path)
             .header(HOST, to.to_string())
             .header(CONTENT_TYPE, "application/json")
-            .header(CALL, call.clone())
+            .header(CALL_ID, call_id.clone())
             .body(Full::new(body))
-            .map_err(|e| Fault::new(Kind::Malformed, e.to_string()))?;
-        let (link, reused, answer) = self.send(to, request).await?;
-        let own = match answer.headers().get(CALL) {
-            Some(told) if *told == call => true,
-            // A stranger, which knows no ids. There was no other call on this connection, nor will there be.
-            None if !reused => false,
-            // Guards against an answer to an earlier call, sent late or twice.
-            Some(_) | None => return Err(lost("the answer belongs to another call".into())),
-        };
-        // Guards against an answer cut short that looks whole. A stranger's is an object of JSON, which can't.
-        if own && !tells_its_end(&answer) {
-            return Err(lost("the answer does not tell its length".into()));
+            .map_err(|error| RpcError::new(ErrorKind::Malformed, error.to_string()))?;
+        let exchange = self.send(to, request).await?;
+        let knows_call_ids = check_call_id(to, &exchange, &call_id)?;
+        let Exchange { connection, response, .. } = exchange;
+        // A response that was cut short may look complete. That of a process which knows no call ids is a JSON object,
+        // which can't.
+        if knows_call_ids && !has_framed_body(&response) {
+            return Err(unreachable(to, "the answer does not tell its length"));
         }
-        let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), crate::BODY_MOST)
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), crate::MAX_BODY_BYTES)
             .collect()
             .await
-            .map_err(|e| lost(e.to_string()))?
+            .map_err(|error| unreachable(to, error))?
             .to_bytes();
-        if own {
-            self.keep(to, link);
+        if knows_call_ids {
+            self.keep_idle(to, connection);
         }
         Ok((status, body))
     }
 
-    /// Sends a request on a kept connection or a new one; tells which, and the answer's head. One that ends before a
-    /// byte of the request was written is no reason to give up: taking another sends nothing again.
-    async fn send(
-        &self,
-        to: SocketAddr,
-        mut request: Request<Full<Bytes>>,
-    ) -> Result<(Link, bool, Response<Incoming>), Fault> {
-        let lost = |what: String| Fault::new(Kind::Unreachable, format!("{to}: {what}"));
+    fn next_call_id(&self) -> HeaderValue {
+        self.last_call.set(self.last_call.get() + 1);
+        HeaderValue::from(self.last_call.get())
+    }
+
+    /// Sends a request on a kept connection or a new one. Where a kept one ends before a byte of the request was written,
+    /// another is taken: that sends nothing twice.
+    async fn send(&self, to: SocketAddr, mut request: Request<Full<Bytes>>) -> Result<Exchange, RpcError> {
         loop {
-            let (mut link, reused) = match self.kept(to) {
-                Some(link) => (link, true),
+            let (mut connection, is_reused) = match self.take_idle(to) {
+                Some(connection) => (connection, true),
                 None => (connect(to).await?, false),
             };
-            match link.sender.try_send_request(request).await {
-                Ok(answer) => return Ok((link, reused, answer)),
-                Err(mut error) => match error.take_message().filter(|_| reused) {
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => return Ok(Exchange { connection, is_reused, response }),
+                Err(mut error) => match error.take_message().filter(|_| is_reused) {
                     Some(unsent) => request = unsent,
-                    None => return Err(lost(error.into_error().to_string())),
+                    None => return Err(unreachable(to, error.into_error())),
                 },
             }
         }
     }
 
-    fn kept(&self, to: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, to: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let row = idle.get_mut(&to)?;
-        while let Some(idle) = row.pop() {
-            if idle.since.elapsed() < KEEP && idle.link.is_usable() {
-                return Some(idle.link);
+        let connections = idle.get_mut(&to)?;
+        while let Some(idle) = connections.pop() {
+            if idle.is_fresh() && idle.connection.is_usable() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
-    fn keep(&self, to: SocketAddr, link: Link) {
+    fn keep_idle(&self, to: SocketAddr, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() >= ADDRESSES_MOST {
-            idle.retain(|_, row| row.iter().any(|idle| idle.since.elapsed() < KEEP));
+        if idle.len() >= MAX_IDLE_ADDRESSES {
+            idle.retain(|_, connections| connections.iter().any(IdleConnection::is_fresh));
         }
-        let row = idle.entry(to).or_default();
-        row.retain(|idle| idle.since.elapsed() < KEEP && !idle.link.sender.is_closed());
-        if row.len() < IDLE_MOST {
-            row.push(Idle { link, since: Instant::now() });
-        }
-    }
-}
-
-async fn connect(to: SocketAddr) -> Result<Link, Fault> {
-    let lost = |what: String| Fault::new(Kind::Unreachable, format!("{to}: {what}"));
-    let connected = timeout(CONNECT, TcpStream::connect(to)).await;
-    let connected = connected.map_err(|_| Fault::new(Kind::Late, format!("{to}: no connection in time")))?;
-    let stream = connected.map_err(|e| lost(e.to_string()))?;
-    // A hint: where the system refuses it, the connection serves all the same.
-    let _ = stream.set_nodelay(true);
-    let stream = Rc::new(stream);
-    let socket = Rc::downgrade(&stream);
-    let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(Shared(stream)))
-        .await
-        .map_err(|e| lost(e.to_string()))?;
-    // How it ends shows in the answer.
-    tokio::task::spawn_local(async move {
-        let _ = connection.await;
-    });
-    Ok(Link { sender, socket })
-}
-
-/// A stream that its caller can look at while the connection has it. Dropping it closes it.
-struct Shared(Rc<TcpStream>);
-
-impl AsyncRead for Shared {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        loop {
-            ready!(self.0.poll_read_ready(cx))?;
-            match self.0.try_read(buf.initialize_unfilled()) {
-                Ok(read) => {
-                    buf.advance(read);
-                    return Poll::Ready(Ok(()));
-                }
-                // Readiness was out of date, and is known to be so now.
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(error) => return Poll::Ready(Err(error)),
-            }
+        let connections = idle.entry(to).or_default();
+        connections.retain(|idle| idle.is_fresh() && !idle.connection.sender.is_closed());
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(IdleConnection { connection, since: Instant::now() });
         }
     }
 }
 
-impl AsyncWrite for Shared {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_write_vectored(cx, &[io::IoSlice::new(buf)])
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        loop {
-            ready!(self.0.poll_write_ready(cx))?;
-            match self.0.try_write_vectored(bufs) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                written => return Poll::Ready(written),
-            }
-        }
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
+/// Checks that a response is this call's; tells whether the other side knows call ids.
+fn check_call_id(to: SocketAddr, exchange: &Exchange, call_id: &HeaderValue) -> Result<bool, RpcError> {
+    match exchange.response.headers().get(CALL_ID) {
+        Some(returned) if returned == call_id => Ok(true),
+        // A process that knows no call ids. There was no other call on this connection, nor will there be.
+        None if !exchange.is_reused => Ok(false),
+        // A response to an earlier call, sent late or twice.
+        Some(_) | None => Err(unreachable(to, "the answer belongs to another call")),
     }
 }
 
-/// Whether an answer's end is told by its length or by chunks, and not just by the connection's end.
-fn tells_its_end(answer: &Response<Incoming>) -> bool {
-    answer.body().size_hint().exact().is_some() || answer.headers().contains_key(TRANSFER_ENCODING)
+/// Whether the end of a response's body is told by its length or by chunks, and not just by the connection's end.
+fn has_framed_body(response: &Response<Incoming>) -> bool {
+    response.body().size_hint().exact().is_some() || response.headers().contains_key(TRANSFER_ENCODING)
 }
 
-fn read<A: DeserializeOwned>(from: SocketAddr, status: u16, body: &[u8]) -> Result<A, Fault> {
+fn parse_response<A: DeserializeOwned>(from: SocketAddr, status: u16, body: &[u8]) -> Result<A, RpcError> {
     if status == 200 {
-        return serde_json::from_slice(body).map_err(|e| Fault::new(Kind::Malformed, format!("{from}: {e}")));
+        return serde_json::from_slice(body)
+            .map_err(|error| RpcError::new(ErrorKind::Malformed, format!("{from}: {error}")));
     }
-    Err(serde_json::from_slice(body)
-        .unwrap_or_else(|_| Fault::new(Kind::Unreachable, format!("{from} answered {status}"))))
+    let error = serde_json::from_slice(body);
+    Err(error.unwrap_or_else(|_| RpcError::new(ErrorKind::Unreachable, format!("{from} answered {status}"))))
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,20 +1,24 @@
-//! What the processes of the whole system share to call each other: settings file, errors, matcher tree, server and
-//! client of HTTP/1.1 with JSON, log lines.
+//! Calls between the processes of the system: HTTP/1.1 with JSON, settings, errors and logging.
 //!
-//! Called by the three programs and the packages between. Must never decide anything: it carries calls.
+//! Each call is one request and one response, and every wait has an end. A call is never sent again here once a byte of it
+//! may have left. This crate carries calls; it never decides anything.
 
 mod client;
-mod errors;
-mod logs;
-mod matcher;
+mod connection;
+mod error;
+mod logging;
 mod program;
+mod route_matcher;
 mod server;
 mod settings;
 
-pub use client::Calls;
-pub use errors::{Fault, Kind};
-pub use logs::start as start_logs;
-pub use matcher::{Found, Matcher};
-pub use program::run as run_program;
-pub use server::{answer_of, serve, CallServer, Handler, Incoming, Outgoing, BODY_MOST};
-pub use settings::{Boot, Bound, Cloud, Listen, Machine, Ports, Survive};
+pub use client::RpcClient;
+pub use error::{ErrorKind, RpcError};
+pub use logging::init_logging;
+pub use program::run_program;
+pub use route_matcher::{RouteMatch, RouteMatcher};
+pub use server::{json_response, serve, Handler, RpcRequest, RpcResponse, RpcServer, MAX_BODY_BYTES};
+pub use settings::{
+    BootstrapSettings, FailureTolerance, ListenAddresses, ResourceLimits, RuleBound, ServerListSettings,
+    ServicePorts,
+};
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,129 +1,152 @@
-//! The side that is called: one listener, each call read whole within a bound, one answer in JSON.
+//! The side that is called: one listener, each request read completely within bounds, one response in JSON.
 
-use crate::client::CALL;
-use crate::errors::{Fault, Kind};
+use crate::client::CALL_ID;
+use crate::error::{ErrorKind, RpcError};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use ivygate_runtime::{listen, Asked, ClientLimits, Clients, Front, WHOLE_REQUEST};
+use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest body of a call: a configuration of tens of thousands of tenants.
-pub const BODY_MOST: usize = 32 << 20;
+/// Largest body of a request: a configuration of tens of thousands of tenants.
+pub const MAX_BODY_BYTES: usize = 32 << 20;
 /// Most connections of one listener.
-const CONNECTIONS: usize = 1500;
+const MAX_CONNECTIONS: usize = 1500;
+/// A request has this many times the time that one of a client has, to come in completely.
+const REQUEST_TIMEOUT_FACTOR: u32 = 4;
 
-/// A call that has come whole.
-pub struct Incoming {
+/// A request that has come in completely.
+pub struct RpcRequest {
     /// Its method.
     pub method: String,
     /// Its path, without the query.
     pub path: String,
-    /// Its query, if any.
+    /// Its query, empty if there is none.
     pub query: String,
     /// Its body.
     pub body: Bytes,
-    /// Who called.
+    /// Who sent it.
     pub peer: SocketAddr,
 }
 
-/// What a call is answered with: a status and a body, JSON unless it is empty.
+impl RpcRequest {
+    /// Reads the body as JSON.
+    ///
+    /// # Errors
+    /// `Malformed`, with the place.
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, RpcError> {
+        serde_json::from_slice(&self.body).map_err(|error| RpcError::malformed(&error))
+    }
+}
+
+/// The response to a request: a status and a body, JSON unless it is empty.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct RpcResponse {
     /// The status.
     pub status: StatusCode,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What answers calls.
-pub type Handler = Rc<dyn Fn(Incoming) -> Pin<Box<dyn Future<Output = Outgoing>>>>;
+/// What responds to requests.
+pub type Handler = Rc<dyn Fn(RpcRequest) -> Pin<Box<dyn Future<Output = RpcResponse>>>>;
 
-/// The answer to a call that came to something or to an error.
-pub fn answer_of<T: Serialize>(result: Result<T, Fault>) -> Outgoing {
+/// The response for a result: the value, or the error with its status.
+pub fn json_response<T: Serialize>(result: Result<T, RpcError>) -> RpcResponse {
     let (status, body) = match &result {
         Ok(value) => (StatusCode::OK, serde_json::to_vec(value)),
-        Err(fault) => (fault.kind.status(), serde_json::to_vec(fault)),
+        Err(error) => (error.kind.status(), serde_json::to_vec(error)),
     };
     match body {
-        Ok(body) => Outgoing { status, body },
-        // Guards against a map whose keys are no text; none is made here.
-        Err(_) => Outgoing { status: StatusCode::INTERNAL_SERVER_ERROR, body: Vec::new() },
+        Ok(body) => RpcResponse { status, body },
+        // Only a map whose keys are no text can't be written; none is made here.
+        Err(_) => RpcResponse { status: StatusCode::INTERNAL_SERVER_ERROR, body: Vec::new() },
     }
 }
 
-struct Calling {
+/// How long a request has to come in completely.
+fn request_timeout() -> Duration {
+    WHOLE_REQUEST.saturating_mul(REQUEST_TIMEOUT_FACTOR)
+}
+
+struct RpcFront {
     handler: Handler,
 }
 
-impl Front for Calling {
+impl Front for RpcFront {
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let Asked { request, begun, turn, peer, .. } = asked;
         let (head, body) = request.into_parts();
-        let wait = WHOLE_REQUEST.saturating_mul(4).saturating_sub(begun.elapsed());
-        let outgoing = match timeout(wait, Limited::new(body, BODY_MOST).collect()).await {
-            Err(_) => answer_of::<()>(Err(Fault::new(Kind::Late, "the body did not come in time"))),
+        let time_left = request_timeout().saturating_sub(begun.elapsed());
+        let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+            Err(_) => {
+                json_response::<()>(Err(RpcError::new(ErrorKind::Timeout, "the body did not come in time")))
+            }
             Ok(Err(error)) => match error.downcast::<hyper::Error>() {
                 Ok(error) => return Err(*error),
-                Err(_) => answer_of::<()>(Err(Fault::new(Kind::TooLarge, "the body is too large"))),
+                Err(_) => {
+                    json_response::<()>(Err(RpcError::new(ErrorKind::TooLarge, "the body is too large")))
+                }
             },
             Ok(Ok(body)) => {
                 turn.open();
-                // Guards against an order that waited while this process stood still, or a link was cut, and that has
-                // been given to another since: the connection is looked at once more, and where the caller has left,
-                // this call ends here.
+                // The request may have waited while this process was paused or a link was cut, and may have been given to
+                // another since. The connection is looked at once more: where the caller has left, this future is dropped.
                 tokio::task::yield_now().await;
-                let incoming = Incoming {
+                let request = RpcRequest {
                     method: head.method.as_str().to_owned(),
                     path: head.uri.path().to_owned(),
                     query: head.uri.query().unwrap_or_default().to_owned(),
                     body: body.to_bytes(),
                     peer,
                 };
-                (self.handler)(incoming).await
+                (self.handler)(request).await
             }
         };
-        let mut response = Response::new(Full::new(Bytes::from(outgoing.body)));
-        *response.status_mut() = outgoing.status;
-        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(call) = head.headers.get(CALL) {
-            response.headers_mut().insert(CALL, call.clone());
+        let mut http = Response::new(Full::new(Bytes::from(response.body)));
+        *http.status_mut() = response.status;
+        http.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        if let Some(call_id) = head.headers.get(CALL_ID) {
+            http.headers_mut().insert(CALL_ID, call_id.clone());
         }
-        Ok(response)
+        Ok(http)
     }
 }
 
 /// A listener at work.
-pub struct CallServer {
-    clients: Rc<Clients<Calling>>,
+pub struct RpcServer {
+    clients: Rc<Clients<RpcFront>>,
     accepting: tokio::task::JoinHandle<()>,
 }
 
-impl CallServer {
-    /// Ends in good order.
-    pub async fn wind_up(self) {
+impl RpcServer {
+    /// Takes no more connections, and waits until the requests under way are answered.
+    pub async fn shut_down(self) {
         self.clients.wind_up(self.accepting).await;
     }
 }
 
-/// Answers calls at an address from now on.
+/// Answers requests at an address from now on.
 ///
 /// # Errors
 /// If the address can't be listened on.
-pub fn serve(address: SocketAddr, handler: Handler) -> Result<CallServer, Fault> {
-    let listener = listen(address)
-        .map_err(|error| Fault::new(Kind::Setting, format!("cannot listen on {address}: {error}")))?;
-    let mut limits = ClientLimits::new(CONNECTIONS);
-    limits.whole_request = WHOLE_REQUEST.saturating_mul(4);
-    let clients = Clients::new(Rc::new(Calling { handler }), limits);
+pub fn serve(address: SocketAddr, handler: Handler) -> Result<RpcServer, RpcError> {
+    let listener = listen(address).map_err(|error| {
+        RpcError::new(ErrorKind::Configuration, format!("cannot listen on {address}: {error}"))
+    })?;
+    let mut limits = ClientLimits::new(MAX_CONNECTIONS);
+    limits.whole_request = request_timeout();
+    let clients = Clients::new(Rc::new(RpcFront { handler }), limits);
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
-    Ok(CallServer { clients, accepting })
+    Ok(RpcServer { clients, accepting })
 }
--- a/crates/rpc/src/settings.rs
+++ b/crates/rpc/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file that a process of the system is started with. All its faults are named at once.
+//! The settings file that a process of the system is started with. All errors in it are named at once.
 
-use crate::errors::{Fault, Kind};
+use crate::error::{ErrorKind, RpcError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,12 +8,12 @@
 use validator::{Validate, ValidationError};
 
 /// The variable that names the settings file.
-const VARIABLE: &str = "IVYGATE_CONFIG";
+const SETTINGS_VARIABLE: &str = "IVYGATE_CONFIG";
 
 /// The settings of one process. Times are seconds.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
-pub struct Boot {
+pub struct BootstrapSettings {
     /// The machine's name.
     #[validate(length(min = 1, max = 200))]
     pub hostname: String,
@@ -29,9 +29,9 @@
     pub zones: BTreeMap<String, String>,
     /// Where this process serves the outside.
     #[serde(default)]
-    pub listen: Listen,
-    /// First and last port for what the nodes say to each other.
-    #[validate(custom(function = "three_ports"))]
+    pub listen: ListenAddresses,
+    /// First and last port for calls between nodes.
+    #[validate(custom(function = "has_three_ports"))]
     pub port_range: (u16, u16),
     /// Addresses at which operators call, of some machines.
     #[serde(default)]
@@ -39,34 +39,34 @@
     /// Whether the whole system starts for the first time.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether this machine counts among those of which only a few may be lost.
+    /// Whether this machine is one of those of which only a few may fail at once.
     #[serde(default)]
     pub voting: bool,
     /// What the process may use.
     #[serde(default)]
-    pub limits: Machine,
+    pub limits: ResourceLimits,
     /// Where it may keep files.
     pub datadir: Option<PathBuf>,
-    /// What may be lost at once.
+    /// How much may fail at once.
     #[serde(default)]
-    pub survive: Survive,
+    pub survive: FailureTolerance,
     /// Figures of the rules, as `name=value`.
     #[serde(default)]
-    pub bounds: Vec<Bound>,
+    pub bounds: Vec<RuleBound>,
     /// The platform's list of servers.
     #[validate(nested)]
-    pub cloud: Option<Cloud>,
+    pub cloud: Option<ServerListSettings>,
 }
 
 /// One figure of the rules, as `name=value`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "String")]
-pub struct Bound {
+pub struct RuleBound {
     name: String,
     value: f64,
 }
 
-impl TryFrom<String> for Bound {
+impl TryFrom<String> for RuleBound {
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
@@ -82,7 +82,7 @@
 
 /// Addresses for what a process serves.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// Clients' requests.
     pub http: Option<SocketAddr>,
     /// Whether it is ready.
@@ -96,23 +96,23 @@
 /// What a process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Machine {
+pub struct ResourceLimits {
     /// Memory in MB.
     pub mem_mb: u64,
     /// Descriptors.
     pub nofile: u64,
 }
 
-impl Default for Machine {
+impl Default for ResourceLimits {
     fn default() -> Self {
         Self { mem_mb: 256, nofile: 1024 }
     }
 }
 
-/// How many may be lost at once while every rule is kept.
+/// How many failures at once every rule survives.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct Survive {
+pub struct FailureTolerance {
     /// Machines.
     pub nodes: u32,
     /// Zones.
@@ -121,10 +121,10 @@
     pub regions: u32,
 }
 
-/// The platform's list.
+/// How the platform's list of servers is read.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
-pub struct Cloud {
+pub struct ServerListSettings {
     /// Its address.
     pub address: SocketAddr,
     /// Calls a second that it takes, of all nodes together.
@@ -138,7 +138,7 @@
 
 /// Ports of the three programs on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ports {
+pub struct ServicePorts {
     /// The proxy.
     pub proxy: u16,
     /// The registry.
@@ -147,46 +147,48 @@
     pub store: u16,
 }
 
-fn three_ports(range: &(u16, u16)) -> Result<(), ValidationError> {
+fn has_three_ports(range: &(u16, u16)) -> Result<(), ValidationError> {
     if range.0 == 0 || range.1 < range.0.saturating_add(2) {
         return Err(ValidationError::new("fewer than three ports"));
     }
     Ok(())
 }
 
-impl Boot {
+impl BootstrapSettings {
     /// Reads the file that the environment names.
     ///
     /// # Errors
-    /// With the file's name, and each fault with its field.
-    pub fn load() -> Result<Self, Fault> {
-        let path = std::env::var(VARIABLE)
-            .map_err(|_| Fault::new(Kind::Setting, format!("{VARIABLE} names no settings file")))?;
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| Fault::new(Kind::Setting, format!("{path}: {e}")))?;
-        Self::parse(&text).map_err(|fault| Fault::new(Kind::Setting, format!("{path}: {}", fault.detail)))
+    /// With the file's name, and each error with its field.
+    pub fn load() -> Result<Self, RpcError> {
+        let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| {
+            RpcError::new(ErrorKind::Configuration, format!("{SETTINGS_VARIABLE} names no settings file"))
+        })?;
+        let text = std::fs::read_to_string(&path)
+            .map_err(|e| RpcError::new(ErrorKind::Configuration, format!("{path}: {e}")))?;
+        Self::parse(&text)
+            .map_err(|error| RpcError::new(ErrorKind::Configuration, format!("{path}: {}", error.detail)))
     }
 
     /// Reads settings.
     ///
     /// # Errors
-    /// With each fault and its field.
-    pub fn parse(text: &str) -> Result<Self, Fault> {
-        let fault = |what: String| Fault::new(Kind::Setting, what);
-        let boot: Self = serde_json::from_str(text).map_err(|e| fault(e.to_string()))?;
-        boot.validate().map_err(|e| fault(e.to_string().replace('\n', "; ")))?;
-        Ok(boot)
+    /// With each error and its field.
+    pub fn parse(text: &str) -> Result<Self, RpcError> {
+        let invalid = |what: String| RpcError::new(ErrorKind::Configuration, what);
+        let settings: Self = serde_json::from_str(text).map_err(|error| invalid(error.to_string()))?;
+        settings.validate().map_err(|error| invalid(error.to_string().replace('\n', "; ")))?;
+        Ok(settings)
     }
 
-    /// A figure of the rules.
-    pub fn bound(&self, name: &str, untold: f64) -> f64 {
-        self.bounds.iter().find(|b| b.name == name).map_or(untold, |b| b.value)
+    /// A figure of the rules, or the default where it is not given.
+    pub fn bound(&self, name: &str, default: f64) -> f64 {
+        self.bounds.iter().find(|bound| bound.name == name).map_or(default, |bound| bound.value)
     }
 
     /// The ports by which the programs on any machine are called by others of the system.
-    pub fn ports(&self) -> Ports {
+    pub fn ports(&self) -> ServicePorts {
         let first = self.port_range.0;
-        Ports { proxy: first, registry: first + 1, store: first + 2 }
+        ServicePorts { proxy: first, registry: first + 1, store: first + 2 }
     }
 
     /// The machines that the seeds name, in order, once each.
@@ -207,32 +209,3 @@
         self.zones.get(zone).map_or(zone, String::as_str)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const GOOD: &str = r#"{"hostname":"edge-1","ip":"10.1.0.33","az":"a","region":"r","portRange":[7740,7755],
-        "seeds":["10.1.0.36:8688","10.1.0.36:8689","10.2.0.11:8688"],"datadir":null,"later":1,
-        "bounds":["drainS=4","strictRevoke=false"],"cloud":{"address":"10.200.0.51:8682","ratePerS":54.0}}"#;
-
-    #[test]
-    fn settings_are_read_and_unknown_fields_passed_over() {
-        let boot = Boot::parse(GOOD).expect("it is sound");
-        assert_eq!(
-            (boot.bound("drainS", 9.0), boot.bound("strictRevoke", 1.0), boot.bound("else", 7.0)),
-            (4.0, 0.0, 7.0)
-        );
-        assert_eq!(boot.ports(), Ports { proxy: 7740, registry: 7741, store: 7742 });
-        assert_eq!(boot.seed_machines().len(), 2);
-    }
-
-    #[test]
-    fn every_fault_is_named_at_once() {
-        let bad = GOOD.replace("7755", "7741").replace("\"edge-1\"", "\"\"").replace("54.0", "0");
-        let fault = Boot::parse(&bad).expect_err("it is not");
-        for field in ["port_range", "hostname", "rate_per_s"] {
-            assert!(fault.detail.contains(field), "{field}: {}", fault.detail);
-        }
-    }
-}
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -1,7 +1,7 @@
-//! Calls between own processes over real sockets: a peer that answers late, twice, for the call before, or half; one that
+//! RpcClient between own processes over real sockets: a peer that answers late, twice, for the call before, or half; one that
 //! breaks the connection; a caller that has left.
 
-use ivygate_rpc::{answer_of, serve, CallServer, Calls, Fault, Handler, Kind};
+use ivygate_rpc::{json_response, serve, ErrorKind, Handler, RpcClient, RpcError, RpcServer};
 use ivygate_standin::{read_message, reset, Message, Scripted};
 use std::cell::RefCell;
 use std::future::Future;
@@ -39,15 +39,15 @@
     }
 }
 
-async fn call(calls: &Calls, to: SocketAddr, path: &str) -> Result<String, Fault> {
-    calls.post(to, path, &"what", WAIT).await
+async fn call(client: &RpcClient, to: SocketAddr, path: &str) -> Result<String, RpcError> {
+    client.post(to, path, &"what", WAIT).await
 }
 
 type Script = fn(&mut BufReader<TcpStream>, Message, &AtomicUsize);
 
 /// One call that is answered, and another, which `script` gets and counts as run; other connections answer all. Tells
 /// what came of the second, how often it ran, and how many connections there were.
-fn second(script: Script) -> (Result<String, Fault>, usize, usize) {
+fn second(script: Script) -> (Result<String, RpcError>, usize, usize) {
     let ran: Arc<AtomicUsize> = Arc::default();
     let counted = ran.clone();
     let peer = Scripted::start(move |stream, number| {
@@ -59,7 +59,7 @@
         script(stream, first, &counted);
     });
     let came = run(async {
-        let calls = Calls::default();
+        let calls = RpcClient::default();
         assert_eq!(call(&calls, peer.address, "/first").await.as_deref(), Ok("/first"));
         call(&calls, peer.address, "/second").await
     });
@@ -93,7 +93,7 @@
     ];
     for script in scripts {
         let (came, ran, connections) = second(script);
-        assert_eq!(came.map_err(|fault| fault.kind), Err(Kind::Unreachable));
+        assert_eq!(came.map_err(|fault| fault.kind), Err(ErrorKind::Unreachable));
         assert_eq!((ran, connections), (1, 1), "it is not sent again");
     }
 }
@@ -129,7 +129,7 @@
     ];
     for (number, script) in scripts.into_iter().enumerate() {
         let (came, ran, connections) = second(script);
-        assert_eq!(came.map_err(|fault| fault.kind), Err(Kind::Unreachable), "{number}");
+        assert_eq!(came.map_err(|fault| fault.kind), Err(ErrorKind::Unreachable), "{number}");
         assert_eq!((ran, connections), (1, 1), "{number}");
     }
 }
@@ -158,7 +158,7 @@
     {
         let (peer, is_done) = left(script);
         run(async {
-            let calls = Calls::default();
+            let calls = RpcClient::default();
             assert_eq!(call(&calls, peer.address, "/first").await.as_deref(), Ok("/first"));
             // Nothing is heard meanwhile: the close is met only when the next call is about to be written.
             is_done.recv().expect("the peer is through");
@@ -179,10 +179,10 @@
         write(stream, &answered(&first, "\"/first\""));
     });
     run(async {
-        let calls = Calls::default();
-        let late: Result<String, Fault> =
+        let calls = RpcClient::default();
+        let late: Result<String, RpcError> =
             calls.post(peer.address, "/first", &"what", Duration::from_millis(50)).await;
-        assert_eq!(late.map_err(|fault| fault.kind), Err(Kind::Late));
+        assert_eq!(late.map_err(|fault| fault.kind), Err(ErrorKind::Timeout));
         assert_eq!(call(&calls, peer.address, "/second").await.as_deref(), Ok("/second"));
         // The connection that was given up ends by itself, not with the process.
         while peer.ended.load(Ordering::SeqCst) == 0 {
@@ -204,7 +204,7 @@
         done.send(()).expect("the test waits");
     });
     run(async {
-        let calls = Calls::default();
+        let calls = RpcClient::default();
         let asking = tokio::task::spawn_local(async move { call(&calls, peer.address, "/first").await });
         while has_come.try_recv().is_err() {
             tokio::task::yield_now().await;
@@ -216,7 +216,7 @@
         tokio::time::advance(WAIT + WAIT).await;
         tokio::time::resume();
         let came = asking.await.expect("no panic");
-        assert_eq!(came.map_err(|fault| fault.kind), Err(Kind::Late));
+        assert_eq!(came.map_err(|fault| fault.kind), Err(ErrorKind::Timeout));
     });
 }
 
@@ -228,9 +228,9 @@
         }
     });
     run(async {
-        let calls = Calls::default();
+        let calls = RpcClient::default();
         for _ in 0..2 {
-            let page: Result<String, Fault> = calls.get(peer.address, "/instances", WAIT).await;
+            let page: Result<String, RpcError> = calls.get(peer.address, "/instances", WAIT).await;
             assert_eq!(page.as_deref(), Ok("page"));
         }
     });
@@ -238,12 +238,12 @@
 }
 
 /// A server of calls that notes which it began, and its address.
-fn noting() -> (CallServer, SocketAddr, Rc<RefCell<Vec<String>>>) {
+fn noting() -> (RpcServer, SocketAddr, Rc<RefCell<Vec<String>>>) {
     let begun: Rc<RefCell<Vec<String>>> = Rc::default();
     let noted = begun.clone();
     let handler: Handler = Rc::new(move |incoming| {
         noted.borrow_mut().push(incoming.path.clone());
-        Box::pin(async move { answer_of(Ok(incoming.path)) })
+        Box::pin(async move { json_response(Ok(incoming.path)) })
     });
     // A port that was free a moment ago: a server of calls is always told its own.
     let address =
@@ -259,7 +259,7 @@
         let mut gone = TcpStream::connect(address).expect("it listens");
         gone.write_all(b"POST /stale HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n").expect("it is taken");
         drop(gone);
-        let calls = Calls::default();
+        let calls = RpcClient::default();
         assert_eq!(call(&calls, address, "/next").await.as_deref(), Ok("/next"));
         assert_eq!(*begun.borrow(), ["/next"]);
     });
@@ -273,7 +273,7 @@
         gone.write_all(b"POST /half HTTP/1.1\r\nhost: h\r\ncontent-length: 9\r\n\r\n123")
             .expect("it is taken");
         drop(gone);
-        let calls = Calls::default();
+        let calls = RpcClient::default();
         assert_eq!(call(&calls, address, "/next").await.as_deref(), Ok("/next"));
         assert_eq!(*begun.borrow(), ["/next"]);
     });
@@ -372,7 +372,7 @@
             run(async {
                 let handler: Handler = Rc::new(move |incoming| {
                     ran.lock().expect("no panic").push(incoming.path.clone());
-                    Box::pin(async move { answer_of(Ok(incoming.path)) })
+                    Box::pin(async move { json_response(Ok(incoming.path)) })
                 });
                 let at = SocketAddr::from(([127, 0, 0, 1], 0));
                 let listener = std::net::TcpListener::bind(at).expect("a port");
@@ -390,13 +390,13 @@
         });
         let (to, mut own, mut none) = (link.address, 0, 0);
         run(async {
-            let calls = Calls::default();
+            let calls = RpcClient::default();
             for round in 0..20 {
                 let asked: Vec<_> = (0..5)
                     .map(|number| {
                         let (calls, path) = (calls.clone(), format!("/{round}/{number}"));
                         tokio::task::spawn_local(async move {
-                            let answer: Result<String, Fault> = call(&calls, to, &path).await;
+                            let answer: Result<String, RpcError> = call(&calls, to, &path).await;
                             (path, answer)
                         })
                     })
