--- a/crates/config-store/examples/at_size.rs
+++ b/crates/config-store/examples/at_size.rs
@@ -1,5 +1,5 @@
 //! Measures the store at the size of the target: what a change costs while one member is away, and what it takes that one,
-//! and an empty machine, to hold all again. `cargo run --profile system -p cairn --example at_size [CHANGES]`; one process,
+//! and an empty machine, to hold all again. `cargo run --profile system -p ivygate-config-store --example at_size [CHANGES]`; one process,
 //! messages handed over as the bytes that they are on the wire, no clock but the processor's own.
 
 use ivygate_config_store::{Command, CommandId, Disk, DurableState, Effect, Store};
@@ -154,7 +154,7 @@
 
 fn main() {
     let changes: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(2_500);
-    let folder = std::env::temp_dir().join(format!("cairn-at-size-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("ivygate-at-size-{}", std::process::id()));
     let (disk, kept) = Disk::open(&folder, 1).map(|opened| (opened.0, opened.1)).expect("a folder");
     let mut saved: Vec<DurableState> = (0..=STORES).map(|n| DurableState::new(n as u64 + 1)).collect();
     saved[0] = kept;
--- a/crates/config-store/examples/write_stored_state.rs
+++ b/crates/config-store/examples/write_stored_state.rs
@@ -1,4 +1,4 @@
-//! Writes a store's folder and what it holds, as test data for later versions: `cargo run -p cairn --example
+//! Writes a store's folder and what it holds, as test data for later versions: `cargo run -p ivygate-config-store --example
 //! write_stored_state FOLDER`. The fixture in `tests/data` was written once and must not be written again.
 
 use ivygate_config_store::{AcceptedProposal, Ballot, Disk};
--- /dev/null
+++ b/crates/forward-auth/src/cache/tests.rs
@@ -0,0 +1,65 @@
+//! Tests of `cache` that need its private state.
+
+use super::*;
+
+#[test]
+fn an_answer_is_good_until_its_time_ends_and_not_a_moment_longer() {
+    let mut cache = Cache::new(10);
+    assert_eq!(cache.look(0.0, &"a"), Known::Ask);
+    cache.done(5.0, &"a", Some((1, 100.0)));
+    assert_eq!(cache.look(104.9, &"a"), Known::Answer(1));
+    assert_eq!(cache.look(105.0, &"a"), Known::Ask);
+    assert!(cache.is_empty());
+}
+
+#[test]
+fn equal_questions_wait_for_one_and_the_next_asks_if_that_one_dies() {
+    let mut cache = Cache::<_, i32>::new(10);
+    assert_eq!(cache.look(0.0, &"a"), Known::Ask);
+    assert_eq!(cache.look(0.0, &"a"), Known::Wait);
+    assert_eq!(cache.look(0.0, &"b"), Known::Ask);
+    cache.done(1.0, &"a", None);
+    assert_eq!(cache.look(1.0, &"a"), Known::Ask);
+    assert_eq!(cache.look(1.0, &"a"), Known::Wait);
+}
+
+#[test]
+fn what_may_not_be_remembered_is_not() {
+    let mut cache = Cache::new(10);
+    cache.look(0.0, &"a");
+    cache.done(0.0, &"a", Some((1, 0.0)));
+    assert_eq!(cache.look(0.0, &"a"), Known::Ask);
+    let mut none = Cache::new(0);
+    none.look(0.0, &"a");
+    none.done(0.0, &"a", Some((1, 100.0)));
+    assert_eq!((none.look(0.0, &"a"), none.len()), (Known::Ask, 0));
+}
+
+#[test]
+fn a_flood_of_questions_pushes_out_the_oldest_and_never_passes_the_bound() {
+    let mut cache = Cache::new(100);
+    for n in 0..10_000 {
+        cache.look(f64::from(n), &n);
+        cache.done(f64::from(n), &n, Some((n, 1e9)));
+        assert!(cache.len() <= 100 && cache.ages.len() == cache.len());
+    }
+    assert_eq!(cache.look(1e4, &9_999), Known::Answer(9_999));
+    assert_eq!(cache.look(1e4, &9_899), Known::Ask);
+}
+
+#[test]
+fn the_service_may_shorten_a_lifetime_and_never_lengthen_it() {
+    for (text, wanted) in [
+        (None, 5000.0),
+        (Some("max-age=2"), 2000.0),
+        (Some("public, Max-Age=60"), 5000.0),
+        (Some("max-age=0"), 0.0),
+        (Some("no-store"), 0.0),
+        (Some("max-age=60, no-cache"), 0.0),
+        (Some("max-age=often"), 0.0),
+        (Some("max-age"), 0.0),
+        (Some("must-revalidate"), 5000.0),
+    ] {
+        assert_eq!(lifetime(5000.0, text), wanted, "{text:?}");
+    }
+}
--- /dev/null
+++ b/crates/forward-auth/src/tests.rs
@@ -0,0 +1,95 @@
+//! Tests of `forward-auth` that need its private state.
+
+use super::*;
+
+const INPUTS: [Input; 8] = [
+    Input::Said(Said::Yes),
+    Input::Said(Said::No),
+    Input::Said(Said::Unusable),
+    Input::Refused,
+    Input::Limited,
+    Input::Unanswered,
+    Input::ClientGone,
+    Input::TimeUp,
+];
+
+#[test]
+fn every_first_input_has_its_step_and_only_a_yes_or_an_open_failure_goes_on() {
+    use Step::*;
+    let closed = [GoOn { checked: true }, PassOn, Unavailable, Refuse, Limit, Unavailable, Nothing, TimeUp];
+    let open = [
+        GoOn { checked: true },
+        PassOn,
+        GoOn { checked: false },
+        Refuse,
+        Limit,
+        GoOn { checked: false },
+        Nothing,
+        TimeUp,
+    ];
+    for (on_failure, steps) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
+        for (input, step) in INPUTS.into_iter().zip(steps) {
+            assert_eq!(Gate::new(on_failure, 100.0).handle(99.9, input), step, "{input:?}");
+        }
+    }
+}
+
+#[test]
+fn at_and_after_the_deadline_nothing_goes_on() {
+    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+        for now in [100.0, 100.1, 1e9] {
+            for input in INPUTS {
+                let step = Gate::new(on_failure, 100.0).handle(now, input);
+                let wanted = if input == Input::ClientGone { Step::Nothing } else { Step::TimeUp };
+                assert_eq!(step, wanted, "{input:?}");
+            }
+        }
+    }
+}
+
+#[test]
+fn whatever_comes_in_whatever_order_a_request_gets_one_step() {
+    // All sequences of four inputs, each before and at the deadline.
+    let all = INPUTS.len() * 2;
+    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+        for number in 0..all.pow(4) {
+            let mut gate = Gate::new(on_failure, 100.0);
+            let (mut rest, mut steps, mut gone, mut no) = (number, 0, false, false);
+            for _ in 0..4 {
+                let (input, late) = (INPUTS[rest % all / 2], rest % 2 == 1);
+                rest /= all;
+                let step = gate.handle(if late { 100.0 } else { 0.0 }, input);
+                let goes_on = matches!(step, Step::GoOn { .. });
+                assert!(!(goes_on && (gone || no || late)), "{number}");
+                steps += usize::from(step != Step::Nothing);
+                gone |= input == Input::ClientGone;
+                no |= input == Input::Said(Said::No);
+            }
+            assert!(steps <= 1, "{number}");
+        }
+    }
+}
+
+#[test]
+fn a_check_leaves_the_application_its_usual_time_or_half() {
+    assert_eq!(share(300.0, 2000.0, 500.0), 300.0);
+    assert_eq!(share(1900.0, 2000.0, 500.0), 1500.0);
+    assert_eq!(share(1900.0, 600.0, 500.0), 300.0);
+    assert_eq!(share(300.0, 0.0, 500.0), 0.0);
+}
+
+#[test]
+fn statuses_mean_what_proxies_agree_on() {
+    for status in 100..600 {
+        let said = Said::of(status);
+        assert_eq!(said == Said::Yes, (200..300).contains(&status));
+        assert_eq!(said == Said::No, [401, 403].contains(&status) || (300..400).contains(&status));
+    }
+}
+
+#[test]
+fn spellings_of_a_name_fold_into_one() {
+    for spelling in ["X-User", "x-user", "X_User", "x_USER", "X-uSeR"] {
+        assert_eq!(folded(spelling), "x-user");
+    }
+}
--- a/crates/model-checker/src/adapter.rs
+++ b/crates/model-checker/src/adapter.rs
@@ -35,8 +35,8 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Op {
-    /// A route at a number.
+pub enum ClientCall {
+    /// A route at a version.
     Put {
         /// Its name.
         name: String,
@@ -47,7 +47,7 @@
         /// What tells its contents apart.
         content: u64,
     },
-    /// A route is dropped at a number.
+    /// A route is dropped at a version.
     Remove {
         /// Its name.
         name: String,
@@ -61,9 +61,9 @@
         /// Emptied.
         on: bool,
     },
-    /// A duty is taken.
+    /// A role is taken.
     Duty {
-        /// The duty.
+        /// The role.
         name: String,
         /// By whom: another at each call.
         holder: Ipv4Addr,
@@ -72,7 +72,7 @@
     Read,
 }
 
-impl Op {
+impl ClientCall {
     /// The call that the store takes.
     pub fn change(&self) -> Command {
         match self {
@@ -110,28 +110,29 @@
 
 /// What tells a route's contents apart; 0 for one that was dropped.
 pub fn content(item: &Item) -> u64 {
-    let told = item.body.as_ref().and_then(|body| body.get("timeoutS")).and_then(serde_json::Value::as_f64);
-    told.map_or(0, |told| told as u64)
+    let confirmation =
+        item.body.as_ref().and_then(|body| body.get("timeoutS")).and_then(serde_json::Value::as_f64);
+    confirmation.map_or(0, |confirmation| confirmation as u64)
 }
 
-/// The holder that a duty's item names.
+/// The holder that a role's item names.
 pub fn holder(item: &Item) -> Option<Ipv4Addr> {
     item.body.as_ref()?.get("holder")?.as_str()?.parse().ok()
 }
 
-/// The machines that a group's item names, as they stand in it.
-pub fn named(group: &Item) -> Vec<Ipv4Addr> {
+/// The machines that a membership's item names, as they stand in it.
+pub fn members_of(group: &Item) -> Vec<Ipv4Addr> {
     let members = group.body.as_ref().and_then(|body| body.get("members")).cloned().unwrap_or_default();
     serde_json::from_value(members).unwrap_or_default()
 }
 
-/// The group's item.
+/// The membership's item.
 pub fn group(items: &Items) -> Option<&Arc<Item>> {
     items.get(Table::Membership, "core")
 }
 
-/// Items that a question says to be chosen.
-pub fn standing_in_ask(ask: &PeerRequest) -> &[Arc<Item>] {
+/// Items that a request says to be chosen.
+pub fn chosen_in_request(ask: &PeerRequest) -> &[Arc<Item>] {
     match ask {
         PeerRequest::Accept { missing, .. } => missing,
         PeerRequest::Learn { items, .. } => items,
@@ -140,7 +141,7 @@
 }
 
 /// Items that an answer says to be chosen.
-pub fn standing_in_reply(reply: &PeerReply) -> &[Arc<Item>] {
+pub fn chosen_in_reply(reply: &PeerReply) -> &[Arc<Item>] {
     match &reply.response {
         PeerResponse::Promised { items: Some(items), .. } | PeerResponse::SnapshotChunk { items, .. } => {
             items
@@ -149,7 +150,7 @@
     }
 }
 
-/// A round's items, where a question has them accepted.
+/// A round's items, where a request has them accepted.
 pub fn proposal(ask: &PeerRequest) -> Option<(Ballot, &[Arc<Item>])> {
     match ask {
         PeerRequest::Accept { ballot, items, .. } => Some((*ballot, items)),
@@ -163,8 +164,8 @@
     Some((own.ballot, &own.items))
 }
 
-/// A round that is chosen, where a question says so.
-pub fn settled(ask: &PeerRequest) -> Option<Ballot> {
+/// A round that is chosen, where a request says so.
+pub fn chosen_round(ask: &PeerRequest) -> Option<Ballot> {
     match ask {
         PeerRequest::Learn { ballot, .. } => Some(*ballot),
         _ => None,
@@ -172,11 +173,11 @@
 }
 
 /// Whether an answer says that items are accepted.
-pub fn is_written(reply: &PeerReply) -> bool {
+pub fn is_accepted(reply: &PeerReply) -> bool {
     matches!(reply.response, PeerResponse::Accepted)
 }
 
-/// Which group an answer tells of contact with: any, if who answers has a place in its own; that version, if it waits to
+/// Which membership an answer tells of contact with: any, if who answers has a place in its own; that version, if it waits to
 /// learn of its place; none, if it has no say.
 pub fn contact_of(answerer: &Store, reply: &PeerReply) -> Option<u64> {
     let version = group(&answerer.state().items).map_or(0, |group| group.version);
@@ -187,7 +188,7 @@
     }
 }
 
-/// Whether an answer is contact to an asker: a machine that lost its place to another in a later group is none.
+/// Whether an answer is contact to an asker: a machine that lost its place to another in a later membership is none.
 pub fn is_contact(asker: &Store, least: Option<u64>) -> bool {
     let version = group(&asker.state().items).map_or(0, |group| group.version);
     least.is_some_and(|least| least <= version)
@@ -198,7 +199,7 @@
     matches!(ask, PeerRequest::CatchUp { .. } | PeerRequest::Ping { .. })
 }
 
-/// What a store has accepted and does not know to be chosen: its group, if it is one.
+/// What a store has accepted and does not know to be chosen: its membership, if it is one.
 pub fn pending_group(kept: &DurableState) -> Option<&Arc<Item>> {
     kept.accepted.as_ref()?.items.iter().find(|item| item.key.table == Table::Membership)
 }
@@ -208,7 +209,7 @@
     kept.incarnation
 }
 
-/// How long ago a store was in contact with more than half.
+/// How long ago a store was in contact with a quorum.
 pub fn contact(store: &Store, now: f64) -> Option<f64> {
     store.contact_age_ms(Timestamp::from_millis(now))
 }
@@ -236,7 +237,7 @@
     }
 }
 
-/// The epoch that a duty's call was answered with.
+/// The epoch that a role's call was answered with.
 pub fn epoch(done: &CommandOutcome) -> Option<u64> {
     match done {
         CommandOutcome::RoleAcquired { epoch } => Some(*epoch),
@@ -255,7 +256,7 @@
 /// What a disk holds that was lost: nothing, and an incarnation of its own.
 pub fn lost(before: &DurableState, incarnation: u64, defect: Option<Defect>) -> DurableState {
     match defect {
-        Some(Defect::OldLife) => DurableState::new(before.incarnation),
+        Some(Defect::OldIncarnation) => DurableState::new(before.incarnation),
         _ => DurableState::new(incarnation),
     }
 }
@@ -275,7 +276,7 @@
             kept.promised = Ballot::NONE;
             kept.accepted = None;
         }
-        Some(Defect::NumberForgotten) => {
+        Some(Defect::VersionForgotten) => {
             let past: Vec<_> = kept.items.all(Tables::VERSION_HISTORY).map(|item| item.key.clone()).collect();
             kept.items.purge(&past);
         }
@@ -288,9 +289,9 @@
     items.retain(|item| item.key.table != Table::VersionHistory);
 }
 
-/// A question as it arrives, with a defect.
-pub fn tampered_ask(mut ask: PeerRequest, defect: Option<Defect>) -> PeerRequest {
-    if defect == Some(Defect::NumberForgotten) {
+/// A request as it arrives, with a defect.
+pub fn tampered_request(mut ask: PeerRequest, defect: Option<Defect>) -> PeerRequest {
+    if defect == Some(Defect::VersionForgotten) {
         match &mut ask {
             PeerRequest::Accept { missing, items, .. } => {
                 without_past(missing);
@@ -306,12 +307,12 @@
 /// An answer as it arrives, with a defect.
 pub fn tampered_reply(asker: &Store, mut reply: PeerReply, defect: Option<Defect>) -> PeerReply {
     match (defect, &mut reply.response) {
-        (Some(Defect::MemberBeforeAll), PeerResponse::SnapshotChunk { items, .. })
+        (Some(Defect::MemberBeforeCatchUp), PeerResponse::SnapshotChunk { items, .. })
             if asker.status() == MembershipStatus::Learner =>
         {
             items.retain(|item| item.key.table == Table::Membership);
         }
-        (Some(Defect::NoStandingBallot), PeerResponse::Promised { accepted: Some(accepted), .. }) => {
+        (Some(Defect::NoChosenBallot), PeerResponse::Promised { accepted: Some(accepted), .. }) => {
             // Whatever is known to be chosen, it seems to be newer.
             let chosen = asker.state().chosen;
             let above = Ballot { incarnation: chosen.incarnation.saturating_add(1), ..chosen };
@@ -323,7 +324,7 @@
 }
 
 /// Whether a store that is no member waits for a place.
-pub fn waits(store: &Store) -> bool {
+pub fn is_waiting_for_place(store: &Store) -> bool {
     store.status() == MembershipStatus::Learner
 }
 
@@ -333,7 +334,7 @@
 }
 
 /// How a store stands, in a line.
-pub fn brief(store: &Store) -> String {
+pub fn describe(store: &Store) -> String {
     let kept = store.state();
     let accepted = kept.accepted.as_ref().map(|accepted| accepted.ballot);
     let group = group(&kept.items).map(|group| group.body.clone().unwrap_or_default().to_string());
--- a/crates/model-checker/src/judge.rs
+++ b/crates/model-checker/src/checker.rs
@@ -1,7 +1,7 @@
-//! The invariants, by name, and what is known of a play to judge it by.
+//! The invariants, by name, and what is known of a run to checker it by.
 
-use crate::adapter::{self, Op};
-use crate::linear::{search, Act, Entry, Found, Told};
+use crate::adapter::{self, ClientCall};
+use crate::linearizability::{search, Confirmation, Entry, Operation, SearchResult};
 use ivygate_config_store::{Ballot, CommandId, Store};
 use ivygate_control_state::{check_config, Item, Items, Key, Table, Tables};
 use ivygate_rpc::{ErrorKind, RpcError};
@@ -16,19 +16,19 @@
     Agreement,
     /// What was acknowledged is in each read that begins after.
     AcknowledgedStays,
-    /// What stands in a copy is sound as a whole.
+    /// What stands in a replica is sound as a whole.
     Soundness,
-    /// Two calls for a duty are never told one epoch, nor one of another's holder, nor a lower one later.
+    /// Two calls for a role are never told one epoch, nor one of another's holder, nor a lower one later.
     EpochsNeverShared,
-    /// A store is in touch only as long as more than half could have answered what it asked within that time.
+    /// A store is in contact only as long as a quorum could have answered what it asked within that time.
     NoServingWithoutContact,
-    /// One machine has one place in a group.
+    /// One machine has one place in a membership.
     OnePlaceEach,
-    /// After a loss within what the group bears all take part again and calls are carried out.
+    /// After a loss within what the membership bears all take part again and calls are carried out.
     LossIsBorne,
     /// What nobody owes any more never comes to stand.
     NothingReturns,
-    /// No two contents are confirmed under one number.
+    /// No two contents are confirmed under one version.
     OneContentANumber,
     /// Each item's history is linearizable.
     Linearizable,
@@ -57,28 +57,28 @@
 
 /// An invariant that did not hold.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct Violation {
     /// Which.
     pub invariant: Invariant,
     /// What was seen.
     pub what: String,
-    /// When, in milliseconds of the play.
+    /// When, in milliseconds of the run.
     pub at: f64,
 }
 
 /// A call of an operator or a registry.
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct CallRecord {
     /// The store that was called.
     pub store: usize,
     /// What for.
-    pub op: Op,
+    pub op: ClientCall,
     /// When it began.
     pub begin: f64,
     /// When it was answered.
     pub end: f64,
     /// What it was told; `None` if nothing was.
-    pub told: Option<Result<(), ErrorKind>>,
+    pub confirmation: Option<Result<(), ErrorKind>>,
     /// What a read gave.
     read: Option<Items>,
     /// What was acknowledged when it began.
@@ -96,43 +96,43 @@
     dead: Option<Ballot>,
 }
 
-/// Judges a play, step by step.
+/// Judges a run, step by step.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     /// The first invariant that did not hold.
-    pub broken: Option<Break>,
+    pub violation: Option<Violation>,
     /// Invariants that are looked past.
-    pub but: BTreeSet<Invariant>,
+    pub ignored: BTreeSet<Invariant>,
     /// Histories that the search could not decide.
     pub undecided: u64,
     stood: BTreeMap<(Key, u64), Arc<Item>>,
     seen: BTreeMap<usize, u64>,
     sound: BTreeSet<u64>,
     /// The calls.
-    pub calls: BTreeMap<CommandId, Called>,
+    pub calls: BTreeMap<CommandId, CallRecord>,
     acknowledged: BTreeMap<Key, u64>,
     confirmed: BTreeMap<(Key, u64), u64>,
     epochs: BTreeMap<(String, u64), CommandId>,
     highest: BTreeMap<String, u64>,
     proposed: BTreeMap<(Key, u64), Vec<Proposed>>,
-    /// When the last question went out that a member answered: of asker and answerer.
+    /// When the last request went out that a member answered: of asker and answerer.
     contact: BTreeMap<(usize, usize), f64>,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// One that looks past some invariants.
-    pub fn but(but: &BTreeSet<Invariant>) -> Self {
-        Self { but: but.clone(), ..Self::default() }
+    pub fn ignored(ignored: &BTreeSet<Invariant>) -> Self {
+        Self { ignored: ignored.clone(), ..Self::default() }
     }
 
     fn breaks(&mut self, now: f64, invariant: Invariant, what: String) {
-        if self.broken.is_none() && !self.but.contains(&invariant) {
-            self.broken = Some(Break { invariant, what, at: now });
+        if self.violation.is_none() && !self.ignored.contains(&invariant) {
+            self.violation = Some(Violation { invariant, what, at: now });
         }
     }
 
     /// Items stand somewhere, or are said to.
-    pub fn stands(&mut self, now: f64, place: &str, items: &[Arc<Item>]) {
+    pub fn check_chosen(&mut self, now: f64, place: &str, items: &[Arc<Item>]) {
         for item in items {
             let known = self.stood.entry((item.key.clone(), item.version)).or_insert_with(|| item.clone());
             if known.body != item.body {
@@ -143,7 +143,7 @@
                 self.breaks(now, Invariant::Agreement, what);
             }
             if item.key.table == Table::Membership {
-                let members = adapter::named(item);
+                let members = adapter::members_of(item);
                 if members.iter().collect::<BTreeSet<_>>().len() < members.len() {
                     self.breaks(now, Invariant::OnePlaceEach, format!("{members:?} at {place}"));
                 }
@@ -167,7 +167,7 @@
     }
 
     /// A store has taken a step.
-    pub fn stepped(&mut self, now: f64, n: usize, store: &Store) {
+    pub fn check_step(&mut self, now: f64, n: usize, store: &Store) {
         let items = &store.state().items;
         let seen = self.seen.entry(n).or_insert(0);
         if *seen == items.last_change() {
@@ -176,7 +176,7 @@
         let since = if *seen > items.last_change() { 0 } else { *seen };
         *seen = items.last_change();
         let newer = items.changes_since(since, Tables::DURABLE);
-        self.stands(now, &format!("store {n}"), &newer);
+        self.check_chosen(now, &format!("store {n}"), &newer);
         if newer.iter().any(|item| Tables::CONFIG.contains(item.key.table.set()))
             && self.sound.insert(items.digest(Tables::CONFIG))
         {
@@ -187,16 +187,16 @@
     }
 
     /// A round's items are to be written down, by a store that judged them.
-    pub fn proposes(&mut self, now: f64, n: usize, ballot: Ballot, items: &[Arc<Item>]) {
-        // What is remembered of numbers goes with the item that it is about.
+    pub fn note_proposal(&mut self, now: f64, n: usize, ballot: Ballot, items: &[Arc<Item>]) {
+        // What is remembered of versions goes with the item that it is about.
         for item in items.iter().filter(|item| item.key.table != Table::VersionHistory) {
             let owed = self.calls.values().any(|call| {
-                call.store == n && call.told.is_none() && call.op.key().as_ref() == Some(&item.key)
+                call.store == n && call.confirmation.is_none() && call.op.key().as_ref() == Some(&item.key)
             }) || matches!(item.key.table, Table::Membership | Table::Backends);
             let all = self.proposed.entry((item.key.clone(), item.version)).or_default();
             match all.iter_mut().find(|known| known.body.body == item.body) {
                 None => all.push(Proposed { body: item.clone(), last: ballot, dead: None }),
-                // In a lower round than the one that excludes it, it can't come to stand: more than half promised.
+                // In a lower round than the one that excludes it, it can't come to stand: a quorum promised.
                 Some(known) if known.last >= ballot || known.dead.is_some_and(|by| ballot < by) => {}
                 Some(known) if known.dead.is_none() || owed => (known.last, known.dead) = (ballot, None),
                 Some(_) => {
@@ -212,7 +212,7 @@
     }
 
     /// A round has come to stand, with all that its store holds.
-    pub fn settles(&mut self, ballot: Ballot, items: &Items) {
+    pub fn note_chosen(&mut self, ballot: Ballot, items: &Items) {
         for ((key, version), all) in &mut self.proposed {
             for known in all.iter_mut().filter(|known| known.last < ballot) {
                 if items.version(key.table, &key.name) < *version {
@@ -222,14 +222,14 @@
         }
     }
 
-    /// A question of a store was answered by a member, and the answer has come.
+    /// A request of a store was answered by a member, and the answer has come.
     pub fn contact(&mut self, asker: usize, answerer: usize, asked: f64) {
         let last = self.contact.entry((asker, answerer)).or_insert(asked);
         *last = last.max(asked);
     }
 
-    /// A store says how long ago it was in touch.
-    pub fn in_touch(&mut self, now: f64, n: usize, members: &[usize], age: Option<f64>) {
+    /// A store says how long ago it was in contact.
+    pub fn check_contact(&mut self, now: f64, n: usize, members: &[usize], age: Option<f64>) {
         let Some(age) = age else { return };
         let mut ages: Vec<f64> =
             members
@@ -254,24 +254,25 @@
     }
 
     /// A call begins.
-    pub fn called(&mut self, now: f64, id: CommandId, store: usize, op: Op) {
-        let called = Called {
+    pub fn record_call(&mut self, now: f64, id: CommandId, store: usize, op: ClientCall) {
+        let record_call = CallRecord {
             store,
             op,
             begin: now,
             end: f64::INFINITY,
-            told: None,
+            confirmation: None,
             read: None,
             floor: self.acknowledged.clone(),
             epochs: self.highest.clone(),
         };
-        self.calls.insert(id, called);
+        self.calls.insert(id, record_call);
     }
 
     /// A call that no answer can come to any more.
-    pub fn dropped(&mut self, store: usize) {
-        for call in self.calls.values_mut().filter(|call| call.store == store && call.told.is_none()) {
-            call.told = Some(Err(ErrorKind::Unreachable));
+    pub fn drop_calls(&mut self, store: usize) {
+        for call in self.calls.values_mut().filter(|call| call.store == store && call.confirmation.is_none())
+        {
+            call.confirmation = Some(Err(ErrorKind::Unreachable));
         }
     }
 
@@ -285,16 +286,16 @@
         items: &Items,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if call.told.is_some() {
+        if call.confirmation.is_some() {
             return;
         }
         call.end = now;
-        call.told = Some(result.clone().map_err(|fault| fault.kind));
+        call.confirmation = Some(result.clone().map_err(|fault| fault.kind));
         if result.is_err() {
             return;
         }
         let call = call.clone();
-        if call.op == Op::Read {
+        if call.op == ClientCall::Read {
             if let Some(call) = self.calls.get_mut(&id) {
                 call.read = read.cloned();
             }
@@ -311,8 +312,8 @@
             }
         }
         let number = match &call.op {
-            Op::Put { number, content, .. } => Some((*number, *content)),
-            Op::Remove { number, .. } => Some((*number, 0)),
+            ClientCall::Put { number, content, .. } => Some((*number, *content)),
+            ClientCall::Remove { number, .. } => Some((*number, 0)),
             _ => None,
         };
         if let (Some((number, content)), Some(key)) = (number, call.op.key()) {
@@ -324,7 +325,7 @@
             }
             let floor = self.acknowledged.entry(key).or_insert(0);
             *floor = (*floor).max(number);
-        } else if let (Op::Drain { .. }, Some(key)) = (&call.op, call.op.key()) {
+        } else if let (ClientCall::Drain { .. }, Some(key)) = (&call.op, call.op.key()) {
             // Its version is what stands: at least that was acknowledged.
             let version = items.version(key.table, &key.name);
             let floor = self.acknowledged.entry(key).or_insert(0);
@@ -332,10 +333,10 @@
         }
     }
 
-    /// A registry is told the epoch of a duty.
-    pub fn told_epoch(&mut self, now: f64, id: CommandId, epoch: u64) {
+    /// A registry is told the epoch of a role.
+    pub fn check_epoch(&mut self, now: f64, id: CommandId, epoch: u64) {
         let Some(call) = self.calls.get(&id).cloned() else { return };
-        let Op::Duty { name, holder } = &call.op else { return };
+        let ClientCall::Duty { name, holder } = &call.op else { return };
         if let Some(other) = self.epochs.insert((name.clone(), epoch), id) {
             if other != id {
                 let what = format!("calls {other} and {id} are both told epoch {epoch} of '{name}'");
@@ -362,13 +363,13 @@
         *floor = (*floor).max(epoch);
     }
 
-    /// What tells two plays apart to which the same may still happen.
+    /// What tells two runs apart to which the same may still happen.
     pub fn facts(&self) -> impl fmt::Debug + '_ {
         let digest = |items: &Items| items.digest(Tables::DURABLE);
         let calls: Vec<_> = self
             .calls
             .values()
-            .map(|call| (&call.told, call.read.as_ref().map(digest), &call.floor, &call.epochs))
+            .map(|call| (&call.confirmation, call.read.as_ref().map(digest), &call.floor, &call.epochs))
             .collect();
         let proposed: Vec<_> = self
             .proposed
@@ -381,12 +382,12 @@
         (calls, proposed, stood, &self.epochs, &self.contact)
     }
 
-    /// Whether a copy holds all that was acknowledged.
+    /// Whether a replica holds all that was acknowledged.
     pub fn holds_all(&self, items: &Items) -> bool {
         self.acknowledged.iter().all(|(key, version)| items.version(key.table, &key.name) >= *version)
     }
 
-    /// What was acknowledged and a copy lacks.
+    /// What was acknowledged and a replica lacks.
     pub fn lacks(&self, items: &Items) -> Vec<String> {
         self.acknowledged
             .iter()
@@ -396,7 +397,7 @@
     }
 
     /// A loss was not borne.
-    pub fn not_borne(&mut self, now: f64, what: String) {
+    pub fn report_unavailable(&mut self, now: f64, what: String) {
         self.breaks(now, Invariant::LossIsBorne, what);
     }
 
@@ -405,7 +406,7 @@
         self.breaks(now, Invariant::AcknowledgedStays, what);
     }
 
-    /// The play is over: each item's history is searched for an order that explains it.
+    /// The run is over: each item's history is searched for an order that explains it.
     pub fn ended(&mut self, now: f64, steps: usize) {
         let mut histories: BTreeMap<Key, Vec<Entry>> = BTreeMap::new();
         for call in self.calls.values() {
@@ -417,43 +418,43 @@
             if let Some(read) = &call.read {
                 for (key, history) in &mut histories {
                     let item = read.get(key.table, &key.name);
-                    let act = match key.table {
-                        Table::Drains => Act::ReadSwitch(item.is_some_and(|item| item.body.is_some())),
-                        _ => Act::Read(
+                    let operation = match key.table {
+                        Table::Drains => Operation::ReadSwitch(item.is_some_and(|item| item.body.is_some())),
+                        _ => Operation::Read(
                             item.map_or(0, |item| item.version),
                             item.map_or(0, |item| adapter::content(item)),
                         ),
                     };
-                    history.push(Entry { begin: call.begin, end: call.end, act });
+                    history.push(Entry { begin: call.begin, end: call.end, operation });
                 }
                 continue;
             }
             let Some(key) = call.op.key() else { continue };
-            let told = match &call.told {
-                Some(Ok(())) => Told::Confirmed,
-                Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Told::Refused,
+            let confirmation = match &call.confirmation {
+                Some(Ok(())) => Confirmation::Confirmed,
+                Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Confirmation::Refused,
                 // Refused as unsound: it took nowhere.
                 Some(Err(ErrorKind::Invalid | ErrorKind::Malformed)) => continue,
-                _ => Told::Unclear,
+                _ => Confirmation::Unclear,
             };
-            let act = match &call.op {
-                Op::Put { number, content, .. } => Act::Put(*number, *content, told),
-                Op::Remove { number, .. } => Act::Put(*number, 0, told),
-                Op::Drain { on, .. } => Act::Switch(*on, told),
-                Op::Duty { .. } | Op::Read => continue,
+            let operation = match &call.op {
+                ClientCall::Put { number, content, .. } => Operation::Put(*number, *content, confirmation),
+                ClientCall::Remove { number, .. } => Operation::Put(*number, 0, confirmation),
+                ClientCall::Drain { on, .. } => Operation::Switch(*on, confirmation),
+                ClientCall::Duty { .. } | ClientCall::Read => continue,
             };
             if let Some(history) = histories.get_mut(&key) {
-                history.push(Entry { begin: call.begin, end: call.end, act });
+                history.push(Entry { begin: call.begin, end: call.end, operation });
             }
         }
         for (key, history) in histories {
             match search(&history, steps) {
-                Found::Order => {}
-                Found::Undecided => self.undecided += 1,
-                Found::None => {
+                SearchResult::Order => {}
+                SearchResult::Undecided => self.undecided += 1,
+                SearchResult::None => {
                     let mut lines: Vec<_> = history
                         .iter()
-                        .map(|e| format!("[{:.0}, {:.0}] {:?}", e.begin, e.end, e.act))
+                        .map(|e| format!("[{:.0}, {:.0}] {:?}", e.begin, e.end, e.operation))
                         .collect();
                     lines.truncate(40);
                     let what =
--- a/crates/model-checker/src/small.rs
+++ b/crates/model-checker/src/exhaustive.rs
@@ -1,13 +1,13 @@
 //! Every way that a small world can take: some stores, some calls, and a bounded number of faults, in any order.
 //!
 //! A message may be delivered at any later step or never, so that it is lost, late or passed by others without a fault
-//! that counts. Time is coarse: it stands still while messages are delivered, and passes by a second at a time (in which
+//! that counts. Time is coarse: it is paused while messages are delivered, and passes by a second at a time (in which
 //! nothing is delivered) or by a calm of some seconds (in which all that is newly sent comes at once, but for one machine
 //! that may be cut off, and what was on its way before stays late). States are told apart by a hash of all that they hold.
 
-use crate::adapter::{self, Op};
+use crate::adapter::{self, ClientCall};
+use crate::checker::{Invariant, InvariantChecker, Violation};
 use crate::defects::Defect;
-use crate::judge::{Break, Invariant, Judge};
 use ivygate_config_store::{
     CommandId, DurableState, Effect, MembershipStatus, PeerReply, PeerRequest, Store,
 };
@@ -19,25 +19,25 @@
 use std::time::{Duration, Instant};
 
 /// A second, in which each store looks at its clock once.
-const SECOND: f64 = 1_000.0;
+const SECOND_MS: f64 = 1_000.0;
 /// Length of a calm.
-const CALM: f64 = 4_000.0;
+const CALM_MS: f64 = 4_000.0;
 /// Period of the clocks in a calm.
-const TICK: f64 = 50.0;
+const TICK_INTERVAL_MS: f64 = 50.0;
 /// Parts of the set of states that were seen.
 const SHARDS: usize = 64;
 /// Steps of one search for an order.
-const SEARCH: usize = 10_000;
+const MAX_SEARCH_STEPS: usize = 10_000;
 
 /// What bounds a small world.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct WorldBounds {
     /// Its name.
     pub name: &'static str,
     /// How many stores.
     pub stores: usize,
     /// The calls: at which store, and what for. Each may come at any step.
-    pub calls: Vec<(usize, Op)>,
+    pub calls: Vec<(usize, ClientCall)>,
     /// How often a store may lose power: before a save, after it, or between steps.
     pub crashes: u8,
     /// How many disks may be lost.
@@ -62,7 +62,7 @@
     /// Whether all of it was seen.
     pub whole: bool,
     /// The first invariant that did not hold, and the shortest way there.
-    pub broken: Option<(Break, Vec<String>)>,
+    pub violation: Option<(Violation, Vec<String>)>,
 }
 
 #[derive(Clone, Debug)]
@@ -113,23 +113,23 @@
 
 /// The way to a state, newest step first.
 #[derive(Debug)]
-struct Way {
-    told: String,
-    before: Option<Arc<Way>>,
+struct Path {
+    confirmation: String,
+    before: Option<Arc<Path>>,
     length: usize,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct SearchState {
     machines: Vec<Machine>,
     messages: Vec<Message>,
     now: f64,
-    called: Vec<bool>,
+    record_call: Vec<bool>,
     left: [u8; 5],
-    judge: Judge,
+    checker: InvariantChecker,
     defect: Option<Defect>,
     steps: u64,
-    way: Option<Arc<Way>>,
+    path: Option<Arc<Path>>,
 }
 
 /// Feeds text to a hash as it is written.
@@ -154,41 +154,41 @@
     mixed ^ mixed >> 32
 }
 
-impl World {
-    /// A world whose group is founded, and in which nothing is on its way.
-    fn founded(bounds: &Bounds, defect: Option<Defect>, but: &BTreeSet<Invariant>) -> Self {
+impl SearchState {
+    /// A world whose membership is founded, and in which nothing is on its way.
+    fn founded(bounds: &WorldBounds, defect: Option<Defect>, ignored: &BTreeSet<Invariant>) -> Self {
         let machine = |n: usize| {
             let disk = DurableState::new(n as u64 + 1);
             let store = adapter::start(n, adapter::seeds(bounds.stores, false), true, disk.clone(), n as u64);
             Machine { store, disk, run: 1, print: 0 }
         };
-        let mut world = Self {
+        let mut state = Self {
             machines: (0..bounds.stores).map(machine).collect(),
             messages: Vec::new(),
             now: 0.0,
-            called: vec![false; bounds.calls.len()],
+            record_call: vec![false; bounds.calls.len()],
             left: [bounds.crashes, bounds.wipes, bounds.seconds, bounds.calms, bounds.doubled],
-            judge: Judge::but(but),
+            checker: InvariantChecker::ignored(ignored),
             defect,
             steps: 0,
-            way: None,
+            path: None,
         };
-        world.calm(None, 6_000.0);
-        world.messages.clear();
-        world
+        state.calm(None, 6_000.0);
+        state.messages.clear();
+        state
     }
 
     fn fingerprint(&self) -> u64 {
         let messages = self.messages.iter().map(|message| message.print).fold(0_u64, u64::wrapping_add);
         let machines: Vec<_> = self.machines.iter().map(|machine| machine.print).collect();
-        let judged = hash(&self.judge.facts());
-        hash(&(machines, messages, self.now.to_bits(), &self.called, self.left, judged))
+        let judged = hash(&self.checker.facts());
+        hash(&(machines, messages, self.now.to_bits(), &self.record_call, self.left, judged))
     }
 
-    fn actions(&self, bounds: &Bounds) -> Vec<Action> {
+    fn actions(&self, bounds: &WorldBounds) -> Vec<Action> {
         let [crashes, wipes, seconds, calms, doubled] = self.left;
         let mut actions = Vec::new();
-        actions.extend((0..self.called.len()).filter(|n| !self.called[*n]).map(Action::Call));
+        actions.extend((0..self.record_call.len()).filter(|n| !self.record_call[*n]).map(Action::Call));
         for n in 0..self.messages.len() {
             actions.push(Action::Deliver(n, Crash::Never));
             if crashes > 0 {
@@ -220,39 +220,39 @@
     }
 
     /// The world after an action; nothing if that is none here.
-    fn after(&self, bounds: &Bounds, action: Action) -> Option<Self> {
+    fn after(&self, bounds: &WorldBounds, action: Action) -> Option<Self> {
         let mut next = self.clone();
-        let told = match action {
+        let confirmation = match action {
             Action::Call(n) => {
                 let (store, op) = &bounds.calls[n];
-                next.called[n] = true;
+                next.record_call[n] = true;
                 let id = n as CommandId + 1;
-                next.judge.called(next.now, id, *store, op.clone());
+                next.checker.record_call(next.now, id, *store, op.clone());
                 next.machines[*store].store.submit(Timestamp::from_millis(next.now), id, op.change());
                 next.carry_out(*store, Crash::Never, None);
                 format!("store {store} is called: {op:?}")
             }
             Action::Deliver(n, crash) => {
                 let message = next.messages.swap_remove(n);
-                let told = told(&message);
+                let confirmation = confirmation(&message);
                 let to = message.to;
-                if !next.hand(message, crash, None) {
+                if !next.process(message, crash, None) {
                     return None;
                 }
                 match crash {
-                    Crash::Never => told,
-                    Crash::BeforeSave => format!("{told}; store {to} loses power before the save"),
+                    Crash::Never => confirmation,
+                    Crash::BeforeSave => format!("{confirmation}; store {to} loses power before the save"),
                     Crash::AfterSave => {
-                        format!("{told}; store {to} loses power after the save, with nothing said")
+                        format!("{confirmation}; store {to} loses power after the save, with nothing said")
                     }
                 }
             }
             Action::Double(n) => {
                 next.left[4] -= 1;
                 let message = next.messages[n].clone();
-                let told = told(&message);
-                next.hand(message, Crash::Never, None);
-                format!("{told}, and will come again")
+                let confirmation = confirmation(&message);
+                next.process(message, Crash::Never, None);
+                format!("{confirmation}, and will come again")
             }
             Action::Restart(n) => {
                 next.left[0] -= 1;
@@ -269,7 +269,7 @@
             }
             Action::Second => {
                 next.left[2] -= 1;
-                next.now += SECOND;
+                next.now += SECOND_MS;
                 for n in 0..next.machines.len() {
                     next.tick(n, None);
                 }
@@ -279,14 +279,14 @@
             }
             Action::Calm(cut) => {
                 next.left[3] -= 1;
-                next.calm(cut, CALM);
+                next.calm(cut, CALM_MS);
                 let cut = cut.map_or(String::new(), |n| format!(", but for store {n}, which is cut off"));
                 format!("a calm passes in which all new messages come{cut}")
             }
         };
-        let before = self.way.clone();
-        let length = before.as_ref().map_or(0, |way| way.length) + 1;
-        next.way = Some(Arc::new(Way { told, before, length }));
+        let before = self.path.clone();
+        let length = before.as_ref().map_or(0, |path| path.length) + 1;
+        next.path = Some(Arc::new(Path { confirmation, before, length }));
         Some(next)
     }
 
@@ -297,8 +297,8 @@
         let kept = adapter::loaded(machine.disk.clone(), false, self.defect);
         machine.store =
             adapter::start(n, adapter::seeds(stores, false), false, kept, 1_000 * machine.run + n as u64);
-        self.judge.started(n);
-        self.judge.dropped(n);
+        self.checker.started(n);
+        self.checker.drop_calls(n);
         // The connections of the life before are gone.
         let run = self.machines[n].run;
         self.messages.retain(|m| !(m.to == n && matches!(m.body, Body::PeerReply(..)) && m.run != run));
@@ -312,7 +312,7 @@
         let store = &self.machines[n].store;
         let members: Vec<usize> = store.members().into_iter().map(adapter::machine).collect();
         let age = adapter::contact(store, now);
-        self.judge.in_touch(now, n, &members, age);
+        self.checker.check_contact(now, n, &members, age);
     }
 
     /// Carries out what a store wants; tells whether it still runs. What it sends is late, or comes in a calm.
@@ -323,7 +323,7 @@
             match output {
                 Effect::Save => {
                     if let Some((ballot, items)) = adapter::own_proposal(n, self.machines[n].store.state()) {
-                        self.judge.proposes(now, n, ballot, items);
+                        self.checker.note_proposal(now, n, ballot, items);
                     }
                     if crash == Crash::BeforeSave {
                         self.restart(n);
@@ -337,13 +337,13 @@
                     }
                 }
                 Effect::Send { to, number, request: ask } => {
-                    self.judge.stands(now, "what is said", adapter::standing_in_ask(&ask));
-                    if let Some(ballot) = adapter::settled(&ask) {
+                    self.checker.check_chosen(now, "what is said", adapter::chosen_in_request(&ask));
+                    if let Some(ballot) = adapter::chosen_round(&ask) {
                         let items = self.machines[n].store.state().items.clone();
-                        self.judge.settles(ballot, &items);
+                        self.checker.note_chosen(ballot, &items);
                     }
                     if let Some((ballot, items)) = adapter::proposal(&ask) {
-                        self.judge.proposes(now, n, ballot, items);
+                        self.checker.note_proposal(now, n, ballot, items);
                     }
                     let (to, run) = (adapter::machine(to), self.machines[n].run);
                     let message = Message {
@@ -358,17 +358,23 @@
                     self.put(message, calm.as_deref_mut());
                 }
                 Effect::Complete { command: call, result } => {
-                    let told = result.as_ref().map(drop).map_err(Clone::clone);
+                    let confirmation = result.as_ref().map(drop).map_err(Clone::clone);
                     let read = result.as_ref().ok().and_then(adapter::read);
-                    self.judge.answered(now, call, &told, read, &self.machines[n].store.state().items);
+                    self.checker.answered(
+                        now,
+                        call,
+                        &confirmation,
+                        read,
+                        &self.machines[n].store.state().items,
+                    );
                     if let Some(epoch) = result.ok().as_ref().and_then(adapter::epoch) {
-                        self.judge.told_epoch(now, call, epoch);
+                        self.checker.check_epoch(now, call, epoch);
                     }
-                    self.judge.ended(now, SEARCH);
+                    self.checker.ended(now, MAX_SEARCH_STEPS);
                 }
             }
         }
-        self.judge.stepped(now, n, &self.machines[n].store);
+        self.checker.check_step(now, n, &self.machines[n].store);
         if calm.is_none() {
             self.print(n);
         }
@@ -393,18 +399,18 @@
     }
 
     /// Hands a message over; tells whether a power loss that was to be in this step was.
-    fn hand(&mut self, message: Message, crash: Crash, mut calm: Option<&mut VecDeque<Message>>) -> bool {
+    fn process(&mut self, message: Message, crash: Crash, mut calm: Option<&mut VecDeque<Message>>) -> bool {
         let now = self.now;
         let Message { from, to, run, number, asked, body, .. } = message;
         let runs = match body {
             Body::PeerRequest(ask) => {
-                let ask = adapter::tampered_ask(ask, self.defect);
+                let ask = adapter::tampered_request(ask, self.defect);
                 let store = &mut self.machines[to].store;
                 let reply = store.handle_request(Timestamp::from_millis(now), adapter::ip(from), ask);
                 let contact = adapter::contact_of(store, &reply);
                 let runs = self.carry_out(to, crash, calm.as_deref_mut());
                 if runs {
-                    self.judge.stands(now, "what is said", adapter::standing_in_reply(&reply));
+                    self.checker.check_chosen(now, "what is said", adapter::chosen_in_reply(&reply));
                     let body = Body::PeerReply(reply, contact);
                     let reply = Message { from: to, to: from, run, number, asked, body, print: 0 };
                     if self.machines[from].run == run {
@@ -416,7 +422,7 @@
             Body::PeerReply(reply, contact) => {
                 let store = &mut self.machines[to].store;
                 if adapter::is_contact(store, contact) {
-                    self.judge.contact(to, from, asked);
+                    self.checker.contact(to, from, asked);
                 }
                 let reply = adapter::tampered_reply(store, reply, self.defect);
                 store.handle_response(Timestamp::from_millis(now), number, Some(reply));
@@ -432,8 +438,8 @@
     fn calm(&mut self, cut: Option<usize>, time: f64) {
         let mut calm = VecDeque::new();
         let until = self.now + time;
-        while self.now < until && self.judge.broken.is_none() {
-            self.now += TICK;
+        while self.now < until && self.checker.violation.is_none() {
+            self.now += TICK_INTERVAL_MS;
             for n in 0..self.machines.len() {
                 self.tick(n, Some(&mut calm));
                 while let Some(message) = calm.pop_front() {
@@ -441,7 +447,7 @@
                     let fresh = !matches!(message.body, Body::PeerReply(..))
                         || self.machines[message.to].run == message.run;
                     if fresh && !cut.is_some_and(|cut| ends.contains(&cut)) {
-                        self.hand(message, Crash::Never, Some(&mut calm));
+                        self.process(message, Crash::Never, Some(&mut calm));
                     }
                 }
             }
@@ -457,7 +463,7 @@
     }
 }
 
-fn told(message: &Message) -> String {
+fn confirmation(message: &Message) -> String {
     let (from, to) = (message.from, message.to);
     match &message.body {
         Body::PeerRequest(ask) => format!("{from} to {to}: {ask:?}"),
@@ -465,12 +471,12 @@
     }
 }
 
-fn way(last: &Option<Arc<Way>>) -> Vec<String> {
+fn path(last: &Option<Arc<Path>>) -> Vec<String> {
     let mut lines = Vec::new();
     let mut at = last.as_ref();
-    while let Some(way) = at {
-        lines.push(way.told.clone());
-        at = way.before.as_ref();
+    while let Some(path) = at {
+        lines.push(path.confirmation.clone());
+        at = path.before.as_ref();
     }
     lines.reverse();
     lines
@@ -479,18 +485,18 @@
 /// Explores a world, shorter ways first, until all is seen, an invariant does not hold, so many states were seen (so that
 /// the verdict is the same each time) or the time is over.
 pub fn explore(
-    bounds: &Bounds,
+    bounds: &WorldBounds,
     defect: Option<Defect>,
-    but: &BTreeSet<Invariant>,
+    ignored: &BTreeSet<Invariant>,
     states: u64,
     time: Duration,
     threads: usize,
 ) -> Explored {
     let end = Instant::now() + time;
-    let start = World::founded(bounds, defect, but);
-    let mut explored = Explored { states: 1, steps: 0, depth: 0, whole: true, broken: None };
-    if let Some(broken) = &start.judge.broken {
-        explored.broken = Some((broken.clone(), Vec::new()));
+    let start = SearchState::founded(bounds, defect, ignored);
+    let mut explored = Explored { states: 1, steps: 0, depth: 0, whole: true, violation: None };
+    if let Some(violation) = &start.checker.violation {
+        explored.violation = Some((violation.clone(), Vec::new()));
         return explored;
     }
     let seen: Vec<Mutex<HashSet<u64>>> = (0..SHARDS).map(|_| Mutex::default()).collect();
@@ -501,43 +507,44 @@
     is_new(start.fingerprint());
     let mut layer = vec![start];
     let over = AtomicBool::new(false);
-    while !layer.is_empty() && explored.broken.is_none() {
+    while !layer.is_empty() && explored.violation.is_none() {
         if over.load(Ordering::Relaxed) || explored.states >= states {
             explored.whole = false;
             break;
         }
         let part = layer.len().div_ceil(threads.max(1));
-        let layers: Vec<(Vec<World>, u64, Option<World>)> = std::thread::scope(|scope| {
-            let work = |worlds: &[World]| {
-                let (mut next, mut steps, mut broken) = (Vec::new(), 0, None);
-                for world in worlds {
+        let layers: Vec<(Vec<SearchState>, u64, Option<SearchState>)> = std::thread::scope(|scope| {
+            let work = |small_worlds: &[SearchState]| {
+                let (mut next, mut steps, mut violation) = (Vec::new(), 0, None);
+                for state in small_worlds {
                     if over.load(Ordering::Relaxed) || Instant::now() > end {
                         over.store(true, Ordering::Relaxed);
                         break;
                     }
-                    for action in world.actions(bounds) {
-                        let Some(after) = world.after(bounds, action) else { continue };
-                        steps += after.steps - world.steps;
-                        if after.judge.broken.is_some() {
-                            broken.get_or_insert(after);
+                    for action in state.actions(bounds) {
+                        let Some(after) = state.after(bounds, action) else { continue };
+                        steps += after.steps - state.steps;
+                        if after.checker.violation.is_some() {
+                            violation.get_or_insert(after);
                         } else if is_new(after.fingerprint()) {
                             next.push(after);
                         }
                     }
                 }
-                (next, steps, broken)
+                (next, steps, violation)
             };
             let handles: Vec<_> =
-                layer.chunks(part).map(|worlds| scope.spawn(move || work(worlds))).collect();
+                layer.chunks(part).map(|small_worlds| scope.spawn(move || work(small_worlds))).collect();
             handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
         });
         layer = Vec::new();
-        for (next, steps, broken) in layers {
+        for (next, steps, violation) in layers {
             explored.states += next.len() as u64;
             explored.steps += steps;
             layer.extend(next);
-            if let (None, Some(world)) = (&explored.broken, broken) {
-                explored.broken = world.judge.broken.clone().map(|broken| (broken, way(&world.way)));
+            if let (None, Some(state)) = (&explored.violation, violation) {
+                explored.violation =
+                    state.checker.violation.clone().map(|violation| (violation, path(&state.path)));
             }
         }
         if over.load(Ordering::Relaxed) {
@@ -548,17 +555,17 @@
     explored
 }
 
-fn put(name: &str, place: &str, number: u64, content: u64) -> Op {
-    Op::Put { name: name.to_owned(), place: place.to_owned(), number, content }
+fn put(name: &str, place: &str, number: u64, content: u64) -> ClientCall {
+    ClientCall::Put { name: name.to_owned(), place: place.to_owned(), number, content }
 }
 
-fn duty(holder: usize) -> Op {
-    Op::Duty { name: "d".to_owned(), holder: adapter::ip(holder) }
+fn duty(holder: usize) -> ClientCall {
+    ClientCall::Duty { name: "d".to_owned(), holder: adapter::ip(holder) }
 }
 
 /// The small worlds that are explored, from the smallest on.
-pub fn worlds() -> Vec<Bounds> {
-    let none = Bounds {
+pub fn small_worlds() -> Vec<WorldBounds> {
+    let none = WorldBounds {
         name: "",
         stores: 3,
         calls: Vec::new(),
@@ -571,25 +578,25 @@
     let one_number = vec![(0, put("a", "/a/", 2, 1)), (1, put("a", "/a/", 2, 2))];
     let one_place = vec![(0, put("a", "/same/", 2, 1)), (1, put("c", "/same/", 3, 2))];
     let duties = vec![(0, duty(100)), (1, duty(101))];
-    let one = |calls: &[(usize, Op)]| calls[..1].to_vec();
-    let drain = vec![(0, Op::Drain { zone: "z".to_owned(), on: true }), (1, Op::Read)];
+    let one = |calls: &[(usize, ClientCall)]| calls[..1].to_vec();
+    let drain = vec![(0, ClientCall::Drain { zone: "z".to_owned(), on: true }), (1, ClientCall::Read)];
     vec![
-        Bounds { name: "3-one-number", calls: one_number.clone(), ..none.clone() },
-        Bounds { name: "3-duties", calls: duties.clone(), ..none.clone() },
-        Bounds { name: "3-one-crash", calls: one(&one_number), crashes: 1, seconds: 1, ..none.clone() },
-        Bounds { name: "3-one-loss", calls: one(&one_number), wipes: 1, calms: 1, ..none.clone() },
-        Bounds { name: "3-late-orphan", calls: one_place.clone(), calms: 2, ..none.clone() },
-        Bounds { name: "3-drain-and-read", calls: drain, calms: 1, ..none.clone() },
-        Bounds { name: "3-two-calls-one-crash", calls: one_number.clone(), crashes: 1, ..none.clone() },
-        Bounds {
+        WorldBounds { name: "3-one-number", calls: one_number.clone(), ..none.clone() },
+        WorldBounds { name: "3-duties", calls: duties.clone(), ..none.clone() },
+        WorldBounds { name: "3-one-crash", calls: one(&one_number), crashes: 1, seconds: 1, ..none.clone() },
+        WorldBounds { name: "3-one-loss", calls: one(&one_number), wipes: 1, calms: 1, ..none.clone() },
+        WorldBounds { name: "3-late-orphan", calls: one_place.clone(), calms: 2, ..none.clone() },
+        WorldBounds { name: "3-drain-and-read", calls: drain, calms: 1, ..none.clone() },
+        WorldBounds { name: "3-two-calls-one-crash", calls: one_number.clone(), crashes: 1, ..none.clone() },
+        WorldBounds {
             name: "3-two-calls-one-loss",
             calls: one_number.clone(),
             wipes: 1,
             calms: 2,
             ..none.clone()
         },
-        Bounds { name: "3-duties-one-loss", calls: duties.clone(), wipes: 1, calms: 2, ..none.clone() },
-        Bounds {
+        WorldBounds { name: "3-duties-one-loss", calls: duties.clone(), wipes: 1, calms: 2, ..none.clone() },
+        WorldBounds {
             name: "4-two-calls-one-loss",
             stores: 4,
             calls: one_number.clone(),
@@ -597,7 +604,7 @@
             calms: 2,
             ..none.clone()
         },
-        Bounds {
+        WorldBounds {
             name: "5-one-call-two-losses",
             stores: 5,
             calls: one(&one_number),
@@ -605,12 +612,19 @@
             calms: 2,
             ..none.clone()
         },
-        Bounds { name: "5-two-calls-one-loss", stores: 5, calls: one_number, wipes: 1, calms: 2, ..none },
+        WorldBounds {
+            name: "5-two-calls-one-loss",
+            stores: 5,
+            calls: one_number,
+            wipes: 1,
+            calms: 2,
+            ..none
+        },
     ]
 }
 
 /// Whether all stores of a founded world are members, as a check of the start.
-pub fn is_founded(bounds: &Bounds) -> bool {
-    let world = World::founded(bounds, None, &BTreeSet::new());
-    world.machines.iter().all(|machine| machine.store.status() == MembershipStatus::Member)
+pub fn is_founded(bounds: &WorldBounds) -> bool {
+    let state = SearchState::founded(bounds, None, &BTreeSet::new());
+    state.machines.iter().all(|machine| machine.store.status() == MembershipStatus::Member)
 }
--- a/crates/model-checker/src/linear.rs
+++ b/crates/model-checker/src/linearizability.rs
@@ -7,11 +7,11 @@
 
 /// What a call on one item did, as its caller was told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// A content (0: dropped) at a number; whether it was confirmed, refused as another content, or unclear.
-    Put(u64, u64, Told),
+pub enum Operation {
+    /// A content (0: dropped) at a version; whether it was confirmed, refused as another content, or unclear.
+    Put(u64, u64, Confirmation),
     /// A switch; confirmed or unclear.
-    Switch(bool, Told),
+    Switch(bool, Confirmation),
     /// A number and content that were read; number 0 for nothing.
     Read(u64, u64),
     /// A switch that was read.
@@ -20,7 +20,7 @@
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Confirmation {
     /// It is done.
     Confirmed,
     /// Another content stands under its number.
@@ -37,12 +37,12 @@
     /// When it was answered; infinite if it was not.
     pub end: f64,
     /// What it did.
-    pub act: Act,
+    pub operation: Operation,
 }
 
 /// What came of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum SearchResult {
     /// There is such an order.
     Order,
     /// There is none.
@@ -61,29 +61,29 @@
 
 impl Register {
     /// The register after a call, if the call can be told what it was told.
-    fn after(&self, act: &Act) -> Option<Self> {
+    fn after(&self, operation: &Operation) -> Option<Self> {
         let mut next = self.clone();
-        match *act {
-            Act::Read(number, content) => {
+        match *operation {
+            Operation::Read(number, content) => {
                 return (self.number == number && (number == 0 || self.past.get(&number) == Some(&content)))
                     .then_some(next)
             }
-            Act::ReadSwitch(on) => return (self.on == on).then_some(next),
-            Act::Switch(on, _) => next.on = on,
-            Act::Put(number, content, told) => {
+            Operation::ReadSwitch(on) => return (self.on == on).then_some(next),
+            Operation::Switch(on, _) => next.on = on,
+            Operation::Put(number, content, confirmation) => {
                 let known = self.past.get(&number).copied();
-                match told {
-                    Told::Refused => {
-                        // Of a number that was passed over nobody may know what it held.
+                match confirmation {
+                    Confirmation::Refused => {
+                        // Of a version that was passed over nobody may know what it held.
                         let fits = known.map_or(number < self.number, |known| known != content);
                         return fits.then_some(next);
                     }
-                    Told::Confirmed | Told::Unclear => {
+                    Confirmation::Confirmed | Confirmation::Unclear => {
                         let fits = known.is_none_or(|known| known == content);
                         if !fits {
                             return None;
                         }
-                        if told == Told::Confirmed || number > self.number {
+                        if confirmation == Confirmation::Confirmed || number > self.number {
                             next.past.insert(number, content);
                         }
                         next.number = next.number.max(number);
@@ -95,36 +95,42 @@
     }
 }
 
-fn is_unclear(act: &Act) -> bool {
-    matches!(act, Act::Put(_, _, Told::Unclear) | Act::Switch(_, Told::Unclear))
+fn is_unclear(operation: &Operation) -> bool {
+    matches!(
+        operation,
+        Operation::Put(_, _, Confirmation::Unclear) | Operation::Switch(_, Confirmation::Unclear)
+    )
 }
 
 /// Searches for an order of at most 128 calls, within so many steps.
-pub fn search(history: &[Entry], steps: usize) -> Found {
+pub fn search(history: &[Entry], steps: usize) -> SearchResult {
     if history.len() > 128 {
-        return Found::Undecided;
+        return SearchResult::Undecided;
     }
     let mut entries = history.to_vec();
-    for entry in entries.iter_mut().filter(|entry| is_unclear(&entry.act)) {
+    for entry in entries.iter_mut().filter(|entry| is_unclear(&entry.operation)) {
         entry.end = f64::INFINITY;
     }
     entries.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-    let owed: u128 =
-        entries.iter().enumerate().filter(|(_, e)| !is_unclear(&e.act)).fold(0, |set, (n, _)| set | 1 << n);
+    let owed: u128 = entries
+        .iter()
+        .enumerate()
+        .filter(|(_, e)| !is_unclear(&e.operation))
+        .fold(0, |set, (n, _)| set | 1 << n);
     let mut seen: HashSet<(u128, Register)> = HashSet::new();
     let mut open = vec![(0_u128, Register::default())];
     while let Some((placed, register)) = open.pop() {
         if placed & owed == owed {
-            return Found::Order;
+            return SearchResult::Order;
         }
         if seen.len() > steps {
-            return Found::Undecided;
+            return SearchResult::Undecided;
         }
         // One may come next if none that is left ended before it began.
         let left = || entries.iter().enumerate().filter(|(n, _)| placed & (1 << n) == 0);
         let first_end = left().map(|(_, entry)| entry.end).fold(f64::INFINITY, f64::min);
         for (n, entry) in left().filter(|(_, entry)| entry.begin <= first_end) {
-            if let Some(next) = register.after(&entry.act) {
+            if let Some(next) = register.after(&entry.operation) {
                 let state = (placed | 1 << n, next);
                 if seen.insert(state.clone()) {
                     open.push(state);
@@ -132,5 +138,5 @@
             }
         }
     }
-    Found::None
+    SearchResult::None
 }
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -1,14 +1,14 @@
-//! Hunts for plays that break an invariant of the store, through random worlds and all ways of small ones.
+//! Hunts for runs that break an invariant of the store, through random worlds and all ways of small ones.
 //!
 //! Started by people and by tests of the store. Must never be shipped.
 
 use argh::FromArgs;
+use ivygate_model_checker::checker::Invariant;
 use ivygate_model_checker::defects::Defect;
-use ivygate_model_checker::judge::Invariant;
+use ivygate_model_checker::exhaustive::{explore, small_worlds};
+use ivygate_model_checker::schedule::Schedule;
 use ivygate_model_checker::shrink::shrink;
-use ivygate_model_checker::small::{explore, worlds};
-use ivygate_model_checker::story::Story;
-use ivygate_model_checker::world::play;
+use ivygate_model_checker::simulation::simulate;
 use std::collections::BTreeSet;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -37,7 +37,7 @@
     /// how long, in minutes (1)
     #[argh(option, default = "1.0")]
     minutes: f64,
-    /// how many stores: one number or a range as 3..7
+    /// how many stores: one version or a range as 3..7
     #[argh(option, default = "String::from(\"3..7\")")]
     stores: String,
     /// the first seed (1)
@@ -50,9 +50,9 @@
     #[argh(option)]
     defect: Option<String>,
     /// an invariant to look past, which is said in the report; may come again
-    #[argh(option)]
-    but: Vec<String>,
-    /// only judge by this one; may come again
+    #[argh(option, long = "but")]
+    ignored: Vec<String>,
+    /// only checker by this one; may come again
     #[argh(option)]
     only: Vec<String>,
     /// how many breaks are looked for (1)
@@ -60,7 +60,7 @@
     breaks: usize,
 }
 
-/// Plays one seed, shrinks its story if it breaks, and tells it.
+/// Plays one seed, shrinks its schedule if it breaks, and tells it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
@@ -74,12 +74,12 @@
     #[argh(option)]
     defect: Option<String>,
     /// an invariant to look past; may come again
-    #[argh(option)]
-    but: Vec<String>,
-    /// only judge by this one; may come again
+    #[argh(option, long = "but")]
+    ignored: Vec<String>,
+    /// only checker by this one; may come again
     #[argh(option)]
     only: Vec<String>,
-    /// tell each step of the shrunk story
+    /// tell each step of the shrunk schedule
     #[argh(switch)]
     trace: bool,
     /// do not shrink
@@ -93,7 +93,7 @@
 struct Small {
     /// only worlds whose names begin so
     #[argh(positional, default = "String::new()")]
-    world: String,
+    simulation: String,
     /// longest time for each, in seconds (60)
     #[argh(option, default = "60")]
     seconds: u64,
@@ -107,9 +107,9 @@
     #[argh(option)]
     defect: Option<String>,
     /// an invariant to look past; may come again
-    #[argh(option)]
-    but: Vec<String>,
-    /// only judge by this one; may come again
+    #[argh(option, long = "but")]
+    ignored: Vec<String>,
+    /// only checker by this one; may come again
     #[argh(option)]
     only: Vec<String>,
 }
@@ -119,13 +119,13 @@
     let done = match arguments.command {
         Command::Hunt(hunt) => run_hunt(&hunt),
         Command::Replay(replay) => run_replay(&replay),
-        Command::Small(small) => run_small(&small),
+        Command::Small(exhaustive) => run_small(&exhaustive),
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(misuse) => {
-            eprintln!("avalanche: {misuse}");
+            eprintln!("ivygate-model-checker: {misuse}");
             ExitCode::from(2)
         }
     }
@@ -134,7 +134,7 @@
 fn defect(name: Option<&String>) -> Result<Option<Defect>, String> {
     let Some(name) = name else { return Ok(None) };
     let known = || Defect::ALL.map(|(name, _)| name).join(", ");
-    Defect::named(name).map(Some).ok_or_else(|| format!("'{name}' is none of {}", known()))
+    Defect::members_of(name).map(Some).ok_or_else(|| format!("'{name}' is none of {}", known()))
 }
 
 fn invariants(names: &[String]) -> Result<BTreeSet<Invariant>, String> {
@@ -146,12 +146,12 @@
     names.iter().map(find).collect()
 }
 
-fn looked_past(but: &[String], only: &[String]) -> Result<BTreeSet<Invariant>, String> {
-    let (mut but, only) = (invariants(but)?, invariants(only)?);
+fn ignored_invariants(ignored: &[String], only: &[String]) -> Result<BTreeSet<Invariant>, String> {
+    let (mut ignored, only) = (invariants(ignored)?, invariants(only)?);
     if !only.is_empty() {
-        but.extend(Invariant::ALL.iter().map(|(_, known)| *known).filter(|known| !only.contains(known)));
+        ignored.extend(Invariant::ALL.iter().map(|(_, known)| *known).filter(|known| !only.contains(known)));
     }
-    Ok(but)
+    Ok(ignored)
 }
 
 fn range(text: &str) -> Result<(usize, usize), String> {
@@ -165,46 +165,46 @@
 }
 
 #[derive(Default)]
-struct Sums {
+struct Totals {
     plays: AtomicU64,
     steps: AtomicU64,
     calls: AtomicU64,
     confirmed: AtomicU64,
-    blows: AtomicU64,
+    machine_faults: AtomicU64,
     undecided: AtomicU64,
 }
 
 fn run_hunt(hunt: &Hunt) -> Result<bool, String> {
     let (least, most) = range(&hunt.stores)?;
     let defect = defect(hunt.defect.as_ref())?;
-    let but = looked_past(&hunt.but, &hunt.only)?;
+    let ignored = ignored_invariants(&hunt.ignored, &hunt.only)?;
     let begin = Instant::now();
     let end = begin + Duration::from_secs_f64(hunt.minutes * 60.0);
-    let (next, sums, stop) = (AtomicU64::new(hunt.seed), Sums::default(), AtomicBool::new(false));
-    let found: Mutex<Vec<(u64, Story)>> = Mutex::new(Vec::new());
+    let (next, totals, stop) = (AtomicU64::new(hunt.seed), Totals::default(), AtomicBool::new(false));
+    let found: Mutex<Vec<(u64, Schedule)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..hunt.threads.clamp(1, 12) {
             scope.spawn(|| {
                 while !stop.load(Ordering::Relaxed) && Instant::now() < end {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
                     let stores = least + (seed as usize) % (most - least + 1);
-                    let story = Story::drawn(seed, stores);
-                    let played = play(&story, defect, &but, false);
-                    let plays = sums.plays.fetch_add(1, Ordering::Relaxed) + 1;
-                    sums.steps.fetch_add(played.steps, Ordering::Relaxed);
-                    sums.calls.fetch_add(played.calls.0, Ordering::Relaxed);
-                    sums.confirmed.fetch_add(played.calls.1, Ordering::Relaxed);
-                    sums.blows.fetch_add(played.blows, Ordering::Relaxed);
-                    sums.undecided.fetch_add(played.undecided, Ordering::Relaxed);
-                    if let Some(broken) = played.broken {
+                    let schedule = Schedule::drawn(seed, stores);
+                    let result = simulate(&schedule, defect, &ignored, false);
+                    let plays = totals.plays.fetch_add(1, Ordering::Relaxed) + 1;
+                    totals.steps.fetch_add(result.steps, Ordering::Relaxed);
+                    totals.calls.fetch_add(result.calls.0, Ordering::Relaxed);
+                    totals.confirmed.fetch_add(result.calls.1, Ordering::Relaxed);
+                    totals.machine_faults.fetch_add(result.machine_faults, Ordering::Relaxed);
+                    totals.undecided.fetch_add(result.undecided, Ordering::Relaxed);
+                    if let Some(violation) = result.violation {
                         println!(
                             "seed {seed} ({stores} stores), play {plays}: {} at {:.0} ms: {}",
-                            broken.invariant.name(),
-                            broken.at,
-                            broken.what
+                            violation.invariant.name(),
+                            violation.at,
+                            violation.what
                         );
                         if let Ok(mut found) = found.lock() {
-                            found.push((plays, story));
+                            found.push((plays, schedule));
                             if found.len() >= hunt.breaks {
                                 stop.store(true, Ordering::Relaxed);
                             }
@@ -219,58 +219,63 @@
     println!(
         "{} plays, {} steps ({:.2} million a minute), {} calls of which {} confirmed, {} blows, {} histories undecided, \
          {time:.0} s, seeds from {}; looked past: {:?}",
-        of(&sums.plays), of(&sums.steps), of(&sums.steps) as f64 / time * 60.0 / 1e6, of(&sums.calls),
-        of(&sums.confirmed), of(&sums.blows), of(&sums.undecided), hunt.seed,
-        but.iter().map(|invariant| invariant.name()).collect::<Vec<_>>()
+        of(&totals.plays), of(&totals.steps), of(&totals.steps) as f64 / time * 60.0 / 1e6, of(&totals.calls),
+        of(&totals.confirmed), of(&totals.machine_faults), of(&totals.undecided), hunt.seed,
+        ignored.iter().map(|invariant| invariant.name()).collect::<Vec<_>>()
     );
     let mut found = found.into_inner().unwrap_or_default();
     found.sort_by_key(|(plays, _)| *plays);
-    for (_, story) in found.iter().take(3) {
-        tell(story, defect, &but, false);
+    for (_, schedule) in found.iter().take(3) {
+        tell(schedule, defect, &ignored, false);
     }
     Ok(found.is_empty())
 }
 
-fn tell(story: &Story, defect: Option<Defect>, but: &BTreeSet<Invariant>, trace: bool) -> bool {
-    let Some((short, played, plays)) = shrink(story, defect, but) else {
-        println!("seed {} breaks nothing", story.seed);
+fn tell(schedule: &Schedule, defect: Option<Defect>, ignored: &BTreeSet<Invariant>, trace: bool) -> bool {
+    let Some((short, result, plays)) = shrink(schedule, defect, ignored) else {
+        println!("seed {} breaks nothing", schedule.seed);
         return true;
     };
-    println!("\nShrunk in {plays} plays, from {} events to {}:", story.events.len(), short.events.len());
+    println!("\nShrunk in {plays} plays, from {} events to {}:", schedule.events.len(), short.events.len());
     println!("{short}");
-    if let Some(broken) = &played.broken {
-        println!("  at {:>6.0} ms: broken: {}: {}", broken.at, broken.invariant.name(), broken.what);
+    if let Some(violation) = &result.violation {
+        println!("  at {:>6.0} ms: broken: {}: {}", violation.at, violation.invariant.name(), violation.what);
     }
     if trace {
-        played.log.iter().for_each(|line| println!("{line}"));
+        result.log.iter().for_each(|line| println!("{line}"));
     }
     false
 }
 
 fn run_replay(replay: &Replay) -> Result<bool, String> {
     let defect = defect(replay.defect.as_ref())?;
-    let but = looked_past(&replay.but, &replay.only)?;
-    let story = Story::drawn(replay.seed, replay.stores);
+    let ignored = ignored_invariants(&replay.ignored, &replay.only)?;
+    let schedule = Schedule::drawn(replay.seed, replay.stores);
     if replay.whole {
-        let played = play(&story, defect, &but, replay.trace);
-        println!("{story}");
-        played.log.iter().for_each(|line| println!("{line}"));
-        if let Some(broken) = &played.broken {
-            println!("  at {:>6.0} ms: broken: {}: {}", broken.at, broken.invariant.name(), broken.what);
+        let result = simulate(&schedule, defect, &ignored, replay.trace);
+        println!("{schedule}");
+        result.log.iter().for_each(|line| println!("{line}"));
+        if let Some(violation) = &result.violation {
+            println!(
+                "  at {:>6.0} ms: broken: {}: {}",
+                violation.at,
+                violation.invariant.name(),
+                violation.what
+            );
         }
-        return Ok(played.broken.is_none());
+        return Ok(result.violation.is_none());
     }
-    Ok(tell(&story, defect, &but, replay.trace))
+    Ok(tell(&schedule, defect, &ignored, replay.trace))
 }
 
-fn run_small(small: &Small) -> Result<bool, String> {
-    let defect = defect(small.defect.as_ref())?;
-    let but = looked_past(&small.but, &small.only)?;
+fn run_small(exhaustive: &Small) -> Result<bool, String> {
+    let defect = defect(exhaustive.defect.as_ref())?;
+    let ignored = ignored_invariants(&exhaustive.ignored, &exhaustive.only)?;
     let mut sound = true;
-    for bounds in worlds().iter().filter(|bounds| bounds.name.starts_with(&small.world)) {
+    for bounds in small_worlds().iter().filter(|bounds| bounds.name.starts_with(&exhaustive.simulation)) {
         let begin = Instant::now();
-        let time = Duration::from_secs(small.seconds);
-        let explored = explore(bounds, defect, &but, small.states, time, small.threads);
+        let time = Duration::from_secs(exhaustive.seconds);
+        let explored = explore(bounds, defect, &ignored, exhaustive.states, time, exhaustive.threads);
         println!(
             "{}: {} states, {} steps, ways of up to {} actions, {}, {:.1} s",
             bounds.name,
@@ -280,10 +285,10 @@
             if explored.whole { "whole" } else { "not whole" },
             begin.elapsed().as_secs_f64()
         );
-        if let Some((broken, way)) = explored.broken {
+        if let Some((violation, direction)) = explored.violation {
             sound = false;
-            way.iter().for_each(|line| println!("  {line}"));
-            println!("  broken: {}: {}", broken.invariant.name(), broken.what);
+            direction.iter().for_each(|line| println!("  {line}"));
+            println!("  broken: {}: {}", violation.invariant.name(), violation.what);
         }
     }
     Ok(sound)
--- a/crates/model-checker/src/story.rs
+++ b/crates/model-checker/src/schedule.rs
@@ -1,13 +1,13 @@
-//! Stories: what befalls a fleet and what is asked of it, each at its time; drawn from a seed, and told in lines.
+//! Stories: what happens to a fleet and what is asked of it, each at its time; drawn from a seed, and told in lines.
 
-use crate::adapter::{ip, Op};
+use crate::adapter::{ip, ClientCall};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// Which ways of a machine's links are meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkDirection {
     /// To it and from it.
     Both,
     /// To it.
@@ -16,20 +16,20 @@
     Out,
 }
 
-/// What befalls a machine at the moment it is waited for.
+/// What happens to a machine at the moment it is waited for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Blow {
+pub enum MachineFault {
     /// It is cut off for a time.
-    CutOff(Way, f64),
+    CutOff(LinkDirection, f64),
     /// It loses power for a time.
     Crash(f64),
-    /// It stands still for a time.
-    Freeze(f64),
+    /// It is paused for a time.
+    Pause(f64),
     /// It loses its disk and starts again after a time.
     Wipe(f64),
 }
 
-/// What a blow waits for.
+/// What a machine fault waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
     /// Nothing.
@@ -40,7 +40,7 @@
     WithinSave,
     /// The machine has saved; nothing that follows goes out.
     AfterSave,
-    /// The machine has sent a question that writes items down.
+    /// The machine has sent a request that writes items down.
     Writes,
     /// The machine has sent the answer that items are written down.
     Written,
@@ -48,13 +48,13 @@
     Answers,
 }
 
-/// One thing that happens. Machines are numbers; times are milliseconds.
+/// One thing that happens. Machines are versions; times are milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Somebody calls a store.
-    Call(usize, Op),
+    Call(usize, ClientCall),
     /// A machine is struck when the trigger comes.
-    Blow(usize, Trigger, Blow),
+    MachineFault(usize, Trigger, MachineFault),
     /// Nothing passes in one direction for a time.
     Cut(usize, usize, f64),
     /// What passes in one direction within a time comes so much later.
@@ -66,15 +66,15 @@
     /// All lose power and some machines their disks; all start again after a time.
     PowerAndDisks(u32, f64),
     /// A new empty machine comes at an address that nobody knows.
-    Comes,
+    MachineJoins,
     /// A machine is gone with its disk, for good.
-    Vanishes(usize),
+    MachineVanishes(usize),
     /// A machine leaves by plan.
-    Leaves(usize),
-    /// All questions of a machine that are out are known to be lost.
+    MachineLeaves(usize),
+    /// All requests of a machine that are out are known to be lost.
     Reset(usize),
     /// Messages are lost, doubled, late and reset: parts in a thousand, the longest delay, and for how long.
-    Weather {
+    NetworkConditions {
         /// Lost.
         lost: u32,
         /// Doubled.
@@ -90,9 +90,9 @@
     },
 }
 
-/// What befalls one message.
+/// What happens to one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mishap {
+pub enum MessageFault {
     /// It is lost.
     Lost,
     /// It comes twice, the second so much later.
@@ -104,67 +104,68 @@
 }
 
 /// A message, by its direction and its number in that.
-pub type Which = (usize, usize, u64);
+pub type MessageId = (usize, usize, u64);
 
-/// A play of a fleet, the same at each run.
+/// A run of a fleet, the same at each run.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Schedule {
     /// What all else is drawn from.
     pub seed: u64,
-    /// How many machines found the group.
+    /// How many machines found the membership.
     pub stores: usize,
     /// How far they are from each other: 0 near, 1 in regions of two, 2 up to 60 ms, 3 up to 200 ms.
     pub links: u8,
-    /// Whether a question that is not answered within a second counts as lost, as in the program.
+    /// Whether a request that is not answered within a second counts as lost, as in the program.
     pub impatient: bool,
     /// Whether all founders are known from the start, or a few.
     pub all_known: bool,
     /// What happens, by time.
     pub events: Vec<(f64, Event)>,
-    /// What befalls single messages; `None` while it is drawn from the weather.
-    pub mishaps: Option<BTreeMap<Which, Mishap>>,
+    /// What happens to single messages; `None` while it is drawn from the network conditions.
+    pub message_faults: Option<BTreeMap<MessageId, MessageFault>>,
     /// When the faults are over.
     pub end: f64,
 }
 
-/// When the group is founded and trouble begins.
-pub const BEGIN: f64 = 4_000.0;
+/// When the membership is founded and trouble begins.
+pub const FOUNDING_TIME_MS: f64 = 4_000.0;
 
-impl Story {
-    /// The story of a seed.
+impl Schedule {
+    /// The schedule of a seed.
     pub fn drawn(seed: u64, stores: usize) -> Self {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ stores as u64);
         let length = [4_000.0, 8_000.0, 14_000.0, 25_000.0][rng.usize(..4)];
-        let mut story = Self {
+        let mut schedule = Self {
             seed,
             stores,
             links: rng.u8(..4),
             impatient: rng.bool(),
             all_known: seed % 2 == 0,
             events: Vec::new(),
-            mishaps: None,
-            end: BEGIN + length + 1_000.0,
+            message_faults: None,
+            end: FOUNDING_TIME_MS + length + 1_000.0,
         };
-        let mut draw = Draw { rng, stores, length, next: 1, done: Vec::new(), events: Vec::new() };
+        let mut draw =
+            ScheduleGenerator { rng, stores, length, next: 1, done: Vec::new(), events: Vec::new() };
         draw.all();
-        story.events = draw.events;
-        story.events.sort_by(|a, b| a.0.total_cmp(&b.0));
-        story
+        schedule.events = draw.events;
+        schedule.events.sort_by(|a, b| a.0.total_cmp(&b.0));
+        schedule
     }
 }
 
-struct Draw {
+struct ScheduleGenerator {
     rng: Rng,
     stores: usize,
     length: f64,
     next: u64,
-    done: Vec<Op>,
+    done: Vec<ClientCall>,
     events: Vec<(f64, Event)>,
 }
 
-impl Draw {
+impl ScheduleGenerator {
     fn at(&mut self) -> f64 {
-        (BEGIN + self.rng.f64() * self.length).round()
+        (FOUNDING_TIME_MS + self.rng.f64() * self.length).round()
     }
 
     fn time(&mut self, least: f64, most: f64) -> f64 {
@@ -177,7 +178,7 @@
         self.rng.usize(..self.stores + more)
     }
 
-    fn op(&mut self) -> Op {
+    fn op(&mut self) -> ClientCall {
         let rng = &mut self.rng;
         if !self.done.is_empty() && rng.u8(..5) == 0 {
             return self.done[rng.usize(..self.done.len())].clone();
@@ -190,26 +191,28 @@
             _ => self.next,
         };
         let op = match rng.u8(..20) {
-            0..=8 => Op::Put { name, place, number, content: self.next },
-            9..=10 => Op::Remove { name, number },
-            11..=13 => Op::Drain { zone: "z".to_owned(), on: rng.bool() },
-            14..=15 => Op::Duty { name: "d".to_owned(), holder: ip(100 + (self.next % 100) as usize) },
-            _ => return Op::Read,
+            0..=8 => ClientCall::Put { name, place, number, content: self.next },
+            9..=10 => ClientCall::Remove { name, number },
+            11..=13 => ClientCall::Drain { zone: "z".to_owned(), on: rng.bool() },
+            14..=15 => {
+                ClientCall::Duty { name: "d".to_owned(), holder: ip(100 + (self.next % 100) as usize) }
+            }
+            _ => return ClientCall::Read,
         };
         self.done.push(op.clone());
         op
     }
 
-    fn way(&mut self) -> Way {
-        [Way::Both, Way::Both, Way::In, Way::Out][self.rng.usize(..4)]
+    fn direction(&mut self) -> LinkDirection {
+        [LinkDirection::Both, LinkDirection::Both, LinkDirection::In, LinkDirection::Out][self.rng.usize(..4)]
     }
 
-    fn blow(&mut self) -> Blow {
+    fn machine_fault(&mut self) -> MachineFault {
         match self.rng.u8(..8) {
-            0..=2 => Blow::CutOff(self.way(), self.time(300.0, 12_000.0)),
-            3..=4 => Blow::Crash(self.time(20.0, 12_000.0)),
-            5 => Blow::Freeze(self.time(200.0, 20_000.0)),
-            _ => Blow::Wipe(self.time(10.0, 6_000.0)),
+            0..=2 => MachineFault::CutOff(self.direction(), self.time(300.0, 12_000.0)),
+            3..=4 => MachineFault::Crash(self.time(20.0, 12_000.0)),
+            5 => MachineFault::Pause(self.time(200.0, 20_000.0)),
+            _ => MachineFault::Wipe(self.time(10.0, 6_000.0)),
         }
     }
 
@@ -239,8 +242,8 @@
             let late = if place < 2 + more { late } else { later };
             self.events.push((at, Event::Slow(proposer, *other, late, 1_500.0)));
         }
-        let wipe = Blow::Wipe(self.time(1.0, 60.0));
-        self.events.push((at, Event::Blow(lost, Trigger::Written, wipe)));
+        let wipe = MachineFault::Wipe(self.time(1.0, 60.0));
+        self.events.push((at, Event::MachineFault(lost, Trigger::Written, wipe)));
         let op = self.op();
         self.events.push((at + 5.0, Event::Call(proposer, op)));
         let side = order[2..2 + more].iter().fold(1 << proposer, |side, n| side | 1 << n);
@@ -250,7 +253,7 @@
         for _ in 0..2 {
             let asks = if self.rng.bool() { lost } else { order[self.stores - 1] };
             let then = cut + self.time(50.0, 3_000.0);
-            self.events.push((then, Event::Call(asks, Op::Read)));
+            self.events.push((then, Event::Call(asks, ClientCall::Read)));
         }
     }
 
@@ -268,7 +271,7 @@
         };
         let event = match self.rng.u8(..24) {
             0..=7 => {
-                // Something has to be asked for that the blow can meet.
+                // Something has to be asked for that the machine fault can meet.
                 let op = self.op();
                 let on = self.machine();
                 self.events.push((at + 5.0, Event::Call(if self.rng.bool() { n } else { on }, op)));
@@ -279,41 +282,42 @@
                         self.events.push((at, Event::Slow(a, b, late, time)));
                     }
                 }
-                Event::Blow(n, trigger, self.blow())
+                Event::MachineFault(n, trigger, self.machine_fault())
             }
             8..=9 => Event::Cut(n, self.machine(), self.time(200.0, 15_000.0)),
             10 => Event::Slow(n, self.machine(), self.time(50.0, 20_000.0), self.time(100.0, 8_000.0)),
             11..=12 => Event::Split(self.some(), self.time(300.0, 15_000.0)),
             13 => Event::Power(self.time(10.0, 3_000.0)),
             14 => Event::PowerAndDisks(self.some(), self.time(10.0, 3_000.0)),
-            15 => Event::Comes,
+            15 => Event::MachineJoins,
             16 => {
                 let comes = at + self.time(10.0, 8_000.0);
-                self.events.push((comes, Event::Comes));
-                Event::Vanishes(n)
+                self.events.push((comes, Event::MachineJoins));
+                Event::MachineVanishes(n)
             }
             17 => {
                 let comes = at + self.time(10.0, 2_000.0) - 1_000.0;
-                self.events.push((comes.max(BEGIN), Event::Comes));
-                Event::Leaves(n)
+                self.events.push((comes.max(FOUNDING_TIME_MS), Event::MachineJoins));
+                Event::MachineLeaves(n)
             }
             18 => Event::Reset(n),
-            // Two at one number, or at one place.
+            // Two at one version, or at one place.
             19 => {
                 let (a, b) = (self.machine(), self.machine());
                 let name = if self.rng.bool() { "a" } else { "b" }.to_owned();
                 self.next += 3;
                 let (number, content) = (self.next, self.next - 1);
-                let one = Op::Put { name: "a".to_owned(), place: "/same/".to_owned(), number, content };
-                let two = Op::Put { name, place: "/same/".to_owned(), number, content: content + 1 };
+                let one =
+                    ClientCall::Put { name: "a".to_owned(), place: "/same/".to_owned(), number, content };
+                let two = ClientCall::Put { name, place: "/same/".to_owned(), number, content: content + 1 };
                 self.done.extend([one.clone(), two.clone()]);
                 let apart = self.time(1.0, 1_000.0);
                 self.events.push((at + 1.0, Event::Call(a, one)));
                 self.events.push((at + apart, Event::Call(b, two)));
-                Event::Blow(a, trigger, self.blow())
+                Event::MachineFault(a, trigger, self.machine_fault())
             }
             20 => return self.rebuilt(at),
-            _ => Event::Weather {
+            _ => Event::NetworkConditions {
                 lost: [0, 20, 100, 300][self.rng.usize(..4)],
                 doubled: [0, 20, 100][self.rng.usize(..3)],
                 late: [0, 20, 100, 300][self.rng.usize(..4)],
@@ -334,7 +338,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Call(store, op) => write!(f, "store {store} is called: {op:?}"),
-            Self::Blow(n, trigger, blow) => {
+            Self::MachineFault(n, trigger, machine_fault) => {
                 let when = match trigger {
                     Trigger::Now => "at once",
                     Trigger::BeforeSave => "before its next save",
@@ -344,13 +348,13 @@
                     Trigger::Written => "when it has next answered that items are written down",
                     Trigger::Answers => "when it has next answered a call",
                 };
-                match blow {
-                    Blow::CutOff(way, time) => {
-                        write!(f, "store {n} is cut off ({way:?}) for {time} ms, {when}")
+                match machine_fault {
+                    MachineFault::CutOff(direction, time) => {
+                        write!(f, "store {n} is cut off ({direction:?}) for {time} ms, {when}")
                     }
-                    Blow::Crash(time) => write!(f, "store {n} loses power for {time} ms, {when}"),
-                    Blow::Freeze(time) => write!(f, "store {n} stands still for {time} ms, {when}"),
-                    Blow::Wipe(time) => {
+                    MachineFault::Crash(time) => write!(f, "store {n} loses power for {time} ms, {when}"),
+                    MachineFault::Pause(time) => write!(f, "store {n} stands still for {time} ms, {when}"),
+                    MachineFault::Wipe(time) => {
                         write!(f, "store {n} loses its disk and starts {time} ms later, {when}")
                     }
                 }
@@ -366,11 +370,11 @@
             Self::PowerAndDisks(lost, time) => {
                 write!(f, "all lose power for {time} ms, and stores {:?} their disks", set(*lost))
             }
-            Self::Comes => write!(f, "a new empty machine comes"),
-            Self::Vanishes(n) => write!(f, "store {n} is gone with its disk for good"),
-            Self::Leaves(n) => write!(f, "store {n} leaves by plan"),
+            Self::MachineJoins => write!(f, "a new empty machine comes"),
+            Self::MachineVanishes(n) => write!(f, "store {n} is gone with its disk for good"),
+            Self::MachineLeaves(n) => write!(f, "store {n} leaves by plan"),
             Self::Reset(n) => write!(f, "all questions of store {n} that are out are known to be lost"),
-            Self::Weather { lost, doubled, late, longest, reset, time } => write!(
+            Self::NetworkConditions { lost, doubled, late, longest, reset, time } => write!(
                 f,
                 "for {time} ms of 1,000 messages {lost} are lost, {doubled} doubled, {late} late by up to {longest} ms, \
                  {reset} reset"
@@ -379,7 +383,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let links = ["near", "regions of two, 55 ms apart", "up to 60 ms", "up to 200 ms"];
         let known = if self.all_known { "all founders are" } else { "a few founders are" };
@@ -394,8 +398,8 @@
         for (at, event) in &self.events {
             writeln!(f, "  at {at:>6} ms: {event}")?;
         }
-        for ((from, to, number), mishap) in self.mishaps.iter().flatten() {
-            writeln!(f, "  message {number} from {from} to {to}: {mishap:?}")?;
+        for ((from, to, number), message_fault) in self.message_faults.iter().flatten() {
+            writeln!(f, "  message {number} from {from} to {to}: {message_fault:?}")?;
         }
         write!(f, "  at {:>6} ms: the faults are over", self.end)
     }
--- a/crates/model-checker/src/shrink.rs
+++ b/crates/model-checker/src/shrink.rs
@@ -1,48 +1,48 @@
-//! Shrinks a story that breaks an invariant to a short one that still does.
+//! Shrinks a schedule that breaks an invariant to a short one that still does.
 
+use crate::checker::Invariant;
 use crate::defects::Defect;
-use crate::judge::Invariant;
-use crate::story::{Event, Story};
-use crate::world::{play, Played};
+use crate::schedule::{Event, Schedule};
+use crate::simulation::{simulate, RunResult};
 use std::collections::BTreeSet;
 
-/// Most plays that one story is shrunk by.
-const PLAYS: usize = 3_000;
+/// Most runs that one schedule is shrunk by.
+const MAX_RUNS: usize = 3_000;
 
-struct Shrinking<'a> {
+struct Shrinker<'a> {
     defect: Option<Defect>,
-    but: &'a BTreeSet<Invariant>,
+    ignored: &'a BTreeSet<Invariant>,
     invariant: Invariant,
     plays: usize,
 }
 
-impl Shrinking<'_> {
-    fn breaks(&mut self, story: &Story) -> Option<Played> {
+impl Shrinker<'_> {
+    fn breaks(&mut self, schedule: &Schedule) -> Option<RunResult> {
         self.plays += 1;
-        if self.plays > PLAYS {
+        if self.plays > MAX_RUNS {
             return None;
         }
-        let played = play(story, self.defect, self.but, false);
-        let same = played.broken.as_ref().is_some_and(|broken| broken.invariant == self.invariant);
-        same.then_some(played)
+        let result = simulate(schedule, self.defect, self.ignored, false);
+        let same = result.violation.as_ref().is_some_and(|violation| violation.invariant == self.invariant);
+        same.then_some(result)
     }
 
-    /// Drops parts of a list, larger ones first, as long as the story still breaks.
+    /// Drops parts of a list, larger ones first, as long as the schedule still breaks.
     fn drop_parts(
         &mut self,
-        story: &mut Story,
-        count: fn(&Story) -> usize,
-        drop: fn(&mut Story, usize, usize),
+        schedule: &mut Schedule,
+        count: fn(&Schedule) -> usize,
+        drop: fn(&mut Schedule, usize, usize),
     ) -> bool {
         let mut any = false;
-        let mut size = count(story).next_power_of_two();
+        let mut size = count(schedule).next_power_of_two();
         while size > 0 {
             let mut from = 0;
-            while from < count(story) {
-                let mut shorter = story.clone();
+            while from < count(schedule) {
+                let mut shorter = schedule.clone();
                 drop(&mut shorter, from, size);
                 if self.breaks(&shorter).is_some() {
-                    *story = shorter;
+                    *schedule = shorter;
                     any = true;
                 } else {
                     from += size;
@@ -54,43 +54,43 @@
     }
 }
 
-/// The shortest story found that breaks the same invariant, how it plays, and in how many plays it was found.
+/// The shortest schedule found that breaks the same invariant, how it runs, and in how many runs it was found.
 pub fn shrink(
-    story: &Story,
+    schedule: &Schedule,
     defect: Option<Defect>,
-    but: &BTreeSet<Invariant>,
-) -> Option<(Story, Played, usize)> {
-    let first = play(story, defect, but, false);
-    let invariant = first.broken.as_ref()?.invariant;
-    let mut shrinking = Shrinking { defect, but, invariant, plays: 0 };
-    let mut best = story.clone();
-    // What befell single messages is named, so that the weather can go.
-    let mut named = story.clone();
-    named.mishaps = Some(first.mishaps.clone());
-    named.events.retain(|(_, event)| !matches!(event, Event::Weather { .. }));
-    if shrinking.breaks(&named).is_some() {
-        best = named;
+    ignored: &BTreeSet<Invariant>,
+) -> Option<(Schedule, RunResult, usize)> {
+    let first = simulate(schedule, defect, ignored, false);
+    let invariant = first.violation.as_ref()?.invariant;
+    let mut shrinking = Shrinker { defect, ignored, invariant, plays: 0 };
+    let mut best = schedule.clone();
+    // What happened to single messages is named, so that the network conditions can go.
+    let mut members_of = schedule.clone();
+    members_of.message_faults = Some(first.message_faults.clone());
+    members_of.events.retain(|(_, event)| !matches!(event, Event::NetworkConditions { .. }));
+    if shrinking.breaks(&members_of).is_some() {
+        best = members_of;
     }
     loop {
         let events = shrinking.drop_parts(
             &mut best,
-            |story| story.events.len(),
-            |story, from, size| {
-                let to = (from + size).min(story.events.len());
-                story.events.drain(from..to);
+            |schedule| schedule.events.len(),
+            |schedule, from, size| {
+                let to = (from + size).min(schedule.events.len());
+                schedule.events.drain(from..to);
             },
         );
-        let mishaps = shrinking.drop_parts(
+        let message_faults = shrinking.drop_parts(
             &mut best,
-            |story| story.mishaps.as_ref().map_or(0, std::collections::BTreeMap::len),
-            |story, from, size| {
-                if let Some(mishaps) = &mut story.mishaps {
-                    let keys: Vec<_> = mishaps.keys().skip(from).take(size).copied().collect();
-                    mishaps.retain(|key, _| !keys.contains(key));
+            |schedule| schedule.message_faults.as_ref().map_or(0, std::collections::BTreeMap::len),
+            |schedule, from, size| {
+                if let Some(message_faults) = &mut schedule.message_faults {
+                    let keys: Vec<_> = message_faults.keys().skip(from).take(size).copied().collect();
+                    message_faults.retain(|key, _| !keys.contains(key));
                 }
             },
         );
-        if !events && !mishaps {
+        if !events && !message_faults {
             break;
         }
     }
@@ -100,6 +100,6 @@
     if shrinking.breaks(&shorter).is_some() {
         best = shorter;
     }
-    let played = play(&best, defect, but, true);
-    Some((best, played, shrinking.plays))
+    let result = simulate(&best, defect, ignored, true);
+    Some((best, result, shrinking.plays))
 }
--- a/crates/model-checker/tests/digests.rs
+++ b/crates/model-checker/tests/digests.rs
@@ -1,8 +1,8 @@
-//! What stores decide over a thousand random plays, as digests of the spelling of the wire and the disk. A change of names
+//! What stores decide over a thousand random runs, as digests of the spelling of the wire and the disk. A change of names
 //! or shape leaves them as they are; a change of what stores do changes them, and gives the new ones in its commit.
 
-use ivygate_model_checker::story::Story;
-use ivygate_model_checker::world::digest;
+use ivygate_model_checker::schedule::Schedule;
+use ivygate_model_checker::simulation::digest;
 
 /// One digest a hundred seeds.
 const DIGESTS: [u64; 10] = [
@@ -20,8 +20,8 @@
 
 fn of_hundred(from: u64) -> u64 {
     (from..from + 100).fold(0, |all, seed| {
-        let story = Story::drawn(seed, 3 + (seed % 5) as usize);
-        all.rotate_left(7) ^ digest(&story)
+        let schedule = Schedule::drawn(seed, 3 + (seed % 5) as usize);
+        all.rotate_left(7) ^ digest(&schedule)
     })
 }
 
--- a/crates/model-checker/tests/small.rs
+++ b/crates/model-checker/tests/exhaustive.rs
@@ -1,31 +1,31 @@
 //! Small worlds, as far as a test run allows: the same states at each run.
 
+use ivygate_model_checker::checker::Invariant;
 use ivygate_model_checker::defects::Defect;
-use ivygate_model_checker::judge::Invariant;
-use ivygate_model_checker::small::{explore, is_founded, worlds, Bounds};
+use ivygate_model_checker::exhaustive::{explore, is_founded, small_worlds, WorldBounds};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Longer than any of these takes, so that no verdict hangs on it.
 const LONG: Duration = Duration::from_secs(3_600);
 
-fn world(name: &str) -> Bounds {
-    worlds().into_iter().find(|bounds| bounds.name == name).expect("there is such a world")
+fn world(name: &str) -> WorldBounds {
+    small_worlds().into_iter().find(|bounds| bounds.name == name).expect("there is such a world")
 }
 
 #[test]
 fn given_one_call_and_one_loss_when_all_ways_are_taken_then_no_invariant_breaks() {
     let explored = explore(&world("3-one-loss"), None, &BTreeSet::new(), u64::MAX, LONG, 2);
-    assert!(explored.broken.is_none(), "{:?}", explored.broken);
+    assert!(explored.violation.is_none(), "{:?}", explored.violation);
     assert!(explored.whole && explored.states > 5_000, "{explored:?}");
 }
 
 #[test]
 fn given_each_small_world_when_its_shorter_ways_are_taken_then_no_invariant_breaks() {
-    for bounds in worlds() {
+    for bounds in small_worlds() {
         assert!(is_founded(&bounds), "{}", bounds.name);
         let explored = explore(&bounds, None, &BTreeSet::new(), 1_500, LONG, 2);
-        assert!(explored.broken.is_none(), "{}: {:?}", bounds.name, explored.broken);
+        assert!(explored.violation.is_none(), "{}: {:?}", bounds.name, explored.violation);
         assert!(explored.whole || explored.states >= 1_500, "{}", bounds.name);
     }
 }
@@ -33,6 +33,7 @@
 #[test]
 fn given_a_store_that_lost_its_disk_and_goes_on_as_before_when_ways_are_taken_then_it_is_found() {
     let only = [Invariant::LossIsBorne].into();
-    let explored = explore(&world("3-two-calls-one-loss"), Some(Defect::OldLife), &only, 60_000, LONG, 2);
-    assert!(explored.broken.is_some(), "{} states", explored.states);
+    let explored =
+        explore(&world("3-two-calls-one-loss"), Some(Defect::OldIncarnation), &only, 60_000, LONG, 2);
+    assert!(explored.violation.is_some(), "{} states", explored.states);
 }
--- /dev/null
+++ b/crates/model-checker/tests/linearizability.rs
@@ -0,0 +1,68 @@
+//! Histories of one item, and whether an order explains them.
+
+use ivygate_model_checker::linearizability::{search, Confirmation, Entry, Operation, SearchResult};
+
+fn found(history: &[(f64, f64, Operation)]) -> SearchResult {
+    let entries: Vec<_> =
+        history.iter().cloned().map(|(begin, end, operation)| Entry { begin, end, operation }).collect();
+    search(&entries, 10_000)
+}
+
+const OK: Confirmation = Confirmation::Confirmed;
+
+#[test]
+fn given_a_confirmed_put_when_a_later_read_lacks_it_then_no_order_explains_it() {
+    let put = (0.0, 1.0, Operation::Put(2, 7, OK));
+    assert_eq!(found(&[put.clone(), (2.0, 3.0, Operation::Read(2, 7))]), SearchResult::Order);
+    assert_eq!(found(&[put.clone(), (2.0, 3.0, Operation::Read(0, 0))]), SearchResult::None);
+    // One that began before the put had ended may or may not have it.
+    assert_eq!(found(&[put, (0.5, 3.0, Operation::Read(0, 0))]), SearchResult::Order);
+}
+
+#[test]
+fn given_an_unclear_put_when_reads_have_it_or_not_then_it_took_at_one_moment_or_never() {
+    let put = (0.0, 1.0, Operation::Put(2, 7, Confirmation::Unclear));
+    let [with, without] = [Operation::Read(2, 7), Operation::Read(0, 0)];
+    assert_eq!(found(&[put.clone(), (2.0, 3.0, without.clone())]), SearchResult::Order);
+    assert_eq!(
+        found(&[put.clone(), (2.0, 3.0, without.clone()), (4.0, 5.0, with.clone())]),
+        SearchResult::Order
+    );
+    assert_eq!(found(&[put, (2.0, 3.0, with), (4.0, 5.0, without)]), SearchResult::None);
+}
+
+#[test]
+fn given_one_number_when_two_contents_are_confirmed_then_no_order_explains_it() {
+    let newer = (2.0, 3.0, Operation::Put(6, 1, OK));
+    let [one, other] = [Operation::Put(5, 1, OK), Operation::Put(5, 2, OK)];
+    assert_eq!(found(&[(0.0, 1.0, one.clone()), newer.clone(), (4.0, 5.0, other)]), SearchResult::None);
+    assert_eq!(found(&[(0.0, 1.0, one.clone()), newer.clone(), (4.0, 5.0, one)]), SearchResult::Order);
+    let refused = Operation::Put(5, 1, Confirmation::Refused);
+    assert_eq!(
+        found(&[(0.0, 1.0, Operation::Put(5, 1, OK)), newer, (4.0, 5.0, refused)]),
+        SearchResult::None
+    );
+}
+
+#[test]
+fn given_a_switch_when_it_seems_to_have_taken_twice_then_no_order_explains_it() {
+    let history = [
+        (0.0, 9.0, Operation::Switch(true, OK)),
+        (1.0, 2.0, Operation::ReadSwitch(true)),
+        (3.0, 4.0, Operation::Switch(false, OK)),
+        (10.0, 11.0, Operation::ReadSwitch(true)),
+    ];
+    assert_eq!(found(&history), SearchResult::None);
+    assert_eq!(found(&history[..3]), SearchResult::Order);
+}
+
+#[test]
+fn given_too_few_steps_when_a_history_is_searched_then_that_is_said() {
+    let entry =
+        |n: u32| Entry { begin: 0.0, end: f64::INFINITY, operation: Operation::Put(u64::from(n), 1, OK) };
+    let entries: Vec<_> = (1..30)
+        .map(entry)
+        .chain([Entry { begin: 0.0, end: 1.0, operation: Operation::Read(99, 9) }])
+        .collect();
+    assert_eq!(search(&entries, 100), SearchResult::Undecided);
+}
