--- a/crates/bench/src/bodies.rs
+++ b/crates/bench/src/bodies.rs
@@ -1,7 +1,7 @@
 //! Memory while large bodies pass: sent back by an application while they come.
 
 use crate::process::Process;
-use ivygate_standin::{read_head, Scripted};
+use ivygate_test_servers::{read_head, Scripted};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
--- a/crates/bench/src/isolation.rs
+++ b/crates/bench/src/isolation.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{ask, Seen};
 use crate::process::Process;
-use ivygate_standin::{App, Reply};
+use ivygate_test_servers::{App, Reply};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,7 +1,7 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
 use crate::scene::Scene;
-use ivygate_domains::{Degree, Guarded, Happening, Kind, Tally};
+use ivygate_failure_domains::{Degree, Guarded, Happening, Kind, Tally};
 use ivygate_gateway::{Action, Event, Gateway, Millis, RequestId, SettingsError};
 use std::collections::HashMap;
 
--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scene.rs
@@ -1,6 +1,6 @@
 //! What is played.
 
-use ivygate_domains::Policy;
+use ivygate_failure_domains::Policy;
 use ivygate_gateway::{Effect, KeyScope, Millis, Plan, RequestClass, RetryBudget, Settings};
 
 /// What a zone's servers, or the way to them, do wrong.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -3,7 +3,7 @@
 use crate::node::{Attempt, Node, Open};
 use crate::scene::{Fault, FaultKind, Scene, Talk, MIX, ZONES};
 use crate::server::{Job, Server};
-use ivygate_domains::Tally;
+use ivygate_failure_domains::Tally;
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, ListKind, Load, Millis, Outcome, RequestClass,
     ServerEntry, ServerState, SettingsError,
--- a/crates/domains/tests/judgement.rs
+++ b/crates/failure-domains/tests/judgement.rs
@@ -1,6 +1,6 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
-use ivygate_domains::{Degree, Domains, Guarded, Happening, Kind, Policy, Sign, Tally};
+use ivygate_failure_domains::{Degree, Domains, Guarded, Happening, Kind, Policy, Sign, Tally};
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
     ServerId, ServerState, Settings,
--- a/crates/fleet/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use ivygate_fleet::{
+use ivygate_fault_injection::{
     guard, measure, play_once, report, shipped, Figures, Form, Played, Program, Scenario, Select, Verdict,
 };
 use serde_json::json;
--- a/crates/fleet/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -1,6 +1,6 @@
 //! Each rule, broken in a made-up trace, is found; and nothing else is.
 
-use ivygate_fleet::*;
+use ivygate_fault_injection::*;
 
 fn rules() -> Rules {
     let class = |name, effect| Class { name, effect, work: 10.0, aim: 200.0, deadline: 1000.0, units: 2.0 };
--- a/crates/fleet/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -1,7 +1,7 @@
 //! The rig's own parts: links pass what they are given and nothing else, scenarios say where they are wrong, and what
 //! was started ends with the rig.
 
-use ivygate_fleet::{
+use ivygate_fault_injection::{
     measure, report, shipped, DatagramLink, Figures, Flow, Link, Played, Scenario, Span, Then, Trace,
     Verdict, Way,
 };
@@ -236,7 +236,7 @@
     let scenario = Scenario::parse(&text.replace("zone-cut", "<b>")).expect("sound");
     let mut trace = Trace::default();
     trace.faults.push(("cut & co".into(), Span { from: 1000.0, to: 2000.0 }));
-    let finding = ivygate_fleet::Finding { rule: "settles", what: "it <did> not".into() };
+    let finding = ivygate_fault_injection::Finding { rule: "settles", what: "it <did> not".into() };
     let (verdict, findings) = (Verdict::Broken, vec![finding]);
     let mut played = Played {
         verdict,
@@ -252,8 +252,15 @@
         assert!(page.contains(part), "{part}");
     }
     assert!(!page.contains("<x>") && !page.contains("<svg"));
-    let run =
-        ivygate_fleet::Run { id: 1, server: 0, node: 0, at: 500.0, work: 1.0, effect: true, declined: false };
+    let run = ivygate_fault_injection::Run {
+        id: 1,
+        server: 0,
+        node: 0,
+        at: 500.0,
+        work: 1.0,
+        effect: true,
+        declined: false,
+    };
     played.trace.runs.push(run);
     assert_eq!(report(&scenario, &played, 5).matches("<svg").count(), 2, "runs by zone and by server");
 }
--- a/crates/ivygate/src/demo.rs
+++ b/crates/ivygate/src/demo.rs
@@ -1,7 +1,7 @@
 //! `ivygate demo`: three stand-in applications and a sidecar in one process.
 
 use ivygate_sidecar::StartError;
-use ivygate_standin::{App, Message, Reply};
+use ivygate_test_servers::{App, Message, Reply};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program with faults between them, judged by what servers ran and clients got. The same plays
 //! with nodes that are told something wrong show that the judge sees it.
 
-use ivygate_fleet::{play_until_told, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
 use std::sync::{PoisonError, RwLock};
 
 /// Plays until the machine has had enough to spare for a verdict.
@@ -161,7 +161,8 @@
     ];
     let played = played("form = \"sidecar\"\nsign-in = true", &steps.concat());
     assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    let denied = played.trace.requests.iter().filter(|r| r.answer == ivygate_fleet::Answer::Denied).count();
+    let denied =
+        played.trace.requests.iter().filter(|r| r.answer == ivygate_fault_injection::Answer::Denied).count();
     let [before, during, _] = played.figures.phases;
     assert!(denied > 10 && before > during, "{denied} denied, {:?}", played.figures.phases);
 }
--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_standin::{until, App, Message, Reply};
+use ivygate_test_servers::{until, App, Message, Reply};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use support::{pool, Sidecar};
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_standin::{until, App, Message, Reply};
+use ivygate_test_servers::{until, App, Message, Reply};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_standin::{read_message, reset, until, App, Message, Reply, Scripted};
+use ivygate_test_servers::{read_message, reset, until, App, Message, Reply, Scripted};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of this")]
 
-pub use ivygate_standin::*;
+pub use ivygate_test_servers::*;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_standin::{until, App, Message, Reply};
+use ivygate_test_servers::{until, App, Message, Reply};
 use std::fs;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_fleet::{play_until_told, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/crates/group/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -1,7 +1,7 @@
 //! Members: who was heard, whose packets are old, and how much each may say.
 
 use crate::packet::{open, seal, Key, Packet, Unreadable};
-use ivygate_domains::Tally;
+use ivygate_failure_domains::Tally;
 use std::collections::HashMap;
 
 /// Most members; packets of further ones are dropped.
--- a/crates/group/src/packet.rs
+++ b/crates/peer-gossip/src/packet.rs
@@ -5,7 +5,7 @@
 //! each; then 16 bytes of HMAC-SHA256 over all before.
 
 use hmac::{Hmac, Mac};
-use ivygate_domains::Tally;
+use ivygate_failure_domains::Tally;
 use sha2::Sha256;
 use std::fmt;
 
--- a/crates/group/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -1,7 +1,7 @@
 //! Packets that are forged, replayed, broken, late, or too many.
 
-use ivygate_domains::Tally;
-use ivygate_group::{Dropped, Group, Key, PACKET_MOST};
+use ivygate_failure_domains::Tally;
+use ivygate_peer_gossip::{Dropped, Group, Key, PACKET_MOST};
 
 fn key(text: &str) -> Key {
     Key::new(text.as_bytes()).expect("long enough")
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -5,7 +5,7 @@
 use ivygate_control_state::{Item, Table};
 use ivygate_registry::{HeartbeatResponse, ServerRecord};
 use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
-use ivygate_standin::{read_message, reset, until, Client, Message, Scripted};
+use ivygate_test_servers::{read_message, reset, until, Client, Message, Scripted};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -2,7 +2,7 @@
 //! breaks the connection; a caller that has left.
 
 use ivygate_rpc::{json_response, serve, ErrorKind, Handler, RpcClient, RpcError, RpcServer};
-use ivygate_standin::{read_message, reset, Message, Scripted};
+use ivygate_test_servers::{read_message, reset, Message, Scripted};
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::{BufReader, Write};
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -9,7 +9,7 @@
     Answer, Ask, Clock, Driver, Head, Listing, Message, Payload, Reading, Seal, Target, TargetState,
     Upstream, UpstreamLimits,
 };
-use ivygate_standin::{read_message, reset, until, Message as Read, Scripted};
+use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
--- a/crates/planted/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,7 +1,7 @@
 //! Each defect that is put in on purpose is found by a scenario that comes with the rig, by the rule that it breaks; the
 //! same program without a defect keeps all rules there.
 
-use ivygate_fleet::{play_until_told, shipped, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, shipped, Played, Program, Scenario, Verdict};
 
 /// Plays a shipped scenario until the machine has had enough to spare for a verdict.
 fn played(name: &str, defect: Option<&str>) -> Played {
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -2,8 +2,8 @@
 
 use crate::front::Shared;
 use ivygate_config as config;
-use ivygate_domains::Tally;
-use ivygate_group::{Group, Key, PACKET_MOST};
+use ivygate_failure_domains::Tally;
+use ivygate_peer_gossip::{Group, Key, PACKET_MOST};
 use ivygate_runtime::Clock;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -130,7 +130,7 @@
     pub fn told(&self) -> Vec<Value> {
         let now = self.clock.now();
         let group = self.group.borrow();
-        let member = |member: &ivygate_group::Member| {
+        let member = |member: &ivygate_peer_gossip::Member| {
             json!({
                 "member": format!("{:016x}", member.name), "heard_ms_ago": (now - member.heard_at).round(),
                 "packets": member.packets,
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -2,7 +2,7 @@
 //! told of it.
 
 use ivygate_config as config;
-use ivygate_domains::{Belief, Degree, Guarded, Happening, Kind, Policy, Tally};
+use ivygate_failure_domains::{Belief, Degree, Guarded, Happening, Kind, Policy, Tally};
 use ivygate_gateway::{Action, Event, Gateway, Millis, Settings};
 use ivygate_runtime::Decisions;
 use serde_json::{json, Value};
