--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -93,11 +93,7 @@
                 .as_bytes(),
         );
         let (asked, one) = (now, &parents[candidates.iter().position(|c| *c == to).expect("one of them")]);
-        if !one.reached {
-            let gone = rng.bool();
-            now += PAUSE + if gone { 1.0 } else { WAIT };
-            follower.handle_failure(Timestamp::from_millis(now), to, gone);
-        } else {
+        if one.reached {
             let since = if life == one.life { since } else { 0 };
             let news = one.items.changes_since(since, Tables::all());
             let held = if news.is_empty() { 600.0 } else { 0.0 };
@@ -129,6 +125,10 @@
             if frozen {
                 sound_since.iter_mut().filter(|since| since.is_finite()).for_each(|since| *since = now);
             }
+        } else {
+            let gone = rng.bool();
+            now += PAUSE + if gone { 1.0 } else { WAIT };
+            follower.handle_failure(Timestamp::from_millis(now), to, gone);
         }
         turns += 1;
         fresh += u32::from(contact.age_ms(Timestamp::from_millis(now)) < OLD);
--- a/crates/config-store/src/service/replica.rs
+++ b/crates/config-store/src/service/replica.rs
@@ -178,7 +178,7 @@
     pub fn tick(self: &Rc<Self>) {
         self.reopen_disk();
         // A store whose disk has failed has nothing to do.
-        let _ = self.step(|store, now| store.tick(now));
+        let _ = self.step(super::super::store::Store::tick);
         let store = self.store.borrow();
         let status = store.status();
         if self.last_status.replace(status) != status {
@@ -204,7 +204,7 @@
 
     /// Begins to leave; tells whether it is worth waiting for another machine to take this member's place.
     pub fn leave(self: &Rc<Self>) -> bool {
-        self.step(|store, now| store.leave(now)).unwrap_or(false)
+        self.step(super::super::store::Store::leave).unwrap_or(false)
     }
 
     /// Whether nothing rests on this replica any more.
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -649,7 +649,7 @@
             attempts: inner.positive_or("attempts", Quantity::Count, 3.0) as u32,
             connections: inner.positive_or("connections", Quantity::Count, 128.0) as usize,
             requests: inner.positive_or("requests", Quantity::Count, 128.0) as usize,
-            buffered: inner.positive_or("buffered", Quantity::Size, 8.0 * 1048576.0) as usize,
+            buffered: inner.positive_or("buffered", Quantity::Size, 8.0 * 1_048_576.0) as usize,
             repeat_limit: inner.quantity_or("repeat-limit", Quantity::Size, 65536.0) as usize,
             connect: duration_or(&inner, "connect", 1_000.0),
             keep: duration_or(&inner, "keep", 4_000.0),
@@ -995,7 +995,7 @@
     claim
         .map_err(|error| {
             let error = Diagnostic::error("IV0052", error.to_string(), words[1].span, "no request can match");
-            inner.note(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"))
+            inner.note(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"));
         })
         .ok()
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -35,7 +35,14 @@
 pub fn size(text: &str) -> Result<f64, QuantityError> {
     scaled(
         text,
-        &[("B", 1.0), ("KiB", 1024.0), ("MiB", 1048576.0), ("GiB", 1073741824.0), ("kB", 1e3), ("MB", 1e6)],
+        &[
+            ("B", 1.0),
+            ("KiB", 1024.0),
+            ("MiB", 1_048_576.0),
+            ("GiB", 1_073_741_824.0),
+            ("kB", 1e3),
+            ("MB", 1e6),
+        ],
     )
 }
 
--- a/crates/control-state/tests/judged.rs
+++ b/crates/control-state/tests/judged.rs
@@ -20,7 +20,7 @@
     match u.int_in_range(0..=9)? {
         0 => {
             body["split"] =
-                json!([{ "backend": pick(u, &NAMES)?, "weight": 1 }, { "backend": "a", "weight": 0 }])
+                json!([{ "backend": pick(u, &NAMES)?, "weight": 1 }, { "backend": "a", "weight": 0 }]);
         }
         // A struct may also be written as a list.
         1 => body["split"] = json!([[pick(u, &NAMES)?, 1.0]]),
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -75,7 +75,7 @@
                     if let Happening::Turned { to, .. } = happening {
                         match to.degree {
                             Degree::Left | Degree::Leaving => {
-                                self.turns.push((now, to.zone.to_string(), true))
+                                self.turns.push((now, to.zone.to_string(), true));
                             }
                             Degree::Well => self.turns.push((now, to.zone.to_string(), false)),
                             _ => {}
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -335,7 +335,7 @@
                     self.send(node, number(&request), server as usize, give_up_at);
                 }
                 Action::Reject { request, .. } => {
-                    self.answered(node, number(&request), Some(Outcome::Rejected))
+                    self.answered(node, number(&request), Some(Outcome::Rejected));
                 }
                 Action::Fail { request } => self.answered(node, number(&request), None),
                 Action::Cancel { request, attempt } => {
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -304,11 +304,11 @@
 }
 
 fn in_words(played: &Played) {
+    const SHOWN: usize = 12;
     say!("{}", worded(&played.figures));
     for (fault, span) in &played.trace.faults {
         say!("  {:5.1} to {:5.1} s  {fault}", span.from / 1000.0, span.to / 1000.0);
     }
-    const SHOWN: usize = 12;
     for finding in played.findings.iter().take(SHOWN) {
         say!("  {}: {}", finding.rule, finding.what);
     }
@@ -323,7 +323,7 @@
                 "void: the generator was {:.0} ms late, the rig stood still for {:.0} ms; this machine has too little to spare",
                 played.figures.late,
                 played.figures.still
-            )
+            );
         }
     }
 }
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -233,10 +233,10 @@
                 ));
             }
             Answer::Wrong => {
-                found.push(finding(rule, format!("request {id} of node {node}: not what a server made")))
+                found.push(finding(rule, format!("request {id} of node {node}: not what a server made")));
             }
             _ if request.answers > 1 => {
-                found.push(finding(rule, format!("request {id}: {} answers", request.answers)))
+                found.push(finding(rule, format!("request {id}: {} answers", request.answers)));
             }
             _ if request.ended > end => {
                 found.push(finding(rule, format!("request {id}: {:.0} ms late", request.ended - end)));
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -443,10 +443,10 @@
             for fault in holding {
                 match fault {
                     Fault::Slow(servers, whom, times) if servers.has(number) => {
-                        slow.push((whom.clone(), *times))
+                        slow.push((whom.clone(), *times));
                     }
                     Fault::Wrong(servers, whom, part) if servers.has(number) => {
-                        wrong.push((whom.clone(), *part))
+                        wrong.push((whom.clone(), *part));
                     }
                     Fault::Swallow(servers, whom) if servers.has(number) => swallows.push(whom.clone()),
                     Fault::Crash(servers) => up &= !servers.has(number),
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -298,7 +298,7 @@
                 let tried = self.attempts.contains_key(&(side, request));
                 match side {
                     Side::Service => {
-                        self.gate(number, if tried { Input::Unanswered } else { Input::Refused })
+                        self.gate(number, if tried { Input::Unanswered } else { Input::Refused });
                     }
                     Side::Application => self.answer_once(number),
                 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -512,6 +512,9 @@
 
 /// Random legal days: every request gets one final answer, effects do not repeat, the same events give
 /// the same actions.
+/// For each attempt its server, time-out and outcome.
+type Sent = Vec<(ServerId, f64, Option<Outcome>)>;
+
 #[test]
 fn rules_hold_on_random_days() {
     for seed in 0..30 {
@@ -530,8 +533,7 @@
     let mut states = [ServerState::Ready; 6];
     let mut rig =
         Rig::new(settings, (0..6).map(|id| member(id, id % 2, ServerState::Ready)).collect::<Vec<_>>());
-    // Per request: class, answered, and for each attempt its server, time-out and outcome.
-    type Sent = Vec<(ServerId, f64, Option<Outcome>)>;
+    // Per request: class, answered, and what was sent.
     let mut requests: BTreeMap<RequestId, (usize, bool, Sent, f64)> = BTreeMap::new();
     let (mut log, mut now, mut tick) = (Vec::new(), 0.0, 20.0);
     for step in 0..1_500 {
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -9,6 +9,8 @@
     played_by(4, 4, extra, steps)
 }
 
+static MACHINE: RwLock<()> = RwLock::new(());
+
 fn played_by(nodes: usize, servers: usize, extra: &str, steps: &str) -> Played {
     let text = format!(
         "name = \"test\"\nabout = \"a test\"\nseed = 5\nlength = \"5s\"\nsettle = \"1s\"\nnodes = {nodes}\nservers = {servers}\n\
@@ -17,7 +19,6 @@
     let scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     let program = Program { program: env!("CARGO_BIN_EXE_ivygate").into(), ..Program::default() };
     // A large fleet whose processes start by the dozen is played alone: beside others it has too little of a machine.
-    static MACHINE: RwLock<()> = RwLock::new(());
     let large = nodes > 4;
     let _alone = large.then(|| MACHINE.write().unwrap_or_else(PoisonError::into_inner));
     let _beside = (!large).then(|| MACHINE.read().unwrap_or_else(PoisonError::into_inner));
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -32,7 +32,7 @@
 ) -> Rig {
     let (asked, got) = (Arc::<Mutex<Vec<Message>>>::default(), Arc::<Mutex<Vec<Message>>>::default());
     let noted = |into: &Arc<Mutex<Vec<Message>>>, message: &Message| {
-        into.lock().expect("a list").push(message.clone())
+        into.lock().expect("a list").push(message.clone());
     };
     let accounts = {
         let asked = asked.clone();
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -184,7 +184,7 @@
         let said = std::sync::Arc::<std::sync::Mutex<Vec<String>>>::default();
         let hears = said.clone();
         std::thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|l| hears.lock().expect("no panic").push(l))
+            lines.map_while(Result::ok).for_each(|l| hears.lock().expect("no panic").push(l));
         });
         Self { address, config: path, said, child }
     }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    fn apply(to: &mut Vec<u8>, offset: u64, data: &Option<Vec<u8>>) {
+    fn apply(to: &mut Vec<u8>, offset: u64, data: Option<&Vec<u8>>) {
         match data {
             None => to.resize(offset as usize, 0),
             Some(data) => {
@@ -56,9 +56,9 @@
                 (0, _) => {}
                 (1, Some(data)) => {
                     let torn = data[..rng.usize(0..=data.len())].to_vec();
-                    Self::apply(&mut left, *offset, &Some(torn));
+                    Self::apply(&mut left, *offset, Some(&torn));
                 }
-                _ => Self::apply(&mut left, *offset, data),
+                _ => Self::apply(&mut left, *offset, data.as_ref()),
             }
         }
         // A file never ends before what was synced.
@@ -83,7 +83,7 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         let disk = &mut *self.0.lock().unwrap();
         disk.step()?;
-        Disk::apply(&mut disk.cached, len, &None);
+        Disk::apply(&mut disk.cached, len, None);
         disk.unsynced.push((len, None));
         Ok(())
     }
@@ -100,7 +100,7 @@
         let disk = &mut *self.0.lock().unwrap();
         disk.step()?;
         let data = Some(data.to_vec());
-        Disk::apply(&mut disk.cached, offset, &data);
+        Disk::apply(&mut disk.cached, offset, data.as_ref());
         disk.unsynced.push((offset, data));
         Ok(())
     }
--- a/crates/model-checker/src/exhaustive.rs
+++ b/crates/model-checker/src/exhaustive.rs
@@ -471,9 +471,9 @@
     }
 }
 
-fn path(last: &Option<Arc<Path>>) -> Vec<String> {
+fn path(last: Option<&Arc<Path>>) -> Vec<String> {
     let mut lines = Vec::new();
-    let mut at = last.as_ref();
+    let mut at = last;
     while let Some(path) = at {
         lines.push(path.confirmation.clone());
         at = path.before.as_ref();
@@ -544,7 +544,7 @@
             layer.extend(next);
             if let (None, Some(state)) = (&explored.violation, violation) {
                 explored.violation =
-                    state.checker.violation.clone().map(|violation| (violation, path(&state.path)));
+                    state.checker.violation.clone().map(|violation| (violation, path(state.path.as_ref())));
             }
         }
         if over.load(Ordering::Relaxed) {
--- a/crates/model-checker/src/simulation/events.rs
+++ b/crates/model-checker/src/simulation/events.rs
@@ -11,10 +11,10 @@
                 self.call(*store, op);
             }
             Event::MachineFault(n, Trigger::Now, machine_fault) if here(n) => {
-                self.machine_fault(*n, *machine_fault)
+                self.machine_fault(*n, *machine_fault);
             }
             Event::MachineFault(n, trigger, machine_fault) if here(n) => {
-                self.machines[*n].armed_faults.push((*trigger, *machine_fault))
+                self.machines[*n].armed_faults.push((*trigger, *machine_fault));
             }
             Event::Cut(from, to, time) if from != to => {
                 let link = self.links.entry((*from, *to)).or_default();
@@ -71,7 +71,7 @@
                 }
             }
             Event::NetworkConditions { time, .. } => {
-                self.network_conditions.push((now + time, event.clone()))
+                self.network_conditions.push((now + time, event.clone()));
             }
             _ => {}
         }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -141,7 +141,7 @@
                 self.snapshot.replace(snapshot);
             }
             Err(error) => {
-                tracing::error!(%error, "configuration can't be read, the previous one stays in force")
+                tracing::error!(%error, "configuration can't be read, the previous one stays in force");
             }
         }
     }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -93,7 +93,7 @@
 
 /// The only zones that may serve a request; `None` for all.
 fn allowed_zones(route: &ResolvedRoute, tenant: Option<&ResolvedTenant>) -> Result<Option<Zones>, Rejection> {
-    let zones = common_zones(&route.zones, &tenant.and_then(|tenant| tenant.zones.clone()));
+    let zones = common_zones(route.zones.as_ref(), tenant.and_then(|tenant| tenant.zones.as_ref()));
     if zones.as_ref().is_some_and(|zones| zones.is_empty()) {
         // No server may have it while route and tenant are as they are.
         let reason = "the route's and the tenant's home regions have none in common";
--- a/crates/proxy/src/routing_snapshot.rs
+++ b/crates/proxy/src/routing_snapshot.rs
@@ -67,7 +67,7 @@
 }
 
 /// The zones that both allow.
-pub(crate) fn common_zones(a: &Option<Zones>, b: &Option<Zones>) -> Option<Zones> {
+pub(crate) fn common_zones(a: Option<&Zones>, b: Option<&Zones>) -> Option<Zones> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.iter().filter(|zone| b.contains(zone)).cloned().collect()),
         (Some(zones), None) | (None, Some(zones)) => Some(zones.clone()),
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -559,7 +559,7 @@
     fn carry_out(self: &Rc<Self>, state: &mut State, action: Action, now: Millis) {
         match action {
             Action::Send { request, server, give_up_at } => {
-                self.send(state, request, server, give_up_at, now)
+                self.send(state, request, server, give_up_at, now);
             }
             Action::Reject { request, retry_after, reason } => {
                 let tried = state.requests.get(&request).is_some_and(|open| !open.attempts.is_empty());
--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -192,7 +192,7 @@
         }
         let colon = line.iter().position(|b| *b == b':').ok_or(Flaw::Name)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
-        if name.is_empty() || name.iter().any(|b| b.is_ascii_whitespace()) {
+        if name.is_empty() || name.iter().any(u8::is_ascii_whitespace) {
             return Err(Flaw::Name);
         }
         if name.eq_ignore_ascii_case(b"content-length") {
--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -129,7 +129,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        let rest = self.rest.as_ref().is_none_or(|rest| rest.is_end_stream());
+        let rest = self.rest.as_ref().is_none_or(hyper::body::Body::is_end_stream);
         self.held.is_empty() && self.trailers.is_none() && rest
     }
 
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -383,7 +383,7 @@
                 Err(Broken::Lost) if progress.sent.broken_off.get() => return End::bare(Outcome::NeverSent),
                 Err(Broken::Lost) if progress.may_have_run() => return End::bare(Outcome::Reset),
                 // Not a byte was written, so taking another connection sends nothing again.
-                Err(Broken::Lost) if reused && !progress.has_written() => continue,
+                Err(Broken::Lost) if reused && !progress.has_written() => {}
                 Err(Broken::Lost) => return End::bare(Outcome::ConnectFailed),
             }
         }
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -109,7 +109,7 @@
         let site = shared.site.borrow().clone();
         let (mut due, mut words) = (false, Vec::new());
         for (name, pool) in &site.pools {
-            if let Some(word) = pool.zones.as_ref().and_then(|zones| zones.poll_word()) {
+            if let Some(word) = pool.zones.as_ref().and_then(super::zones::Zones::poll_word) {
                 due = true;
                 words.extend(word.into_iter().map(|tally| (name.clone(), tally)));
             }
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -624,13 +624,13 @@
             Some(journal) if journal.synced => "synced",
             Some(_) => "written",
         };
-        type Journal = ivygate_config::Journal;
-        let of = |model: &Model, told: &dyn Fn(&Journal) -> String| {
+        let of = |model: &Model, told: &dyn Fn(&ivygate_config::Journal) -> String| {
             model.journal.as_ref().map_or("none".to_owned(), told)
         };
-        let pair = |name: &'static str, told: &dyn Fn(&Journal) -> String, risk: Option<&'static str>| {
-            row(name, of(old, told), of(new, told), risk)
-        };
+        let pair =
+            |name: &'static str,
+             told: &dyn Fn(&ivygate_config::Journal) -> String,
+             risk: Option<&'static str>| { row(name, of(old, told), of(new, told), risk) };
         let operator =
             |model: &Model| model.operator.as_ref().map_or("none".into(), |o| o.address.to_string());
         let group = |model: &Model| {
