--- a/crates/config-store/src/commands.rs
+++ b/crates/config-store/src/commands.rs
@@ -3,7 +3,8 @@
 use crate::member::Member;
 use crate::membership::Membership;
 use crate::messages::{Command, CommandOutcome};
-use crate::proposer::{Draft, PendingCommand, COMMAND_TIMEOUT};
+use crate::proposer::{PendingCommand, COMMAND_TIMEOUT};
+use crate::round::Draft;
 use crate::store::Store;
 use ivygate_control_state::{apply_update, ConfigUpdate, Item, Items, Table};
 use ivygate_rpc::RpcError;
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -30,6 +30,7 @@
 mod messages;
 mod peers;
 mod proposer;
+mod round;
 mod service;
 mod snapshot_transfer;
 mod store;
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -11,9 +11,10 @@
 use crate::membership::Membership;
 use crate::messages::{AcceptedProposal, Ballot, Command, CommandId, CommandOutcome, PeerRequest};
 use crate::peers::MIN_PROBE_INTERVAL;
+use crate::round::{Draft, Preparation, Promise, Proposal, Round};
 use crate::snapshot_transfer::MAX_CHUNK_ITEMS;
 use crate::store::Store;
-use ivygate_control_state::{Item, Items};
+use ivygate_control_state::Item;
 use ivygate_rpc::{ErrorKind, RpcError};
 use ivygate_time::{millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,10 +22,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A phase of a round that takes longer has failed: several ways there and back.
-const ROUND_TIMEOUT: Duration = Duration::from_millis(900);
-/// A phase takes so much longer for each item that it carries: far links have small windows.
-const TRANSFER_TIME_PER_ITEM: Duration = Duration::from_micros(500);
 /// A command that has been pending for longer is rejected: operators go elsewhere after a second.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// Backoff after a preempted round, drawn between these and doubled for each that was preempted since: two ways there and
@@ -32,8 +29,6 @@
 const MIN_ROUND_BACKOFF: Duration = Duration::from_millis(40);
 const MAX_ROUND_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// A round that makes a machine a member waits this long for its acceptance before it does without.
-const JOINING_MEMBER_GRACE: Duration = Duration::from_millis(400);
 /// Most pending commands.
 const MAX_PENDING_COMMANDS: usize = 256;
 
@@ -48,103 +43,6 @@
     pub first_version: Option<u64>,
 }
 
-/// A promise of an acceptor, without its items.
-#[derive(Clone, Debug)]
-struct Promise {
-    accepted: Option<AcceptedProposal>,
-    /// The highest round that the acceptor knows to be chosen.
-    chosen: Ballot,
-}
-
-/// Phase 1 of a round.
-#[derive(Clone, Debug)]
-struct Preparation {
-    ballot: Ballot,
-    since: Timestamp,
-    /// The membership, a quorum of which has to promise.
-    membership: Membership,
-    /// A membership that an earlier round may have put in its place, or that this round will: its quorum has to promise too.
-    next: Option<Membership>,
-    promises: BTreeMap<Member, Promise>,
-}
-
-impl Preparation {
-    fn has_quorum(&self) -> bool {
-        let promised = self.promised_by();
-        self.membership.is_quorum(&promised)
-            && self.next.as_ref().is_none_or(|next| next.is_quorum(&promised))
-    }
-
-    fn promised_by(&self) -> BTreeSet<Member> {
-        self.promises.keys().copied().collect()
-    }
-
-    /// The highest proposal accepted above what is chosen. It may have been chosen, so this round builds on it; what lower
-    /// rounds had accepted is contained in it, or was never chosen.
-    fn highest_accepted(&self, chosen: Ballot) -> Option<&AcceptedProposal> {
-        let accepted = self.promises.values().filter_map(|promise| promise.accepted.as_ref());
-        accepted.filter(|accepted| accepted.ballot > chosen).max_by_key(|accepted| accepted.ballot)
-    }
-}
-
-/// Phase 2 of a round: items are being accepted.
-#[derive(Clone, Debug)]
-struct Proposal {
-    ballot: Ballot,
-    since: Timestamp,
-    items: Vec<Arc<Item>>,
-    /// The membership before the round, and after it.
-    membership: Membership,
-    next: Membership,
-    accepted_by: BTreeSet<Member>,
-    /// Completed once the items are chosen.
-    commands: Vec<EvaluatedCommand>,
-}
-
-impl Proposal {
-    fn is_chosen(&self) -> bool {
-        self.membership.is_quorum(&self.accepted_by) && self.next.is_quorum(&self.accepted_by)
-    }
-
-    fn waits_for_joining_member(&self, now: Timestamp) -> bool {
-        let lacks = |member: Member| !self.membership.contains(member) && !self.accepted_by.contains(&member);
-        self.next.iter().any(lacks) && now < self.since + JOINING_MEMBER_GRACE
-    }
-
-    fn deadline(&self) -> Timestamp {
-        self.since + ROUND_TIMEOUT + TRANSFER_TIME_PER_ITEM * self.items.len() as u32
-    }
-}
-
-/// The replica's own round.
-#[derive(Clone, Debug)]
-enum Round {
-    /// None is under way.
-    Idle,
-    /// Phase 1.
-    Preparing(Preparation),
-    /// Phase 2.
-    Accepting(Box<Proposal>),
-}
-
-/// The register as a round leaves it, and the items that make it so.
-#[derive(Debug)]
-pub(crate) struct Draft {
-    /// The register with the items applied.
-    pub register: Items,
-    /// The round's items.
-    pub items: Vec<Arc<Item>>,
-}
-
-impl Draft {
-    /// Adds an item to the round.
-    pub fn put(&mut self, item: Item) {
-        let item = Arc::new(item);
-        self.register.merge_shared(item.clone());
-        self.items.push(item);
-    }
-}
-
 /// The proposer's state.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
@@ -192,22 +90,6 @@
         matches!(&self.round, Round::Preparing(preparation) if preparation.since == now)
     }
 
-    fn current_ballot(&self) -> Option<Ballot> {
-        match &self.round {
-            Round::Idle => None,
-            Round::Preparing(preparation) => Some(preparation.ballot),
-            Round::Accepting(proposal) => Some(proposal.ballot),
-        }
-    }
-
-    fn round_deadline(&self) -> Option<Timestamp> {
-        match &self.round {
-            Round::Idle => None,
-            Round::Preparing(preparation) => Some(preparation.since + ROUND_TIMEOUT),
-            Round::Accepting(proposal) => Some(proposal.deadline()),
-        }
-    }
-
     fn is_idle(&self) -> bool {
         matches!(self.round, Round::Idle)
     }
@@ -264,7 +146,7 @@
         chosen: Ballot,
         items: Option<Vec<Arc<Item>>>,
     ) {
-        if self.proposer.current_ballot() != Some(ballot) {
+        if self.proposer.round.ballot() != Some(ballot) {
             return;
         }
         match items {
@@ -302,7 +184,7 @@
     /// An acceptor has promised a higher round, or knows one to be chosen.
     pub(crate) fn handle_nack(&mut self, now: Timestamp, ballot: Ballot, promised: Ballot) {
         self.proposer.note_counter(promised);
-        if self.proposer.current_ballot() == Some(ballot) && promised > ballot {
+        if self.proposer.round.ballot() == Some(ballot) && promised > ballot {
             self.abandon_round(now);
         }
     }
@@ -484,7 +366,7 @@
 
     /// Ends the round if it is chosen or out of time.
     pub(crate) fn tick_round(&mut self, now: Timestamp) {
-        let deadline = self.proposer.round_deadline();
+        let deadline = self.proposer.round.deadline();
         self.finish_round_if_chosen(now);
         if deadline.is_some_and(|deadline| now > deadline) && !self.proposer.is_idle() {
             self.abandon_round(now);
--- a/crates/failure-domains/tests/judgement.rs
+++ b/crates/failure-domains/tests/judgement.rs
@@ -267,18 +267,7 @@
         initial_work: Some(20.0),
         key_window: 0.0,
     };
-    let plan = Plan {
-        name: "plain".into(),
-        rate: 0.0,
-        burst: 0.0,
-        max_in_flight: 0,
-        price: 1.0,
-        excess_value: 0.0,
-        excess_cost: 1.0,
-        limit_rate: 0.0,
-        limit_burst: 0.0,
-        limit_slack: 0.0,
-    };
+    let plan = Plan::unlimited("plain");
     Settings {
         gateways: 1,
         rank: 0,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -45,18 +45,7 @@
         initial_work: None,
         key_window: 0.0,
     };
-    let plan = Plan {
-        name: "all".to_owned(),
-        rate: 0.0,
-        burst: 0.0,
-        max_in_flight: 0,
-        price: 1.0,
-        excess_value: 0.0,
-        excess_cost: 1.0,
-        limit_rate: 0.0,
-        limit_burst: 0.0,
-        limit_slack: 0.0,
-    };
+    let plan = Plan::unlimited("all");
     let settings = Settings {
         gateways: 1,
         rank: 0,
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -284,7 +284,6 @@
 
 fn plan(plan: &config::Plan) -> Plan {
     Plan {
-        name: plan.name.clone(),
         rate: plan.quota,
         burst: plan.burst,
         max_in_flight: plan.open,
@@ -294,5 +293,6 @@
         limit_rate: plan.ceiling,
         limit_burst: plan.ceiling_burst,
         limit_slack: plan.ceiling_slack,
+        ..Plan::unlimited(plan.name.clone())
     }
 }
