--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -3,6 +3,7 @@
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Event, Gateway, ListKind, Load, Outcome, ServerEntry, ServerState, Setup,
 };
+use ivygate_time::Timestamp;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, BufRead, Write};
@@ -134,7 +135,7 @@
         }
         let Some(event) = self.event(&m)? else { return Ok(()) };
         let gateway = self.gateways.get_mut(&node).ok_or_else(|| m.bad("node", &"not enlisted"))?;
-        gateway.handle(now, event, &mut self.actions);
+        gateway.handle(Timestamp::from_millis(now), event, &mut self.actions);
         for action in self.actions.drain(..) {
             write_action(output, node, &action)?;
         }
@@ -164,7 +165,7 @@
                 class: m.text("cls")?.into(),
                 plan: m.text("gradeOfService")?.into(),
                 customer: m.text("holder")?.into(),
-                deadline: m.number("deadlineMs")?,
+                deadline: Timestamp::from_millis(m.number("deadlineMs")?),
                 units: m.number_or("priceUnits", 1.0)?,
                 gateways: m.small_or("width", 1)?,
                 zones: None,
@@ -207,7 +208,7 @@
             other => return Err(m.bad("status", &format!("unknown value '{other}'"))),
         },
         weight: m.number_or("units", 1.0)?,
-        started_at: Some(m.number_or("lastStartMs", 0.0)?).filter(|t| *t != 0.0),
+        started_at: Some(m.number_or("lastStartMs", 0.0)?).filter(|t| *t != 0.0).map(Timestamp::from_millis),
         distance_cost: 0.0,
         slow_start: None,
     })
@@ -246,9 +247,10 @@
 fn write_action(output: &mut impl Write, node: u64, action: &Action) -> io::Result<()> {
     match action {
         Action::Send { request, server, give_up_at } => {
+            let cut_at_ms = give_up_at.as_millis();
             writeln!(
                 output,
-                "hand_off node={node} requestId={request} server={server} cutAtMs={give_up_at:.3}"
+                "hand_off node={node} requestId={request} server={server} cutAtMs={cut_at_ms:.3}"
             )
         }
         Action::Reject { request, retry_after, .. } => {
@@ -259,7 +261,9 @@
             writeln!(output, "drop_attempt node={node} requestId={request} copy={attempt}")
         }
         Action::CheckHealth { server } => writeln!(output, "ping node={node} server={server}"),
-        Action::Timer { token, at } => writeln!(output, "timer node={node} ctx={token} instantMs={at:.3}"),
+        Action::Timer { token, at } => {
+            writeln!(output, "timer node={node} ctx={token} instantMs={:.3}", at.as_millis())
+        }
         Action::Subscribe => writeln!(output, "keep_informed node={node} active=1"),
         Action::Log { text } => writeln!(output, "write_log node={node} what={text}"),
     }
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -2,7 +2,8 @@
 
 use crate::scene::Scene;
 use ivygate_failure_domains::{Degree, Guarded, Happening, Kind, Tally};
-use ivygate_gateway::{Action, Event, Gateway, Millis, RequestId, SettingsError};
+use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
+use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
 
 pub enum Decisions {
@@ -61,16 +62,17 @@
     /// Another process tells something.
     pub fn hear(&mut self, now: Millis, author: usize, tallies: &[Tally]) {
         if let Decisions::Guarded(guarded) = &mut self.decisions {
-            guarded.handle_word(now, author as u64, tallies);
+            guarded.handle_word(Timestamp::from_millis(now), author as u64, tallies);
         }
     }
 
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
+        let at = Timestamp::from_millis(now);
         match &mut self.decisions {
-            Decisions::Alone(gateway) => gateway.handle(now, event, &mut actions),
+            Decisions::Alone(gateway) => gateway.handle(at, event, &mut actions),
             Decisions::Guarded(guarded) => {
-                guarded.handle(now, event, &mut actions);
+                guarded.handle(at, event, &mut actions);
                 while let Some(happening) = guarded.poll_happening() {
                     if let Happening::Turned { to, .. } = happening {
                         match to.degree {
--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scene.rs
@@ -1,7 +1,8 @@
 //! What is played.
 
 use ivygate_failure_domains::Policy;
-use ivygate_gateway::{Effect, KeyScope, Millis, Plan, RequestClass, RetryBudget, Settings};
+use ivygate_gateway::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings};
+use ivygate_time::Millis;
 
 /// What a zone's servers, or the way to them, do wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,7 +1,7 @@
 //! A made-up app server: so many workers, a queue, a cold start.
 
 use crate::scene::{COLD_FROM, WARM};
-use ivygate_gateway::Millis;
+use ivygate_time::Millis;
 use std::collections::VecDeque;
 
 /// Requests that wait for each worker, at most.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -5,9 +5,10 @@
 use crate::server::{Job, Server};
 use ivygate_failure_domains::Tally;
 use ivygate_gateway::{
-    Action, Arrival, AttemptResult, Effect, Event, ListKind, Load, Millis, Outcome, RequestClass,
-    ServerEntry, ServerState, SettingsError,
+    Action, Arrival, AttemptResult, Effect, Event, ListKind, Load, Outcome, RequestClass, ServerEntry,
+    ServerState, SettingsError,
 };
+use ivygate_time::{Millis, Timestamp};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::rc::Rc;
@@ -302,7 +303,7 @@
             class: self.classes[class].name.as_str().into(),
             plan: "plain".into(),
             customer: customer.to_string().into(),
-            deadline: deadline - 12.0,
+            deadline: Timestamp::from_millis(deadline - 12.0),
             units: 1.0,
             gateways: self.scene.nodes as u32,
             zones: None,
@@ -332,7 +333,7 @@
         for action in self.nodes[node].handle(self.now, event) {
             match action {
                 Action::Send { request, server, give_up_at } => {
-                    self.send(node, number(&request), server as usize, give_up_at);
+                    self.send(node, number(&request), server as usize, give_up_at.as_millis());
                 }
                 Action::Reject { request, .. } => {
                     self.answered(node, number(&request), Some(Outcome::Rejected));
@@ -342,7 +343,7 @@
                     self.at(self.now, What::Back(node, number(&request), attempt, Outcome::Cancelled));
                 }
                 Action::CheckHealth { server } => self.probe(node, server as usize),
-                Action::Timer { token, at } => self.at(at, What::Timer(node, token)),
+                Action::Timer { token, at } => self.at(at.as_millis(), What::Timer(node, token)),
                 Action::Subscribe | Action::Log { .. } => {}
             }
         }
--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -4,7 +4,8 @@
 
 use crate::evidence::{Evidence, Finding, Sign, ALARM, SUSPECT};
 use crate::hearsay::{Hearsay, Voices};
-use ivygate_gateway::{Millis, ServerId};
+use ivygate_gateway::ServerId;
+use ivygate_time::{Millis, Timestamp};
 use std::sync::Arc;
 
 /// Part of the safe requests that still goes to a suspect domain: without any nothing more would be learned.
@@ -98,7 +99,7 @@
     /// The degree.
     pub degree: Degree,
     /// Since when, on the caller's clock.
-    pub since: Millis,
+    pub since: Timestamp,
     /// Part of the safe requests, and of the others, that may go there.
     pub shares: (f64, f64),
     /// What the last change rested on.
@@ -125,7 +126,7 @@
 /// What else a domain's next step depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Around {
-    pub now: Millis,
+    pub now: Timestamp,
     /// Whether domains are left by signs at all.
     pub automatic: bool,
     /// All signs of all domains are of one customer.
@@ -150,12 +151,12 @@
     /// Servers that take requests, and their weights together.
     pub servers: usize,
     pub weight: f64,
-    since: Millis,
+    since: Timestamp,
     /// Earliest next step.
-    until: Millis,
+    until: Timestamp,
     /// Part of the requests that may go there, on the way out of a slow domain and on the way back.
     level: f64,
-    level_at: Millis,
+    level_at: Timestamp,
     failed_again: u32,
     because: Finding,
     voices: Voices,
@@ -163,7 +164,7 @@
 }
 
 impl Domain {
-    pub fn new(zone: Arc<str>, now: Millis, seed: u64) -> Self {
+    pub fn new(zone: Arc<str>, now: Timestamp, seed: u64) -> Self {
         Self {
             zone,
             degree: Degree::Well,
@@ -186,7 +187,7 @@
         time * (1.0 + JITTER * (2.0 * self.jitter.f64() - 1.0))
     }
 
-    fn turn(&mut self, now: Millis, degree: Degree, because: Finding) {
+    fn turn(&mut self, now: Timestamp, degree: Degree, because: Finding) {
         (self.degree, self.since, self.because) = (degree, now, because);
         self.voices = self.hearsay.voices(now);
         (self.until, self.level_at) = (now, now);
@@ -195,15 +196,15 @@
         }
     }
 
-    fn leave(&mut self, now: Millis, because: Finding, again: bool) {
+    fn leave(&mut self, now: Timestamp, because: Finding, again: bool) {
         self.failed_again = if again { (self.failed_again + 1).min(16) } else { self.failed_again };
         self.turn(now, Degree::Left, because);
         let away = (AWAY_FIRST * f64::from(1u32 << self.failed_again)).min(AWAY_LAST);
-        self.until = now + self.jittered(away);
+        self.until = now.plus_millis(self.jittered(away));
     }
 
     /// Takes it out by hand, or begins the way back.
-    pub fn handle_works(&mut self, now: Millis, works: bool) {
+    pub fn handle_works(&mut self, now: Timestamp, works: bool) {
         match (works, self.degree == Degree::Works) {
             (true, false) => self.turn(now, Degree::Works, Finding::default()),
             (false, true) => self.turn(now, Degree::Tried, Finding::default()),
@@ -212,7 +213,7 @@
     }
 
     /// Takes in a sign.
-    pub fn handle_sign(&mut self, now: Millis, number: u64, server: ServerId, customer: u64, sign: Sign) {
+    pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
         if self.degree == Degree::Well {
             self.evidence.learn(sign);
         }
@@ -249,7 +250,7 @@
         let found = self.evidence.finding(now, self.servers, around.lone, around.others);
         // What bears another's load may well be slow.
         let bears = || {
-            let (good, bad) = self.evidence.since(now - BEARING_TIME);
+            let (good, bad) = self.evidence.since(now.minus_millis(BEARING_TIME));
             good == 0 && bad >= BEARING
         };
         let sure = !found.slow || found.score >= SLOW_CAUTION * ALARM;
@@ -277,23 +278,23 @@
             Degree::Well => {
                 if told || found.suspect && around.automatic && !found.slow {
                     self.turn(now, Degree::Suspect, found);
-                } else if now > self.since + FORGIVEN {
+                } else if now > self.since.plus_millis(FORGIVEN) {
                     self.failed_again = 0;
                 }
             }
             Degree::Suspect => {
-                let nothing_new = now > self.since + SUSPECT_LIFE && !found.suspect;
+                let nothing_new = now > self.since.plus_millis(SUSPECT_LIFE) && !found.suspect;
                 if !told && (found.score < 1.0 || nothing_new) {
                     self.turn(now, Degree::Well, found);
                 }
             }
             Degree::Leaving => {
-                let (good, bad) = self.evidence.since(self.since.max(now - 4.0 * MOVE_PERIOD));
+                let (good, bad) = self.evidence.since(self.since.max(now.minus_millis(4.0 * MOVE_PERIOD)));
                 if alarm && !found.slow {
                     self.leave(now, found, false);
-                } else if now >= self.level_at + MOVE_PERIOD {
+                } else if now >= self.level_at.plus_millis(MOVE_PERIOD) {
                     let well = good + bad >= 4 && bad * 8 <= good || good + bad == 0;
-                    if well && now > self.since + AWAY_FIRST {
+                    if well && now > self.since.plus_millis(AWAY_FIRST) {
                         // Slow servers are not cold: the way back begins where it stands.
                         let level = self.level;
                         self.turn(now, Degree::Returning, found);
@@ -307,12 +308,15 @@
             }
             Degree::Left => {
                 let voices = self.hearsay.voices(now);
-                if voices.good >= VOICES_SUSPECT && voices.bad == 0 && now > self.since + FOUND_WELL {
-                    self.until = self.until.min(now + self.jitter.f64() * FOUND_WELL);
+                if voices.good >= VOICES_SUSPECT
+                    && voices.bad == 0
+                    && now > self.since.plus_millis(FOUND_WELL)
+                {
+                    self.until = self.until.min(now.plus_millis(self.jitter.f64() * FOUND_WELL));
                 }
                 if now >= self.until {
                     if voices.bad > 0 && voices.good == 0 {
-                        self.until = now + self.jittered(TRIED_IN_VAIN);
+                        self.until = now.plus_millis(self.jittered(TRIED_IN_VAIN));
                     } else {
                         self.turn(now, Degree::Tried, self.because);
                     }
@@ -325,7 +329,9 @@
                 let good = if voices.bad == 0 { good + voices.good } else { good };
                 if failing && around.automatic {
                     self.leave(now, found, true);
-                } else if good >= TRIES_GOOD.min(1 + self.servers as u32) || now > self.since + PATIENCE {
+                } else if good >= TRIES_GOOD.min(1 + self.servers as u32)
+                    || now > self.since.plus_millis(PATIENCE)
+                {
                     self.turn(now, Degree::Returning, found);
                     self.level = CURVE * common.cold_from;
                 }
@@ -337,10 +343,10 @@
                     self.level = (self.level * STEP_BACK).max(CURVE * common.cold_from * STEP_BACK);
                     self.because = found;
                     self.evidence.clear();
-                    self.until = now + self.jittered(HOLD);
+                    self.until = now.plus_millis(self.jittered(HOLD));
                 } else if now >= self.until {
                     let pace = CURVE * (1.0 - common.cold_from) / common.warm.max(1.0);
-                    self.level += pace * (now - self.level_at.max(self.until)).max(0.0);
+                    self.level += pace * now.millis_since(self.level_at.max(self.until)).max(0.0);
                     if self.level >= CURVE {
                         self.level = 1.0;
                         self.turn(now, Degree::Well, found);
--- a/crates/failure-domains/src/evidence.rs
+++ b/crates/failure-domains/src/evidence.rs
@@ -4,7 +4,8 @@
 //! (Page's test). Signs of one server, or of one customer, are not independent: what they say alone must not be enough,
 //! so the score has to hold without the server and without the customer that speak most against the domain.
 
-use ivygate_gateway::{Millis, ServerId};
+use ivygate_gateway::ServerId;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::VecDeque;
 
 /// Most signs kept.
@@ -66,7 +67,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     number: u64,
-    at: Millis,
+    at: Timestamp,
     server: ServerId,
     customer: u64,
     sign: Sign,
@@ -107,7 +108,7 @@
 
 impl Evidence {
     /// Takes in a sign; `number` is its own.
-    pub fn handle_sign(&mut self, now: Millis, number: u64, server: ServerId, customer: u64, sign: Sign) {
+    pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
         if self.seen.len() == KEPT {
             self.seen.pop_front();
         }
@@ -133,7 +134,7 @@
     }
 
     /// Good and bad signs since a time.
-    pub fn since(&self, at: Millis) -> (u32, u32) {
+    pub fn since(&self, at: Timestamp) -> (u32, u32) {
         let late = self.seen.iter().rev().take_while(|seen| seen.at >= at);
         late.fold((0, 0), |(good, bad), seen| match seen.sign {
             Sign::Good => (good + 1, bad),
@@ -156,14 +157,14 @@
     }
 
     /// Good and bad signs of late.
-    pub fn of_late(&self, now: Millis) -> (u32, u32) {
-        self.since(now - LIFE)
+    pub fn of_late(&self, now: Timestamp) -> (u32, u32) {
+        self.since(now.minus_millis(LIFE))
     }
 
     /// What the signs come to. `servers` is how many take requests here; `lone` says that all signs of all domains are
     /// of one customer; `others` are the good and bad signs of the other domains of late: what is as bad everywhere is
     /// no fault of this one.
-    pub fn finding(&self, now: Millis, servers: usize, lone: bool, others: (u32, u32)) -> Finding {
+    pub fn finding(&self, now: Timestamp, servers: usize, lone: bool, others: (u32, u32)) -> Finding {
         let elsewhere = f64::from(others.1) / (f64::from(others.0 + others.1) + OTHERS);
         let usual = self.usual.max(elsewhere).clamp(USUAL.0, USUAL.1);
         let failing = FAILING.max((FAILING_TIMES * usual).min(FAILING_MOST));
@@ -171,7 +172,9 @@
         let weigh = |seen: &Seen| if seen.sign == Sign::Good { for_good } else { for_bad };
         // Page's test: the latest signs whose sum is largest.
         let (mut sum, mut best, mut length) = (0.0, 0.0, 0);
-        for (count, seen) in self.seen.iter().rev().take_while(|seen| seen.at > now - LIFE).enumerate() {
+        for (count, seen) in
+            self.seen.iter().rev().take_while(|seen| seen.at > now.minus_millis(LIFE)).enumerate()
+        {
             sum += weigh(seen);
             if sum > best {
                 (best, length) = (sum, count + 1);
--- a/crates/failure-domains/src/evidence/tests.rs
+++ b/crates/failure-domains/src/evidence/tests.rs
@@ -6,9 +6,9 @@
 fn told(signs: &[(ServerId, u64, Sign)]) -> Finding {
     let mut evidence = Evidence::default();
     for (number, (server, customer, sign)) in signs.iter().enumerate() {
-        evidence.handle_sign(number as f64, number as u64, *server, *customer, *sign);
+        evidence.handle_sign(Timestamp::from_millis(number as f64), number as u64, *server, *customer, *sign);
     }
-    evidence.finding(signs.len() as f64, 4, false, (10, 0))
+    evidence.finding(Timestamp::from_millis(signs.len() as f64), 4, false, (10, 0))
 }
 
 #[test]
@@ -41,9 +41,16 @@
 fn what_answers_late_is_slow_and_what_is_old_is_forgotten() {
     let mut evidence = Evidence::default();
     for n in 0..6 {
-        evidence.handle_sign(f64::from(n), u64::from(n), n % 3, u64::from(n), Sign::Silent);
+        evidence.handle_sign(
+            Timestamp::from_millis(f64::from(n)),
+            u64::from(n),
+            n % 3,
+            u64::from(n),
+            Sign::Silent,
+        );
     }
-    let told = |evidence: &Evidence, now: Millis| evidence.finding(now, 3, false, (10, 0));
+    let told =
+        |evidence: &Evidence, now: Millis| evidence.finding(Timestamp::from_millis(now), 3, false, (10, 0));
     assert!(!told(&evidence, 6.0).slow);
     (0..6).for_each(|n| evidence.handle_answer(n));
     let slow = told(&evidence, 6.0);
@@ -56,9 +63,9 @@
     let mut evidence = Evidence::default();
     for n in 0..60_u32 {
         let sign = if n % 5 == 0 { Sign::Wrong } else { Sign::Good };
-        evidence.handle_sign(f64::from(n), u64::from(n), n % 7, u64::from(n), sign);
+        evidence.handle_sign(Timestamp::from_millis(f64::from(n)), u64::from(n), n % 7, u64::from(n), sign);
     }
-    let score = |others| evidence.finding(60.0, 7, false, others).score;
+    let score = |others| evidence.finding(Timestamp::from_millis(60.0), 7, false, others).score;
     assert!(score((60, 0)) > 6.0, "a fifth is bad here and nothing elsewhere: {}", score((60, 0)));
     assert!(score((48, 12)) < 3.0, "a fifth is bad everywhere: {}", score((48, 12)));
 }
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/guarded.rs
@@ -6,9 +6,10 @@
 use crate::judgement::{Domains, Happening, Policy};
 use crate::usual::Usual;
 use ivygate_gateway::{
-    Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Millis, Outcome, RejectReason,
-    RequestId, ServerId,
+    Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, RejectReason, RequestId,
+    ServerId,
 };
+use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
@@ -29,7 +30,7 @@
 
 struct Attempt {
     server: ServerId,
-    sent_at: Millis,
+    sent_at: Timestamp,
     /// The number of the sign that it is silent, once it has been given.
     silent: Option<u64>,
     out: bool,
@@ -50,7 +51,7 @@
     /// In order, so that one seed gives one course of things.
     open: BTreeMap<RequestId, Open>,
     hasher: RandomState,
-    looked_at: Millis,
+    looked_at: Timestamp,
 }
 
 impl Guarded {
@@ -67,12 +68,12 @@
             kinds: kinds.into_iter().map(|(name, kind)| (name, (kind, Usual::default()))).collect(),
             open: BTreeMap::new(),
             hasher: RandomState::new(),
-            looked_at: f64::NEG_INFINITY,
+            looked_at: Timestamp::DISTANT_PAST,
         }
     }
 
     /// Takes in one event and adds what is to be done to `actions`, in order.
-    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.look(now);
         let from = actions.len();
         match &event {
@@ -95,12 +96,12 @@
     }
 
     /// Another policy, as after a reload.
-    pub fn handle_policy(&mut self, now: Millis, policy: Policy) {
+    pub fn handle_policy(&mut self, now: Timestamp, policy: Policy) {
         self.domains.handle_policy(now, policy);
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_word(&mut self, now: Millis, author: u64, tallies: &[Tally]) {
+    pub fn handle_word(&mut self, now: Timestamp, author: u64, tallies: &[Tally]) {
         self.domains.handle_time(now);
         self.domains.handle_word(author, tallies);
     }
@@ -121,8 +122,8 @@
     }
 
     /// Looks for attempts that are overdue, and takes the steps that are due.
-    fn look(&mut self, now: Millis) {
-        if now < self.looked_at + LOOK {
+    fn look(&mut self, now: Timestamp) {
+        if now < self.looked_at.plus_millis(LOOK) {
             return;
         }
         self.looked_at = now;
@@ -135,7 +136,7 @@
             }
             let Some((kind, usual)) = self.kinds.get(&open.class) else { continue };
             let overdue = usual.overdue(kind.aim);
-            let due = |a: &&mut Attempt| a.out && a.silent.is_none() && now > a.sent_at + overdue;
+            let due = |a: &&mut Attempt| a.out && a.silent.is_none() && now > a.sent_at.plus_millis(overdue);
             for attempt in open.attempts.iter_mut().filter(due) {
                 attempt.silent = Some(self.domains.handle_sign(attempt.server, open.customer, Sign::Silent));
             }
@@ -143,7 +144,7 @@
         self.domains.judge();
     }
 
-    fn advise(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn advise(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(zones) = self.domains.poll_advice() {
             self.gateway.handle(now, Event::Advice { zones: zones.into() }, actions);
         }
@@ -207,7 +208,7 @@
     }
 
     /// Takes in what the gateway wants done; servers whose probes are held back are returned.
-    fn take_in(&mut self, now: Millis, from: usize, actions: &mut Vec<Action>) -> Vec<ServerId> {
+    fn take_in(&mut self, now: Timestamp, from: usize, actions: &mut Vec<Action>) -> Vec<ServerId> {
         let (mut at, mut held_back) = (from, Vec::new());
         while at < actions.len() {
             match &actions[at] {
--- a/crates/failure-domains/src/hearsay.rs
+++ b/crates/failure-domains/src/hearsay.rs
@@ -3,7 +3,7 @@
 //! Called by [`crate::Domains`] alone. A process is one voice however much it says, and it is heard only for a moment: who
 //! says nothing any more says neither that all is well nor that all is bad.
 
-use ivygate_gateway::Millis;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -39,17 +39,17 @@
 /// Own signs to be told, and the words of others.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Hearsay {
-    own: VecDeque<(Millis, u64, bool)>,
-    voices: BTreeMap<u64, (Millis, u16, u16)>,
+    own: VecDeque<(Timestamp, u64, bool)>,
+    voices: BTreeMap<u64, (Timestamp, u16, u16)>,
     /// This process last said that it fails.
     pub told_failing: bool,
     /// When another process last said so.
-    failing_at: Option<Millis>,
+    failing_at: Option<Timestamp>,
 }
 
 impl Hearsay {
     /// Takes in an own sign.
-    pub fn handle_sign(&mut self, now: Millis, number: u64, good: bool) {
+    pub fn handle_sign(&mut self, now: Timestamp, number: u64, good: bool) {
         if self.own.len() == SIGNS {
             self.own.pop_front();
         }
@@ -62,20 +62,21 @@
     }
 
     /// The latest own signs, as far as they are alike: so many good ones, or so many bad ones.
-    pub fn own(&self, now: Millis) -> (u16, u16) {
+    pub fn own(&self, now: Timestamp) -> (u16, u16) {
         let Some((last_at, _, last)) = self.own.back() else { return (0, 0) };
-        let alike = self.own.iter().rev().take_while(|(at, _, good)| *at > now - TOLD && good == last);
+        let alike =
+            self.own.iter().rev().take_while(|(at, _, good)| *at > now.minus_millis(TOLD) && good == last);
         let count = alike.count() as u16;
         match last {
-            true if *last_at > now - SERVED => (count, 0),
+            true if *last_at > now.minus_millis(SERVED) => (count, 0),
             true => (0, 0),
             false => (0, count),
         }
     }
 
     /// Whether so many other processes say that it fails.
-    pub fn is_told_of(&self, now: Millis, by: u32) -> bool {
-        self.failing_at.is_some_and(|at| at > now - TOLD) && self.voices(now).bad >= by
+    pub fn is_told_of(&self, now: Timestamp, by: u32) -> bool {
+        self.failing_at.is_some_and(|at| at > now.minus_millis(TOLD)) && self.voices(now).bad >= by
     }
 
     /// Own signs say nothing any more.
@@ -84,9 +85,9 @@
     }
 
     /// Takes in what another process tells.
-    pub fn handle_word(&mut self, now: Millis, author: u64, good: u16, bad: u16) {
+    pub fn handle_word(&mut self, now: Timestamp, author: u64, good: u16, bad: u16) {
         if self.voices.len() >= VOICES && !self.voices.contains_key(&author) {
-            self.voices.retain(|_, (at, ..)| *at > now - TOLD);
+            self.voices.retain(|_, (at, ..)| *at > now.minus_millis(TOLD));
             if self.voices.len() >= VOICES {
                 return;
             }
@@ -98,11 +99,11 @@
     }
 
     /// What others say now.
-    pub fn voices(&self, now: Millis) -> Voices {
+    pub fn voices(&self, now: Timestamp) -> Voices {
         let mut voices = Voices::default();
         for (at, good, bad) in self.voices.values() {
-            voices.bad += u32::from(*bad > 0 && *at > now - TOLD);
-            voices.good += u32::from(*bad == 0 && *good > 0 && *at > now - SERVED);
+            voices.bad += u32::from(*bad > 0 && *at > now.minus_millis(TOLD));
+            voices.good += u32::from(*bad == 0 && *good > 0 && *at > now.minus_millis(SERVED));
         }
         voices
     }
--- a/crates/failure-domains/src/judgement.rs
+++ b/crates/failure-domains/src/judgement.rs
@@ -3,7 +3,8 @@
 use crate::domain::{Around, Belief, Common, Degree, Domain, VOICES_SUSPECT};
 use crate::evidence::Sign;
 use crate::hearsay::Tally;
-use ivygate_gateway::{Millis, ServerEntry, ServerId, ServerState, ZoneAdvice};
+use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneAdvice};
+use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -80,21 +81,21 @@
     common: Common,
     domains: BTreeMap<Zone, Domain>,
     servers: BTreeMap<ServerId, (Zone, f64, bool)>,
-    now: Millis,
+    now: Timestamp,
     signs: u64,
-    pressed_until: Millis,
+    pressed_until: Timestamp,
     distrusted: bool,
-    distrusted_until: Millis,
+    distrusted_until: Timestamp,
     distrusted_times: u32,
     /// Mean time between safe requests, and the last one.
     gap: Millis,
-    safe_at: Millis,
+    safe_at: Timestamp,
     given: Vec<ZoneAdvice>,
     /// Processes that were heard, and when.
-    authors: BTreeMap<u64, Millis>,
+    authors: BTreeMap<u64, Timestamp>,
     /// Something is to be told; when something was told last.
     news: bool,
-    told_at: Millis,
+    told_at: Timestamp,
     happenings: VecDeque<Happening>,
     rng: fastrand::Rng,
 }
@@ -107,25 +108,25 @@
             policy,
             domains: BTreeMap::new(),
             servers: BTreeMap::new(),
-            now: f64::NEG_INFINITY,
+            now: Timestamp::DISTANT_PAST,
             signs: 0,
-            pressed_until: f64::NEG_INFINITY,
+            pressed_until: Timestamp::DISTANT_PAST,
             distrusted: false,
-            distrusted_until: f64::NEG_INFINITY,
+            distrusted_until: Timestamp::DISTANT_PAST,
             distrusted_times: 0,
             gap: 1_000.0,
-            safe_at: f64::NEG_INFINITY,
+            safe_at: Timestamp::DISTANT_PAST,
             given: Vec::new(),
             authors: BTreeMap::new(),
             news: false,
-            told_at: f64::NEG_INFINITY,
+            told_at: Timestamp::DISTANT_PAST,
             happenings: VecDeque::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
     /// Another policy, as after a reload.
-    pub fn handle_policy(&mut self, now: Millis, policy: Policy) {
+    pub fn handle_policy(&mut self, now: Timestamp, policy: Policy) {
         self.common = common(&policy);
         self.policy = policy;
         self.handle_time(now);
@@ -134,16 +135,16 @@
 
     /// Time has passed: to be told some times a second. True if the process has stood still, so that what is open says
     /// nothing any more.
-    pub fn handle_time(&mut self, now: Millis) -> bool {
+    pub fn handle_time(&mut self, now: Timestamp) -> bool {
         let before = self.now;
         self.now = now.max(before);
-        let still = before.is_finite() && self.now > before + STILL;
+        let still = before.is_finite() && self.now > before.plus_millis(STILL);
         if still {
             for domain in self.domains.values_mut() {
                 domain.evidence.clear();
                 domain.hearsay.clear_own();
             }
-            self.happen(Happening::StoodStill(self.now - before));
+            self.happen(Happening::StoodStill(self.now.millis_since(before)));
         }
         still
     }
@@ -182,14 +183,14 @@
 
     /// A safe request has come.
     pub fn handle_safe(&mut self) {
-        let gap = (self.now - self.safe_at).clamp(0.0, 10_000.0);
+        let gap = self.now.millis_since(self.safe_at).clamp(0.0, 10_000.0);
         self.gap += RATE_WEIGHT * (gap - self.gap);
         self.safe_at = self.now;
     }
 
     /// A request was refused for want of room.
     pub fn handle_pressure(&mut self) {
-        self.pressed_until = self.now + PRESSED;
+        self.pressed_until = self.now.plus_millis(PRESSED);
     }
 
     /// An attempt has shown something; the sign's number is returned.
@@ -229,7 +230,7 @@
     /// Another process tells something of zones; `author` is its name.
     pub fn handle_word(&mut self, author: u64, tallies: &[Tally]) {
         if self.authors.len() >= AUTHORS && !self.authors.contains_key(&author) {
-            self.authors.retain(|_, at| *at > self.now - HEARD);
+            self.authors.retain(|_, at| *at > self.now.minus_millis(HEARD));
             if self.authors.len() >= AUTHORS {
                 return;
             }
@@ -246,7 +247,7 @@
     /// What is to be told to the other processes now, if anything: also nothing at all, to be heard.
     pub fn poll_word(&mut self) -> Option<Vec<Tally>> {
         let pause = TELL_LEAST.max(TELL_EACH * self.heard() as f64);
-        if self.now < self.told_at + if self.news { pause } else { HEARTBEAT } {
+        if self.now < self.told_at.plus_millis(if self.news { pause } else { HEARTBEAT }) {
             return None;
         }
         (self.news, self.told_at) = (false, self.now);
@@ -261,7 +262,7 @@
 
     /// Other processes that were heard of late.
     pub fn heard(&self) -> usize {
-        self.authors.values().filter(|at| **at > self.now - HEARD).count()
+        self.authors.values().filter(|at| **at > self.now.minus_millis(HEARD)).count()
     }
 
     /// Whether nothing is wrong anywhere, so that usual times may be learned.
@@ -290,7 +291,7 @@
 
     /// Safe requests a second at this process.
     fn safe_rate(&self) -> f64 {
-        1_000.0 / self.gap.max(self.now - self.safe_at).max(0.1)
+        1_000.0 / self.gap.max(self.now.millis_since(self.safe_at)).max(0.1)
     }
 
     fn lone(&self) -> bool {
@@ -326,11 +327,12 @@
             });
         let part = if all > 0.0 { bad / all } else { 0.0 };
         if part > self.policy.distrust && !self.distrusted {
-            if self.now > self.distrusted_until + DISTRUSTED_LAST {
+            if self.now > self.distrusted_until.plus_millis(DISTRUSTED_LAST) {
                 self.distrusted_times = 0;
             }
             let holds = DISTRUSTED * f64::from(1u32 << self.distrusted_times.min(8));
-            (self.distrusted, self.distrusted_until) = (true, self.now + holds.min(DISTRUSTED_LAST));
+            (self.distrusted, self.distrusted_until) =
+                (true, self.now.plus_millis(holds.min(DISTRUSTED_LAST)));
             self.distrusted_times += 1;
             self.happen(Happening::Distrusted(part));
         } else if self.distrusted && self.now >= self.distrusted_until {
--- a/crates/failure-domains/src/usual.rs
+++ b/crates/failure-domains/src/usual.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by [`crate::Guarded`] alone.
 
-use ivygate_gateway::Millis;
+use ivygate_time::Millis;
 
 /// Weight of one answer.
 const WEIGHT: f64 = 0.02;
--- a/crates/failure-domains/tests/judgement.rs
+++ b/crates/failure-domains/tests/judgement.rs
@@ -5,6 +5,7 @@
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
     ServerId, ServerState, Settings,
 };
+use ivygate_time::Timestamp;
 
 struct Rig {
     domains: Domains,
@@ -26,7 +27,7 @@
             distance_cost: 0.0,
             slow_start: None,
         };
-        domains.handle_time(0.0);
+        domains.handle_time(Timestamp::from_millis(0.0));
         domains.handle_members(true, &(0..3 * zones.len()).map(member).collect::<Vec<_>>());
         Self { domains, now: 0.0, customer: 0 }
     }
@@ -35,7 +36,7 @@
         let until = self.now + time;
         while self.now < until {
             self.now = (self.now + 50.0).min(until);
-            self.domains.handle_time(self.now);
+            self.domains.handle_time(Timestamp::from_millis(self.now));
             self.domains.judge();
         }
     }
@@ -201,7 +202,7 @@
     rig.see(0, 10, Sign::Good);
     rig.see(1, 3, Sign::Silent);
     rig.now += 3_000.0;
-    assert!(rig.domains.handle_time(rig.now));
+    assert!(rig.domains.handle_time(Timestamp::from_millis(rig.now)));
     rig.see(1, 2, Sign::Silent);
     assert_ne!(rig.degree("b"), Degree::Left);
     let mut told = std::iter::from_fn(|| rig.domains.poll_happening());
@@ -227,29 +228,35 @@
                 slow_start: None,
             })
             .collect();
-        guarded.handle(0.0, Event::List { kind: ListKind::Full, servers: members.into() }, &mut actions);
+        guarded.handle(
+            Timestamp::from_millis(0.0),
+            Event::List { kind: ListKind::Full, servers: members.into() },
+            &mut actions,
+        );
         for n in 0..8 {
             let arrival = Arrival {
                 request: format!("r{n}").into(),
                 class: "read".into(),
                 plan: "plain".into(),
                 customer: format!("c{n}").into(),
-                deadline: 9_000.0,
+                deadline: Timestamp::from_millis(9_000.0),
                 units: 1.0,
                 gateways: 1,
                 zones: None,
                 max_attempts: None,
             };
-            guarded.handle(1.0 + f64::from(n), Event::Arrival(arrival), &mut actions);
+            guarded.handle(Timestamp::from_millis(1.0 + f64::from(n)), Event::Arrival(arrival), &mut actions);
         }
         assert!(actions.iter().filter(|action| matches!(action, Action::Send { .. })).count() == 8);
         // 600 ms pass, with ticks or in a jump.
         if !paused {
-            (1..60)
-                .for_each(|n| guarded.handle(10.0 * f64::from(n), Event::Timer { token: 0 }, &mut actions));
+            for n in 1..60 {
+                let tick = Timestamp::from_millis(10.0 * f64::from(n));
+                guarded.handle(tick, Event::Timer { token: 0 }, &mut actions);
+            }
         }
-        guarded.handle(600.0, Event::Timer { token: 0 }, &mut actions);
-        guarded.handle(640.0, Event::Timer { token: 0 }, &mut actions);
+        guarded.handle(Timestamp::from_millis(600.0), Event::Timer { token: 0 }, &mut actions);
+        guarded.handle(Timestamp::from_millis(640.0), Event::Timer { token: 0 }, &mut actions);
         guarded.beliefs().0.iter().any(|belief| belief.because.bad > 0 || belief.degree != Degree::Well)
             || guarded.beliefs().1
     });
@@ -317,12 +324,12 @@
     rig.see(1, 20, Sign::Wrong);
     assert_eq!(rig.degree("b"), Degree::Well, "only by hand");
     policy.works.insert("b".into());
-    rig.domains.handle_policy(rig.now, policy.clone());
+    rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy.clone());
     assert_eq!((rig.degree("b"), rig.shares("b")), (Degree::Works, (0.0, 0.0)));
     rig.wait(20_000.0);
     assert_eq!(rig.degree("b"), Degree::Works);
     policy.works.clear();
-    rig.domains.handle_policy(rig.now, policy);
+    rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy);
     assert_eq!(rig.degree("b"), Degree::Tried);
     rig.see(1, 4, Sign::Good);
     assert_eq!(rig.degree("b"), Degree::Returning);
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -9,6 +9,7 @@
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
 };
+use ivygate_time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 
 /// What the service's answer takes and the application's usual time, in milliseconds.
@@ -229,7 +230,7 @@
             class: class.into(),
             plan: "all".into(),
             customer: "c".into(),
-            deadline,
+            deadline: Timestamp::from_millis(deadline),
             units: 1.0,
             gateways: 1,
             zones: None,
@@ -244,7 +245,7 @@
         let mut members = Vec::new();
         for server in 1..=2 {
             let state = self.rng.choice(states).expect("there are states");
-            let started = (self.rng.u32(0..3) == 0).then_some(self.now);
+            let started = (self.rng.u32(0..3) == 0).then_some(Timestamp::from_millis(self.now));
             members.push(ServerEntry {
                 server,
                 zone: "north".into(),
@@ -272,7 +273,7 @@
     fn feed(&mut self, side: Side, event: Event) {
         let mut actions = Vec::new();
         if let Some(gateway) = self.gateways.get_mut(&side) {
-            gateway.handle(self.now, event, &mut actions);
+            gateway.handle(Timestamp::from_millis(self.now), event, &mut actions);
         }
         for action in actions {
             self.carry_out(side, action);
@@ -281,7 +282,9 @@
 
     fn carry_out(&mut self, side: Side, action: Action) {
         match action {
-            Action::Send { request, server, give_up_at } => self.send(side, request, server, give_up_at),
+            Action::Send { request, server, give_up_at } => {
+                self.send(side, request, server, give_up_at.as_millis());
+            }
             Action::Reject { request, .. } | Action::Fail { request } => {
                 let number: usize = request.parse().expect("a number");
                 let tried = self.attempts.contains_key(&(side, request));
@@ -295,7 +298,7 @@
             Action::Cancel { request, attempt } => {
                 self.ends(side, &request, attempt, Outcome::Cancelled, Said::Unusable);
             }
-            Action::Timer { token, at } => self.at(at, Due::Timer(side, token)),
+            Action::Timer { token, at } => self.at(at.as_millis(), Due::Timer(side, token)),
             Action::CheckHealth { .. } | Action::Subscribe | Action::Log { .. } => {}
         }
     }
--- a/crates/gateway/examples/one_gateway.rs
+++ b/crates/gateway/examples/one_gateway.rs
@@ -1,7 +1,12 @@
 //! Drives one gateway from a made-up list of events, as an operator's own gateway would.
 
 use ivygate_gateway::*;
+use ivygate_time::{millis, Timestamp};
 use std::sync::Arc;
+use std::time::Duration;
+
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn main() -> Result<(), SettingsError> {
     let settings = Settings {
@@ -47,20 +52,20 @@
         slow_start: None,
     };
     gateway.handle(
-        0.0,
+        Timestamp::from_millis(0.0),
         Event::List { kind: ListKind::Full, servers: Arc::from([member(1), member(2)]) },
         &mut actions,
     );
     // One customer asks every 100 ms, five times its rate: the burst passes, then about two a second.
     for i in 0..30_u32 {
-        let now = f64::from(i) * 100.0;
+        let now = Timestamp::from_millis(f64::from(i) * 100.0);
         let request: RequestId = format!("r{i}").into();
         let arrival = Arrival {
             request: request.clone(),
             class: "read".into(),
             plan: "basic".into(),
             customer: "acme".into(),
-            deadline: now + 2_000.0,
+            deadline: now + CLIENT_TIMEOUT,
             units: 1.0,
             gateways: 1,
             zones: None,
@@ -69,7 +74,7 @@
         actions.clear();
         gateway.handle(now, Event::Arrival(arrival), &mut actions);
         for action in std::mem::take(&mut actions) {
-            println!("{now:6.0} ms  {action:?}");
+            println!("{:6.0} ms  {action:?}", now.as_millis());
             // A real gateway would send the attempt; here it is answered after 20 ms.
             if let Action::Send { server, .. } = action {
                 let done = AttemptResult {
@@ -77,12 +82,12 @@
                     attempt: 0,
                     server,
                     outcome: Outcome::Ok,
-                    elapsed: 20.0,
+                    elapsed: millis(SERVICE_TIME),
                     is_final: true,
                     metered_percent: None,
                     load: Load::default(),
                 };
-                gateway.handle(now + 20.0, Event::AttemptEnded(done), &mut actions);
+                gateway.handle(now + SERVICE_TIME, Event::AttemptEnded(done), &mut actions);
             }
         }
     }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -3,11 +3,12 @@
 //! Under pressure within quotas the least value for work is rejected first, before it is sent. A plan's price has no part in it:
 //! what customers of a cheap plan ask for within their quotas is owed to them too.
 
-use crate::api::{Action, Arrival, Millis, RejectReason};
+use crate::api::{Action, Arrival, RejectReason};
 use crate::gateway::Gateway;
 use crate::load_balancing::Choice;
 use crate::quota::QuotaStatus;
 use crate::request_record::RequestRecord;
+use ivygate_time::{Millis, Timestamp};
 
 /// Part of what is left of its own latency target that a request's expected wait may take.
 const MAX_WAIT_RATIO: f64 = 0.7;
@@ -42,8 +43,8 @@
         let (Some(class), Some(plan)) = (class, plan) else {
             return actions.push(rejection(&arrival, 0.0, RejectReason::Overload));
         };
-        let target_at = self.now + self.settings.classes[class].latency_target;
-        let time_left = (target_at - self.now).min(arrival.deadline - self.now);
+        let target_at = self.now.plus_millis(self.settings.classes[class].latency_target);
+        let time_left = (target_at.millis_since(self.now)).min(arrival.deadline.millis_since(self.now));
         let retry_after = self.retry_after(time_left);
         let status = self.quota_status(plan, &arrival);
         if let Some(reason) = self.quota_rejection(plan, status) {
@@ -98,7 +99,7 @@
         arrival: &Arrival,
         class: usize,
         plan: usize,
-        target_at: Millis,
+        target_at: Timestamp,
     ) -> RequestRecord {
         RequestRecord {
             class,
--- a/crates/gateway/src/api.rs
+++ b/crates/gateway/src/api.rs
@@ -1,12 +1,11 @@
 //! What a [`Gateway`](crate::Gateway) is told and what it wants done: events, actions, outcomes.
 //!
-//! Times are milliseconds on the caller's clock, which may start anywhere.
+//! Points in time are on the caller's clock, which may start anywhere.
 
 use crate::settings::{RequestClass, RetryBudget};
+use ivygate_time::{Millis, Timestamp};
 use std::sync::Arc;
 
-/// A point on the caller's clock, or a length of time, in milliseconds.
-pub type Millis = f64;
 /// Identifies a server; stays the same when its process restarts.
 pub type ServerId = u32;
 /// Identifies one request of a client at this gateway. Never repeated.
@@ -18,7 +17,7 @@
     /// Requests a second from this gateway.
     pub requests_per_s: f64,
     /// Until then.
-    pub until: Millis,
+    pub until: Timestamp,
 }
 
 /// State of a server on the list.
@@ -46,7 +45,7 @@
     /// Its size against the others.
     pub weight: f64,
     /// When it last started; `None` for long ago.
-    pub started_at: Option<Millis>,
+    pub started_at: Option<Timestamp>,
     /// What the way there is taken to cost, as time.
     pub distance_cost: Millis,
     /// Bounds what is sent to it while it warms up, where that is told as a rate of requests.
@@ -108,7 +107,7 @@
     /// The customer.
     pub customer: Arc<str>,
     /// When the client gives this attempt up.
-    pub deadline: Millis,
+    pub deadline: Timestamp,
     /// Units that it takes from the quota.
     pub units: f64,
     /// Number of gateways through which the customer's requests may come.
@@ -238,7 +237,7 @@
         /// The server.
         server: ServerId,
         /// When to give the attempt up.
-        give_up_at: Millis,
+        give_up_at: Timestamp,
     },
     /// Final answer: rejected; trying again is harmless.
     Reject {
@@ -271,7 +270,7 @@
         /// Comes back with the event.
         token: u64,
         /// When it falls due.
-        at: Millis,
+        at: Timestamp,
     },
     /// Ask for changes of the server list from now on.
     Subscribe,
--- a/crates/gateway/src/estimators.rs
+++ b/crates/gateway/src/estimators.rs
@@ -1,9 +1,10 @@
 //! What is learned from answers: work of requests, slowness of servers, requests of other gateways.
 
-use crate::api::{AttemptResult, Load, Millis, Outcome, ServerId};
+use crate::api::{AttemptResult, Load, Outcome, ServerId};
 use crate::gateway::{Gateway, ZoneFailures};
 use crate::request_record::Attempt;
 use crate::server_record::ServerRecord;
+use ivygate_time::{Millis, Timestamp};
 
 /// Part of a latency target that an unmeasured request is taken to need on an idle server.
 const INITIAL_WORK_RATIO: f64 = 0.1;
@@ -53,7 +54,8 @@
 
     /// Requests thought to be on a server.
     pub(crate) fn concurrency(&self, server: &ServerRecord, unreported: f64) -> f64 {
-        let report_weight = (-(self.now - server.reported_at) / (REPORT_MEMORY * self.shortest_target)).exp();
+        let report_weight =
+            (-(self.now.millis_since(server.reported_at)) / (REPORT_MEMORY * self.shortest_target)).exp();
         let others = unreported + report_weight * (server.others_in_flight - unreported);
         server.in_flight.len() as f64 + others
     }
@@ -65,7 +67,7 @@
 
     /// Queueing that answers of a server have shown, as far as it is no noise.
     pub(crate) fn queueing_seen(&self, server: &ServerRecord) -> Millis {
-        let age = self.now - server.last_answer_at;
+        let age = self.now.millis_since(server.last_answer_at);
         let seen = server.queueing * (-age / (QUEUEING_MEMORY * self.shortest_target)).exp();
         (seen - QUEUEING_NOISE * self.mean_work).max(0.0)
     }
@@ -146,7 +148,14 @@
         }
     }
 
-    fn learn_slowness(&mut self, now: Millis, outcome: Outcome, observed: f64, expected: f64, weight: f64) {
+    fn learn_slowness(
+        &mut self,
+        now: Timestamp,
+        outcome: Outcome,
+        observed: f64,
+        expected: f64,
+        weight: f64,
+    ) {
         self.answers += weight;
         let step = (weight / (INITIAL_ANSWERS + self.answers)).max(SLOWNESS_WEIGHT * weight);
         let timeout_slowness = expected - self.slowness;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,11 +1,12 @@
 //! The gateway: its state, and the handler of each event.
 
-use crate::api::{Action, Event, Millis, RequestId, ServerId, ZoneAdvice};
+use crate::api::{Action, Event, RequestId, ServerId, ZoneAdvice};
 use crate::customer_record::CustomerRecord;
 use crate::request_record::RequestRecord;
 use crate::server_record::ServerRecord;
 use crate::settings::{RequestClass, RetryBudget, Settings, SettingsError};
 use crate::sketch::CountMinSketch;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -15,6 +16,8 @@
 const SKETCH_COLUMNS: usize = 2048;
 /// Time kept before a deadline or a latency target for the way back.
 pub(crate) const DEADLINE_MARGIN: Millis = 2.0;
+
+const MICROS_PER_MILLI: f64 = 1000.0;
 /// The timer of housekeeping.
 const HOUSEKEEPING_TIMER: u64 = 0;
 /// The timer after which the server list is asked for again.
@@ -24,7 +27,7 @@
 pub(crate) struct PlanUsage {
     /// Units sent, in two sketches that take turns: together about a window.
     pub sent: [CountMinSketch; 2],
-    pub rotate_at: Millis,
+    pub rotate_at: Timestamp,
     /// Attempts in flight.
     pub in_flight: CountMinSketch,
 }
@@ -41,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct ZoneFailures {
     pub ratio: f64,
-    pub updated_at: Millis,
+    pub updated_at: Timestamp,
 }
 
 /// A request that may get a hedged attempt, and when. Ordered by time, in whole microseconds.
@@ -52,16 +55,20 @@
 }
 
 impl PendingHedge {
-    pub fn new(due_at: Millis, request: RequestId) -> Self {
+    pub fn new(due_at: Timestamp, request: RequestId) -> Self {
         Self { due_us: Self::micros(due_at), request }
     }
 
-    pub fn is_due(&self, now: Millis) -> bool {
+    pub fn due_at(&self) -> Timestamp {
+        Timestamp::from_millis(self.due_us as f64 / MICROS_PER_MILLI)
+    }
+
+    pub fn is_due(&self, now: Timestamp) -> bool {
         self.due_us <= Self::micros(now)
     }
 
-    fn micros(at: Millis) -> u64 {
-        (at.max(0.0) * 1000.0) as u64
+    fn micros(at: Timestamp) -> u64 {
+        (at.as_millis().max(0.0) * MICROS_PER_MILLI) as u64
     }
 }
 
@@ -77,8 +84,8 @@
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) now: Millis,
-    pub(crate) started_at: Option<Millis>,
+    pub(crate) now: Timestamp,
+    pub(crate) started_at: Option<Timestamp>,
     pub(crate) zone: Arc<str>,
     pub(crate) servers: BTreeMap<ServerId, ServerRecord>,
     /// Servers that take requests, one at the least; counted when the list changes, for it is asked often.
@@ -102,11 +109,11 @@
     pub(crate) mean_work: Millis,
     /// Shortest latency target of all classes: the measure of how quickly queues come and go.
     pub(crate) shortest_target: Millis,
-    pub(crate) next_sweep_at: Millis,
+    pub(crate) next_sweep_at: Timestamp,
     /// The next tick asked for.
-    pub(crate) next_tick_at: Millis,
+    pub(crate) next_tick_at: Timestamp,
     pub(crate) rejected: RejectionCounts,
-    pub(crate) next_log_at: Millis,
+    pub(crate) next_log_at: Timestamp,
 }
 
 fn shortest_target(classes: &[RequestClass]) -> Millis {
@@ -128,7 +135,7 @@
             .iter()
             .map(|_| PlanUsage {
                 sent: [sketch(), sketch()],
-                rotate_at: f64::NEG_INFINITY,
+                rotate_at: Timestamp::DISTANT_PAST,
                 in_flight: sketch(),
             })
             .collect();
@@ -140,7 +147,7 @@
             plans,
             settings,
             rng,
-            now: f64::NEG_INFINITY,
+            now: Timestamp::DISTANT_PAST,
             started_at: None,
             servers: BTreeMap::new(),
             ready_servers: 1.0,
@@ -153,15 +160,15 @@
             mean_value: 0.0,
             typical_in_flight: 0.0,
             mean_work: 0.0,
-            next_sweep_at: f64::NEG_INFINITY,
-            next_tick_at: f64::INFINITY,
+            next_sweep_at: Timestamp::DISTANT_PAST,
+            next_tick_at: Timestamp::DISTANT_FUTURE,
             rejected: RejectionCounts::default(),
-            next_log_at: f64::NEG_INFINITY,
+            next_log_at: Timestamp::DISTANT_PAST,
         })
     }
 
     /// Takes in one event and adds what is to be done to `actions`, in order.
-    pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         // Buckets must not lose or gain by a clock that steps back.
         self.now = self.now.max(now);
         self.start(actions);
--- a/crates/gateway/src/housekeeping.rs
+++ b/crates/gateway/src/housekeeping.rs
@@ -1,9 +1,10 @@
 //! Timers, hedged requests that are due, removal of old records, log lines.
 
-use crate::api::{Action, Millis, RequestId, ServerState};
-use crate::gateway::{Gateway, RejectionCounts};
+use crate::api::{Action, RequestId, ServerState};
+use crate::gateway::{Gateway, PendingHedge, RejectionCounts};
 use crate::quota::reading_lifetime;
 use crate::server_record::ServerRecord;
+use ivygate_time::{Millis, Timestamp};
 
 /// Interval of ticks.
 const TICK_INTERVAL: Millis = 20.0;
@@ -15,13 +16,13 @@
 impl Gateway {
     /// Asks for the first tick at which there is something to do; ticks lie an interval apart.
     pub(crate) fn schedule_tick(&mut self, token: u64, actions: &mut Vec<Action>) {
-        let hedge_at = self.hedges.first().map_or(f64::INFINITY, |hedge| hedge.due_us as f64 / 1000.0);
+        let hedge_at = self.hedges.first().map_or(Timestamp::DISTANT_FUTURE, PendingHedge::due_at);
         let wanted =
             if self.settings.allow_health_checks { self.now } else { hedge_at.min(self.next_sweep_at) };
         let started_at = self.started_at.unwrap_or(self.now);
-        let intervals = |at: Millis| (at - started_at) / TICK_INTERVAL;
+        let intervals = |at: Timestamp| at.millis_since(started_at) / TICK_INTERVAL;
         let next = intervals(wanted).ceil().max((intervals(self.now) + 0.5).floor() + 1.0);
-        let at = started_at + TICK_INTERVAL * next;
+        let at = started_at.plus_millis(TICK_INTERVAL * next);
         if at < self.next_tick_at {
             self.next_tick_at = at;
             actions.push(Action::Timer { token, at });
@@ -31,13 +32,13 @@
     pub(crate) fn handle_tick(&mut self, actions: &mut Vec<Action>) {
         // An earlier tick, asked for later, may have done all already. Callers round times, so a tick that comes a little early is
         // the one asked for.
-        if self.now + 0.5 * TICK_INTERVAL < self.next_tick_at {
+        if self.now.plus_millis(0.5 * TICK_INTERVAL) < self.next_tick_at {
             return;
         }
-        self.next_tick_at = f64::INFINITY;
+        self.next_tick_at = Timestamp::DISTANT_FUTURE;
         self.send_due_hedges(actions);
         if self.now >= self.next_sweep_at {
-            self.next_sweep_at = self.now + SWEEP_INTERVAL;
+            self.next_sweep_at = self.now.plus_millis(SWEEP_INTERVAL);
             self.remove_old_records();
             self.log_rejections(actions);
         }
@@ -65,7 +66,9 @@
             let refill_time = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
             let refill_time =
                 refill_time(plan.burst, plan.rate).max(refill_time(plan.limit_burst, plan.limit_rate));
-            now < customer.last_seen_at + refill_time.max(reading_lifetime(plan, customer.gateways))
+            now < customer
+                .last_seen_at
+                .plus_millis(refill_time.max(reading_lifetime(plan, customer.gateways)))
         });
         self.servers.retain(|_, server| server.state != ServerState::Gone || !server.in_flight.is_empty());
     }
@@ -78,7 +81,7 @@
         if self.now < self.next_log_at || (!has_rejected && ejected == 0) {
             return;
         }
-        self.next_log_at = self.now + LOG_INTERVAL;
+        self.next_log_at = self.now.plus_millis(LOG_INTERVAL);
         let RejectionCounts { quota, rate_limit, overload } = std::mem::take(&mut self.rejected);
         let text = format!(
             "rejected {quota} beyond quota, {rate_limit} at a rate limit, {overload} for want of capacity; \
--- a/crates/gateway/src/load_balancing.rs
+++ b/crates/gateway/src/load_balancing.rs
@@ -3,13 +3,14 @@
 //! The cost is the expected wait by own attempts, reports and answers, what the way there costs, and the failures seen in its zone;
 //! a random part keeps gateways that know the same from choosing the same server.
 
-use crate::api::{Millis, ServerId, ZoneAdvice};
+use crate::api::{ServerId, ZoneAdvice};
 use crate::estimators::CONTENTION;
 use crate::gateway::{Gateway, ZoneFailures};
 use crate::outlier_ejection::MAX_EJECTION_TIME;
 use crate::request_record::RequestRecord;
 use crate::server_record::ServerRecord;
 use crate::settings::Effect;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::BTreeSet;
 
 /// Random part of a server's cost, so that gateways with the same knowledge do not all choose the same one.
@@ -58,8 +59,8 @@
 /// A server that is used where none of the others may be.
 #[derive(Clone, Copy)]
 struct LastResort {
-    /// The least is used first.
-    rank: Millis,
+    /// When it may be used again, later by a penalty; the earliest is used first.
+    rank: Timestamp,
     choice: Choice,
     /// Whether it is ejected, or its zone is to be avoided.
     is_avoided: bool,
@@ -154,7 +155,8 @@
         let slowness = self.slowness(server).max(MIN_ASSUMED_SLOWNESS / self.capacity_ratio(server));
         // A silent server is at least as slow as its silence is long.
         let oldest = server.in_flight.front();
-        let silence = oldest.map_or(0.0, |oldest| self.now - oldest.sent_at.max(server.last_answer_at));
+        let silence =
+            oldest.map_or(0.0, |oldest| self.now.millis_since(oldest.sent_at.max(server.last_answer_at)));
         let service = selection.work * slowness;
         let queueing = self.queueing_seen(server);
         let queue = (self.mean_work * slowness * CONTENTION * concurrency).max(queueing);
@@ -162,9 +164,9 @@
         Choice { server: id, wait, queue }
     }
 
-    fn last_resort_rank(&self, server: &ServerRecord, is_worst: bool) -> Millis {
+    fn last_resort_rank(&self, server: &ServerRecord, is_worst: bool) -> Timestamp {
         let penalty = if is_worst { MAX_EJECTION_TIME * self.shortest_target } else { 0.0 };
-        server.ejected_until + penalty
+        server.ejected_until.plus_millis(penalty)
     }
 
     /// What the way to a server costs, and the failures seen in its zone.
@@ -172,7 +174,7 @@
         let crossing = if server.zone == self.zone { 0.0 } else { selection.cross_zone_cost };
         let none = ZoneFailures { ratio: 0.0, updated_at: self.now };
         let failures = self.zone_failures.get(&server.zone).copied().unwrap_or(none);
-        let age = self.now - failures.updated_at;
+        let age = self.now.millis_since(failures.updated_at);
         let fading = (-age / (MAX_EJECTION_TIME * self.shortest_target)).exp();
         server.distance_cost + crossing + selection.latency_target * failures.ratio * fading
     }
--- a/crates/gateway/src/outlier_ejection.rs
+++ b/crates/gateway/src/outlier_ejection.rs
@@ -3,9 +3,10 @@
 //! An ejected server is on probation until it gives a good answer: it gets one request at a time, or health checks where those are
 //! allowed. Ejection never empties the fleet, see [`crate::Gateway`]'s choice of a last resort.
 
-use crate::api::{Action, Load, Millis, Outcome, ServerId};
+use crate::api::{Action, Load, Outcome, ServerId};
 use crate::gateway::Gateway;
 use crate::server_record::ServerRecord;
+use ivygate_time::{Millis, Timestamp};
 
 /// Failures in a row that eject a server which was answering until now.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
@@ -19,12 +20,12 @@
 
 impl Gateway {
     /// Judges a server by an outcome: each kind of symptom ejects it for its own time.
-    pub(crate) fn note_outcome(&mut self, id: ServerId, outcome: Outcome, sent_at: Millis) {
+    pub(crate) fn note_outcome(&mut self, id: ServerId, outcome: Outcome, sent_at: Timestamp) {
         let (now, target) = (self.now, self.shortest_target);
         let Some(server) = self.servers.get_mut(&id) else { return };
         let ejection_time = server.ejection_time(outcome, sent_at, target);
         if ejection_time > 0.0 {
-            server.ejected_until = server.ejected_until.max(now + ejection_time);
+            server.ejected_until = server.ejected_until.max(now.plus_millis(ejection_time));
         }
         if matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error | Outcome::Unusable) {
             server.last_answer_at = now;
@@ -55,7 +56,7 @@
 
 impl ServerRecord {
     /// How long an outcome ejects this server; 0 for not at all.
-    fn ejection_time(&mut self, outcome: Outcome, sent_at: Millis, target: Millis) -> Millis {
+    fn ejection_time(&mut self, outcome: Outcome, sent_at: Timestamp, target: Millis) -> Millis {
         match outcome {
             Outcome::Ok => {
                 self.consecutive_failures = 0;
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -5,10 +5,11 @@
 //! burst), and one whose metered use over all gateways is too high (an excess spread under every slice). Of theirs, only a part
 //! passes, which follows the meter.
 
-use crate::api::{Arrival, Millis};
+use crate::api::Arrival;
 use crate::customer_record::{CustomerRecord, MeterReading};
 use crate::gateway::Gateway;
 use crate::settings::Plan;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -57,12 +58,12 @@
         let (limits, usage) = (&self.settings.plans[plan], &mut self.plans[plan]);
         let half_window = HALF_WINDOW * limits.burst / limits.rate;
         if self.now >= usage.rotate_at {
-            if self.now >= usage.rotate_at + half_window {
+            if self.now >= usage.rotate_at.plus_millis(half_window) {
                 usage.sent[0].clear();
             }
             usage.sent.swap(0, 1);
             usage.sent[0].clear();
-            usage.rotate_at = self.now + half_window;
+            usage.rotate_at = self.now.plus_millis(half_window);
         }
         usage.sent[0].estimate(customer) + usage.sent[1].estimate(customer)
     }
@@ -107,11 +108,11 @@
         let own_parts = (1.0 / limits.excess_cost).clamp(MIN_OWN_PARTS, MAX_OWN_PARTS);
         let own_ratio = (own_parts / gateways).min(1.0);
         // An earlier run of this gateway may have emptied its part just before this one began.
-        let limit_gain = (now - started_at) / 1000.0 * limits.limit_rate / gateways;
+        let limit_gain = (now.millis_since(started_at)) / 1000.0 * limits.limit_rate / gateways;
         self.customers.entry(key.clone()).or_insert_with(|| CustomerRecord {
             plan,
             gateways,
-            heavy_until: f64::NEG_INFINITY,
+            heavy_until: Timestamp::DISTANT_PAST,
             pass_ratio,
             pass_credit,
             pass_ratios: VecDeque::new(),
@@ -166,7 +167,7 @@
     /// How a request of a heavy customer stands to the quota; `status` is how it stands to the attempts in flight.
     fn heavy_status(
         &mut self,
-        now: Millis,
+        now: Timestamp,
         plan: &Plan,
         gateways: f64,
         units: f64,
@@ -174,7 +175,7 @@
     ) -> QuotaStatus {
         let told_at = self.reading.map_or(self.created_at, |reading| reading.at);
         let is_known = self.reading.is_some() || self.pass_ratio < 1.0;
-        if is_known && now > told_at + reading_lifetime(plan, gateways) {
+        if is_known && now > told_at.plus_millis(reading_lifetime(plan, gateways)) {
             self.reading = None;
             self.set_pass_ratio(now, 1.0, READING_LIFETIME);
         }
@@ -192,7 +193,7 @@
         status
     }
 
-    fn handle_reading(&mut self, now: Millis, plan: &Plan, period: Millis, percent: f64) {
+    fn handle_reading(&mut self, now: Timestamp, plan: &Plan, period: Millis, percent: f64) {
         let Some(elapsed) = self.new_period(now, period, percent) else { return };
         let is_first = self.reading.is_none();
         self.reading = Some(MeterReading { at: now, percent });
@@ -201,7 +202,7 @@
         self.metered_bucket = (self.metered_bucket + gain).clamp(0.0, plan.burst);
         let is_empty = self.metered_bucket < 1.0;
         if percent > 100.0 && is_empty {
-            self.heavy_until = now + reading_lifetime(plan, self.gateways);
+            self.heavy_until = now.plus_millis(reading_lifetime(plan, self.gateways));
         }
         if percent <= 100.0 || is_empty {
             self.cut_pass_ratio(now, plan, period, percent, is_first);
@@ -209,9 +210,9 @@
     }
 
     /// The time that a reading covers; `None` if it is of the same period as the last.
-    fn new_period(&self, now: Millis, period: Millis, percent: f64) -> Option<Millis> {
+    fn new_period(&self, now: Timestamp, period: Millis, percent: f64) -> Option<Millis> {
         let Some(last) = self.reading else { return Some(period) };
-        let age = now - last.at;
+        let age = now.millis_since(last.at);
         let is_new = age >= period || (last.percent != percent && age >= MIN_READING_SPACING * period);
         is_new.then_some(age.min(READING_LIFETIME))
     }
@@ -226,9 +227,9 @@
         self.unmetered = 0.0;
     }
 
-    fn cut_pass_ratio(&mut self, now: Millis, plan: &Plan, period: Millis, percent: f64, is_first: bool) {
+    fn cut_pass_ratio(&mut self, now: Timestamp, plan: &Plan, period: Millis, percent: f64, is_first: bool) {
         // A reading is late: it tells of the ratio then in force, and must not cut the next one again.
-        let ratio = self.pass_ratio_at(now - READING_DELAY - period / 2.0);
+        let ratio = self.pass_ratio_at(now.minus_millis(READING_DELAY).minus_millis(period / 2.0));
         let cut = 100.0 / percent.max(1.0);
         // Gateways that have heard nothing yet pass what this one is told of: it makes up for one more.
         let is_slice_small = plan.burst < self.gateways;
--- a/crates/gateway/src/request_record.rs
+++ b/crates/gateway/src/request_record.rs
@@ -1,6 +1,7 @@
 //! What a gateway knows of a request that it has taken.
 
-use crate::api::{Millis, RequestId, ServerId, Zones};
+use crate::api::{RequestId, ServerId, Zones};
+use ivygate_time::Timestamp;
 use std::sync::Arc;
 
 /// What is known of an attempt.
@@ -18,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub server: ServerId,
-    pub sent_at: Millis,
+    pub sent_at: Timestamp,
     pub state: AttemptState,
     /// Requests thought to be on the server when it was sent.
     pub concurrency: f64,
@@ -34,9 +35,9 @@
     pub customer: Arc<str>,
     /// Gateways through which the customer's requests may come.
     pub gateways: f64,
-    pub deadline: Millis,
+    pub deadline: Timestamp,
     /// When an answer stops earning the full value.
-    pub target_at: Millis,
+    pub target_at: Timestamp,
     pub units: f64,
     /// The only zones whose servers may have it.
     pub zones: Option<Zones>,
@@ -80,5 +81,5 @@
 pub(crate) struct InFlightAttempt {
     pub request: RequestId,
     pub attempt: u32,
-    pub sent_at: Millis,
+    pub sent_at: Timestamp,
 }
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -3,12 +3,13 @@
 //! A request whose effect must not be repeated is never sent again once an attempt may have run; a keyed one only to servers that
 //! drop its repeats, for as long as they do.
 
-use crate::api::{Action, AttemptResult, Millis, RejectReason, RequestId};
+use crate::api::{Action, AttemptResult, RejectReason, RequestId};
 use crate::gateway::{Gateway, PendingHedge, DEADLINE_MARGIN};
 use crate::load_balancing::Choice;
 use crate::request_record::{Attempt, AttemptState, InFlightAttempt, RequestRecord};
 use crate::server_record::ServerRecord;
 use crate::settings::{Effect, KeyScope, RetryBudget};
+use ivygate_time::{Millis, Timestamp};
 
 /// An attempt is overdue after this many times its expected wait ...
 const OVERDUE_FACTOR: f64 = 5.0;
@@ -17,8 +18,8 @@
 
 /// When an attempt is given up, and when another is sent beside it.
 struct AttemptPlan {
-    give_up_at: Millis,
-    hedge_at: Option<Millis>,
+    give_up_at: Timestamp,
+    hedge_at: Option<Timestamp>,
 }
 
 impl Gateway {
@@ -39,7 +40,7 @@
             KeyScope::Zone => home.zone == server.zone,
             KeyScope::Cell => home.cell == server.cell,
         };
-        drops_repeats && self.now < first.sent_at + class.key_window - DEADLINE_MARGIN
+        drops_repeats && self.now < first.sent_at.plus_millis(class.key_window).minus_millis(DEADLINE_MARGIN)
     }
 
     /// Whether the client may be told that trying again is harmless.
@@ -49,9 +50,13 @@
     }
 
     /// When an answer stops earning anything.
-    fn useful_until(&self, request: &RequestRecord) -> Millis {
+    fn useful_until(&self, request: &RequestRecord) -> Timestamp {
         let earns_late = self.settings.classes[request.class].late_value > 0.0;
-        let target = if earns_late { f64::INFINITY } else { request.target_at - DEADLINE_MARGIN };
+        let target = if earns_late {
+            Timestamp::DISTANT_FUTURE
+        } else {
+            request.target_at.minus_millis(DEADLINE_MARGIN)
+        };
         request.deadline.min(target)
     }
 
@@ -86,12 +91,12 @@
     fn plan_attempt(&self, request: &RequestRecord, wait: Millis) -> AttemptPlan {
         let class = &self.settings.classes[request.class];
         let end = self.useful_until(request);
-        let time_left = request.target_at - self.now;
+        let time_left = request.target_at.millis_since(self.now);
         let patience = (OVERDUE_FACTOR * wait).max(MIN_OVERDUE_RATIO * time_left);
         let has_another = (request.attempts.len() as u32 + 1) < request.max_attempts;
         let may_repeat = class.effect != Effect::Unsafe && has_another && patience + wait < time_left;
         let is_hedged = may_repeat && self.settings.allow_hedging;
-        let overdue_at = self.now + patience;
+        let overdue_at = self.now.plus_millis(patience);
         AttemptPlan {
             give_up_at: if may_repeat && !is_hedged { end.min(overdue_at) } else { end },
             hedge_at: is_hedged.then_some(overdue_at),
@@ -149,11 +154,11 @@
         let end = self.useful_until(request);
         let is_free = request.never_ran() && !self.settings.retry_budget.counts_never_run;
         let has_budget = is_free || self.retry_tokens >= 1.0;
-        let has_time = self.now + DEADLINE_MARGIN < end;
+        let has_time = self.now.plus_millis(DEADLINE_MARGIN) < end;
         if !request.has_attempts_left() || request.is_streaming || !has_time || !has_budget {
             return false;
         }
-        let choice = self.choose_server(request).filter(|choice| self.now + choice.wait < end);
+        let choice = self.choose_server(request).filter(|choice| self.now.plus_millis(choice.wait) < end);
         let Some(choice) = choice else { return false };
         if !is_free {
             self.retry_tokens -= 1.0;
@@ -170,7 +175,7 @@
             return;
         }
         let request = request.clone();
-        let time_left = request.target_at - self.now;
+        let time_left = request.target_at.millis_since(self.now);
         let choice = self.choose_server(&request).filter(|choice| choice.wait < time_left);
         if let Some(choice) = choice.filter(|choice| !request.was_sent_to(choice.server)) {
             self.retry_tokens -= 1.0;
--- a/crates/gateway/src/server_list.rs
+++ b/crates/gateway/src/server_list.rs
@@ -22,7 +22,7 @@
 
     fn retry_list(&mut self, actions: &mut Vec<Action>) {
         if self.settings.subscribe_to_list {
-            actions.push(Action::Timer { token: LIST_RETRY_TIMER, at: self.now + SWEEP_INTERVAL });
+            actions.push(Action::Timer { token: LIST_RETRY_TIMER, at: self.now.plus_millis(SWEEP_INTERVAL) });
         }
     }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told of its deployment when it starts.
 
-use crate::api::Millis;
+use ivygate_time::Millis;
 
 /// The settings of a gateway.
 #[derive(Clone, Debug)]
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -1,7 +1,7 @@
 //! The settings object, as the simulator's wire and a node's configuration both give it.
 
-use crate::api::Millis;
 use crate::settings::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings};
+use ivygate_time::Millis;
 use serde::Deserialize;
 
 /// The settings object as it is written; [`Setup::settings`] gives what a gateway acts on.
--- a/crates/gateway/src/slow_start.rs
+++ b/crates/gateway/src/slow_start.rs
@@ -4,9 +4,10 @@
 //! the server takes. Where a rate of requests is told instead, the server's bound holds, see
 //! [`SlowStartBound`](crate::SlowStartBound).
 
-use crate::api::{Millis, ServerId};
+use crate::api::ServerId;
 use crate::gateway::Gateway;
 use crate::server_record::ServerRecord;
+use ivygate_time::Millis;
 use std::collections::BTreeSet;
 
 /// Part of the work that a server may be sent before it fails which is used: work varies.
@@ -17,7 +18,9 @@
 impl Gateway {
     /// Present part of a server's capacity, at the least.
     pub(crate) fn capacity_ratio(&self, server: &ServerRecord) -> f64 {
-        let age = server.started_at.map_or(f64::INFINITY, |started_at| (self.now - started_at).max(0.0));
+        let age = server
+            .started_at
+            .map_or(f64::INFINITY, |started_at| (self.now.millis_since(started_at)).max(0.0));
         if age >= self.settings.slow_start_duration {
             return 1.0;
         }
@@ -40,7 +43,7 @@
             let start = if is_new { self.rng.f64() * (burst + work) } else { 0.0 };
             let now = self.now;
             if let Some(server) = self.servers.get_mut(&id) {
-                let gain = rate * (now - server.budget_filled_at).max(0.0);
+                let gain = rate * (now.millis_since(server.budget_filled_at)).max(0.0);
                 let budget = server.slow_start_budget.unwrap_or(start) + gain;
                 server.slow_start_budget = Some(bounded_budget(budget, burst, work));
                 server.budget_filled_at = now;
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -4,6 +4,7 @@
 use fastrand::Rng;
 use fnv::FnvHasher;
 use ivygate_gateway::*;
+use ivygate_time::Timestamp;
 use std::hash::Hasher;
 use std::sync::Arc;
 
@@ -112,10 +113,11 @@
 
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.gateway.handle(Timestamp::from_millis(self.now), event, &mut actions);
         for action in actions {
             let text = match action {
                 Action::Send { request, server, give_up_at } => {
+                    let give_up_at = give_up_at.as_millis();
                     let number = self.sends.entry(request.clone()).or_insert(0);
                     self.out.push((request.clone(), *number, server, self.now, give_up_at));
                     *number += 1;
@@ -136,6 +138,7 @@
                     format!("probe {server}")
                 }
                 Action::Timer { token, at } => {
+                    let at = at.as_millis();
                     self.timers.push((at, token));
                     format!("timer {token} {at:.6}")
                 }
@@ -155,10 +158,12 @@
                 cell: server / 2,
                 state: if self.rng.u8(..6) == 0 { ServerState::Draining } else { ServerState::Ready },
                 weight: 1.0,
-                started_at: (self.rng.u8(..4) == 0).then_some(self.now - 3_000.0),
+                started_at: (self.rng.u8(..4) == 0).then_some(Timestamp::from_millis(self.now - 3_000.0)),
                 distance_cost: [0.0, 15.0, 220.0][server as usize % 3],
-                slow_start: (self.rng.u8(..6) == 0)
-                    .then_some(SlowStartBound { requests_per_s: 5.0, until: self.now + 2_000.0 }),
+                slow_start: (self.rng.u8(..6) == 0).then_some(SlowStartBound {
+                    requests_per_s: 5.0,
+                    until: Timestamp::from_millis(self.now + 2_000.0),
+                }),
             })
             .collect();
         let kind = match self.rng.u8(..8) {
@@ -179,7 +184,7 @@
             class: class.into(),
             plan: ["free", "basic", "extra"][self.rng.usize(..3)].into(),
             customer: format!("c{}", self.rng.u8(..9).min(self.rng.u8(..9))).into(),
-            deadline: self.now + 500.0 + 3_000.0 * self.rng.f64(),
+            deadline: Timestamp::from_millis(self.now + 500.0 + 3_000.0 * self.rng.f64()),
             units: [1.0, 1.0, 2.5][self.rng.usize(..3)],
             gateways: self.rng.u32(1..4),
             zones,
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,6 +1,7 @@
 //! The module's behaviour, driven by made-up events.
 
 use ivygate_gateway::*;
+use ivygate_time::Timestamp;
 use std::sync::Arc;
 
 fn settings() -> Settings {
@@ -77,7 +78,7 @@
 
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
         self.actions.clear();
-        self.gateway.handle(now, event, &mut self.actions);
+        self.gateway.handle(Timestamp::from_millis(now), event, &mut self.actions);
         self.actions.clone()
     }
 
@@ -89,7 +90,7 @@
             class: class.into(),
             plan: "basic".into(),
             customer: customer.into(),
-            deadline: now + 3000.0,
+            deadline: Timestamp::from_millis(now + 3000.0),
             units: 1.0,
             gateways: 2,
             zones: None,
@@ -295,7 +296,7 @@
 #[test]
 fn a_cold_server_gets_no_more_than_this_gateways_part() {
     let mut cold = member(1, 0, ServerState::Ready);
-    cold.started_at = Some(0.0);
+    cold.started_at = Some(Timestamp::from_millis(0.0));
     let mut settings = settings();
     settings.plans[0].rate = 1_000.0;
     settings.plans[0].burst = 1_000.0;
@@ -412,7 +413,7 @@
         class: "read".into(),
         plan: "basic".into(),
         customer: "a".into(),
-        deadline: f64::from(n) * 1000.0 + 3000.0,
+        deadline: Timestamp::from_millis(f64::from(n) * 1000.0 + 3000.0),
         units: 4.0,
         gateways: 11,
         zones: None,
@@ -474,7 +475,7 @@
         class: "other".into(),
         plan: "basic".into(),
         customer: "a".into(),
-        deadline: 3_000.0,
+        deadline: Timestamp::from_millis(3_000.0),
         units: 1.0,
         gateways: 2,
         zones: None,
@@ -574,14 +575,14 @@
                     let r = requests.get_mut(request).expect("known");
                     assert!(!r.1, "sent after the final answer");
                     assert_eq!(states[*server as usize], ServerState::Ready, "sent to a draining server");
-                    assert!(*give_up_at <= r.3, "outlives the client");
+                    assert!(give_up_at.as_millis() <= r.3, "outlives the client");
                     let ran: Vec<_> = r.2.iter().filter(|a| !a.2.is_some_and(Outcome::never_ran)).collect();
                     assert!(r.0 != 2 || ran.is_empty(), "an unsafe request was repeated");
                     if r.0 == 1 {
                         assert!(ran.iter().all(|a| a.0 % 2 == server % 2), "a keyed one left its cell");
                     }
                     assert!(hedging || r.2.iter().all(|a| a.2.is_some()), "two attempts out at once");
-                    r.2.push((*server, *give_up_at, None));
+                    r.2.push((*server, give_up_at.as_millis(), None));
                 }
                 Action::Reject { request, .. } => {
                     let r = requests.get_mut(request).expect("known");
@@ -609,7 +610,7 @@
 #[test]
 fn ejected_servers_are_no_last_resort_while_others_are_only_cold() {
     let mut cold = member(2, 0, ServerState::Ready);
-    cold.started_at = Some(0.0);
+    cold.started_at = Some(Timestamp::from_millis(0.0));
     let mut rig = Rig::new(settings(), vec![member(1, 0, ServerState::Ready)]);
     let (request, _) = rig.arrive(1.0, "read", "a");
     rig.done(200.0, &request, 0, Outcome::ConnectFailed);
@@ -681,7 +682,7 @@
         class: "read".into(),
         plan: "basic".into(),
         customer: customer.into(),
-        deadline: now + 3_000.0,
+        deadline: Timestamp::from_millis(now + 3_000.0),
         units,
         gateways: width,
         zones: None,
@@ -718,7 +719,7 @@
     settings.plans[0].rate = 1_000_000.0;
     settings.plans[0].burst = 1_000_000.0;
     let mut cold = member(1, 0, ServerState::Ready);
-    cold.started_at = Some(0.0);
+    cold.started_at = Some(Timestamp::from_millis(0.0));
     let mut sends: Vec<f64> = Vec::new();
     for rank in 0..gateways {
         let mut own = settings.clone();
@@ -726,13 +727,21 @@
         let mut gateway = Gateway::new(own, u64::from(rank)).expect("settings are sound");
         let mut actions = Vec::new();
         let members: Arc<[ServerEntry]> = vec![cold.clone()].into();
-        gateway.handle(0.0, Event::List { kind: ListKind::Full, servers: members }, &mut actions);
+        gateway.handle(
+            Timestamp::from_millis(0.0),
+            Event::List { kind: ListKind::Full, servers: members },
+            &mut actions,
+        );
         // Every gateway would send all the time: it asks each 50 ms.
         let mut now = quiet;
         while now < quiet + 4_000.0 {
             actions.clear();
             let request = format!("g{now}");
-            gateway.handle(now, Event::Arrival(arrival(&request, "a", now, 1.0, 1)), &mut actions);
+            gateway.handle(
+                Timestamp::from_millis(now),
+                Event::Arrival(arrival(&request, "a", now, 1.0, 1)),
+                &mut actions,
+            );
             if sent_to(&actions).is_some() {
                 sends.push(now);
                 let done = AttemptResult {
@@ -745,7 +754,7 @@
                     metered_percent: None,
                     load: Load::default(),
                 };
-                gateway.handle(now, Event::AttemptEnded(done), &mut actions);
+                gateway.handle(Timestamp::from_millis(now), Event::AttemptEnded(done), &mut actions);
             }
             now += 50.0;
         }
@@ -918,7 +927,7 @@
             sent = Some(now);
         }
         due.extend(actions.iter().filter_map(|a| match a {
-            Action::Timer { token, at } => Some(((at * 1000.0) as u64, *token)),
+            Action::Timer { token, at } => Some(((at.as_millis() * 1000.0) as u64, *token)),
             _ => None,
         }));
         due.sort_unstable();
@@ -1159,7 +1168,8 @@
 
 #[test]
 fn a_fenced_server_gets_no_more_than_its_rate_until_it_is_warm() {
-    let fence = Some(ivygate_gateway::SlowStartBound { requests_per_s: 2.0, until: 5_000.0 });
+    let fence =
+        Some(ivygate_gateway::SlowStartBound { requests_per_s: 2.0, until: Timestamp::from_millis(5_000.0) });
     let cold = ServerEntry { slow_start: fence, ..member(1, 0, ServerState::Ready) };
     let mut rig = Rig::new(settings(), vec![cold]);
     let mut sent = |from: u32, until: u32| {
@@ -1206,7 +1216,11 @@
         for action in rig.handle(now, Event::Arrival(asked)) {
             if let Action::Send { give_up_at, .. } = action {
                 // An answer after the aim of a second earns nothing here: until then it is waited for.
-                assert!(give_up_at >= now + 990.0, "given up after {} ms", give_up_at - now);
+                assert!(
+                    give_up_at.as_millis() >= now + 990.0,
+                    "given up after {} ms",
+                    give_up_at.as_millis() - now
+                );
             }
         }
         rig.done(now + 5.0, &request.as_str().into(), 0, Outcome::Ok);
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -6,11 +6,11 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use ivygate_gateway::Millis;
 use ivygate_runtime::{
     end_to_end, millis, retry_after_value, Answer, Ask, Asked, Driver, Front, Leaving, Message, Payload,
     BODY_MOST, WHOLE_REQUEST,
 };
+use ivygate_time::Millis;
 use std::rc::Rc;
 use tokio::time::{timeout, Instant};
 
@@ -118,7 +118,7 @@
             body: Rc::new(Payload::whole(body)),
             tells: Some(tell_deadline),
         };
-        Ok(Ask { deadline: now + head.wait, head, message })
+        Ok(Ask { deadline: now.plus_millis(head.wait), head, message })
     }
 }
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -4,8 +4,9 @@
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::Method;
-use ivygate_gateway::{Bounds, Effect, Millis, Settings};
+use ivygate_gateway::{Bounds, Effect, Settings};
 use ivygate_runtime::{one, Head};
+use ivygate_time::Millis;
 use std::sync::Arc;
 
 /// Longest id; far more than any client's.
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -12,8 +12,8 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
-use ivygate_gateway::Millis;
 use ivygate_runtime::{Answer, Ask, Asked, Driver, Front, Head, Leaving, Message, Payload};
+use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -129,7 +129,7 @@
         request: &ParsedRequest,
         parts: Parts,
         body: &HeldBody,
-        now: Millis,
+        now: Timestamp,
     ) -> Result<Answer, Rejection> {
         let head = request_head(request);
         let id = head.id.clone();
@@ -140,7 +140,7 @@
             body: Rc::new(Payload::whole(body.bytes.clone())),
             tells: Some(set_attempt_headers),
         };
-        let ask = Ask { head, deadline: now + request.wait_ms, message };
+        let ask = Ask { head, deadline: now.plus_millis(request.wait_ms), message };
         let Some(answer) = target.driver.arrive(ask) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -7,9 +7,9 @@
 use crate::upstream_pools::UpstreamPools;
 use ivygate_cluster::{Node, PullRequest, Role};
 use ivygate_control_state::{Config, Items, Tables};
-use ivygate_gateway::Millis;
 use ivygate_rpc::{json_response, BootstrapSettings, RouteMatcher, RpcRequest, RpcResponse};
 use ivygate_runtime::{Clock, Driver};
+use ivygate_time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -85,7 +85,7 @@
     }
 
     /// The time now, by the clock of the decision modules.
-    pub fn now(&self) -> Millis {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -6,8 +6,9 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
-use ivygate_gateway::{Millis, Zones};
+use ivygate_gateway::Zones;
 use ivygate_runtime::{end_to_end, one};
+use ivygate_time::Millis;
 use std::rc::Rc;
 
 /// Longest id of an attempt, in bytes.
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -4,8 +4,8 @@
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use ivygate_gateway::Millis;
 use ivygate_runtime::{retry_after_value, without_hop_by_hop, Answer};
+use ivygate_time::Millis;
 
 /// What a rejected client is told to wait where nothing better is known, in milliseconds.
 pub(crate) const RETRY_SOON_MS: Millis = 100.0;
--- a/crates/proxy/src/server_protocol.rs
+++ b/crates/proxy/src/server_protocol.rs
@@ -2,7 +2,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::StatusCode;
-use ivygate_gateway::{Millis, Outcome};
+use ivygate_gateway::Outcome;
+use ivygate_time::Millis;
 
 /// The id of one attempt of a client; answers bring it back.
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("ivygate-attempt-id");
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -4,24 +4,24 @@
 //! server takes.
 
 use ivygate_cluster::{ring_position, Node, Proximity};
-use ivygate_gateway::Millis;
 use ivygate_registry::ServerRecord;
+use ivygate_time::Timestamp;
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
 /// Proxies that may send to a server that warms up.
 const SLOW_START_PROXIES: usize = 2;
 /// Part of what such a server takes that is used: two views of who may send must not add up to too much.
 const SLOW_START_RATE_RATIO: f64 = 0.8;
-/// The servers of a zone whose drain has ended may have been restarted shortly before: so long the list may not tell yet, in
-/// milliseconds.
-const ZONE_RETURN_TIME_MS: Millis = 2_500.0;
+/// The servers of a zone whose drain has ended may have been restarted shortly before: so long the list may not tell yet.
+const ZONE_RETURN_TIME: Duration = Duration::from_millis(2_500);
 
 /// A slow start as it was told, and when it ends.
 #[derive(Clone, Copy)]
 struct SlowStart {
     told_s: f64,
-    ends_at: Millis,
+    ends_at: Timestamp,
 }
 
 /// The slow starts that a proxy knows of.
@@ -33,15 +33,15 @@
     next: HashMap<String, SlowStart>,
     draining_zones: HashSet<String>,
     /// Zones whose drain has ended, and until when their servers are taken to warm up.
-    returning_zones: HashMap<String, Millis>,
+    returning_zones: HashMap<String, Timestamp>,
 }
 
 impl SlowStarts {
     /// The zones that are being drained now.
-    pub fn update_zones(&mut self, now: Millis, draining: HashSet<String>) {
+    pub fn update_zones(&mut self, now: Timestamp, draining: HashSet<String>) {
         self.returning_zones.retain(|zone, until| now < *until && !draining.contains(zone));
         for zone in self.draining_zones.difference(&draining) {
-            self.returning_zones.insert(zone.clone(), now + ZONE_RETURN_TIME_MS);
+            self.returning_zones.insert(zone.clone(), now + ZONE_RETURN_TIME);
         }
         self.draining_zones = draining;
     }
@@ -52,11 +52,11 @@
     }
 
     /// When the slow start of a listed server ends; `now` or before for one that has warmed up.
-    pub fn end_of(&mut self, now: Millis, id: &str, server: &ServerRecord) -> Millis {
+    pub fn end_of(&mut self, now: Timestamp, id: &str, server: &ServerRecord) -> Timestamp {
         let mut ends_at = now;
         if server.slow_start_s > 0.0 {
             let known = self.current.get(id).filter(|known| known.told_s == server.slow_start_s);
-            ends_at = known.map_or(now + 1000.0 * server.slow_start_s, |known| known.ends_at);
+            ends_at = known.map_or(now.plus_millis(1000.0 * server.slow_start_s), |known| known.ends_at);
             self.next.insert(id.to_owned(), SlowStart { told_s: server.slow_start_s, ends_at });
         }
         self.returning_zones.get(&server.zone).map_or(ends_at, |until| until.max(ends_at))
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -6,11 +6,12 @@
 use ivygate_cluster::{Node, Role};
 use ivygate_control_state::{Items, RequestKind, Route, Table};
 use ivygate_gateway::{
-    Effect, Event, Gateway, Millis, Plan, RequestClass, RetryBudget, Settings, SettingsError, SlowStartBound,
+    Effect, Event, Gateway, Plan, RequestClass, RetryBudget, Settings, SettingsError, SlowStartBound,
 };
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
 use ivygate_runtime::{Clock, Driver, Listing, Reading, Seal, Target, TargetState, Upstream, UpstreamLimits};
+use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -206,7 +207,7 @@
     /// What a pool is told of a server. A server that warms up takes `slow_start_rate` requests a second; 0 for no bound.
     fn target(
         &mut self,
-        now: Millis,
+        now: Timestamp,
         id: &str,
         server: &ServerRecord,
         slow_start_rate: f64,
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,14 +1,14 @@
 //! The node's one clock: monotonic, and anchored once to Unix time.
 
-use ivygate_gateway::Millis;
+use ivygate_time::{Millis, Timestamp};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Gives Unix time in milliseconds. It never steps: the system's clock is read at the start only.
+/// Gives Unix time. It never steps: the system's clock is read at the start only.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    start_ms: Millis,
+    start_at: Timestamp,
 }
 
 impl Clock {
@@ -16,17 +16,17 @@
     #[allow(clippy::new_without_default, reason = "a default that reads the time would hide that it does")]
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_ms: unix.as_secs_f64() * 1000.0 }
+        Self { start: Instant::now(), start_at: Timestamp::from_millis(unix.as_secs_f64() * 1000.0) }
     }
 
     /// The time now.
-    pub fn now(&self) -> Millis {
-        self.start_ms + self.start.elapsed().as_secs_f64() * 1000.0
+    pub fn now(&self) -> Timestamp {
+        self.start_at.plus_millis(self.start.elapsed().as_secs_f64() * 1000.0)
     }
 
     /// The instant of a time; one that has passed before the start is the start.
-    pub fn instant(&self, at: Millis) -> Instant {
-        self.start + millis(at - self.start_ms)
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.start + millis(at.millis_since(self.start_at))
     }
 }
 
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -13,9 +13,10 @@
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 use ivygate_gateway::{
-    Action, Arrival, AttemptResult, Event, Gateway, ListKind, Load, Millis, Outcome, RejectReason, RequestId,
+    Action, Arrival, AttemptResult, Event, Gateway, ListKind, Load, Outcome, RejectReason, RequestId,
     ServerEntry, ServerId, ServerState, Zones,
 };
+use ivygate_time::{Millis, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::future::Future;
@@ -23,23 +24,25 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
 
-/// Kept before a client's deadline for the way there and back: the node decides as if it came that much
-/// earlier. In milliseconds.
-const WAY: Millis = 12.0;
-/// When the last guard answers, before the client's deadline: later than any decision, early enough to
-/// arrive. In milliseconds.
-const GUARD: Millis = 5.0;
-/// Period in which idle connections are looked through, in milliseconds.
-const SWEEP: Millis = 500.0;
-/// A process whose sweep is overdue by this has stood still; the longest that is not noticed, with a period before it,
-/// stays under the grace of a drain. In milliseconds.
-const STILL: Millis = 300.0;
-/// Then it sends nothing for this long: what waits to be read may say that a server drains. In milliseconds.
-const HEAR: Millis = 20.0;
+/// Kept before a client's deadline for the network: the gateway decides as if the deadline came that much earlier.
+const DECISION_MARGIN: Duration = Duration::from_millis(12);
+/// How long before the client's deadline it is answered whatever the gateway waits for: later than any decision, early
+/// enough for the answer to arrive.
+const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(5);
+/// Interval in which idle connections are swept.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// A process whose sweep is overdue by this was stalled. The longest stall that goes unnoticed, with one interval before
+/// it, stays below the grace period of a drain.
+const STALL_THRESHOLD: Duration = Duration::from_millis(300);
+/// After a stall nothing is sent for this long: what waits to be read may say that a server drains.
+const RESUME_PAUSE: Duration = Duration::from_millis(20);
+
+const MICROS_PER_MILLI: f64 = 1000.0;
 
 /// What a head says, checked.
 #[derive(Debug, PartialEq)]
@@ -71,7 +74,7 @@
     /// What its head says.
     pub head: Head,
     /// When the client gives up.
-    pub deadline: Millis,
+    pub deadline: Timestamp,
     /// What goes on to an app server, unchanged.
     pub message: Message,
 }
@@ -144,7 +147,7 @@
         id: &'a RequestId,
         attempt: u32,
         server: SocketAddr,
-        now: Millis,
+        now: Timestamp,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>>;
 
     /// What came of an attempt that was recorded: an answer's status, or proof that it never ran, or neither.
@@ -165,7 +168,7 @@
     message: Rc<Message>,
     /// It must not be sent again once it has been.
     once: bool,
-    deadline: Millis,
+    deadline: Timestamp,
     /// Where the answer goes; empty once it is given.
     answer: Option<oneshot::Sender<Answer>>,
     attempts: Vec<Attempt>,
@@ -178,7 +181,7 @@
 
 struct Attempt {
     server: ServerId,
-    sent_at: Millis,
+    sent_at: Timestamp,
     progress: Rc<Progress>,
     task: AbortHandle,
     timer: TimerKey,
@@ -208,11 +211,11 @@
 /// Whoever decides: a [`Gateway`], or one with something in its way, as tests of a fleet put there.
 pub trait Decisions {
     /// Takes in one event and adds what is to be done to `actions`, in order.
-    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 }
 
 impl Decisions for Gateway {
-    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         Gateway::handle(self, now, event, actions);
     }
 }
@@ -237,9 +240,9 @@
     /// A timer became the first.
     sooner: Notify,
     /// When the next sweep is due.
-    sweep_due: Cell<Millis>,
+    sweep_due: Cell<Timestamp>,
     /// Until then nothing is sent: the process has stood still.
-    hears_until: Cell<Millis>,
+    hears_until: Cell<Timestamp>,
     retired: Cell<bool>,
     /// Where attempts of requests that must not run twice are recorded first.
     ledger: RefCell<Option<Rc<dyn Ledger>>>,
@@ -264,12 +267,12 @@
             upstream,
             clock,
             sooner: Notify::new(),
-            sweep_due: Cell::new(clock.now() + SWEEP),
-            hears_until: Cell::new(f64::NEG_INFINITY),
+            sweep_due: Cell::new(clock.now() + SWEEP_INTERVAL),
+            hears_until: Cell::new(Timestamp::DISTANT_PAST),
             retired: Cell::new(false),
             ledger: RefCell::default(),
         });
-        driver.set_timer(&mut driver.state.borrow_mut(), clock.now() + SWEEP, Timer::Sweep);
+        driver.set_timer(&mut driver.state.borrow_mut(), clock.now() + SWEEP_INTERVAL, Timer::Sweep);
         driver
     }
 
@@ -279,7 +282,7 @@
     }
 
     /// The time now.
-    pub fn now(&self) -> Millis {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -297,8 +300,9 @@
             return None;
         }
         let (answer, receiver) = oneshot::channel();
-        let guard = self.set_timer(&mut state, ask.deadline - GUARD, Timer::Guard(head.id.clone()));
-        let deadline = ask.deadline - WAY;
+        let guard =
+            self.set_timer(&mut state, ask.deadline - LAST_ANSWER_MARGIN, Timer::Guard(head.id.clone()));
+        let deadline = ask.deadline - DECISION_MARGIN;
         let open = Open {
             message: Rc::new(ask.message),
             once: head.once,
@@ -339,7 +343,7 @@
             class: head.class,
             plan: head.plan,
             customer: head.customer,
-            deadline: now + head.wait,
+            deadline: now.plus_millis(head.wait),
             units: head.units,
             gateways: head.width,
             zones: head.zones,
@@ -434,7 +438,7 @@
                     TargetState::Deleted => ServerState::Gone,
                 },
                 weight: target.capacity_hint,
-                started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0),
+                started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(Timestamp::from_millis),
                 distance_cost: target.detour,
                 slow_start: target.fence,
             });
@@ -468,7 +472,7 @@
             match first {
                 Some((at, _)) => {
                     tokio::select! {
-                        () = sleep_until(self.clock.instant(at as f64 / 1000.0)) => self.fire(),
+                        () = sleep_until(self.clock.instant(Timestamp::from_millis(at as f64 / MICROS_PER_MILLI))) => self.fire(),
                         () = self.sooner.notified() => {}
                     }
                 }
@@ -478,10 +482,10 @@
     }
 
     /// Looks whether the process has stood still, and if so lets it hear before it sends.
-    fn wake(&self, now: Millis) {
-        if now > self.sweep_due.get() + STILL {
-            self.sweep_due.set(now + SWEEP);
-            self.hears_until.set(now + HEAR);
+    fn wake(&self, now: Timestamp) {
+        if now > self.sweep_due.get() + STALL_THRESHOLD {
+            self.sweep_due.set(now + SWEEP_INTERVAL);
+            self.hears_until.set(now + RESUME_PAUSE);
         }
     }
 
@@ -519,7 +523,7 @@
                         let (outcome, load) = (Outcome::Reset, Load::default());
                         state.events.push_back(Event::HealthChecked { server, outcome, load });
                     }
-                    let due = self.clock.now() + SWEEP;
+                    let due = self.clock.now() + SWEEP_INTERVAL;
                     self.sweep_due.set(due);
                     self.set_timer(&mut state, due, Timer::Sweep);
                 }
@@ -528,7 +532,7 @@
         }
     }
 
-    fn set_timer(&self, state: &mut State, at: Millis, timer: Timer) -> TimerKey {
+    fn set_timer(&self, state: &mut State, at: Timestamp, timer: Timer) -> TimerKey {
         state.timer_number += 1;
         let key = (micros(at), state.timer_number);
         state.timers.insert(key, timer);
@@ -545,7 +549,7 @@
         self.work_at(state, now);
     }
 
-    fn work_at(self: &Rc<Self>, state: &mut State, now: Millis) {
+    fn work_at(self: &Rc<Self>, state: &mut State, now: Timestamp) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             state.gateway.handle(now, event, &mut actions);
@@ -556,7 +560,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action, now: Millis) {
+    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action, now: Timestamp) {
         match action {
             Action::Send { request, server, give_up_at } => {
                 self.send(state, request, server, give_up_at, now);
@@ -604,7 +608,7 @@
         self.sooner.notify_one();
         let driver = self.clone();
         tokio::task::spawn_local(async move {
-            sleep_until(driver.clock.instant(driver.now() + grace)).await;
+            sleep_until(driver.clock.instant(driver.now().plus_millis(grace))).await;
             driver.list(Listing { rev: 0, all: true, targets: Vec::new() });
         });
     }
@@ -619,13 +623,14 @@
         state: &mut State,
         id: RequestId,
         server: ServerId,
-        give_up_at: Millis,
-        now: Millis,
+        give_up_at: Timestamp,
+        now: Timestamp,
     ) {
         let State { requests, servers, timer_number, timers, .. } = state;
         let Some(open) = requests.get_mut(&id) else { return };
         let number = open.attempts.len() as u32;
-        let give_up_at = if give_up_at > 0.0 { give_up_at.min(open.deadline) } else { open.deadline };
+        let give_up_at =
+            if give_up_at.as_millis() > 0.0 { give_up_at.min(open.deadline) } else { open.deadline };
         // Where a body can't be had again, giving up in time for another attempt is no use.
         let give_up_at = if open.message.body.is_streamed() { open.deadline } else { give_up_at };
         open.fallback = None;
@@ -676,10 +681,10 @@
     /// The time left for an attempt whose first byte is about to be written, unless it must not be: the
     /// server drains or is gone by now, or may be for all that this process has slept through, or its time is up. Where the client has left the attempt has been
     /// given up, and never comes here.
-    fn may_write(&self, server: ServerId, give_up_at: Millis) -> Option<Millis> {
+    fn may_write(&self, server: ServerId, give_up_at: Timestamp) -> Option<Millis> {
         let now = self.clock.now();
         self.wake(now);
-        let left = give_up_at - now;
+        let left = give_up_at.millis_since(now);
         let state = self.state.borrow();
         let hears = now < self.hears_until.get();
         let serving = state.servers.get(&server).is_some_and(|s| s.state == TargetState::Serving);
@@ -687,7 +692,7 @@
     }
 
     /// Stops waiting for an attempt and closes its connection.
-    fn give_up(&self, state: &mut State, id: &RequestId, number: u32, outcome: Outcome, now: Millis) {
+    fn give_up(&self, state: &mut State, id: &RequestId, number: u32, outcome: Outcome, now: Timestamp) {
         let Some(attempt) = state.attempt(id, number) else { return };
         attempt.task.abort();
         // What was never written can't have run: an unsafe request may then be tried again or refused.
@@ -703,7 +708,7 @@
     }
 
     /// Takes in how an attempt ended, once for each.
-    fn end(&self, state: &mut State, id: &RequestId, number: u32, end: End, now: Millis) {
+    fn end(&self, state: &mut State, id: &RequestId, number: u32, end: End, now: Timestamp) {
         let Some(attempt) = state.attempt(id, number) else { return };
         attempt.ended = true;
         let (server, sent_at, timer) = (attempt.server, attempt.sent_at, attempt.timer);
@@ -742,7 +747,7 @@
             attempt: number,
             server,
             outcome: end.outcome,
-            elapsed: now - sent_at,
+            elapsed: now.millis_since(sent_at),
             is_final: closed,
             metered_percent: end.use_percent,
             load: end.load,
@@ -783,8 +788,8 @@
     }
 }
 
-fn micros(at: Millis) -> u64 {
-    (at.max(0.0) * 1000.0) as u64
+fn micros(at: Timestamp) -> u64 {
+    (at.as_millis().max(0.0) * MICROS_PER_MILLI) as u64
 }
 
 /// Tells the driver that the client has left, unless its answer came first.
--- a/crates/runtime/src/headers.rs
+++ b/crates/runtime/src/headers.rs
@@ -1,7 +1,7 @@
 //! Headers that fronts have in common.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use ivygate_gateway::Millis;
+use ivygate_time::Millis;
 
 /// Headers that no peer takes away by naming them in `Connection`: what is behind relies on them.
 const KEPT: [&str; 7] =
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -1,6 +1,7 @@
 //! The list of app servers as plain data: what tells of it fills it in, the driver takes it.
 
-use ivygate_gateway::{Millis, SlowStartBound};
+use ivygate_gateway::SlowStartBound;
+use ivygate_time::Millis;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/seeded-defects/src/defects.rs
+++ b/crates/seeded-defects/src/defects.rs
@@ -1,10 +1,11 @@
 //! Defects of decisions: a gateway that is told something else than what is, or is not heeded.
 
 use ivygate_gateway::{
-    Action, Effect, Event, Gateway, KeyScope, Millis, Outcome, RequestId, ServerId, ServerState, Settings,
+    Action, Effect, Event, Gateway, KeyScope, Outcome, RequestId, ServerId, ServerState, Settings,
     SettingsError,
 };
 use ivygate_runtime::Decisions;
+use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, HashSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -78,10 +79,10 @@
     rank: u32,
     zone_of: BTreeMap<ServerId, (String, ServerState)>,
     /// The last server that started, and until when it is flooded.
-    flooded: Option<(ServerId, Millis)>,
+    flooded: Option<(ServerId, Timestamp)>,
     failures: BTreeMap<String, u32>,
     /// The zone that was first thought to be at fault, and since when.
-    at_fault: Option<(String, Millis)>,
+    at_fault: Option<(String, Timestamp)>,
     /// Requests not sent yet, but for keyed ones, whose repeats rest on where the first went.
     movable: HashSet<RequestId>,
     unkeyed: HashSet<String>,
@@ -123,7 +124,7 @@
     }
 
     /// What the gateway is told in place of what is.
-    fn told(&mut self, now: Millis, event: Event) -> Event {
+    fn told(&mut self, now: Timestamp, event: Event) -> Event {
         match event {
             Event::List { kind, servers: members } => {
                 for member in members.iter() {
@@ -133,7 +134,7 @@
                     }
                     let fresh = known.is_none_or(|(_, state)| state != ServerState::Ready);
                     if fresh && member.started_at.is_some() && member.state == ServerState::Ready {
-                        self.flooded = Some((member.server, now + FLOOD));
+                        self.flooded = Some((member.server, now.plus_millis(FLOOD)));
                     }
                 }
                 Event::List { kind, servers: members }
@@ -165,21 +166,21 @@
         }
     }
 
-    fn flooding(&self, now: Millis) -> Option<ServerId> {
+    fn flooding(&self, now: Timestamp) -> Option<ServerId> {
         let (server, until) = self.flooded.filter(|_| self.defect == Some(Defect::ColdFlood))?;
         (now < until).then_some(server)
     }
 
     /// Where a request goes first in place of where the gateway sends it.
-    fn instead(&mut self, now: Millis) -> Option<ServerId> {
+    fn instead(&mut self, now: Timestamp) -> Option<ServerId> {
         let (at_fault, since) = match self.defect? {
             Defect::ColdFlood => return self.flooding(now),
             Defect::Herd | Defect::OneByOne | Defect::AwayForEver => self.at_fault.clone()?,
             _ => return None,
         };
         let to_fault = match self.defect? {
-            Defect::Herd => ((now + self.shared?) / HERD) as u64 % 2 == 0,
-            Defect::OneByOne => now - since < f64::from(self.rank) * ONE_BY_ONE,
+            Defect::Herd => ((now.as_millis() + self.shared?) / HERD) as u64 % 2 == 0,
+            Defect::OneByOne => now.millis_since(since) < f64::from(self.rank) * ONE_BY_ONE,
             _ => false,
         };
         let fits = |(zone, state): &(String, ServerState)| {
@@ -192,10 +193,10 @@
 }
 
 impl Decisions for Planted {
-    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         if self.shared.is_none() {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            self.shared = Some(unix.as_secs_f64() * 1000.0 - now);
+            self.shared = Some(unix.as_secs_f64() * 1000.0 - now.as_millis());
         }
         let event = self.told(now, event);
         let known = actions.len();
@@ -208,7 +209,11 @@
                 // A flood heeds no queue.
                 Action::Reject { request, .. } if self.movable.remove(request) => {
                     if let Some(server) = self.flooding(now) {
-                        *action = Action::Send { request: request.clone(), server, give_up_at: now + FLOOD };
+                        *action = Action::Send {
+                            request: request.clone(),
+                            server,
+                            give_up_at: now.plus_millis(FLOOD),
+                        };
                     }
                 }
                 _ => {}
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -73,7 +73,7 @@
         let pending = match &id {
             None => None,
             Some(id) => {
-                let asked = self.shared.admissions.borrow_mut().ask(route.pool.driver.now(), id);
+                let asked = self.shared.admissions.borrow_mut().ask(route.pool.driver.now().as_millis(), id);
                 match asked {
                     Asked::New => Some(Pending { front: self, id: id.clone() }),
                     Asked::Again(headers) => return Err(yes(&headers).into()),
@@ -117,7 +117,7 @@
             vouched = self
                 .signed_in(&seen, sign_in, (method, path.as_str()), &parts.headers, wait, Default::default())
                 .await?;
-            spent = route.pool.driver.now() - begun;
+            spent = route.pool.driver.now().millis_since(begun);
             for (name, value) in &vouched {
                 parts.headers.append(name.clone(), value.clone());
             }
@@ -161,7 +161,7 @@
         let headers = Rc::new(headers);
         if let Some(pending) = &pending {
             let kept = listener.ids_kept.max(left);
-            let now = route.pool.driver.now();
+            let now = route.pool.driver.now().as_millis();
             self.shared.admissions.borrow_mut().admitted(now, &pending.id, headers.clone(), once, kept);
         }
         Err(yes(&headers).into())
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -177,7 +177,7 @@
             route: route.number,
             once: route.once,
             time: share(sign_in.settings.within, wait, route.aim),
-            deadline: route.pool.driver.now() + wait,
+            deadline: route.pool.driver.now().plus_millis(wait).as_millis(),
         };
         let unavailable = StatusCode::SERVICE_UNAVAILABLE;
         Err(match sign_in::ask(sign_in, question).await {
@@ -307,7 +307,7 @@
                 let target = target.path_and_query();
                 let asked = (&parts.method, target.as_str());
                 let vouched = self.signed_in(&seen, sign_in, asked, &parts.headers, wait, sent).await?;
-                spent = route.pool.driver.now() - begun;
+                spent = route.pool.driver.now().millis_since(begun);
                 for (name, value) in vouched {
                     parts.headers.append(name, value);
                 }
@@ -339,7 +339,7 @@
                         customer: orders.customer(&customer),
                         route: route.name.to_string(),
                         target: target.path_and_query(),
-                        taken_at: route.pool.driver.now(),
+                        taken_at: route.pool.driver.now().as_millis(),
                         attempts: Vec::new(),
                         ended: None,
                     },
@@ -359,7 +359,7 @@
                     width: route.pool.settings.sidecars,
                     wait: deadline,
                 },
-                deadline: route.pool.driver.now() + deadline,
+                deadline: route.pool.driver.now().plus_millis(deadline),
                 message: Message { method, uri, headers, body: Rc::new(payload), tells: None },
             };
             let driver = route.pool.driver.clone();
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -8,6 +8,7 @@
     Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
+use ivygate_time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -144,10 +145,10 @@
         id: &'a RequestId,
         attempt: u32,
         server: SocketAddr,
-        now: f64,
+        now: Timestamp,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async move {
-            let attempt = Attempt { number: attempt, server, sent_at: now, came: Came::Unknown };
+            let attempt = Attempt { number: attempt, server, sent_at: now.as_millis(), came: Came::Unknown };
             // Given up while its record waits, by now or later, it is never sent.
             let mut unsent = Unsent { orders: self, id, attempt: Some(attempt.number) };
             let recorded = self.record(id, attempt).await;
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -4,10 +4,11 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::StatusCode;
 use ivygate_config as config;
-use ivygate_gateway::{Effect, Gateway, KeyScope, Millis, Plan, RequestClass, RetryBudget, Settings};
+use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
     millis, Clock, Driver, Judge, Listing, Reading, Target, TargetState, Upstream, UpstreamLimits,
 };
+use ivygate_time::Millis;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -145,7 +146,7 @@
             pod_group: server.cell,
             state: if server.draining { TargetState::Draining } else { TargetState::Serving },
             capacity_hint: server.weight,
-            boot_ms: if self.settings.cold.is_some() && is_new(server) { now } else { 0.0 },
+            boot_ms: if self.settings.cold.is_some() && is_new(server) { now.as_millis() } else { 0.0 },
             detour: 0.0,
             fence: None,
         };
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -90,22 +90,22 @@
     let driver = &sign_in.pool.driver;
     let begun = driver.now();
     let key = sign_in.remembered.key(question.route, &settings.request_headers, question.headers);
-    let looking = sign_in.remembered.look(|| driver.now(), key);
+    let looking = sign_in.remembered.look(|| driver.now().as_millis(), key);
     let asking = match timeout(millis(question.time), looking).await {
         Ok(Ok(Remember::Yes(headers))) => return Outcome::GoOn(headers),
         Ok(Ok(Remember::No(status, headers, body))) => return Outcome::No(status, headers, body),
         Ok(Err(asking)) => asking,
         // Whoever asks gets no answer either.
-        Err(_) => return unanswered(settings, driver.now(), question.deadline),
+        Err(_) => return unanswered(settings, driver.now().as_millis(), question.deadline),
     };
-    let left = (question.time - (driver.now() - begun)).max(0.0);
+    let left = (question.time - (driver.now().millis_since(begun))).max(0.0);
     let (outcome, lifetime) = ask_limited(sign_in, &question, left).await;
     let remember = match &outcome {
         Outcome::GoOn(headers) => Some(Remember::Yes(headers.clone())),
         Outcome::No(status, headers, body) => Some(Remember::No(*status, headers.clone(), body.clone())),
         _ => None,
     };
-    asking.done(driver.now(), remember.map(|answer| (answer, lifetime)));
+    asking.done(driver.now().as_millis(), remember.map(|answer| (answer, lifetime)));
     outcome
 }
 
@@ -126,10 +126,10 @@
 async fn ask_limited(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Outcome, f64) {
     let (settings, driver) = (&sign_in.settings, &sign_in.pool.driver);
     let credential = sign_in.remembered.credential(&settings.request_headers, question.headers);
-    let taken = match sign_in.floods.take(driver.now(), question.client.clone(), credential) {
+    let taken = match sign_in.floods.take(driver.now().as_millis(), question.client.clone(), credential) {
         Ok(taken) => taken,
         Err(wait) => {
-            let step = gate(settings, question.deadline).handle(driver.now(), Input::Limited);
+            let step = gate(settings, question.deadline).handle(driver.now().as_millis(), Input::Limited);
             let outcome = if step == Step::Limit { Outcome::Limited(wait) } else { Outcome::TimeUp };
             return (outcome, 0.0);
         }
@@ -142,7 +142,7 @@
         _ => StatusCode::OK,
     };
     if !matches!(status, StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN) {
-        sign_in.floods.give_back(driver.now(), &taken);
+        sign_in.floods.give_back(driver.now().as_millis(), &taken);
     }
     (outcome, good)
 }
@@ -160,7 +160,7 @@
     let input = match answer {
         Answer::Passed(response) => {
             let mut meaning = Said::of(response.status().as_u16());
-            let left = time - (driver.now() - asked);
+            let left = time - (driver.now().millis_since(asked));
             let told =
                 response.headers().get(header::CACHE_CONTROL).map(|v| v.to_str().unwrap_or("no-store"));
             // A cookie is one client's, however equal the questions were.
@@ -198,7 +198,7 @@
         | Answer::Failed
         | Answer::TimeUp => Input::Unanswered,
     };
-    let outcome = match (gate.handle(driver.now(), input), no) {
+    let outcome = match (gate.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
         (Step::GoOn { checked: false }, _) => {
             // Nobody said so, so there is nothing to remember.
@@ -234,7 +234,7 @@
             zones: None,
             tries: None,
         },
-        deadline: sign_in.pool.driver.now() + time,
+        deadline: sign_in.pool.driver.now().plus_millis(time),
         message: Message {
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -91,7 +91,9 @@
     fn hear(&self, shared: &Shared, packet: &[u8]) {
         let now = self.clock.now();
         // What is dropped is counted there.
-        let Ok((author, words)) = self.group.borrow_mut().handle_packet(now, packet) else { return };
+        let Ok((author, words)) = self.group.borrow_mut().handle_packet(now.as_millis(), packet) else {
+            return;
+        };
         let mut by_pool: BTreeMap<String, Vec<Tally>> = BTreeMap::new();
         for (pool, tally) in words {
             by_pool.entry(pool).or_default().push(tally);
@@ -117,7 +119,7 @@
         if !due {
             return;
         }
-        let Some(packet) = self.group.borrow_mut().seal(self.clock.now(), words) else { return };
+        let Some(packet) = self.group.borrow_mut().seal(self.clock.now().as_millis(), words) else { return };
         for peer in self.peers.borrow().iter() {
             // What one peer or the system does not take is told anew within a second.
             if self.socket.try_send_to(&packet, *peer).is_err() {
@@ -128,7 +130,7 @@
 
     /// Who was heard of late, and what was dropped: a JSON document each.
     pub fn told(&self) -> Vec<Value> {
-        let now = self.clock.now();
+        let now = self.clock.now().as_millis();
         let group = self.group.borrow();
         let member = |member: &ivygate_peer_gossip::Member| {
             json!({
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -3,8 +3,9 @@
 
 use ivygate_config as config;
 use ivygate_failure_domains::{Belief, Degree, Guarded, Happening, Kind, Policy, Tally};
-use ivygate_gateway::{Action, Event, Gateway, Millis, Settings};
+use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
+use ivygate_time::Timestamp;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,14 +32,14 @@
     }
 
     /// Takes over what a reload says of it.
-    pub fn handle_settings(&self, now: Millis, pool: &config::Pool) {
+    pub fn handle_settings(&self, now: Timestamp, pool: &config::Pool) {
         if let Some(domains) = &pool.domains {
             self.guarded.borrow_mut().handle_policy(now, policy(pool, domains));
         }
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_word(&self, now: Millis, author: u64, tallies: &[Tally]) {
+    pub fn handle_word(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
         self.guarded.borrow_mut().handle_word(now, author, tallies);
     }
 
@@ -48,12 +49,12 @@
     }
 
     /// What is believed of each zone, one JSON document each; ages in milliseconds.
-    pub fn told(&self, now: Millis) -> Vec<Value> {
+    pub fn told(&self, now: Timestamp) -> Vec<Value> {
         let (beliefs, distrusted) = self.guarded.borrow().beliefs();
         let one = |belief: &Belief| {
             json!({
                 "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.degree.word(),
-                "since_ms": (now - belief.since).max(0.0).round(), "servers": belief.servers,
+                "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
                 "because": because(belief), "others_good": belief.voices.good, "others_bad": belief.voices.bad,
                 "failed_again": belief.failed_again, "distrusted": distrusted,
@@ -64,7 +65,7 @@
 }
 
 impl Decisions for Zones {
-    fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let mut guarded = self.guarded.borrow_mut();
         guarded.handle(now, event, actions);
         while let Some(happening) = guarded.poll_happening() {
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,8 +1,7 @@
 //! Points on a process's monotonic clock.
 //!
 //! State machines of this workspace read no clock: each event is handed to them with the [`Timestamp`] at which it
-//! happened. Lengths of time that are fixed are [`Duration`]s; lengths that are computed are milliseconds in an `f64`, and
-//! say so in their names.
+//! happened. Lengths of time that are fixed are [`Duration`]s; lengths that are computed are [`Millis`].
 //!
 //! ```
 //! use ivygate_time::Timestamp;
@@ -20,8 +19,11 @@
 
 const NANOS_PER_MILLI: f64 = 1e6;
 
+/// A computed length of time in milliseconds. A point in time is a [`Timestamp`].
+pub type Millis = f64;
+
 /// A length of time in milliseconds; exact where it is a whole number of them.
-pub fn millis(length: Duration) -> f64 {
+pub fn millis(length: Duration) -> Millis {
     length.as_nanos() as f64 / NANOS_PER_MILLI
 }
 
--- a/crates/tool/tests/mistakes.rs
+++ b/crates/tool/tests/mistakes.rs
@@ -136,6 +136,20 @@
     hold("codes.md", &ivygate_tool::all_as_markdown());
 }
 
+/// All files of a folder and of the folders in it.
+fn files_below(folder: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            files.extend(files_below(&path));
+        } else {
+            files.push(path);
+        }
+    }
+    files
+}
+
 #[test]
 fn the_catalogue_has_all_codes_that_are_used_and_no_other() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/src");
@@ -143,8 +157,7 @@
         text.match_indices("\"IV0").map(|(at, _)| text[at + 1..at + 7].to_owned()).collect()
     };
     let mut used: Vec<String> = Vec::new();
-    for entry in fs::read_dir(source).unwrap() {
-        let path = entry.unwrap().path();
+    for path in files_below(&source) {
         if name(&path) != "codes.rs" {
             used.extend(codes(&fs::read_to_string(path).unwrap()));
         }
