--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,5 +35,5 @@
 pub use api::*;
 pub use gateway::Gateway;
 pub use settings::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings, SettingsError};
-pub use setup::{Bounds, Links, Setup};
+pub use setup::{Bounds, Links, Setup, SetupError};
 pub use sketch::CountMinSketch;
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -118,13 +118,32 @@
     pub longest_wait: Millis,
 }
 
+/// Why a settings object can't be acted on.
+#[derive(Debug, thiserror::Error)]
+pub enum SetupError {
+    /// It is no JSON, or a key is missing or malformed.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// It names a way of discovery that does not exist.
+    #[error("unknown discovery '{0}'")]
+    UnknownDiscovery(String),
+    /// A class has an effect that does not exist, or a key without a scope that does.
+    #[error("classes: unknown effect '{effect}' with keyScope '{scope}'")]
+    UnknownEffect {
+        /// The effect.
+        effect: String,
+        /// The scope of its key.
+        scope: String,
+    },
+}
+
 impl Setup {
     /// Reads a settings object.
     ///
     /// # Errors
     /// Names the key that is missing or malformed.
-    pub fn parse(text: &str) -> Result<Self, String> {
-        serde_json::from_str(text).map_err(|e| e.to_string())
+    pub fn parse(text: &str) -> Result<Self, SetupError> {
+        Ok(serde_json::from_str(text)?)
     }
 
     /// The part about connections.
@@ -150,7 +169,7 @@
     ///
     /// # Errors
     /// Names the key whose value is unknown.
-    pub fn settings(self) -> Result<Settings, String> {
+    pub fn settings(self) -> Result<Settings, SetupError> {
         Ok(Settings {
             gateways: self.balancers,
             rank: self.rank,
@@ -166,7 +185,7 @@
             subscribe_to_list: match self.discovery.as_str() {
                 "automatic" => false,
                 "subscribe" => true,
-                other => return Err(format!("unknown discovery '{other}'")),
+                other => return Err(SetupError::UnknownDiscovery(other.to_owned())),
             },
             max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after_ms),
             meter_period: (self.domain.use_period_ms > 0.0).then_some(self.domain.use_period_ms),
@@ -179,14 +198,16 @@
     }
 }
 
-fn class(c: WireClass) -> Result<RequestClass, String> {
+fn class(c: WireClass) -> Result<RequestClass, SetupError> {
     let effect = match (c.effect.as_str(), c.key_scope.as_str()) {
         ("safe", _) => Effect::Safe,
         ("unsafe", _) => Effect::Unsafe,
         ("keyed", "all") => Effect::Keyed(KeyScope::All),
         ("keyed", "zone") => Effect::Keyed(KeyScope::Zone),
         ("keyed", "cell") => Effect::Keyed(KeyScope::Cell),
-        (effect, scope) => return Err(format!("classes: unknown effect '{effect}' with keyScope '{scope}'")),
+        (effect, scope) => {
+            return Err(SetupError::UnknownEffect { effect: effect.to_owned(), scope: scope.to_owned() });
+        }
     };
     Ok(RequestClass {
         name: c.name,
--- a/crates/model-checker/src/checker.rs
+++ b/crates/model-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! The invariants, by name, and what is known of a run to checker it by.
+//! The invariants, by name, and the checker that judges a run by them.
 
 use crate::adapter::{self, ClientCall};
 use crate::linearizability::{search, Confirmation, Entry, Operation, SearchResult};
@@ -9,6 +9,9 @@
 use std::fmt;
 use std::sync::Arc;
 
+/// Most entries of a history that are told of a violation.
+const MAX_DESCRIBED_ENTRIES: usize = 40;
+
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
@@ -255,7 +258,7 @@
 
     /// A call begins.
     pub fn record_call(&mut self, now: f64, id: CommandId, store: usize, op: ClientCall) {
-        let record_call = CallRecord {
+        let record = CallRecord {
             store,
             op,
             begin: now,
@@ -265,7 +268,7 @@
             floor: self.acknowledged.clone(),
             epochs: self.highest.clone(),
         };
-        self.calls.insert(id, record_call);
+        self.calls.insert(id, record);
     }
 
     /// A call that no answer can come to any more.
@@ -294,13 +297,17 @@
         if result.is_err() {
             return;
         }
-        let call = call.clone();
         if call.op == ClientCall::Read {
-            if let Some(call) = self.calls.get_mut(&id) {
-                call.read = read.cloned();
-            }
+            call.read = read.cloned();
         }
+        let call = call.clone();
         let items = read.unwrap_or(items);
+        self.check_acknowledged(now, id, &call, items);
+        self.note_acknowledged(now, &call, items);
+    }
+
+    /// A confirmed call must be judged with everything that was acknowledged before it began.
+    fn check_acknowledged(&mut self, now: f64, id: CommandId, call: &CallRecord, items: &Items) {
         for (key, version) in &call.floor {
             if items.version(key.table, &key.name) < *version {
                 let what = format!(
@@ -311,6 +318,10 @@
                 self.breaks(now, Invariant::AcknowledgedStays, what);
             }
         }
+    }
+
+    /// Later calls must see what this confirmed call wrote, and nothing else under its version.
+    fn note_acknowledged(&mut self, now: f64, call: &CallRecord, items: &Items) {
         let number = match &call.op {
             ClientCall::Put { number, content, .. } => Some((*number, *content)),
             ClientCall::Remove { number, .. } => Some((*number, 0)),
@@ -408,6 +419,25 @@
 
     /// The run is over: each item's history is searched for an order that explains it.
     pub fn ended(&mut self, now: f64, steps: usize) {
+        for (key, history) in self.histories() {
+            match search(&history, steps) {
+                SearchResult::Order => {}
+                SearchResult::Undecided => self.undecided += 1,
+                SearchResult::None => {
+                    let what = format!(
+                        "no order explains {:?} '{}': {}",
+                        key.table,
+                        key.name,
+                        describe_history(&history)
+                    );
+                    self.breaks(now, Invariant::Linearizable, what);
+                }
+            }
+        }
+    }
+
+    /// The history of each item that a call was about.
+    fn histories(&self) -> BTreeMap<Key, Vec<Entry>> {
         let mut histories: BTreeMap<Key, Vec<Entry>> = BTreeMap::new();
         for call in self.calls.values() {
             if let Some(key) = call.op.key().filter(|key| key.table != Table::SingletonRoles) {
@@ -417,51 +447,52 @@
         for call in self.calls.values() {
             if let Some(read) = &call.read {
                 for (key, history) in &mut histories {
-                    let item = read.get(key.table, &key.name);
-                    let operation = match key.table {
-                        Table::Drains => Operation::ReadSwitch(item.is_some_and(|item| item.body.is_some())),
-                        _ => Operation::Read(
-                            item.map_or(0, |item| item.version),
-                            item.map_or(0, |item| adapter::content(item)),
-                        ),
-                    };
+                    let operation = read_operation(key, read);
                     history.push(Entry { begin: call.begin, end: call.end, operation });
                 }
                 continue;
             }
             let Some(key) = call.op.key() else { continue };
-            let confirmation = match &call.confirmation {
-                Some(Ok(())) => Confirmation::Confirmed,
-                Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Confirmation::Refused,
-                // Refused as unsound: it took nowhere.
-                Some(Err(ErrorKind::Invalid | ErrorKind::Malformed)) => continue,
-                _ => Confirmation::Unclear,
-            };
-            let operation = match &call.op {
-                ClientCall::Put { number, content, .. } => Operation::Put(*number, *content, confirmation),
-                ClientCall::Remove { number, .. } => Operation::Put(*number, 0, confirmation),
-                ClientCall::Drain { on, .. } => Operation::Switch(*on, confirmation),
-                ClientCall::Duty { .. } | ClientCall::Read => continue,
-            };
+            let Some(operation) = write_operation(call) else { continue };
             if let Some(history) = histories.get_mut(&key) {
                 history.push(Entry { begin: call.begin, end: call.end, operation });
             }
         }
-        for (key, history) in histories {
-            match search(&history, steps) {
-                SearchResult::Order => {}
-                SearchResult::Undecided => self.undecided += 1,
-                SearchResult::None => {
-                    let mut lines: Vec<_> = history
-                        .iter()
-                        .map(|e| format!("[{:.0}, {:.0}] {:?}", e.begin, e.end, e.operation))
-                        .collect();
-                    lines.truncate(40);
-                    let what =
-                        format!("no order explains {:?} '{}': {}", key.table, key.name, lines.join("; "));
-                    self.breaks(now, Invariant::Linearizable, what);
-                }
-            }
-        }
+        histories
     }
 }
+
+/// What a read found of one item.
+fn read_operation(key: &Key, read: &Items) -> Operation {
+    let item = read.get(key.table, &key.name);
+    match key.table {
+        Table::Drains => Operation::ReadSwitch(item.is_some_and(|item| item.body.is_some())),
+        _ => Operation::Read(
+            item.map_or(0, |item| item.version),
+            item.map_or(0, |item| adapter::content(item)),
+        ),
+    }
+}
+
+/// What a call wrote or may have written; `None` for one that can have written nothing that is searched.
+fn write_operation(call: &CallRecord) -> Option<Operation> {
+    let confirmation = match &call.confirmation {
+        Some(Ok(())) => Confirmation::Confirmed,
+        Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Confirmation::Refused,
+        // Refused as unsound: it took effect nowhere.
+        Some(Err(ErrorKind::Invalid | ErrorKind::Malformed)) => return None,
+        _ => Confirmation::Unclear,
+    };
+    match &call.op {
+        ClientCall::Put { number, content, .. } => Some(Operation::Put(*number, *content, confirmation)),
+        ClientCall::Remove { number, .. } => Some(Operation::Put(*number, 0, confirmation)),
+        ClientCall::Drain { on, .. } => Some(Operation::Switch(*on, confirmation)),
+        ClientCall::Duty { .. } | ClientCall::Read => None,
+    }
+}
+
+fn describe_history(history: &[Entry]) -> String {
+    let entry = |e: &Entry| format!("[{:.0}, {:.0}] {:?}", e.begin, e.end, e.operation);
+    let lines: Vec<String> = history.iter().take(MAX_DESCRIBED_ENTRIES).map(entry).collect();
+    lines.join("; ")
+}
--- a/crates/model-checker/src/defects.rs
+++ b/crates/model-checker/src/defects.rs
@@ -41,7 +41,7 @@
     ];
 
     /// The one of a name.
-    pub fn members_of(name: &str) -> Option<Self> {
+    pub fn named(name: &str) -> Option<Self> {
         Self::ALL.iter().find(|(known, _)| *known == name).map(|(_, defect)| *defect)
     }
 }
--- a/crates/model-checker/src/schedule.rs
+++ b/crates/model-checker/src/schedule.rs
@@ -260,30 +260,9 @@
     fn trouble(&mut self) {
         let at = self.at();
         let n = self.machine();
-        let trigger = match self.rng.u8(..8) {
-            0..=1 => Trigger::Now,
-            2 if self.rng.bool() => Trigger::WithinSave,
-            2 => Trigger::BeforeSave,
-            3 => Trigger::AfterSave,
-            4..=5 => Trigger::Writes,
-            6 => Trigger::Written,
-            _ => Trigger::Answers,
-        };
+        let trigger = self.trigger();
         let event = match self.rng.u8(..24) {
-            0..=7 => {
-                // Something has to be asked for that the machine fault can meet.
-                let op = self.op();
-                let on = self.machine();
-                self.events.push((at + 5.0, Event::Call(if self.rng.bool() { n } else { on }, op)));
-                if trigger == Trigger::Written && self.rng.bool() {
-                    for _ in 0..self.rng.usize(1..4) {
-                        let (a, b) = (self.machine(), self.machine());
-                        let (late, time) = (self.time(100.0, 2_000.0), self.time(200.0, 2_000.0));
-                        self.events.push((at, Event::Slow(a, b, late, time)));
-                    }
-                }
-                Event::MachineFault(n, trigger, self.machine_fault())
-            }
+            0..=7 => self.fault_of_called_machine(at, n, trigger),
             8..=9 => Event::Cut(n, self.machine(), self.time(200.0, 15_000.0)),
             10 => Event::Slow(n, self.machine(), self.time(50.0, 20_000.0), self.time(100.0, 8_000.0)),
             11..=12 => Event::Split(self.some(), self.time(300.0, 15_000.0)),
@@ -301,33 +280,67 @@
                 Event::MachineLeaves(n)
             }
             18 => Event::Reset(n),
-            // Two at one version, or at one place.
-            19 => {
-                let (a, b) = (self.machine(), self.machine());
-                let name = if self.rng.bool() { "a" } else { "b" }.to_owned();
-                self.next += 3;
-                let (number, content) = (self.next, self.next - 1);
-                let one =
-                    ClientCall::Put { name: "a".to_owned(), place: "/same/".to_owned(), number, content };
-                let two = ClientCall::Put { name, place: "/same/".to_owned(), number, content: content + 1 };
-                self.done.extend([one.clone(), two.clone()]);
-                let apart = self.time(1.0, 1_000.0);
-                self.events.push((at + 1.0, Event::Call(a, one)));
-                self.events.push((at + apart, Event::Call(b, two)));
-                Event::MachineFault(a, trigger, self.machine_fault())
-            }
+            19 => self.fault_within_conflict(at, trigger),
             20 => return self.rebuilt(at),
-            _ => Event::NetworkConditions {
-                lost: [0, 20, 100, 300][self.rng.usize(..4)],
-                doubled: [0, 20, 100][self.rng.usize(..3)],
-                late: [0, 20, 100, 300][self.rng.usize(..4)],
-                longest: self.time(100.0, 25_000.0),
-                reset: [0, 0, 20, 100][self.rng.usize(..4)],
-                time: self.time(500.0, 20_000.0),
-            },
+            _ => self.network_conditions(),
         };
         self.events.push((at, event));
     }
+
+    fn trigger(&mut self) -> Trigger {
+        match self.rng.u8(..8) {
+            0..=1 => Trigger::Now,
+            2 if self.rng.bool() => Trigger::WithinSave,
+            2 => Trigger::BeforeSave,
+            3 => Trigger::AfterSave,
+            4..=5 => Trigger::Writes,
+            6 => Trigger::Written,
+            _ => Trigger::Answers,
+        }
+    }
+
+    /// A fault of a machine, and a call that it can meet.
+    fn fault_of_called_machine(&mut self, at: f64, n: usize, trigger: Trigger) -> Event {
+        let op = self.op();
+        let other = self.machine();
+        let called = if self.rng.bool() { n } else { other };
+        self.events.push((at + 5.0, Event::Call(called, op)));
+        if trigger == Trigger::Written && self.rng.bool() {
+            for _ in 0..self.rng.usize(1..4) {
+                let (from, to) = (self.machine(), self.machine());
+                let (late, time) = (self.time(100.0, 2_000.0), self.time(200.0, 2_000.0));
+                self.events.push((at, Event::Slow(from, to, late, time)));
+            }
+        }
+        Event::MachineFault(n, trigger, self.machine_fault())
+    }
+
+    /// A fault of a machine while two contents are put under one version, or at one place.
+    fn fault_within_conflict(&mut self, at: f64, trigger: Trigger) -> Event {
+        let (first, second) = (self.machine(), self.machine());
+        let name = if self.rng.bool() { "a" } else { "b" }.to_owned();
+        self.next += 3;
+        let (number, content) = (self.next, self.next - 1);
+        let place = "/same/".to_owned();
+        let one = ClientCall::Put { name: "a".to_owned(), place: place.clone(), number, content };
+        let two = ClientCall::Put { name, place, number, content: content + 1 };
+        self.done.extend([one.clone(), two.clone()]);
+        let apart = self.time(1.0, 1_000.0);
+        self.events.push((at + 1.0, Event::Call(first, one)));
+        self.events.push((at + apart, Event::Call(second, two)));
+        Event::MachineFault(first, trigger, self.machine_fault())
+    }
+
+    fn network_conditions(&mut self) -> Event {
+        Event::NetworkConditions {
+            lost: [0, 20, 100, 300][self.rng.usize(..4)],
+            doubled: [0, 20, 100][self.rng.usize(..3)],
+            late: [0, 20, 100, 300][self.rng.usize(..4)],
+            longest: self.time(100.0, 25_000.0),
+            reset: [0, 0, 20, 100][self.rng.usize(..4)],
+            time: self.time(500.0, 20_000.0),
+        }
+    }
 }
 
 fn set(set: u32) -> Vec<usize> {
--- a/crates/model-checker/src/shrink.rs
+++ b/crates/model-checker/src/shrink.rs
@@ -65,11 +65,11 @@
     let mut shrinking = Shrinker { defect, ignored, invariant, plays: 0 };
     let mut best = schedule.clone();
     // What happened to single messages is named, so that the network conditions can go.
-    let mut members_of = schedule.clone();
-    members_of.message_faults = Some(first.message_faults.clone());
-    members_of.events.retain(|(_, event)| !matches!(event, Event::NetworkConditions { .. }));
-    if shrinking.breaks(&members_of).is_some() {
-        best = members_of;
+    let mut recorded = schedule.clone();
+    recorded.message_faults = Some(first.message_faults.clone());
+    recorded.events.retain(|(_, event)| !matches!(event, Event::NetworkConditions { .. }));
+    if shrinking.breaks(&recorded).is_some() {
+        best = recorded;
     }
     loop {
         let events = shrinking.drop_parts(
--- a/crates/model-checker/src/simulation/events.rs
+++ b/crates/model-checker/src/simulation/events.rs
@@ -4,79 +4,91 @@
 
 impl Simulation<'_> {
     pub(super) fn event(&mut self, event: &Event) {
-        let now = self.now;
-        let here = |n: &usize| *n < self.machines.len();
+        let is_known = |n: &usize| *n < self.machines.len();
         match event {
-            Event::Call(store, op) if here(store) => {
+            Event::Call(store, op) if is_known(store) => {
                 self.call(*store, op);
             }
-            Event::MachineFault(n, Trigger::Now, machine_fault) if here(n) => {
+            Event::MachineFault(n, Trigger::Now, machine_fault) if is_known(n) => {
                 self.machine_fault(*n, *machine_fault);
             }
-            Event::MachineFault(n, trigger, machine_fault) if here(n) => {
+            Event::MachineFault(n, trigger, machine_fault) if is_known(n) => {
                 self.machines[*n].armed_faults.push((*trigger, *machine_fault));
             }
             Event::Cut(from, to, time) if from != to => {
-                let link = self.links.entry((*from, *to)).or_default();
-                link.cut = link.cut.max(now + time);
+                self.cut_link(*from, *to, *time);
                 self.machine_faults += 1;
             }
             Event::Slow(from, to, later, time) if from != to => {
+                let slow_until = self.now + time;
                 let link = self.links.entry((*from, *to)).or_default();
-                link.slow = now + time;
+                link.slow = slow_until;
                 link.slower = *later;
             }
-            Event::Split(side, time) => {
-                let inside = |n: usize| side & (1 << n) != 0;
-                for a in 0..self.machines.len() {
-                    for b in 0..self.machines.len() {
-                        if inside(a) != inside(b) {
-                            let link = self.links.entry((a, b)).or_default();
-                            link.cut = link.cut.max(now + time);
-                        }
-                    }
-                }
-                self.machine_faults += 1;
-            }
+            Event::Split(side, time) => self.split(*side, *time),
             Event::Power(time) => self.power(0, *time),
             Event::PowerAndDisks(lost, time) => self.power(*lost, *time),
-            Event::MachineJoins if self.machines.len() < MAX_MACHINES => {
-                self.add();
-                let n = self.machines.len() - 1;
-                self.machines[n].lost = true;
-                self.start(n, false);
-            }
-            Event::MachineVanishes(n) if here(n) => {
+            Event::MachineJoins if self.machines.len() < MAX_MACHINES => self.join(),
+            Event::MachineVanishes(n) if is_known(n) => {
                 let gone = self.lose_disk(*n);
                 self.machines[*n].gone |= gone;
             }
-            Event::MachineLeaves(n) if here(n) => {
-                let Some(store) = &mut self.machines[*n].store else { return };
-                let is_waiting_for_place = adapter::leave(store, now);
-                if self.carry_out(*n) {
-                    self.machines[*n].leaves =
-                        Some(now + if is_waiting_for_place { LEAVE_TIMEOUT_MS } else { 0.0 });
-                    self.left(*n);
-                }
-            }
-            Event::Reset(n) if here(n) => {
-                let out = self.machines[*n].out.clone();
-                let run = self.machines[*n].run;
-                for (number, from) in out {
-                    let body = Body::Nothing;
-                    self.at(
-                        now,
-                        ScheduledStep::Message(Message { from, to: *n, run, number, asked: now, body }),
-                    );
-                }
-            }
+            Event::MachineLeaves(n) if is_known(n) => self.leave(*n),
+            Event::Reset(n) if is_known(n) => self.reset_requests(*n),
             Event::NetworkConditions { time, .. } => {
-                self.network_conditions.push((now + time, event.clone()));
+                self.network_conditions.push((self.now + time, event.clone()));
             }
             _ => {}
         }
     }
 
+    fn cut_link(&mut self, from: usize, to: usize, time: f64) {
+        let until = self.now + time;
+        let link = self.links.entry((from, to)).or_default();
+        link.cut = link.cut.max(until);
+    }
+
+    /// Cuts the machines of a set off from all others.
+    fn split(&mut self, side: u32, time: f64) {
+        let is_inside = |n: usize| side & (1 << n) != 0;
+        for from in 0..self.machines.len() {
+            for to in 0..self.machines.len() {
+                if is_inside(from) != is_inside(to) {
+                    self.cut_link(from, to, time);
+                }
+            }
+        }
+        self.machine_faults += 1;
+    }
+
+    fn join(&mut self) {
+        self.add();
+        let n = self.machines.len() - 1;
+        self.machines[n].lost = true;
+        self.start(n, false);
+    }
+
+    fn leave(&mut self, n: usize) {
+        let now = self.now;
+        let Some(store) = &mut self.machines[n].store else { return };
+        let is_waiting_for_place = adapter::leave(store, now);
+        if self.carry_out(n) {
+            let wait = if is_waiting_for_place { LEAVE_TIMEOUT_MS } else { 0.0 };
+            self.machines[n].leaves = Some(now + wait);
+            self.left(n);
+        }
+    }
+
+    /// All requests of a machine that are out are known to be lost.
+    fn reset_requests(&mut self, n: usize) {
+        let now = self.now;
+        let run = self.machines[n].run;
+        for (number, from) in self.machines[n].out.clone() {
+            let lost = Message { from, to: n, run, number, asked: now, body: Body::Nothing };
+            self.at(now, ScheduledStep::Message(lost));
+        }
+    }
+
     pub(super) fn power(&mut self, lost: u32, time: f64) {
         for n in 0..self.machines.len() {
             self.stop_for(n, time + n as f64);
--- a/crates/model-checker/src/simulation/mod.rs
+++ b/crates/model-checker/src/simulation/mod.rs
@@ -118,7 +118,7 @@
     pub message_faults: BTreeMap<MessageId, MessageFault>,
     /// Histories that the search could not decide.
     pub undecided: u64,
-    /// RpcClient, and how many of them were confirmed.
+    /// Calls, and how many of them were confirmed.
     pub calls: (u64, u64),
     /// What happened, for a reader, if it was asked for.
     pub log: Vec<String>,
@@ -247,6 +247,6 @@
     }
 }
 
-fn format_of(n: usize) -> String {
+fn place_name(n: usize) -> String {
     format!("what store {n} says")
 }
--- a/crates/model-checker/src/simulation/network.rs
+++ b/crates/model-checker/src/simulation/network.rs
@@ -109,56 +109,85 @@
     }
 
     pub(super) fn process(&mut self, message: Message) {
-        if self.logs && self.now > FOUNDING_TIME_MS {
-            let what = match &message.body {
-                Body::PeerRequest(ask) => format!("{ask:?}"),
-                Body::PeerReply(reply, _) => format!("{reply:?}"),
-                Body::Nothing => "no answer".to_owned(),
-            };
-            let (from, to, number, asked) =
-                (message.from, message.to, message.number % 10_000, message.asked);
-            self.tell(|| format!("  {from} to {to}, {number} asked at {asked:.0}: {what}"));
-        }
-        let now = self.now;
+        self.log_message(&message);
         let Message { from, to, run, number, asked, body } = message;
-        let target = &mut self.machines[to];
-        let Some(store) = &mut target.store else { return };
+        if self.machines[to].store.is_none() {
+            return;
+        }
         match body {
-            Body::PeerRequest(ask) => {
-                let ask = adapter::tampered_request(ask, self.defect);
-                let reply = store.handle_request(Timestamp::from_millis(now), adapter::ip(from), ask);
-                let contact = adapter::contact_of(store, &reply);
-                if let Some(record) = &mut self.record {
-                    record.write(serde_json::to_string(&reply).unwrap_or_default().as_bytes());
-                }
-                if !self.carry_out(to) {
-                    return;
-                }
-                self.checker.check_chosen(now, &format_of(to), adapter::chosen_in_reply(&reply));
-                let written = adapter::is_accepted(&reply);
-                let body = Body::PeerReply(reply, contact);
+            Body::PeerRequest(request) => {
+                let Some(body) = self.handle_request(from, to, request) else { return };
+                let is_accepted = matches!(&body, Body::PeerReply(reply, _) if adapter::is_accepted(reply));
                 self.send(Message { from: to, to: from, run, number, asked, body });
-                if written {
+                if is_accepted {
                     self.fires(to, Trigger::Written);
                 }
             }
             // The connection of one that has started again is gone.
-            Body::PeerReply(..) | Body::Nothing if target.run != run => {}
+            Body::PeerReply(..) | Body::Nothing if self.machines[to].run != run => {}
             Body::PeerReply(reply, contact) => {
-                let first = target.out.remove(&number).is_some();
-                if first && adapter::is_contact(store, contact) {
-                    self.checker.contact(to, from, asked);
-                    self.read.insert((to, from), now);
-                }
-                let reply = adapter::tampered_reply(store, reply, self.defect);
-                store.handle_response(Timestamp::from_millis(now), number, Some(reply));
-                self.carry_out(to);
+                let is_first = self.machines[to].out.remove(&number).is_some();
+                self.handle_reply(from, to, number, reply, contact.filter(|_| is_first), asked);
             }
             Body::Nothing => {
+                let now = Timestamp::from_millis(self.now);
+                let target = &mut self.machines[to];
                 target.out.remove(&number);
-                store.handle_response(Timestamp::from_millis(now), number, None);
+                if let Some(store) = &mut target.store {
+                    store.handle_response(now, number, None);
+                }
                 self.carry_out(to);
             }
         }
     }
+
+    fn log_message(&mut self, message: &Message) {
+        if !self.logs || self.now <= FOUNDING_TIME_MS {
+            return;
+        }
+        let what = match &message.body {
+            Body::PeerRequest(request) => format!("{request:?}"),
+            Body::PeerReply(reply, _) => format!("{reply:?}"),
+            Body::Nothing => "no answer".to_owned(),
+        };
+        let (from, to, number, asked) = (message.from, message.to, message.number % 10_000, message.asked);
+        self.tell(|| format!("  {from} to {to}, {number} asked at {asked:.0}: {what}"));
+    }
+
+    /// The answer of a store; `None` if the store went down before it could answer.
+    fn handle_request(&mut self, from: usize, to: usize, request: PeerRequest) -> Option<Body> {
+        let now = self.now;
+        let request = adapter::tampered_request(request, self.defect);
+        let store = self.machines[to].store.as_mut()?;
+        let reply = store.handle_request(Timestamp::from_millis(now), adapter::ip(from), request);
+        let contact = adapter::contact_of(store, &reply);
+        if let Some(record) = &mut self.record {
+            record.write(serde_json::to_string(&reply).unwrap_or_default().as_bytes());
+        }
+        if !self.carry_out(to) {
+            return None;
+        }
+        self.checker.check_chosen(now, &place_name(to), adapter::chosen_in_reply(&reply));
+        Some(Body::PeerReply(reply, contact))
+    }
+
+    fn handle_reply(
+        &mut self,
+        from: usize,
+        to: usize,
+        number: u64,
+        reply: PeerReply,
+        contact: Option<u64>,
+        asked: f64,
+    ) {
+        let now = self.now;
+        let Some(store) = &mut self.machines[to].store else { return };
+        if adapter::is_contact(store, contact) {
+            self.checker.contact(to, from, asked);
+            self.read.insert((to, from), now);
+        }
+        let reply = adapter::tampered_reply(store, reply, self.defect);
+        store.handle_response(Timestamp::from_millis(now), number, Some(reply));
+        self.carry_out(to);
+    }
 }
--- a/crates/model-checker/src/simulation/steps.rs
+++ b/crates/model-checker/src/simulation/steps.rs
@@ -112,7 +112,7 @@
 
     pub(super) fn before_send(&mut self, n: usize, ask: &PeerRequest) -> bool {
         let now = self.now;
-        self.checker.check_chosen(now, &format_of(n), adapter::chosen_in_request(ask));
+        self.checker.check_chosen(now, &place_name(n), adapter::chosen_in_request(ask));
         if let (Some(ballot), Some(store)) = (adapter::chosen_round(ask), &self.machines[n].store) {
             self.checker.note_chosen(ballot, &store.state().items);
         }
@@ -128,9 +128,8 @@
         let Some(store) = &self.machines[n].store else { return };
         let now = self.now;
         let mut confirmation = result.as_ref().map(drop).map_err(Clone::clone);
-        let record_call = self.checker.calls.get(&id).map(|call| call.op.clone());
-        if let (Some(Defect::ResendRefused), true, Some(op)) =
-            (self.defect, confirmation.is_ok(), &record_call)
+        let operation = self.checker.calls.get(&id).map(|call| call.op.clone());
+        if let (Some(Defect::ResendRefused), true, Some(op)) = (self.defect, confirmation.is_ok(), &operation)
         {
             let taken = |call: &&crate::checker::CallRecord| {
                 call.op == *op && matches!(call.confirmation, Some(Ok(())))
@@ -142,7 +141,7 @@
         }
         let read = result.as_ref().ok().and_then(adapter::read);
         self.checker.answered(now, id, &confirmation, read, &store.state().items);
-        if let (Ok(done), Some(ClientCall::Duty { .. })) = (result, &record_call) {
+        if let (Ok(done), Some(ClientCall::Duty { .. })) = (result, &operation) {
             match adapter::epoch(done).filter(|_| self.defect != Some(Defect::EpochReadLate)) {
                 Some(epoch) => self.checker.check_epoch(now, id, epoch),
                 None => {
