--- a/crates/cluster/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn given_a_follower_frozen_for_twenty_seconds_when_it_reads_the_old_answer_then_it_knows_that_it_is_old() {
+fn response_read_after_a_freeze_is_stale() {
     let mut contact = CoreContact::default();
     // Asked at 1 s, held 600 ms by the parent, whose contact was 200 ms old then; read when 20 s have passed.
     let age =
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn given_an_answer_that_was_held_when_it_is_read_at_once_then_the_holding_adds_nothing() {
+fn holding_time_does_not_age_a_response() {
     assert_eq!(
         age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 600.0),
         120.0
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn given_an_older_contact_when_it_is_told_after_a_younger_one_then_the_younger_one_stays() {
+fn newest_contact_is_kept() {
     let mut contact = CoreContact::default();
     assert!(contact.age_ms(Timestamp::from_millis(5_000.0)) > 80_000_000.0, "it never was in touch");
     contact.record(Timestamp::from_millis(5_000.0), 100.0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_a_parent_that_tells_nothing_of_holding_when_its_answer_is_read_then_all_its_time_counts() {
+fn response_without_holding_time_counts_whole() {
     let pulled: PullResponse =
         serde_json::from_str(r#"{"life":7,"change":1,"age":50.0}"#).expect("an answer");
     assert_eq!(
--- a/crates/cluster/tests/heartbeats.rs
+++ b/crates/cluster/tests/heartbeats.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn given_both_watchers_gone_when_no_answer_comes_then_all_known_are_beaten_to_until_one_names_who_is_up() {
+fn heartbeats_go_to_all_registries_while_both_watchers_are_gone() {
     let mut heartbeats = HeartbeatTargets::new(vec![ip(1), ip(2), ip(3)]);
     assert_eq!(heartbeats.targets(Timestamp::from_millis(0.0), &proxy(), 2).len(), 3, "nothing is known yet");
     heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=6).map(ip).collect());
@@ -28,8 +28,7 @@
 }
 
 #[test]
-fn given_watchers_that_are_cut_off_from_the_core_when_they_answer_then_that_names_nobody_and_others_are_asked(
-) {
+fn watchers_without_core_contact_name_no_registry() {
     let mut heartbeats = HeartbeatTargets::new(vec![ip(1)]);
     heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=4).map(ip).collect());
     for turn in 1..=3 {
--- a/crates/cluster/tests/messages.rs
+++ b/crates/cluster/tests/messages.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn pulls_keep_their_spelling() {
+fn pulls_keep_their_wire_format() {
     is_spoken_on::<PullRequest>(r#"{"life":5,"since":40,"hold":0.6,"tables":1023}"#);
     is_spoken_on::<PullResponse>(
         r#"{"life":5,"change":42,"age":120.5,"heldMs":600.25,"items":[{"t":"duties","k":"warden","v":3,"b":{"holder":"10.1.0.5"}},{"t":"servers","k":"i-1","v":4294967297,"b":null}]}"#,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn entries_of_nodes_keep_their_spelling() {
+fn node_entries_keep_their_wire_format() {
     is_spoken_on::<Node>(
         r#"{"ip":"10.1.0.9","role":"proxy","zone":"a","region":"r","http":"10.1.0.9:80","ready":true,"leaving":false,"lost":false}"#,
     );
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -144,8 +144,7 @@
 }
 
 #[test]
-fn given_parents_in_any_trouble_when_one_is_sound_then_the_follower_lacks_nothing_it_had_and_is_soon_in_touch(
-) {
+fn replica_recovers_while_one_parent_is_sound() {
     let (mut fresh, mut turns, mut digest) = (0, 0, 0_u64);
     for seed in 0..300 {
         let (of, all, asked) = play(seed);
--- a/crates/cluster/tests/follower.rs
+++ b/crates/cluster/tests/parent_selector.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn given_a_parent_when_it_answers_then_the_next_pull_goes_on_from_there() {
+fn pull_continues_where_the_last_one_ended() {
     let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
     assert_eq!(follower.select(Timestamp::from_millis(0.0), &all), parent(at(1), 0, 0));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn given_a_parent_that_is_silent_when_another_is_there_then_that_one_is_asked_from_the_beginning() {
+fn silent_parent_is_replaced() {
     let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
     follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 100.0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn given_a_parent_out_of_touch_with_the_core_when_it_answers_then_another_is_asked_next() {
+fn parent_without_core_contact_is_replaced() {
     let mut follower = ParentSelector::default();
     follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 9_000.0);
     assert_eq!(follower.select(Timestamp::from_millis(10.0), &[at(1), at(2)]), parent(at(2), 0, 0));
@@ -57,8 +57,7 @@
 }
 
 #[test]
-fn given_all_parents_out_of_touch_when_they_are_asked_in_turn_then_each_tells_only_what_is_new_since_its_last(
-) {
+fn parents_without_core_contact_send_only_changes() {
     let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
     for (port, life, change) in [(1, 7, 40), (2, 8, 50)] {
@@ -75,7 +74,7 @@
 }
 
 #[test]
-fn given_three_bad_parents_before_a_good_one_when_they_stay_bad_then_the_good_one_is_asked_soon() {
+fn good_parent_is_found_behind_three_bad_ones() {
     let (mut follower, mut now) = (ParentSelector::default(), 0.0);
     let all = [at(1), at(2), at(3), at(4)];
     while let Some(Parent { address: to, .. }) =
--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -228,8 +228,7 @@
 }
 
 #[test]
-fn given_a_loss_of_power_at_any_point_when_the_store_is_back_then_the_last_answered_save_or_the_next_is_there_whole(
-) {
+fn power_loss_at_any_point_keeps_the_last_acknowledged_save() {
     let mut opened_again = 0;
     for seed in 0..6_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -270,7 +269,7 @@
 }
 
 #[test]
-fn given_a_loss_of_power_while_a_disk_is_opened_when_it_is_opened_again_then_nothing_is_lost() {
+fn power_loss_while_opening_loses_nothing() {
     for seed in 0..24_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let folder = Folder::new();
@@ -300,7 +299,7 @@
 }
 
 #[test]
-fn given_a_sync_that_fails_when_the_disk_is_opened_again_then_it_holds_the_last_answered_save_or_the_next() {
+fn failed_sync_keeps_the_last_acknowledged_save() {
     for seed in 0..24_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let folder = Folder::new();
@@ -331,7 +330,7 @@
 }
 
 #[test]
-fn given_the_day_of_a_store_when_it_saves_then_each_costs_one_sync_and_sled_makes_no_files_of_its_own() {
+fn each_save_costs_one_sync() {
     let folder = Folder::new();
     let disk = Simulated::of(&folder.0);
     let (mut real, mut kept) = Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
@@ -356,7 +355,7 @@
 }
 
 #[test]
-fn given_a_snapshot_that_sled_has_half_written_when_the_disk_is_opened_then_nothing_is_lost() {
+fn opens_with_a_half_written_sled_snapshot() {
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
     kept.apply_chosen(ballot(1), [Arc::new(item("a", 1, 10))]);
@@ -372,7 +371,7 @@
 }
 
 #[test]
-fn given_a_folder_that_can_not_be_understood_when_it_is_opened_then_it_counts_as_lost_and_is_put_aside() {
+fn puts_an_unreadable_folder_aside() {
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
     kept.apply_chosen(ballot(1), [Arc::new(item("a", 1, 10))]);
@@ -387,7 +386,7 @@
 }
 
 #[test]
-fn given_rounds_chosen_one_after_the_other_when_the_disk_is_opened_then_who_lags_is_told_what_it_lacks() {
+fn tells_a_lagging_replica_what_it_lacks_after_a_restart() {
     let folder = Folder::new();
     let (mut disk, mut kept) = Disk::open(&folder.0, LIFE).expect("it opens");
     for (round, name) in [(1, "a"), (2, "b"), (3, "a"), (4, "c")] {
--- a/crates/config-store/tests/keeper.rs
+++ b/crates/config-store/tests/disk_supervisor.rs
@@ -62,8 +62,7 @@
 }
 
 #[test]
-fn given_a_disk_that_fills_up_when_the_store_saves_then_it_refuses_at_once_and_is_back_a_second_after_there_is_room(
-) {
+fn rejects_on_a_full_disk_and_recovers_within_a_second() {
     for keeps_what_failed in [false, true] {
         let plate = Rc::new(RefCell::new(Plate { keeps_what_failed, ..Plate::default() }));
         let (mut supervisor, kept) = DiskSupervisor::new(at(0.0), open(&plate));
@@ -94,7 +93,7 @@
 }
 
 #[test]
-fn given_a_full_disk_when_the_store_starts_then_it_stays_up_and_opens_it_later() {
+fn starts_on_a_full_disk_and_opens_it_later() {
     let plate = Rc::new(RefCell::new(Plate { full: true, ..Plate::default() }));
     let (mut supervisor, kept) = DiskSupervisor::new(at(0.0), open(&plate));
     assert!(kept.is_none());
@@ -106,7 +105,7 @@
 }
 
 #[test]
-fn given_an_old_opening_that_ends_late_when_the_disk_is_sound_then_it_changes_nothing() {
+fn ignores_a_late_result_of_an_earlier_opening() {
     let plate = Rc::new(RefCell::new(Plate::default()));
     let (mut supervisor, _) = DiskSupervisor::new(at(0.0), open(&plate));
     assert!(!supervisor.is_reopen_due(at(1e9)));
--- a/crates/config-store/tests/fleet/main.rs
+++ b/crates/config-store/tests/fleet/main.rs
@@ -9,7 +9,7 @@
 use world::{drop_route, routes, Defect, World};
 
 #[test]
-fn given_a_first_start_when_all_come_forward_then_one_group_is_founded_of_all() {
+fn bootstrap_founds_one_membership_of_all() {
     for seed in 0..20 {
         let world = World::founded(seed, Defect::None);
         let group = world.items(0).body(Table::Membership, "core").cloned();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn given_a_call_when_it_is_acknowledged_then_every_copy_has_it_within_a_second() {
+fn acknowledged_update_reaches_every_replica_within_a_second() {
     let mut world = World::founded(1, Defect::None);
     assert_eq!(world.answer(3, routes(2, &[("a", "/a/", 1.0)])), Ok(()));
     world.pass(1_000.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn given_a_cut_in_halves_when_either_side_is_called_then_neither_acknowledges_until_it_heals() {
+fn no_half_of_an_even_partition_acknowledges() {
     let mut world = World::founded(2, Defect::None);
     world.cut_off(&[0, 1, 2]);
     assert_eq!(world.answer(0, routes(2, &[("a", "/a/", 1.0)])), Err(ErrorKind::NoQuorum));
@@ -38,8 +38,7 @@
 }
 
 #[test]
-fn given_one_version_with_two_contents_when_both_are_sent_at_once_then_at_most_one_is_acknowledged_and_wins()
-{
+fn acknowledges_one_of_two_contents_under_one_version() {
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
         let one = world.call(0, routes(5, &[("a", "/a/", 1.0)]));
@@ -55,7 +54,7 @@
 }
 
 #[test]
-fn given_two_calls_valid_alone_and_invalid_together_when_both_are_sent_then_one_is_refused() {
+fn rejects_one_of_two_updates_invalid_together() {
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
         let one = world.call(1, routes(2, &[("a", "/same/", 1.0)]));
@@ -68,7 +67,7 @@
 }
 
 #[test]
-fn given_an_acknowledged_call_when_a_region_loses_its_disks_and_all_others_power_then_it_still_stands() {
+fn keeps_acknowledged_updates_when_a_region_loses_its_disks() {
     for seed in 0..30 {
         let mut world = World::founded(seed, Defect::None);
         let id = world.call(2, routes(2, &[("a", "/a/", 1.0)]));
@@ -89,7 +88,7 @@
 }
 
 #[test]
-fn given_a_lost_disk_when_too_few_others_answer_then_it_counts_for_nothing() {
+fn lost_disk_counts_for_no_quorum() {
     let mut world = World::founded(3, Defect::None);
     world.kill(0);
     world.kill(1);
@@ -112,7 +111,7 @@
 }
 
 #[test]
-fn given_a_dropped_route_when_an_old_call_and_an_old_copy_come_back_then_it_stays_dropped() {
+fn removed_route_stays_removed() {
     let mut world = World::founded(4, Defect::None);
     assert_eq!(world.answer(0, routes(2, &[("a", "/a/", 1.0)])), Ok(()));
     world.kill(5);
@@ -124,7 +123,7 @@
 }
 
 #[test]
-fn given_a_store_that_dies_once_its_items_are_written_when_others_go_on_then_they_carry_them_on() {
+fn others_finish_a_round_whose_proposer_died() {
     for seed in 0..40 {
         let mut world = World::founded(seed, Defect::None);
         let id = world.call(2, routes(2, &[("a", "/a/", 1.0)]));
@@ -138,7 +137,7 @@
 }
 
 #[test]
-fn given_a_store_that_stood_still_in_its_round_when_it_goes_on_then_the_later_round_holds() {
+fn later_round_prevails_over_a_paused_proposer() {
     for seed in 0..40 {
         let mut world = World::founded(seed, Defect::None);
         let slow = world.call(0, routes(2, &[("a", "/a/", 1.0)]));
@@ -157,7 +156,7 @@
 }
 
 #[test]
-fn given_all_are_killed_in_the_middle_of_a_round_when_they_start_together_then_a_call_is_acknowledged_soon() {
+fn acknowledges_soon_after_all_restart_within_a_round() {
     // Incident 1: six stores with something pending outbid each other for four seconds.
     let mut slowest: f64 = 0.0;
     for seed in 0..40 {
@@ -181,7 +180,7 @@
 }
 
 #[test]
-fn given_a_duty_that_is_taken_again_after_a_loss_of_all_power_then_its_epoch_is_higher() {
+fn role_epoch_rises_after_power_loss_of_all() {
     let mut world = World::founded(6, Defect::None);
     let take = || Command::AcquireRole { role: COORDINATOR_ROLE.into(), holder: world::ip(0) };
     assert_eq!(world.answer(0, take()), Ok(()));
@@ -194,8 +193,7 @@
 }
 
 #[test]
-fn given_a_machine_gone_for_good_when_an_empty_one_comes_then_it_takes_its_place_and_the_group_bears_as_much_as_before(
-) {
+fn empty_machine_replaces_a_lost_member() {
     for seed in 0..20 {
         let mut world = World::founded(seed, Defect::None);
         assert_eq!(world.answer(0, routes(2, &[("a", "/a/", 1.0)])), Ok(()));
@@ -224,7 +222,7 @@
 }
 
 #[test]
-fn given_an_empty_machine_and_nobody_gone_when_it_asks_for_a_place_then_the_group_does_not_grow() {
+fn membership_does_not_grow_while_nobody_is_gone() {
     let mut world = World::founded(3, Defect::None);
     let new = world.add();
     world.cut_off(&[5]);
@@ -249,7 +247,7 @@
 }
 
 #[test]
-fn given_an_orphan_that_a_chosen_round_excludes_when_its_store_comes_back_then_it_never_stands() {
+fn excluded_proposal_is_never_chosen() {
     for seed in 0..200 {
         let mut world = World::founded(seed, Defect::None);
         let orphan = world.call(0, routes(2, &[("a", "/same/", 1.0)]));
@@ -270,7 +268,7 @@
 }
 
 #[test]
-fn given_a_store_that_stood_still_when_it_reads_old_answers_then_they_are_no_contact_now() {
+fn replies_read_after_a_pause_are_no_contact() {
     for seed in 0..100 {
         let mut world = World::founded(seed, Defect::None);
         world.pass(10.0 * seed as f64);
@@ -287,8 +285,7 @@
 }
 
 #[test]
-fn given_a_store_that_leaves_by_plan_when_another_stands_ready_then_its_place_is_handed_over_within_a_second()
-{
+fn planned_leave_hands_its_place_over_within_a_second() {
     let mut slowest: f64 = 0.0;
     for seed in 0..40 {
         let mut world = World::founded(seed, Defect::None);
@@ -321,8 +318,7 @@
 }
 
 #[test]
-fn given_a_member_that_leaves_when_one_of_the_others_could_not_learn_then_it_stays_until_more_than_half_know()
-{
+fn leaving_member_stays_until_a_majority_has_learned() {
     for seed in 0..40 {
         let mut world = World::founded_of(3, seed, Defect::None);
         let new = world.add();
@@ -353,8 +349,7 @@
 }
 
 #[test]
-fn given_a_member_that_leaves_when_another_carries_its_change_on_then_it_still_waits_until_more_than_half_know(
-) {
+fn leaving_member_waits_though_another_finishes_its_change() {
     let mut carried = 0;
     for seed in 0..60 {
         let mut world = World::founded_of(3, seed, Defect::None);
@@ -396,7 +391,7 @@
 }
 
 #[test]
-fn given_a_leaver_whose_successor_just_died_when_another_is_gone_too_then_the_group_goes_on_as_it_was() {
+fn membership_survives_the_death_of_a_successor() {
     // Found by the checker: the change was accepted, could never be chosen, and had to be carried on by every later round.
     for seed in 0..40 {
         let mut world = World::founded_of(4, seed, Defect::None);
@@ -416,7 +411,7 @@
 }
 
 #[test]
-fn given_a_member_that_did_not_hear_of_a_change_of_the_group_when_who_told_is_lost_then_another_tells_it() {
+fn another_member_tells_of_a_membership_change() {
     for seed in 0..40 {
         let mut world = World::founded_of(3, seed, Defect::None);
         world.kill(2);
@@ -437,7 +432,7 @@
 }
 
 #[test]
-fn given_a_group_that_has_changed_when_all_lose_power_and_one_its_disk_then_the_new_group_goes_on() {
+fn changed_membership_survives_power_loss_of_all() {
     // Found by the checker: the change was chosen, and on no disk as chosen, so the old group was needed for ever.
     for seed in 0..100 {
         let count = [3, 5, 6, 7][seed as usize % 4];
@@ -455,8 +450,7 @@
 }
 
 #[test]
-fn given_a_round_under_way_when_a_reading_joins_it_after_a_call_was_acknowledged_then_it_reads_what_that_brought(
-) {
+fn read_that_joins_a_round_sees_acknowledged_updates() {
     // Found by the checker: the promises had been given before the call, and were read after it.
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
@@ -474,8 +468,7 @@
 }
 
 #[test]
-fn given_thousands_of_items_and_changes_going_on_when_an_empty_machine_comes_then_it_holds_all_in_small_parts(
-) {
+fn snapshot_transfer_completes_in_small_chunks() {
     let mut world = World::founded(11, Defect::None);
     let names: Vec<String> = (0..5_000).map(|n| format!("r{n:04}")).collect();
     let places: Vec<String> = (0..5_000).map(|n| format!("/{n}/")).collect();
@@ -497,8 +490,7 @@
 }
 
 #[test]
-fn given_one_that_gathers_in_parts_when_its_source_stands_still_or_dies_then_no_copy_lacks_what_its_round_says(
-) {
+fn snapshot_transfer_survives_the_loss_of_its_source() {
     let names: Vec<String> = (0..5_000).map(|n| format!("r{n:04}")).collect();
     let places: Vec<String> = (0..5_000).map(|n| format!("/{n}/")).collect();
     let all: Vec<(&str, &str, f64)> =
@@ -543,7 +535,7 @@
 }
 
 #[test]
-fn given_a_machine_that_is_being_given_a_place_when_it_is_to_leave_then_it_waits_until_it_knows() {
+fn joining_machine_leaves_only_once_it_knows_its_place() {
     // Found by the checker: it said that nothing rests on it, and its place was lost with it.
     let mut world = World::founded_of(4, 7, Defect::None);
     let new = world.add();
@@ -558,7 +550,7 @@
 }
 
 #[test]
-fn given_a_store_that_leaves_when_none_stands_ready_then_it_just_ends_and_keeps_its_place() {
+fn planned_leave_without_a_successor_keeps_the_place() {
     let mut world = World::founded(1, Defect::None);
     assert!(!world.leave(2));
     world.pass(1_000.0);
@@ -569,7 +561,7 @@
 }
 
 #[test]
-fn given_a_machine_without_a_majority_when_it_is_called_then_it_says_so_within_300_ms() {
+fn rejects_without_a_majority_within_300_ms() {
     for seed in 0..50 {
         let mut world = World::founded(seed, Defect::None);
         world.cut_off(&[0]);
@@ -585,7 +577,7 @@
 }
 
 #[test]
-fn given_writes_under_way_when_disks_are_lost_at_any_moment_then_what_was_acknowledged_stands() {
+fn keeps_acknowledged_updates_when_disks_are_lost_during_writes() {
     // A copy is taken, and a promise forgotten, while a round counts what the lost disk had accepted.
     for seed in 0..600 {
         let count = [3, 5, 6, 7, 9][seed as usize % 5];
@@ -614,8 +606,7 @@
 }
 
 #[test]
-fn given_an_order_that_others_carried_on_and_one_that_took_it_back_when_it_is_judged_again_then_it_does_nothing(
-) {
+fn retried_update_does_nothing_after_it_was_undone() {
     let (mut carried, drained) = (0, |world: &World, n| world.items(n).body(Table::Drains, "z").is_some());
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
@@ -646,8 +637,7 @@
 }
 
 #[test]
-fn given_an_order_that_joins_a_round_of_before_when_that_is_outbid_then_what_others_did_before_is_not_its_own(
-) {
+fn update_in_an_outbid_round_claims_no_earlier_effect() {
     let mut joined = 0;
     for seed in 0..60 {
         let mut world = World::founded(seed, Defect::None);
@@ -675,7 +665,7 @@
 }
 
 #[test]
-fn given_an_order_that_waited_in_a_store_that_stood_still_when_it_goes_on_then_it_is_not_carried_out() {
+fn update_that_waited_through_a_pause_is_not_carried_out() {
     for seed in 0..60 {
         let drain = |on| Command::DrainZone { zone: "z".into(), drained: on };
         let mut world = World::founded(seed, Defect::None);
@@ -777,7 +767,7 @@
 }
 
 #[test]
-fn given_any_losses_that_a_group_can_bear_when_all_are_back_then_nothing_acknowledged_is_lost() {
+fn tolerated_losses_lose_no_acknowledged_update() {
     for seed in 0..250 {
         assert_eq!(play(seed, Defect::None), Ok(()), "seed {seed}");
     }
@@ -808,13 +798,12 @@
 }
 
 #[test]
-fn given_two_that_know_lose_their_disks_when_the_rest_is_called_then_nothing_contradicts_what_was_acknowledged(
-) {
+fn nothing_contradicts_acknowledged_updates_after_two_lost_disks() {
     assert_eq!(lose_two_that_know(Defect::None), Ok(()));
 }
 
 #[test]
-fn given_a_defect_put_in_on_purpose_when_the_same_plays_are_judged_then_it_is_found() {
+fn finds_each_seeded_defect() {
     for defect in [Defect::AnswersBeforeTheSync, Defect::ForgetsWhatWasDropped, Defect::ForgetsPromises] {
         let found = (0..1_500).find(|seed| play(*seed, defect).is_err());
         assert!(found.is_some(), "{defect:?} was not found");
--- a/crates/config-store/tests/messages.rs
+++ b/crates/config-store/tests/messages.rs
@@ -15,7 +15,7 @@
 const DROPPED: &str = r#"{"t":"drains","k":"zone-a","v":2,"b":null}"#;
 
 #[test]
-fn asks_keep_their_spelling() {
+fn requests_keep_their_wire_format() {
     let asks = [
         format!(r#"{{"prepare":{{"ballot":{BALLOT},"incarnation":4,"chosen":{BALLOT}}}}}"#),
         format!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn replies_keep_their_spelling() {
+fn replies_keep_their_wire_format() {
     let answers = [
         format!(
             r#"{{"promised":{{"accepted":{{"ballot":{BALLOT},"items":[{ITEM}]}},"chosen":{BALLOT},"items":[{DROPPED}]}}}}"#
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn parts_of_messages_keep_their_spelling() {
+fn message_parts_keep_their_wire_format() {
     is_spoken_on::<Ballot>(BALLOT);
     is_spoken_on::<AcceptedProposal>(&format!(r#"{{"ballot":{BALLOT},"items":[{ITEM}]}}"#));
     is_spoken_on::<JoinCandidate>(&format!(r#"{{"incarnation":5,"group":2,"chosen":{BALLOT}}}"#));
--- a/crates/control-state/tests/items.rs
+++ b/crates/control-state/tests/items.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn given_items_in_any_order_and_number_when_they_are_merged_then_the_copies_are_the_same() {
+fn merge_is_independent_of_order_and_repetition() {
     for seed in 1..=500_u64 {
         arbtest(|u| {
             let (a, b, c) = (items(u)?, items(u)?, items(u)?);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn given_what_stands_when_a_call_would_break_it_then_nothing_of_the_call_is_taken() {
+fn invalid_update_is_rejected_whole() {
     let stands = first();
     for (text, why) in [
         (
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn given_an_older_call_when_it_comes_again_then_it_changes_nothing_and_what_was_dropped_stays_dropped() {
+fn older_update_changes_nothing() {
     let stands = first();
     let (dropped, _) = apply_update(&stands, &call(r#"{"remove":{"routes":[{"name":"a","gen":"r9"}]}}"#))
         .expect("it is sound");
--- a/crates/control-state/tests/spelling.rs
+++ b/crates/control-state/tests/stored_names.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn items_keep_their_spelling() {
+fn items_keep_their_stored_format() {
     let golden = r#"{"t":"routes","k":"pay","v":12,"b":{"gen":"r12"}}"#;
     let item: Item = serde_json::from_str(golden).expect("it is an item");
     assert_eq!(serde_json::to_string(&item).expect("it can be written"), golden);
--- a/crates/control-state/tests/judged.rs
+++ b/crates/control-state/tests/validation.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn given_any_history_of_copies_when_they_merge_and_fork_then_judging_item_by_item_agrees_with_judging_all() {
+fn incremental_validation_agrees_with_full_validation() {
     let counts = std::cell::Cell::new([0; 4]);
     let count = |n: usize| {
         let mut next = counts.get();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn given_a_copy_that_was_judged_when_its_clone_changes_then_the_copy_stays_as_it_was() {
+fn changing_a_clone_leaves_the_original() {
     let mut copy = Items::default();
     copy.merge(Item::new(Table::Backends, "b", 1, Some(json!({}))));
     let body = json!({ "vhost": "h", "pathPrefix": "/", "kind": "upload", "backend": "b" });
--- a/crates/control-state/tests/numbers.rs
+++ b/crates/control-state/tests/versions.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn given_a_newer_number_stands_when_another_content_comes_under_one_before_then_it_is_refused() {
+fn rejects_other_content_under_an_earlier_version() {
     let mut store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0))]]);
     assert_eq!(store.refuses(&[("t", 5, Some(3.0))]), ErrorKind::Conflict);
     assert_eq!(store.refuses(&[("t", 5, None)]), ErrorKind::Conflict);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_an_item_was_dropped_when_calls_before_come_again_then_they_are_acknowledged_and_others_refused() {
+fn acknowledges_repeats_of_a_removed_item_only() {
     let mut store =
         Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, None)], &[("t", 8, Some(4.0))], &[("t", 9, None)]]);
     store.0 = restarted(&store.0);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn given_a_number_never_used_when_it_comes_below_what_stands_then_it_is_taken_up_once_and_changes_nothing() {
+fn unused_earlier_version_is_recorded_once() {
     let mut store = Store::after(&[&[("t", 9, Some(9.0))]]);
     let remembered = store.acknowledges(&[("t", 4, Some(4.0))]);
     assert!(remembered.len() == 1 && remembered[0].key.table == Table::VersionHistory, "{remembered:?}");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn given_an_item_never_changed_when_it_is_kept_then_nothing_is_remembered_beside_it() {
+fn unchanged_item_has_no_version_history() {
     let mut store = Store::after(&[&[("t", 1, Some(1.0)), ("u", 7, Some(1.0))], &[("t", 1, Some(1.0))]]);
     assert_eq!(store.0.all(Tables::VERSION_HISTORY).count(), 0);
     let written = store.acknowledges(&[("t", 2, Some(2.0))]);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn given_one_name_twice_in_a_call_when_it_is_judged_then_both_numbers_are_remembered_or_none_is() {
+fn one_name_twice_records_both_versions_or_none() {
     let both = r#"{"upsert":{"tenants":{"t":{"burst":1,"gen":"r5"}}},"remove":{"tenants":[{"name":"t","gen":"r6"},
         {"name":"t","gen":"r6"}]}}"#;
     let (copy, newer) = apply_update(&Items::default(), &text(both)).expect("two numbers are no conflict");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn given_one_name_twice_in_a_table_when_the_call_is_read_then_it_is_refused_whole() {
+fn rejects_one_name_twice_in_a_table() {
     for names in [["t", "t"], ["t", "\\u0074"]] {
         let [first, second] = names;
         let twice = format!(
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn given_one_conflict_in_a_call_when_it_is_refused_then_nothing_else_of_it_was_taken_up() {
+fn conflicting_update_is_rejected_whole() {
     let mut store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0)), ("u", 6, Some(2.0))]]);
     let torn = [("s", 1, Some(1.0)), ("u", 4, Some(1.0)), ("t", 5, Some(9.0))];
     assert_eq!(store.refuses(&torn), ErrorKind::Conflict);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn given_the_same_limits_and_routes_when_numbers_are_reused_then_the_rule_holds_for_each_table() {
+fn rejects_reused_versions_in_each_table() {
     let call = |number: u64, seconds: f64| {
         text(&format!(
             r#"{{"upsert":{{"backends":{{"b":{{"warmupS":{seconds},"gen":"r{number}"}}}},
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn given_a_history_longer_than_the_window_when_old_numbers_come_then_neither_yes_nor_no_is_said() {
+fn version_below_the_history_is_forgotten() {
     let (mut store, last) = (Store(Items::default()), 3 * MAX_REMEMBERED_VERSIONS as u64);
     for number in 1..=last {
         store.acknowledges(&[("t", number, Some(number as f64))]);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn given_a_window_is_full_when_a_number_below_it_is_used_then_it_is_acknowledged_once_at_most() {
+fn version_below_a_full_history_is_acknowledged_once_at_most() {
     let mut store = Store(Items::default());
     for number in 100..=100 + MAX_REMEMBERED_VERSIONS as u64 {
         store.acknowledges(&[("t", number, Some(1.0))]);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn given_a_window_that_cannot_be_read_when_an_old_number_comes_then_nothing_is_known_of_it() {
+fn unreadable_history_knows_no_version() {
     let store = Store::after(&[&[("t", 5, Some(1.0))], &[("t", 6, Some(2.0))]]);
     for body in [None, Some(json!([[5, "x"]])), Some(json!("")), Some(json!("0 5")), Some(json!("0 x:y"))] {
         let mut torn = Store(store.0.clone());
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn given_fractions_of_many_digits_when_all_stores_restart_then_their_calls_are_repeats() {
+fn long_fractions_are_repeats_after_a_restart() {
     let mut random = 0x9e37_79b9_7f4a_7c15_u64;
     let mut draw = || {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn given_two_ways_to_write_a_number_when_a_newer_stands_then_what_was_the_same_stays_the_same() {
+fn equal_spellings_of_a_number_stay_equal() {
     let call =
         |burst: &str| text(&format!(r#"{{"upsert":{{"tenants":{{"t":{{"gen":"r5","burst":{burst}}}}}}}}}"#));
     let (first, _) = apply_update(&Items::default(), &call("-0.0")).expect("it is sound");
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn given_any_history_of_calls_when_each_is_judged_then_an_oracle_that_forgets_nothing_agrees() {
+fn version_checks_agree_with_an_oracle() {
     for (span, size, unclear) in [(6, 256, false), (6, 2_048, true), (200, 4_096, true)] {
         let total = std::cell::Cell::new([0; 3]);
         for seed in 1..=40_u64 {
--- a/crates/gateway/src/outlier_ejection.rs
+++ b/crates/gateway/src/outlier_ejection.rs
@@ -1,7 +1,10 @@
 //! Outlier ejection: which servers are left alone after failures, and how they come back.
 //!
 //! An ejected server is on probation until it gives a good answer: it gets one request at a time, or health checks where those are
-//! allowed. Ejection never empties the fleet, see [`crate::Gateway`]'s choice of a last resort.
+//! allowed. Ejection never empties the fleet: see the last resort in [`load_balancing`](crate::load_balancing).
+//!
+//! Attempts in flight at a server that is ejected go on: each ends by its own answer or time-out, may be hedged once it is overdue,
+//! and is retried elsewhere as [`retry`](crate::retry) allows.
 
 use crate::api::{Action, Load, Outcome, ServerId};
 use crate::gateway::Gateway;
--- a/crates/model-checker/tests/exhaustive.rs
+++ b/crates/model-checker/tests/exhaustive.rs
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn given_one_call_and_one_loss_when_all_ways_are_taken_then_no_invariant_breaks() {
+fn one_call_and_one_loss_violate_no_invariant() {
     let explored = explore(&world("3-one-loss"), None, &BTreeSet::new(), u64::MAX, LONG, 2);
     assert!(explored.violation.is_none(), "{:?}", explored.violation);
     assert!(explored.whole && explored.states > 5_000, "{explored:?}");
 }
 
 #[test]
-fn given_each_small_world_when_its_shorter_ways_are_taken_then_no_invariant_breaks() {
+fn short_paths_of_small_worlds_violate_no_invariant() {
     for bounds in small_worlds() {
         assert!(is_founded(&bounds), "{}", bounds.name);
         let explored = explore(&bounds, None, &BTreeSet::new(), 1_500, LONG, 2);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn given_a_store_that_lost_its_disk_and_goes_on_as_before_when_ways_are_taken_then_it_is_found() {
+fn exhaustive_search_finds_an_old_incarnation() {
     let only = [Invariant::LossIsBorne].into();
     let explored =
         explore(&world("3-two-calls-one-loss"), Some(Defect::OldIncarnation), &only, 60_000, LONG, 2);
--- a/crates/model-checker/tests/linearizability.rs
+++ b/crates/model-checker/tests/linearizability.rs
@@ -11,7 +11,7 @@
 const OK: Confirmation = Confirmation::Confirmed;
 
 #[test]
-fn given_a_confirmed_put_when_a_later_read_lacks_it_then_no_order_explains_it() {
+fn read_without_a_confirmed_put_is_not_linearizable() {
     let put = (0.0, 1.0, Operation::Put(2, 7, OK));
     assert_eq!(found(&[put.clone(), (2.0, 3.0, Operation::Read(2, 7))]), SearchResult::Order);
     assert_eq!(found(&[put.clone(), (2.0, 3.0, Operation::Read(0, 0))]), SearchResult::None);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn given_an_unclear_put_when_reads_have_it_or_not_then_it_took_at_one_moment_or_never() {
+fn unclear_put_takes_effect_once_or_never() {
     let put = (0.0, 1.0, Operation::Put(2, 7, Confirmation::Unclear));
     let [with, without] = [Operation::Read(2, 7), Operation::Read(0, 0)];
     assert_eq!(found(&[put.clone(), (2.0, 3.0, without.clone())]), SearchResult::Order);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn given_one_number_when_two_contents_are_confirmed_then_no_order_explains_it() {
+fn two_confirmed_contents_of_one_version_are_not_linearizable() {
     let newer = (2.0, 3.0, Operation::Put(6, 1, OK));
     let [one, other] = [Operation::Put(5, 1, OK), Operation::Put(5, 2, OK)];
     assert_eq!(found(&[(0.0, 1.0, one.clone()), newer.clone(), (4.0, 5.0, other)]), SearchResult::None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_a_switch_when_it_seems_to_have_taken_twice_then_no_order_explains_it() {
+fn switch_that_took_effect_twice_is_not_linearizable() {
     let history = [
         (0.0, 9.0, Operation::Switch(true, OK)),
         (1.0, 2.0, Operation::ReadSwitch(true)),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_too_few_steps_when_a_history_is_searched_then_that_is_said() {
+fn search_that_runs_out_of_steps_is_undecided() {
     let entry =
         |n: u32| Entry { begin: 0.0, end: f64::INFINITY, operation: Operation::Put(u64::from(n), 1, OK) };
     let entries: Vec<_> = (1..30)
--- a/crates/model-checker/tests/simulations.rs
+++ b/crates/model-checker/tests/simulations.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn given_made_up_weather_and_losses_when_fleets_are_played_then_no_invariant_breaks() {
+fn random_schedules_violate_no_invariant() {
     let (mut confirmed, mut machine_faults, mut undecided) = (0, 0, 0);
     for seed in SEEDS {
         let result = simulate(&schedule(seed), None, &BTreeSet::new(), false);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn given_a_planted_defect_when_fleets_are_played_then_each_is_found() {
+fn simulations_find_each_seeded_defect() {
     for (name, defect) in Defect::ALL {
         let found = (1..=PLANTED)
             .find_map(|seed| simulate(&schedule(seed), Some(defect), &BTreeSet::new(), false).violation);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn given_a_lost_standing_ballot_when_fleets_are_played_then_what_nobody_owes_returns() {
+fn forgotten_chosen_ballot_is_found() {
     let defect = Some(Defect::NoChosenBallot);
     let all = Invariant::ALL.map(|(_, invariant)| invariant);
     let ignored = all.into_iter().filter(|invariant| *invariant != Invariant::NothingReturns).collect();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_one_seed_when_it_is_played_twice_then_both_plays_are_the_same() {
+fn one_seed_gives_one_run() {
     for seed in 1..=20 {
         let [one, two] =
             [0, 1].map(|_| simulate(&schedule(seed), Some(Defect::OldIncarnation), &BTreeSet::new(), true));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn given_a_story_that_breaks_when_it_is_shrunk_then_a_shorter_one_breaks_the_same_invariant() {
+fn shrunk_schedule_violates_the_same_invariant() {
     let defect = Some(Defect::PromiseLost);
     let ignored = BTreeSet::new();
     let (long, violation) = (1..=PLANTED)
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -151,8 +151,7 @@
 }
 
 #[test]
-fn given_a_status_that_promises_what_the_server_did_not_when_a_request_must_not_run_twice_then_it_is_not_passed_on(
-) {
+fn status_that_promises_not_run_is_not_passed_on() {
     for status in ["429 Too Many Requests", "503 Service Unavailable", "408 Request Timeout"] {
         let (server, runs) = server(move |id, _| (whole(status, id, SEALED), false));
         let mut client = client(proxy(server.address));
@@ -167,7 +166,7 @@
 }
 
 #[test]
-fn given_an_answer_of_a_server_when_it_is_passed_on_then_status_body_seal_and_id_are_its_own() {
+fn passes_on_status_body_seal_and_id() {
     let (server, runs) = server(|id, number| {
         let status = ["200 OK", "500 Internal Server Error", "418 Teapot"][number % 3];
         (whole(status, id, SEALED), false)
@@ -182,7 +181,7 @@
 }
 
 #[test]
-fn given_servers_in_trouble_when_clients_keep_asking_then_none_gets_anothers_answer_and_nothing_runs_twice() {
+fn faulty_servers_cause_no_mixed_answers_and_no_double_runs() {
     let (server, runs) = server(|id, number| {
         let own = whole("200 OK", id, SEALED);
         match number % 8 {
@@ -216,7 +215,7 @@
 }
 
 #[test]
-fn given_requests_behind_each_other_when_they_are_answered_then_in_order_and_each_its_own() {
+fn pipelined_requests_are_answered_in_order() {
     let (server, _) = server(|id, _| (whole("200 OK", id, SEALED), false));
     let mut client = client(proxy(server.address));
     let all: String = ["a", "b", "c"].iter().map(|id| request("often", id)).collect();
@@ -228,7 +227,7 @@
 }
 
 #[test]
-fn given_a_client_that_leaves_early_or_within_its_body_when_others_ask_then_they_get_their_own() {
+fn clients_that_leave_early_do_not_disturb_others() {
     let (begun, has_begun) = std::sync::mpsc::channel();
     let begun = Mutex::new(begun);
     let runs = Runs::default();
--- a/crates/quota/tests/messages.rs
+++ b/crates/quota/tests/messages.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn reports_and_grants_keep_their_spelling() {
+fn reports_and_grants_keep_their_wire_format() {
     is_spoken_on::<UsageReport>(
         r#"{"life":77,"epoch":3,"number":12,"other":0.25,"tenants":{"acme":[1.5,1.25,0.5],"zeta":[0.0,0.0,0.01]}}"#,
     );
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn given_any_faults_and_changes_of_the_keeper_when_parts_move_then_all_in_force_never_exceed_the_whole() {
+fn shares_never_exceed_the_quota_across_allocator_changes() {
     let (mut grants, mut changes) = (0, 0);
     // And one in which a keeper read the newer of two reports first, found by a longer run.
     for seed in (0..PLAYS).chain([792]) {
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn given_a_clause_left_out_when_the_same_faults_come_then_the_whole_is_exceeded_soon() {
+fn each_rule_left_out_exceeds_the_quota() {
     for planted in [Planted::OlderGrant, Planted::FreedEarly, Planted::AnyLife, Planted::NoContact] {
         let found = (0..PLAYS).find(|seed| play(*seed, planted).0 > MAX_TOTAL_SHARE + 1e-6);
         println!("{planted:?} is found by play {found:?}");
--- a/crates/quota/tests/shares.rs
+++ b/crates/quota/tests/shares.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn given_any_silence_and_loss_when_parts_move_then_they_never_add_up_to_more_than_the_whole() {
+fn shares_never_exceed_the_quota_under_loss() {
     let property = |u: &mut arbtest::arbitrary::Unstructured| {
         let known: BTreeMap<String, bool> = (0..PROXIES).map(|n| (name(n), true)).collect();
         let mut keeper = QuotaAllocator::new(Timestamp::from_millis(0.0), 1);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_a_tenant_at_one_proxy_only_when_it_asks_on_then_that_proxy_has_most_of_the_quota() {
+fn proxy_in_use_gets_most_of_the_quota() {
     let known: BTreeMap<String, bool> = (0..PROXIES).map(|n| (name(n), true)).collect();
     let mut keeper = QuotaAllocator::new(Timestamp::from_millis(-10_000.0), 1);
     let mut rations: Vec<LeasedQuota> = (0..PROXIES).map(|n| LeasedQuota::new(n as u64 + 1)).collect();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn given_a_proxy_that_hears_nothing_when_its_lease_has_run_out_then_it_uses_half_and_others_get_the_rest() {
+fn expired_lease_keeps_half_of_its_share() {
     let known: BTreeMap<String, bool> = (0..2).map(|n| (name(n), true)).collect();
     let mut keeper = QuotaAllocator::new(Timestamp::from_millis(-10_000.0), 1);
     let mut rations = [LeasedQuota::new(1), LeasedQuota::new(2)];
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn given_many_tenants_that_ask_little_when_they_pass_then_no_record_is_kept_and_nothing_is_told_of_them() {
+fn idle_tenants_leave_no_record() {
     let known: BTreeMap<String, bool> = (0..2).map(|n| (name(n), true)).collect();
     let mut keeper = QuotaAllocator::new(Timestamp::from_millis(-10_000.0), 1);
     let mut rations = LeasedQuota::new(7);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn given_a_tenant_that_asks_far_more_than_it_may_when_it_is_refused_then_it_is_told_to_stay_away_for_long() {
+fn heavy_excess_gets_a_long_retry_after() {
     let known: BTreeMap<String, bool> = [(name(0), true)].into();
     let mut keeper = QuotaAllocator::new(Timestamp::from_millis(-10_000.0), 1);
     let mut rations = LeasedQuota::new(7);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn given_a_proxy_with_most_of_a_quota_that_is_cut_off_when_the_keeper_changes_then_that_stays_with_it() {
+fn partitioned_proxy_keeps_its_share_across_an_allocator_change() {
     let (mut first, mut rations) =
         (QuotaAllocator::new(Timestamp::from_millis(0.0), 1), [LeasedQuota::new(1), LeasedQuota::new(2)]);
     // Both are known; nearly all is asked at the first.
@@ -238,8 +238,7 @@
 }
 
 #[test]
-fn given_a_grant_of_an_earlier_epoch_with_the_same_number_when_it_is_reported_then_it_is_not_taken_for_this_one(
-) {
+fn grant_of_an_earlier_epoch_is_not_confirmed() {
     let mut rations = [LeasedQuota::new(1), LeasedQuota::new(2)];
     let mut first = QuotaAllocator::new(Timestamp::from_millis(0.0), 1);
     // The first proxy uses grant 1 of epoch 1: most of the quota, since only it is known then.
@@ -266,8 +265,7 @@
 }
 
 #[test]
-fn given_a_new_keeper_that_does_not_know_all_proxies_yet_when_those_it_knows_ask_then_none_gets_more_than_it_had(
-) {
+fn new_allocator_raises_no_share_before_it_knows_all_proxies() {
     let all: BTreeMap<String, bool> = (0..3).map(|n| (name(n), true)).collect();
     let mut rations: Vec<LeasedQuota> = (0..3).map(|n| LeasedQuota::new(n as u64 + 1)).collect();
     let mut earlier = QuotaAllocator::new(Timestamp::from_millis(-10_000.0), 1);
--- a/crates/registry/tests/messages.rs
+++ b/crates/registry/tests/messages.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn heartbeats_keep_their_spelling() {
+fn heartbeats_keep_their_wire_format() {
     is_spoken_on::<HeartbeatRequest>(
         r#"{"entry":{"t":"nodes","k":"proxy@10.1.0.9","v":7,"b":{"ip":"10.1.0.9","leaving":false,"lost":false,"ready":true,"region":"r","role":"proxy","zone":"a"}}}"#,
     );
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn entries_of_servers_keep_their_spelling() {
+fn server_entries_keep_their_wire_format() {
     is_spoken_on::<ServerRecord>(
         r#"{"backend":"checkout","address":"10.9.0.1:80","zone":"a","capacity":4.0,"draining":false,"cold_s":2.5}"#,
     );
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -662,7 +662,7 @@
 }
 
 #[test]
-fn given_registries_in_any_trouble_when_the_duty_moves_then_no_old_word_wins_and_all_is_soon_right_again() {
+fn fenced_writes_hold_across_coordinator_changes() {
     let (mut written, mut epochs) = (0, 0);
     for seed in 0..PLAYS {
         let (broken, writings, taken) = play(seed, Planted::Nothing);
@@ -673,7 +673,7 @@
 }
 
 #[test]
-fn given_a_clause_left_out_when_the_same_trouble_comes_then_it_shows_soon() {
+fn each_rule_left_out_is_found() {
     // Where a longer search from 0 found each, so that the suite stays short.
     let from = [(Planted::StaleRows, 20), (Planted::EpochReadLate, 30), (Planted::AlwaysInTouch, 0)];
     for (planted, from) in from {
--- a/crates/registry/tests/cut.rs
+++ b/crates/registry/tests/partition.rs
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn given_a_core_machine_cut_off_both_ways_for_twenty_seconds_when_it_is_asked_then_it_acts_on_nothing_old() {
+fn partitioned_core_machine_acts_on_nothing_stale() {
     play(true);
 }
 
 #[test]
-fn given_a_core_machine_that_only_hears_when_it_is_asked_then_it_acts_on_nothing_old_either() {
+fn core_machine_that_only_receives_acts_on_nothing_stale() {
     play(false);
 }
 
 #[test]
-fn given_an_order_at_a_machine_that_is_cut_off_when_its_store_says_no_then_the_operator_hears_that_at_once() {
+fn partitioned_machine_rejects_operators_at_once() {
     let others = |answered| {
         vec![PeerStore { address: (ip(2), 1).into(), is_same_region: true, last_answer_at: Some(answered) }]
     };
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn given_a_proxy_that_falls_silent_when_two_seconds_pass_then_it_is_lost_and_its_next_beat_takes_that_back() {
+fn silent_proxy_is_lost_until_its_next_heartbeat() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let proxy = node(9, Role::Proxy, "r1");
     let (news, answer) = book.handle_heartbeat(
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn given_a_registry_that_stood_still_when_it_goes_on_then_it_declares_nobody_lost() {
+fn paused_registry_declares_no_node_lost() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     items.merge(node(9, Role::Proxy, "r1").to_item(1));
     let _ = book.handle_heartbeat(
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn given_a_node_that_another_watches_now_when_it_is_silent_here_then_that_is_no_sign() {
+fn silence_of_a_node_watched_elsewhere_is_ignored() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let proxy = node(9, Role::Proxy, "r1");
     let _ = book.handle_heartbeat(
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn given_three_registries_when_the_first_is_lost_then_the_next_in_order_takes_the_duty_and_no_other() {
+fn next_registry_in_order_takes_the_coordinator_role() {
     let group = [ip(1), ip(2), ip(3)];
     let mut items = Items::default();
     for last in 1..=3 {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn given_a_holder_that_lost_its_memory_when_the_duty_still_names_it_then_it_takes_it_anew() {
+fn restarted_coordinator_acquires_the_role_anew() {
     let mut items = Items::default();
     items.merge(Item::new(Table::SingletonRoles, COORDINATOR_ROLE, 7, Some(json!({ "holder": ip(1) }))));
     let mut book = Registry::new(ip(1));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn given_a_holder_that_stood_still_when_it_writes_under_its_old_epoch_then_the_later_holder_s_word_stands() {
+fn write_under_an_old_epoch_loses() {
     let ready = page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let draining = page(r#"["b","10.9.0.1:80","r1","v1",2,"draining",0,"i-1"]"#).rows();
     let mut items = Items::default();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn given_a_reading_in_which_the_process_stood_still_when_it_ends_then_nothing_is_written_by_it() {
+fn reading_with_a_pause_writes_nothing() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, items) = (holder(1, 1), Items::default());
     let mut in_page = ListReading::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
@@ -217,8 +217,7 @@
 }
 
 #[test]
-fn given_another_holder_s_word_that_came_while_the_list_was_read_when_it_is_younger_then_it_stands_till_the_next_reading(
-) {
+fn newer_entry_that_came_during_a_reading_is_kept() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, mut items) = (holder(2, 2), Items::default());
     let mut reading = ListReading::new(Timestamp::from_millis(1_000.0), 2, items.last_change());
@@ -231,7 +230,7 @@
 }
 
 #[test]
-fn given_a_server_that_was_forgotten_when_it_is_listed_again_then_that_is_above_what_others_remember() {
+fn relisted_server_gets_a_higher_version() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, mut other) = (holder(1, 1), Items::default());
     for rows in [rows(), Vec::new()] {
@@ -244,7 +243,7 @@
 }
 
 #[test]
-fn given_a_time_that_runs_down_when_the_list_is_read_again_then_that_is_no_news_but_a_new_coldness_is() {
+fn slow_start_countdown_is_no_change() {
     let rows = |left: &str| page(&format!(r#"["b","10.9.0.1:80","r1","v1",2,"ready",{left},"i-1"]"#)).rows();
     let mut book = holder(1, 1);
     let mut items = Items::default();
@@ -259,8 +258,7 @@
 }
 
 #[test]
-fn given_an_answer_about_the_duty_when_it_is_read_late_or_twice_then_only_a_fresh_one_to_the_last_question_counts(
-) {
+fn only_a_fresh_reply_grants_the_role() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     assert!(book.should_acquire_role(Timestamp::from_millis(0.0), &items, &[ip(1)]));
     // It stood still; its own clock has asked once more before the old answer is read.
@@ -282,7 +280,7 @@
 }
 
 #[test]
-fn given_a_node_whose_watchers_die_with_it_when_others_watch_in_their_place_then_they_call_it_lost() {
+fn new_watchers_declare_a_node_lost() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     for last in 1..=4 {
         items.merge(node(last, Role::Registry, "r1").to_item(1));
@@ -305,7 +303,7 @@
 }
 
 #[test]
-fn given_a_registry_that_is_cut_off_when_it_hears_nobody_then_it_calls_nobody_lost_nor_when_it_is_back() {
+fn partitioned_registry_declares_no_node_lost() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     for last in 1..=3 {
         items.merge(node(last, Role::Registry, "r1").to_item(1));
@@ -334,7 +332,7 @@
 }
 
 #[test]
-fn given_what_was_dropped_and_forgotten_when_one_that_was_cut_off_tells_it_then_it_does_not_come_back() {
+fn purged_entry_does_not_return() {
     let (mut book, mut items) = (Registry::new(ip(1)), Items::default());
     let old = Item::new(Table::Servers, "i-1", 1 << 32, Some(json!({})));
     items.merge(Item::new(Table::Servers, "i-1", 1 << 32 | 1, None));
@@ -369,7 +367,7 @@
 }
 
 #[test]
-fn given_rows_that_cannot_be_read_or_columns_in_another_order_when_a_page_comes_then_the_others_count() {
+fn skips_unreadable_rows_of_the_server_list() {
     let text = r#"{"instances":{"cols":["id","state","backend","address","more"],"rows":[
         ["i-1","ready","b","10.9.0.1:80",1],["i-2","ready","b","nowhere",1],["i-3","ready",null,"10.9.0.3:80",1]]},"nextCursor":"p"}"#;
     let page: ServerListPage = serde_json::from_str(text).expect("a page");
@@ -378,7 +376,7 @@
 }
 
 #[test]
-fn given_proxies_near_and_far_when_a_client_asks_then_it_is_sent_to_those_of_its_region_that_can_serve() {
+fn directory_names_serving_proxies_of_the_region() {
     let mut items = Items::default();
     for (last, zone) in [(1, "r1"), (2, "r1"), (3, "r2"), (4, "s1")] {
         items.merge(node(last, Role::Proxy, zone).to_item(1));
--- a/crates/registry/tests/errand.rs
+++ b/crates/registry/tests/request_forwarding.rs
@@ -30,8 +30,7 @@
 }
 
 #[test]
-fn given_a_store_that_rebuilds_its_state_when_a_call_comes_then_it_goes_on_to_two_others_the_near_and_sure_first(
-) {
+fn forwards_to_two_other_stores_nearest_first() {
     for order in ORDERS {
         let mut errand = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others());
         assert_eq!(
@@ -51,7 +50,7 @@
 }
 
 #[test]
-fn given_an_answer_after_which_it_may_have_taken_when_it_is_a_drain_then_it_is_not_sent_again() {
+fn does_not_resend_a_drain_that_may_have_run() {
     for kind in [ErrorKind::NoQuorum, ErrorKind::Disk, ErrorKind::Unreachable] {
         for order in ORDERS {
             let next = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others())
@@ -62,7 +61,7 @@
 }
 
 #[test]
-fn given_an_answer_that_stands_when_it_comes_then_no_other_is_asked() {
+fn definitive_response_ends_forwarding() {
     let stands = [
         ErrorKind::Timeout,
         ErrorKind::Malformed,
@@ -84,7 +83,7 @@
 }
 
 #[test]
-fn given_a_machine_that_is_cut_off_when_its_store_has_no_majority_then_that_is_the_answer_at_once() {
+fn answers_no_majority_at_once_when_partitioned() {
     let cut = vec![other(2, true, Some(5_000.0)), other(3, false, Some(7_000.0))];
     assert_eq!(
         RequestForwarding::new(Timestamp::from_millis(10_000.0), OperatorRequest::Update, cut.clone())
@@ -98,7 +97,7 @@
 }
 
 #[test]
-fn given_any_answers_when_a_call_goes_on_then_all_waits_end_within_the_operator_s_second() {
+fn forwarding_ends_within_the_operators_second() {
     let mut rng = fastrand::Rng::with_seed(7);
     let kinds = [
         ErrorKind::NotReady,
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -73,8 +73,7 @@
 }
 
 #[test]
-fn given_a_peer_that_answers_for_the_call_before_when_that_comes_in_the_next_ones_place_then_nobody_gets_it()
-{
+fn response_to_an_earlier_call_is_dropped() {
     let scripts: [Script; 3] = [
         |stream, first, ran| {
             take(stream, ran);
@@ -99,8 +98,7 @@
 }
 
 #[test]
-fn given_a_peer_that_breaks_off_when_a_call_may_have_run_then_it_is_not_sent_again_and_half_an_answer_is_none(
-) {
+fn broken_off_call_is_not_resent() {
     let scripts: [Script; 5] = [
         |stream, _, ran| {
             take(stream, ran);
@@ -152,7 +150,7 @@
 }
 
 #[test]
-fn given_a_kept_connection_that_its_peer_has_closed_when_the_next_call_comes_then_it_is_made_on_another() {
+fn closed_idle_connection_is_replaced() {
     for script in
         [|_: &mut BufReader<TcpStream>| {}, |stream: &mut BufReader<TcpStream>| reset(stream.get_ref())]
     {
@@ -169,7 +167,7 @@
 }
 
 #[test]
-fn given_a_silent_peer_when_the_time_is_up_then_the_connection_ends_and_the_late_answer_reaches_nobody() {
+fn timeout_closes_the_connection() {
     let peer = Scripted::start(|stream, number| {
         if number > 0 {
             return answer_all(stream);
@@ -192,7 +190,7 @@
 }
 
 #[test]
-fn given_a_process_that_stood_still_when_it_finds_an_answer_whose_time_is_up_then_that_is_none() {
+fn response_after_the_timeout_is_none() {
     let ((came, has_come), (go, may_go), (done, is_done)) = (channel(), channel(), channel());
     let signals = Mutex::new((came, may_go, done));
     let peer = Scripted::start(move |stream, _| {
@@ -221,7 +219,7 @@
 }
 
 #[test]
-fn given_a_stranger_that_knows_no_ids_when_it_is_called_then_its_answer_counts_on_a_connection_of_its_own() {
+fn peer_without_call_ids_gets_its_own_connection() {
     let peer = Scripted::start(|stream, _| {
         while read_message(stream).is_some() {
             write(stream, &answered(&Message::default(), "\"page\""));
@@ -252,7 +250,7 @@
 }
 
 #[test]
-fn given_a_caller_that_has_left_when_its_call_is_read_then_it_is_not_begun() {
+fn call_of_a_gone_caller_is_not_begun() {
     run(async {
         let (_server, address, begun) = noting();
         // All of it lies there before the server looks: the call, and the end of whoever made it.
@@ -266,7 +264,7 @@
 }
 
 #[test]
-fn given_half_a_call_when_its_caller_leaves_then_it_is_not_begun() {
+fn half_a_call_is_not_begun() {
     run(async {
         let (_server, address, begun) = noting();
         let mut gone = TcpStream::connect(address).expect("it listens");
@@ -280,8 +278,7 @@
 }
 
 #[test]
-fn given_calls_behind_each_other_on_a_connection_when_they_are_answered_then_in_order_and_each_under_its_id()
-{
+fn pipelined_calls_are_answered_in_order() {
     let (told, tell) = channel();
     let (address_of, address) = channel();
     let caller = std::thread::spawn(move || {
@@ -361,7 +358,7 @@
 }
 
 #[test]
-fn given_a_link_that_breaks_repeats_and_misplaces_when_many_call_through_it_then_each_gets_its_own_or_none() {
+fn faulty_link_gives_each_call_its_own_response_or_none() {
     for seed in 1..=20 {
         let runs: Arc<Mutex<Vec<String>>> = Arc::default();
         let ran = runs.clone();
