--- /dev/null
+++ b/crates/emulator/tests/digests.rs
@@ -0,0 +1,60 @@
+//! Digests of what fleets in virtual time do: a change of names or shape leaves them as they are.
+
+use ivygate_emulator::{play, Fault, FaultKind, Figures, Scene, Talk};
+use std::fmt::Write;
+
+const NODES: usize = 12;
+const REQUESTS_PER_S: f64 = 120.0;
+const LENGTH_MS: f64 = 20_000.0;
+const FAULT_BEGIN_MS: f64 = 5_000.0;
+const FAULT_END_MS: f64 = 9_000.0;
+
+/// FNV-1a over the figures of a play, spelt out.
+fn digest(text: &str) -> u64 {
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
+}
+
+fn spelt(figures: &Figures) -> String {
+    let mut text = String::new();
+    let counts = [
+        figures.requests,
+        figures.served,
+        figures.late,
+        figures.refused,
+        figures.lost,
+        figures.twice,
+        figures.hurt.0,
+        figures.hurt.1,
+        figures.left_wrongly,
+        figures.away_at_end,
+    ];
+    let measures = [figures.cold_load, figures.load, figures.heard, figures.probes];
+    write!(text, "{counts:?} {measures:.6?} {:.6?}", figures.left).expect("a string takes all");
+    text
+}
+
+fn played(seed: u64, kind: FaultKind, talk: Option<Talk>) -> String {
+    let mut scene = Scene::new(seed, NODES, REQUESTS_PER_S);
+    scene.length = LENGTH_MS;
+    scene.faults = vec![Fault::of(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
+    let scene = scene.judged();
+    let scene = match talk {
+        Some(talk) => scene.talking(talk),
+        None => scene,
+    };
+    spelt(&play(&scene).expect("a sound scene"))
+}
+
+#[test]
+fn decisions_on_zones_keep_their_digest() {
+    let kinds = [FaultKind::Cut, FaultKind::Dead, FaultKind::Slow(10.0), FaultKind::Wrong(0.9)];
+    let mut text = String::new();
+    for seed in 1..=6 {
+        for kind in kinds {
+            writeln!(text, "{}", played(seed, kind, None)).expect("a string takes all");
+            writeln!(text, "{}", played(seed, kind, Some(Talk::default()))).expect("a string takes all");
+        }
+    }
+    assert_eq!(digest(&text), 18_399_918_682_171_736_968, "the decisions on zones have changed");
+}
