--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -13,7 +13,7 @@
 /// The whole wait for an answer, as the caller of pulls has it, and the pause after a failure.
 const WAIT: f64 = 1_400.0;
 const PAUSE: f64 = 100.0;
-/// StateReplica older than this are those of a parent out of touch; a pull that is held and its way back are not in it.
+/// Control state older than this is that of a parent out of touch; a pull that is held and its way back are not in it.
 const OLD: f64 = 3_500.0;
 const HELD: f64 = 800.0;
 /// While some parent is sound all the time, no contact gets older than this: it is `OLD` before a parent is left, and then
--- a/crates/registry/tests/messages.rs
+++ b/crates/registry/tests/messages.rs
@@ -1,4 +1,4 @@
-//! HeartbeatTargets, entries of servers and the platform's list, as they are spoken.
+//! Heartbeats, entries of servers and the platform's list, as they are spoken.
 
 use ivygate_control_state::COORDINATOR_ROLE;
 use ivygate_registry::{
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -1,4 +1,4 @@
-//! RpcClient between own processes over real sockets: a peer that answers late, twice, for the call before, or half; one that
+//! Calls between own processes over real sockets: a peer that answers late, twice, for the call before, or half; one that
 //! breaks the connection; a caller that has left.
 
 use ivygate_rpc::{json_response, serve, ErrorKind, Handler, RpcClient, RpcError, RpcServer};
