--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,14 +1,14 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
 use crate::scene::Scene;
-use ivygate_failure_domains::{Degree, Guarded, Happening, Kind, Tally};
+use ivygate_failure_domains::{DomainEvent, DomainState, GuardedGateway, Kind, Tally};
 use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
 
 pub enum Decisions {
     Alone(Box<Gateway>),
-    Guarded(Box<Guarded>),
+    Guarded(Box<GuardedGateway>),
 }
 
 /// An attempt that has not ended.
@@ -45,7 +45,7 @@
                 let kinds = classes
                     .iter()
                     .map(|c| (c.name.as_str().into(), Kind::from((c.effect, c.latency_target))));
-                Decisions::Guarded(Box::new(Guarded::new(gateway, policy.clone(), kinds, seed)))
+                Decisions::Guarded(Box::new(GuardedGateway::new(gateway, policy.clone(), kinds, seed)))
             }
         };
         Ok(Self { zone: number % scene.zones, decisions, open: HashMap::new(), turns: Vec::new() })
@@ -55,14 +55,14 @@
     pub fn word(&mut self) -> Option<Vec<Tally>> {
         match &mut self.decisions {
             Decisions::Alone(_) => None,
-            Decisions::Guarded(guarded) => guarded.poll_word(),
+            Decisions::Guarded(guarded) => guarded.poll_report(),
         }
     }
 
     /// Another process tells something.
     pub fn hear(&mut self, now: Millis, author: usize, tallies: &[Tally]) {
         if let Decisions::Guarded(guarded) = &mut self.decisions {
-            guarded.handle_word(Timestamp::from_millis(now), author as u64, tallies);
+            guarded.handle_report(Timestamp::from_millis(now), author as u64, tallies);
         }
     }
 
@@ -73,13 +73,13 @@
             Decisions::Alone(gateway) => gateway.handle(at, event, &mut actions),
             Decisions::Guarded(guarded) => {
                 guarded.handle(at, event, &mut actions);
-                while let Some(happening) = guarded.poll_happening() {
-                    if let Happening::Turned { to, .. } = happening {
-                        match to.degree {
-                            Degree::Left | Degree::Leaving => {
+                while let Some(happening) = guarded.poll_event() {
+                    if let DomainEvent::StateChanged { to, .. } = happening {
+                        match to.state {
+                            DomainState::Ejected | DomainState::Draining => {
                                 self.turns.push((now, to.zone.to_string(), true));
                             }
-                            Degree::Well => self.turns.push((now, to.zone.to_string(), false)),
+                            DomainState::Healthy => self.turns.push((now, to.zone.to_string(), false)),
                             _ => {}
                         }
                     }
--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -2,92 +2,92 @@
 //!
 //! Called by [`crate::Domains`] alone.
 
-use crate::evidence::{Evidence, Finding, Sign, ALARM, SUSPECT};
-use crate::hearsay::{Hearsay, Voices};
+use crate::evidence::{Evidence, Finding, Sign, ALARM_SCORE, SUSPECT_SCORE};
+use crate::peer_reports::{PeerReports, PeerVotes};
 use ivygate_gateway::ServerId;
 use ivygate_time::{Millis, Timestamp};
 use std::sync::Arc;
 
 /// Part of the safe requests that still goes to a suspect domain: without any nothing more would be learned.
-const SUSPECT_SAFE: f64 = 0.3;
+const SUSPECT_SAFE_SHARE: f64 = 0.3;
 /// A suspicion that nothing new speaks for ends after this.
-const SUSPECT_LIFE: Millis = 2_000.0;
+const SUSPICION_LIFETIME: Millis = 2_000.0;
 /// A domain that was left is tried again after this, at first; it doubles each time it fails again ...
-const AWAY_FIRST: Millis = 1_000.0;
+const MIN_EJECTION_TIME: Millis = 1_000.0;
 /// ... up to this.
-const AWAY_LAST: Millis = 60_000.0;
+const MAX_EJECTION_TIME: Millis = 60_000.0;
 /// Random part of such times, up and down: processes must not come back in step.
-const JITTER: f64 = 0.25;
+const BACKOFF_JITTER: f64 = 0.25;
 /// Requests a second that all processes together send to try a domain.
-const TRIES: f64 = 20.0;
+const PROBES_PER_S: f64 = 20.0;
 /// Good answers to such tries before the way back begins.
-const TRIES_GOOD: u32 = 3;
+const GOOD_PROBES: u32 = 3;
 /// A domain that this process has nothing to send to comes back after this without a try.
-const PATIENCE: Millis = 5_000.0;
+const MAX_PROBING_TIME: Millis = 5_000.0;
 /// Part of a cold server's curve that the way back keeps to: work varies, and other processes may stand higher.
-const CURVE: f64 = 0.75;
+const SLOW_START_RATIO: f64 = 0.75;
 /// What is left of the way back after a bad sign on it, and how long it then stands still.
-const STEP_BACK: f64 = 0.5;
-const HOLD: Millis = 500.0;
+const RECOVERY_STEP_BACK: f64 = 0.5;
+const RECOVERY_PAUSE: Millis = 500.0;
 /// A domain that is slow is left by this factor in each period, as far as the others bear it.
-const MOVE: f64 = 0.5;
-const MOVE_PERIOD: Millis = 500.0;
+const DRAIN_FACTOR: f64 = 0.5;
+const DRAIN_INTERVAL: Millis = 500.0;
 /// What stays with a slow domain all the same.
-const MOVE_LEAST: f64 = 0.05;
+const MIN_DRAINING_SHARE: f64 = 0.05;
 /// A domain that is slow is left at this many times the score at which one that is lost is.
-const SLOW_CAUTION: f64 = 1.5;
+const SLOW_ALARM_FACTOR: f64 = 1.5;
 /// What bears another domain's load is believed to be lost only after this many bad signs and no good one, for a time.
-const BEARING: u32 = 5;
-const BEARING_TIME: Millis = 1_000.0;
+const MIN_OVERLOAD_FAILURES: u32 = 5;
+const OVERLOAD_WINDOW: Millis = 1_000.0;
 /// Other processes that say so make a zone suspect; more than twice as many as say the contrary.
-pub(crate) const VOICES_SUSPECT: u32 = 2;
-const CONTRARY: u32 = 2;
+pub(crate) const MIN_SUSPECTING_PEERS: u32 = 2;
+const CONTRADICTION_FACTOR: u32 = 2;
 /// Part of the processes heard of late that make it left, with no own sign; with one two thirds as many do.
-const QUORUM: f64 = 0.3;
-const QUORUM_LEAST: u32 = 3;
+const EJECTION_QUORUM_RATIO: f64 = 0.3;
+const MIN_EJECTION_QUORUM: u32 = 3;
 /// A zone that others have tried in vain just now is not tried for this long.
-const TRIED_IN_VAIN: Millis = 300.0;
+const FAILED_PROBE_PAUSE: Millis = 300.0;
 /// One that they find well again is tried within this, but not before it has been away for as long.
-const FOUND_WELL: Millis = 400.0;
+const PEER_RECOVERY_TIME: Millis = 400.0;
 /// After this time without a fault earlier ones count no more.
-const FORGIVEN: Millis = 60_000.0;
+const FAILURE_MEMORY: Millis = 60_000.0;
 
 /// What is believed of a domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Degree {
+pub enum DomainState {
     /// As ever.
-    Well,
+    Healthy,
     /// A first sign: what may not run twice goes elsewhere.
     Suspect,
     /// Lost: nothing goes there.
-    Left,
+    Ejected,
     /// Slow: what the others bear goes elsewhere.
-    Leaving,
+    Draining,
     /// A few safe requests go there to see whether it is back.
-    Tried,
+    Probing,
     /// On the way back: a growing part goes there.
-    Returning,
+    Recovering,
     /// Taken out by hand.
-    Works,
+    Maintenance,
 }
 
-impl Degree {
+impl DomainState {
     /// Its name in beliefs and logs.
     pub fn word(self) -> &'static str {
         match self {
-            Degree::Well => "well",
-            Degree::Suspect => "suspect",
-            Degree::Left => "left",
-            Degree::Leaving => "leaving",
-            Degree::Tried => "tried",
-            Degree::Returning => "returning",
-            Degree::Works => "works",
+            DomainState::Healthy => "well",
+            DomainState::Suspect => "suspect",
+            DomainState::Ejected => "left",
+            DomainState::Draining => "leaving",
+            DomainState::Probing => "tried",
+            DomainState::Recovering => "returning",
+            DomainState::Maintenance => "works",
         }
     }
 
     /// Whether it is judged bad, by signs and not by hand.
     pub fn judged_bad(self) -> bool {
-        matches!(self, Degree::Left | Degree::Leaving | Degree::Tried)
+        matches!(self, DomainState::Ejected | DomainState::Draining | DomainState::Probing)
     }
 }
 
@@ -96,8 +96,8 @@
 pub struct Belief {
     /// Its zone.
     pub zone: Arc<str>,
-    /// The degree.
-    pub degree: Degree,
+    /// Its state.
+    pub state: DomainState,
     /// Since when, on the caller's clock.
     pub since: Timestamp,
     /// Part of the safe requests, and of the others, that may go there.
@@ -105,7 +105,7 @@
     /// What the last change rested on.
     pub because: Finding,
     /// What other processes said of it then.
-    pub voices: Voices,
+    pub votes: PeerVotes,
     /// How often it failed again on its way back, of late.
     pub failed_again: u32,
     /// Servers that take requests.
@@ -114,7 +114,7 @@
 
 /// What all domains of a pool have in common.
 #[derive(Clone, Debug)]
-pub(crate) struct Common {
+pub(crate) struct PoolProfile {
     /// Processes that share the servers.
     pub processes: u32,
     /// Capacity of a server at its start, as a part.
@@ -125,7 +125,7 @@
 
 /// What else a domain's next step depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Around {
+pub(crate) struct StepContext {
     pub now: Timestamp,
     /// Whether domains are left by signs at all.
     pub automatic: bool,
@@ -143,11 +143,22 @@
     pub distrusted: bool,
 }
 
+/// What own signs and other processes come to.
+struct Verdict {
+    found: Finding,
+    /// Own signs are enough to leave the domain.
+    is_alarm: bool,
+    /// Other processes say that it fails.
+    is_told: bool,
+    /// Enough of them to leave it.
+    has_quorum: bool,
+}
+
 pub(crate) struct Domain {
     pub zone: Arc<str>,
-    pub degree: Degree,
+    pub state: DomainState,
     pub evidence: Evidence,
-    pub hearsay: Hearsay,
+    pub peer_reports: PeerReports,
     /// Servers that take requests, and their weights together.
     pub servers: usize,
     pub weight: f64,
@@ -159,7 +170,7 @@
     level_at: Timestamp,
     failed_again: u32,
     because: Finding,
-    voices: Voices,
+    votes: PeerVotes,
     jitter: fastrand::Rng,
 }
 
@@ -167,9 +178,9 @@
     pub fn new(zone: Arc<str>, now: Timestamp, seed: u64) -> Self {
         Self {
             zone,
-            degree: Degree::Well,
+            state: DomainState::Healthy,
             evidence: Evidence::default(),
-            hearsay: Hearsay::default(),
+            peer_reports: PeerReports::default(),
             servers: 0,
             weight: 0.0,
             since: now,
@@ -178,208 +189,249 @@
             level_at: now,
             failed_again: 0,
             because: Finding::default(),
-            voices: Voices::default(),
+            votes: PeerVotes::default(),
             jitter: fastrand::Rng::with_seed(seed),
         }
     }
 
     fn jittered(&mut self, time: Millis) -> Millis {
-        time * (1.0 + JITTER * (2.0 * self.jitter.f64() - 1.0))
+        time * (1.0 + BACKOFF_JITTER * (2.0 * self.jitter.f64() - 1.0))
     }
 
-    fn turn(&mut self, now: Timestamp, degree: Degree, because: Finding) {
-        (self.degree, self.since, self.because) = (degree, now, because);
-        self.voices = self.hearsay.voices(now);
+    fn set_state(&mut self, now: Timestamp, state: DomainState, because: Finding) {
+        (self.state, self.since, self.because) = (state, now, because);
+        self.votes = self.peer_reports.votes(now);
         (self.until, self.level_at) = (now, now);
-        if degree != Degree::Suspect {
+        if state != DomainState::Suspect {
             self.evidence.clear();
         }
     }
 
-    fn leave(&mut self, now: Timestamp, because: Finding, again: bool) {
+    fn eject(&mut self, now: Timestamp, because: Finding, again: bool) {
         self.failed_again = if again { (self.failed_again + 1).min(16) } else { self.failed_again };
-        self.turn(now, Degree::Left, because);
-        let away = (AWAY_FIRST * f64::from(1u32 << self.failed_again)).min(AWAY_LAST);
+        self.set_state(now, DomainState::Ejected, because);
+        let away = (MIN_EJECTION_TIME * f64::from(1u32 << self.failed_again)).min(MAX_EJECTION_TIME);
         self.until = now.plus_millis(self.jittered(away));
     }
 
     /// Takes it out by hand, or begins the way back.
-    pub fn handle_works(&mut self, now: Timestamp, works: bool) {
-        match (works, self.degree == Degree::Works) {
-            (true, false) => self.turn(now, Degree::Works, Finding::default()),
-            (false, true) => self.turn(now, Degree::Tried, Finding::default()),
+    pub fn set_maintenance(&mut self, now: Timestamp, works: bool) {
+        match (works, self.state == DomainState::Maintenance) {
+            (true, false) => self.set_state(now, DomainState::Maintenance, Finding::default()),
+            (false, true) => self.set_state(now, DomainState::Probing, Finding::default()),
             _ => {}
         }
     }
 
     /// Takes in a sign.
     pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
-        if self.degree == Degree::Well {
+        if self.state == DomainState::Healthy {
             self.evidence.learn(sign);
         }
         self.evidence.handle_sign(now, number, server, customer, sign);
         if sign != Sign::Late {
-            self.hearsay.handle_sign(now, number, sign == Sign::Good);
+            self.peer_reports.handle_sign(now, number, sign == Sign::Good);
         }
     }
 
     /// What was called silent has been answered after all.
     pub fn handle_answer(&mut self, number: u64) {
         self.evidence.handle_answer(number);
-        self.hearsay.take_back(number);
+        self.peer_reports.retract(number);
     }
 
     /// Whether other processes say that it fails, and enough of them to leave it. Own eyes weigh more.
-    fn told(&self, around: &Around, found: &Finding) -> (bool, bool) {
-        let voices = self.hearsay.voices(around.now);
-        let (good, bad) = self.hearsay.own(around.now);
+    fn peer_verdict(&self, around: &StepContext, found: &Finding) -> (bool, bool) {
+        let votes = self.peer_reports.votes(around.now);
+        let (good, bad) = self.peer_reports.own(around.now);
         let contradicted = good > 0 && bad == 0;
         let fails = around.automatic
             && !contradicted
-            && voices.bad >= VOICES_SUSPECT
-            && voices.bad > CONTRARY * voices.good;
-        let quorum = ((QUORUM * around.heard as f64).ceil() as u32).max(QUORUM_LEAST);
-        let quorum =
-            if found.score >= SUSPECT / 2.0 { (2 * quorum).div_ceil(3).max(QUORUM_LEAST) } else { quorum };
-        (fails, fails && voices.bad >= quorum && !around.other_away)
+            && votes.bad >= MIN_SUSPECTING_PEERS
+            && votes.bad > CONTRADICTION_FACTOR * votes.good;
+        let quorum = ((EJECTION_QUORUM_RATIO * around.heard as f64).ceil() as u32).max(MIN_EJECTION_QUORUM);
+        let quorum = if found.score >= SUSPECT_SCORE / 2.0 {
+            (2 * quorum).div_ceil(3).max(MIN_EJECTION_QUORUM)
+        } else {
+            quorum
+        };
+        (fails, fails && votes.bad >= quorum && !around.other_away)
     }
 
     /// The next step, if one is due.
-    pub fn step(&mut self, common: &Common, around: &Around) {
+    pub fn step(&mut self, common: &PoolProfile, around: &StepContext) {
         let now = around.now;
         let found = self.evidence.finding(now, self.servers, around.lone, around.others);
+        let verdict = self.verdict(around, found);
+        if around.distrusted && self.state != DomainState::Maintenance {
+            self.drop_judgement(now, found);
+            return;
+        }
+        match self.state {
+            DomainState::Maintenance => {}
+            DomainState::Healthy | DomainState::Suspect if verdict.is_alarm || verdict.has_quorum => {
+                self.eject_or_drain(now, &verdict);
+            }
+            DomainState::Healthy => self.step_healthy(around, &verdict),
+            DomainState::Suspect => self.step_suspect(now, &verdict),
+            DomainState::Draining => self.step_draining(around, &verdict),
+            DomainState::Ejected => self.step_ejected(now),
+            DomainState::Probing => self.step_probing(common, around, &verdict),
+            DomainState::Recovering => self.step_recovering(common, now, &verdict),
+        }
+    }
+
+    /// What own signs and other processes come to.
+    fn verdict(&self, around: &StepContext, found: Finding) -> Verdict {
         // What bears another's load may well be slow.
-        let bears = || {
-            let (good, bad) = self.evidence.since(now.minus_millis(BEARING_TIME));
-            good == 0 && bad >= BEARING
+        let is_overloaded_only = || {
+            let (good, bad) = self.evidence.since(around.now.minus_millis(OVERLOAD_WINDOW));
+            good > 0 || bad < MIN_OVERLOAD_FAILURES
         };
-        let sure = !found.slow || found.score >= SLOW_CAUTION * ALARM;
-        let alarm =
-            found.alarm && sure && around.automatic && !around.distrusted && (!around.other_away || bears());
-        let (told, quorum) = self.told(around, &found);
-        if around.distrusted && self.degree != Degree::Works {
-            // What was judged is not believed, and what it rested on neither.
-            if self.degree != Degree::Well {
-                self.turn(now, Degree::Well, found);
-            }
-            self.evidence.clear();
+        let is_sure = !found.slow || found.score >= SLOW_ALARM_FACTOR * ALARM_SCORE;
+        let is_alarm = found.alarm
+            && is_sure
+            && around.automatic
+            && !around.distrusted
+            && (!around.other_away || !is_overloaded_only());
+        let (is_told, has_quorum) = self.peer_verdict(around, &found);
+        Verdict { found, is_alarm, is_told, has_quorum }
+    }
+
+    /// What was judged is not believed, and what it rested on neither.
+    fn drop_judgement(&mut self, now: Timestamp, found: Finding) {
+        if self.state != DomainState::Healthy {
+            self.set_state(now, DomainState::Healthy, found);
+        }
+        self.evidence.clear();
+    }
+
+    /// A slow domain is left by and by, a lost one at once.
+    fn eject_or_drain(&mut self, now: Timestamp, verdict: &Verdict) {
+        if verdict.found.slow && !verdict.has_quorum {
+            self.set_state(now, DomainState::Draining, verdict.found);
+            self.level = DRAIN_FACTOR;
+        } else {
+            self.eject(now, verdict.found, false);
+        }
+    }
+
+    fn step_healthy(&mut self, around: &StepContext, verdict: &Verdict) {
+        let found = verdict.found;
+        if verdict.is_told || found.suspect && around.automatic && !found.slow {
+            self.set_state(around.now, DomainState::Suspect, found);
+        } else if around.now > self.since.plus_millis(FAILURE_MEMORY) {
+            self.failed_again = 0;
+        }
+    }
+
+    fn step_suspect(&mut self, now: Timestamp, verdict: &Verdict) {
+        let found = verdict.found;
+        let has_nothing_new = now > self.since.plus_millis(SUSPICION_LIFETIME) && !found.suspect;
+        if !verdict.is_told && (found.score < 1.0 || has_nothing_new) {
+            self.set_state(now, DomainState::Healthy, found);
+        }
+    }
+
+    fn step_draining(&mut self, around: &StepContext, verdict: &Verdict) {
+        let (now, found) = (around.now, verdict.found);
+        let from = self.since.max(now.minus_millis(4.0 * DRAIN_INTERVAL));
+        let (good, bad) = self.evidence.since(from);
+        if verdict.is_alarm && !found.slow {
+            self.eject(now, found, false);
             return;
         }
-        match self.degree {
-            Degree::Works => {}
-            Degree::Well | Degree::Suspect if alarm || quorum => {
-                if found.slow && !quorum {
-                    self.turn(now, Degree::Leaving, found);
-                    self.level = MOVE;
-                } else {
-                    self.leave(now, found, false);
-                }
-            }
-            Degree::Well => {
-                if told || found.suspect && around.automatic && !found.slow {
-                    self.turn(now, Degree::Suspect, found);
-                } else if now > self.since.plus_millis(FORGIVEN) {
-                    self.failed_again = 0;
-                }
-            }
-            Degree::Suspect => {
-                let nothing_new = now > self.since.plus_millis(SUSPECT_LIFE) && !found.suspect;
-                if !told && (found.score < 1.0 || nothing_new) {
-                    self.turn(now, Degree::Well, found);
-                }
-            }
-            Degree::Leaving => {
-                let (good, bad) = self.evidence.since(self.since.max(now.minus_millis(4.0 * MOVE_PERIOD)));
-                if alarm && !found.slow {
-                    self.leave(now, found, false);
-                } else if now >= self.level_at.plus_millis(MOVE_PERIOD) {
-                    let well = good + bad >= 4 && bad * 8 <= good || good + bad == 0;
-                    if well && now > self.since.plus_millis(AWAY_FIRST) {
-                        // Slow servers are not cold: the way back begins where it stands.
-                        let level = self.level;
-                        self.turn(now, Degree::Returning, found);
-                        self.level = level;
-                    } else {
-                        let times = if around.pressed { 1.0 / MOVE } else { MOVE };
-                        self.level = (self.level * times).clamp(MOVE_LEAST, 1.0);
-                        self.level_at = now;
-                    }
-                }
-            }
-            Degree::Left => {
-                let voices = self.hearsay.voices(now);
-                if voices.good >= VOICES_SUSPECT
-                    && voices.bad == 0
-                    && now > self.since.plus_millis(FOUND_WELL)
-                {
-                    self.until = self.until.min(now.plus_millis(self.jitter.f64() * FOUND_WELL));
-                }
-                if now >= self.until {
-                    if voices.bad > 0 && voices.good == 0 {
-                        self.until = now.plus_millis(self.jittered(TRIED_IN_VAIN));
-                    } else {
-                        self.turn(now, Degree::Tried, self.because);
-                    }
-                }
-            }
-            Degree::Tried => {
-                let (good, bad) = self.evidence.since(self.since);
-                let failing = bad >= 2 || bad == 1 && good == 0;
-                let voices = self.hearsay.voices(now);
-                let good = if voices.bad == 0 { good + voices.good } else { good };
-                if failing && around.automatic {
-                    self.leave(now, found, true);
-                } else if good >= TRIES_GOOD.min(1 + self.servers as u32)
-                    || now > self.since.plus_millis(PATIENCE)
-                {
-                    self.turn(now, Degree::Returning, found);
-                    self.level = CURVE * common.cold_from;
-                }
-            }
-            Degree::Returning => {
-                if alarm {
-                    self.leave(now, found, true);
-                } else if (found.suspect || told) && now >= self.until {
-                    self.level = (self.level * STEP_BACK).max(CURVE * common.cold_from * STEP_BACK);
-                    self.because = found;
-                    self.evidence.clear();
-                    self.until = now.plus_millis(self.jittered(HOLD));
-                } else if now >= self.until {
-                    let pace = CURVE * (1.0 - common.cold_from) / common.warm.max(1.0);
-                    self.level += pace * now.millis_since(self.level_at.max(self.until)).max(0.0);
-                    if self.level >= CURVE {
-                        self.level = 1.0;
-                        self.turn(now, Degree::Well, found);
-                    }
-                }
-                self.level_at = now;
+        if now < self.level_at.plus_millis(DRAIN_INTERVAL) {
+            return;
+        }
+        let is_well = good + bad >= 4 && bad * 8 <= good || good + bad == 0;
+        if is_well && now > self.since.plus_millis(MIN_EJECTION_TIME) {
+            // Slow servers are not cold: the way back begins where it stands.
+            let level = self.level;
+            self.set_state(now, DomainState::Recovering, found);
+            self.level = level;
+        } else {
+            let factor = if around.pressed { 1.0 / DRAIN_FACTOR } else { DRAIN_FACTOR };
+            self.level = (self.level * factor).clamp(MIN_DRAINING_SHARE, 1.0);
+            self.level_at = now;
+        }
+    }
+
+    fn step_ejected(&mut self, now: Timestamp) {
+        let votes = self.peer_reports.votes(now);
+        let is_found_well = votes.good >= MIN_SUSPECTING_PEERS && votes.bad == 0;
+        if is_found_well && now > self.since.plus_millis(PEER_RECOVERY_TIME) {
+            self.until = self.until.min(now.plus_millis(self.jitter.f64() * PEER_RECOVERY_TIME));
+        }
+        if now < self.until {
+            return;
+        }
+        if votes.bad > 0 && votes.good == 0 {
+            self.until = now.plus_millis(self.jittered(FAILED_PROBE_PAUSE));
+        } else {
+            self.set_state(now, DomainState::Probing, self.because);
+        }
+    }
+
+    fn step_probing(&mut self, common: &PoolProfile, around: &StepContext, verdict: &Verdict) {
+        let now = around.now;
+        let (good, bad) = self.evidence.since(self.since);
+        let is_failing = bad >= 2 || bad == 1 && good == 0;
+        let votes = self.peer_reports.votes(now);
+        let good = if votes.bad == 0 { good + votes.good } else { good };
+        let enough = GOOD_PROBES.min(1 + self.servers as u32);
+        if is_failing && around.automatic {
+            self.eject(now, verdict.found, true);
+        } else if good >= enough || now > self.since.plus_millis(MAX_PROBING_TIME) {
+            self.set_state(now, DomainState::Recovering, verdict.found);
+            self.level = SLOW_START_RATIO * common.cold_from;
+        }
+    }
+
+    fn step_recovering(&mut self, common: &PoolProfile, now: Timestamp, verdict: &Verdict) {
+        let found = verdict.found;
+        if verdict.is_alarm {
+            self.eject(now, found, true);
+        } else if (found.suspect || verdict.is_told) && now >= self.until {
+            self.level = (self.level * RECOVERY_STEP_BACK)
+                .max(SLOW_START_RATIO * common.cold_from * RECOVERY_STEP_BACK);
+            self.because = found;
+            self.evidence.clear();
+            self.until = now.plus_millis(self.jittered(RECOVERY_PAUSE));
+        } else if now >= self.until {
+            let pace = SLOW_START_RATIO * (1.0 - common.cold_from) / common.warm.max(1.0);
+            self.level += pace * now.millis_since(self.level_at.max(self.until)).max(0.0);
+            if self.level >= SLOW_START_RATIO {
+                self.level = 1.0;
+                self.set_state(now, DomainState::Healthy, found);
             }
         }
+        self.level_at = now;
     }
 
     /// Part of the safe requests, of which so many a second come to this process, and of the others that may go there.
-    pub fn shares(&self, common: &Common, safe_rate: f64) -> (f64, f64) {
-        match self.degree {
-            Degree::Works => (0.0, 0.0),
-            Degree::Well => (1.0, 1.0),
-            Degree::Suspect => (SUSPECT_SAFE, 0.0),
-            Degree::Left => (0.0, 0.0),
-            Degree::Tried => {
-                let own = TRIES / f64::from(common.processes.max(1));
+    pub fn shares(&self, common: &PoolProfile, safe_rate: f64) -> (f64, f64) {
+        match self.state {
+            DomainState::Maintenance => (0.0, 0.0),
+            DomainState::Healthy => (1.0, 1.0),
+            DomainState::Suspect => (SUSPECT_SAFE_SHARE, 0.0),
+            DomainState::Ejected => (0.0, 0.0),
+            DomainState::Probing => {
+                let own = PROBES_PER_S / f64::from(common.processes.max(1));
                 ((own / safe_rate.max(own)).min(1.0), 0.0)
             }
-            Degree::Leaving | Degree::Returning => (self.level, self.level),
+            DomainState::Draining | DomainState::Recovering => (self.level, self.level),
         }
     }
 
-    pub fn belief(&self, common: &Common, safe_rate: f64) -> Belief {
+    pub fn belief(&self, common: &PoolProfile, safe_rate: f64) -> Belief {
         Belief {
             zone: self.zone.clone(),
-            degree: self.degree,
+            state: self.state,
             since: self.since,
             shares: self.shares(common, safe_rate),
             because: self.because,
-            voices: self.voices,
+            votes: self.votes,
             failed_again: self.failed_again,
             servers: self.servers,
         }
--- a/crates/failure-domains/src/judgement.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -1,34 +1,34 @@
 //! All domains of a pool together: what is judged of each, and when the judgement itself is not to be believed.
 
-use crate::domain::{Around, Belief, Common, Degree, Domain, VOICES_SUSPECT};
+use crate::domain::{Belief, Domain, DomainState, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
 use crate::evidence::Sign;
-use crate::hearsay::Tally;
+use crate::peer_reports::Tally;
 use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneAdvice};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
 /// A process that was told of nothing for so long has stood still, and what it saw before says nothing of now.
-const STILL: Millis = 300.0;
+const PAUSE_THRESHOLD: Millis = 300.0;
 /// A refusal for want of room presses for this long.
-const PRESSED: Millis = 500.0;
+const OVERLOAD_MEMORY: Millis = 500.0;
 /// A judgement that is not believed is given up, and nothing is left for this long; it doubles each time ...
-const DISTRUSTED: Millis = 2_000.0;
+const MIN_DISTRUST_TIME: Millis = 2_000.0;
 /// ... up to this, and counts anew after as long again without it.
-const DISTRUSTED_LAST: Millis = 60_000.0;
+const MAX_DISTRUST_TIME: Millis = 60_000.0;
 /// A process that was heard within this is there.
-const HEARD: Millis = 3_000.0;
+const PEER_LIFETIME: Millis = 3_000.0;
 /// Most processes that are heard.
-const AUTHORS: usize = 512;
+const MAX_PEERS: usize = 512;
 /// Each process says something this often, and news at once, but not more often than this and this for each other one:
 /// what each has to hear is bounded so.
-const HEARTBEAT: Millis = 1_000.0;
-const TELL_LEAST: Millis = 20.0;
-const TELL_EACH: Millis = 0.5;
+const REPORT_INTERVAL: Millis = 1_000.0;
+const MIN_REPORT_INTERVAL: Millis = 20.0;
+const REPORT_INTERVAL_PER_PEER: Millis = 0.5;
 /// Weight of one time between two safe requests.
-const RATE_WEIGHT: f64 = 0.1;
-/// Most happenings kept for whoever asks; the oldest go first.
-const HAPPENINGS: usize = 256;
+const RATE_LEARNING_WEIGHT: f64 = 0.1;
+/// Most events kept for whoever asks; the oldest go first.
+const MAX_EVENTS: usize = 256;
 
 /// How domains are judged.
 #[derive(Clone, Debug, PartialEq)]
@@ -59,11 +59,11 @@
 
 /// Something that operators want to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
-    /// A domain's degree has changed.
-    Turned {
+pub enum DomainEvent {
+    /// A domain's state has changed.
+    StateChanged {
         /// What was believed before.
-        from: Degree,
+        from: DomainState,
         /// What is believed now.
         to: Belief,
     },
@@ -72,13 +72,13 @@
     /// The judgement is believed again.
     Trusted,
     /// The process has stood still for this long.
-    StoodStill(Millis),
+    ProcessPaused(Millis),
 }
 
 /// The domains of one pool.
 pub struct Domains {
     policy: Policy,
-    common: Common,
+    common: PoolProfile,
     domains: BTreeMap<Zone, Domain>,
     servers: BTreeMap<ServerId, (Zone, f64, bool)>,
     now: Timestamp,
@@ -96,7 +96,7 @@
     /// Something is to be told; when something was told last.
     news: bool,
     told_at: Timestamp,
-    happenings: VecDeque<Happening>,
+    events: VecDeque<DomainEvent>,
     rng: fastrand::Rng,
 }
 
@@ -120,7 +120,7 @@
             authors: BTreeMap::new(),
             news: false,
             told_at: Timestamp::DISTANT_PAST,
-            happenings: VecDeque::new(),
+            events: VecDeque::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
@@ -138,13 +138,13 @@
     pub fn handle_time(&mut self, now: Timestamp) -> bool {
         let before = self.now;
         self.now = now.max(before);
-        let still = before.is_finite() && self.now > before.plus_millis(STILL);
+        let still = before.is_finite() && self.now > before.plus_millis(PAUSE_THRESHOLD);
         if still {
             for domain in self.domains.values_mut() {
                 domain.evidence.clear();
-                domain.hearsay.clear_own();
+                domain.peer_reports.clear_own();
             }
-            self.happen(Happening::StoodStill(self.now.millis_since(before)));
+            self.emit(DomainEvent::ProcessPaused(self.now.millis_since(before)));
         }
         still
     }
@@ -184,13 +184,13 @@
     /// A safe request has come.
     pub fn handle_safe(&mut self) {
         let gap = self.now.millis_since(self.safe_at).clamp(0.0, 10_000.0);
-        self.gap += RATE_WEIGHT * (gap - self.gap);
+        self.gap += RATE_LEARNING_WEIGHT * (gap - self.gap);
         self.safe_at = self.now;
     }
 
     /// A request was refused for want of room.
     pub fn handle_pressure(&mut self) {
-        self.pressed_until = self.now.plus_millis(PRESSED);
+        self.pressed_until = self.now.plus_millis(OVERLOAD_MEMORY);
     }
 
     /// An attempt has shown something; the sign's number is returned.
@@ -204,9 +204,9 @@
                 // Who is told that a zone fails, by enough to be heeded, and sees it serve, says so;
                 // and who has said so itself takes it back.
                 Sign::Good => {
-                    domain.degree != Degree::Well
-                        || domain.hearsay.told_failing
-                        || domain.hearsay.is_told_of(self.now, VOICES_SUSPECT)
+                    domain.state != DomainState::Healthy
+                        || domain.peer_reports.reported_failing
+                        || domain.peer_reports.is_told_of(self.now, MIN_SUSPECTING_PEERS)
                 }
                 Sign::Late => false,
                 Sign::Silent | Sign::Refused | Sign::Reset | Sign::Wrong => true,
@@ -228,33 +228,33 @@
     }
 
     /// Another process tells something of zones; `author` is its name.
-    pub fn handle_word(&mut self, author: u64, tallies: &[Tally]) {
-        if self.authors.len() >= AUTHORS && !self.authors.contains_key(&author) {
-            self.authors.retain(|_, at| *at > self.now.minus_millis(HEARD));
-            if self.authors.len() >= AUTHORS {
+    pub fn handle_report(&mut self, author: u64, tallies: &[Tally]) {
+        if self.authors.len() >= MAX_PEERS && !self.authors.contains_key(&author) {
+            self.authors.retain(|_, at| *at > self.now.minus_millis(PEER_LIFETIME));
+            if self.authors.len() >= MAX_PEERS {
                 return;
             }
         }
         self.authors.insert(author, self.now);
         for tally in tallies {
             if let Some(domain) = self.domains.get_mut(&tally.zone) {
-                domain.hearsay.handle_word(self.now, author, tally.good, tally.bad);
+                domain.peer_reports.handle_report(self.now, author, tally.good, tally.bad);
             }
         }
         self.judge();
     }
 
     /// What is to be told to the other processes now, if anything: also nothing at all, to be heard.
-    pub fn poll_word(&mut self) -> Option<Vec<Tally>> {
-        let pause = TELL_LEAST.max(TELL_EACH * self.heard() as f64);
-        if self.now < self.told_at.plus_millis(if self.news { pause } else { HEARTBEAT }) {
+    pub fn poll_report(&mut self) -> Option<Vec<Tally>> {
+        let pause = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_PEER * self.heard() as f64);
+        if self.now < self.told_at.plus_millis(if self.news { pause } else { REPORT_INTERVAL }) {
             return None;
         }
         (self.news, self.told_at) = (false, self.now);
         let now = self.now;
         let tally = |domain: &mut Domain| {
-            let (good, bad) = domain.hearsay.own(now);
-            domain.hearsay.told_failing = bad > 0;
+            let (good, bad) = domain.peer_reports.own(now);
+            domain.peer_reports.reported_failing = bad > 0;
             Tally { zone: domain.zone.clone(), good, bad }
         };
         Some(self.domains.values_mut().map(tally).filter(|tally| tally.good + tally.bad > 0).collect())
@@ -262,22 +262,22 @@
 
     /// Other processes that were heard of late.
     pub fn heard(&self) -> usize {
-        self.authors.values().filter(|at| **at > self.now.minus_millis(HEARD)).count()
+        self.authors.values().filter(|at| **at > self.now.minus_millis(PEER_LIFETIME)).count()
     }
 
     /// Whether nothing is wrong anywhere, so that usual times may be learned.
     pub fn all_well(&self) -> bool {
-        self.domains.values().all(|domain| domain.degree == Degree::Well)
+        self.domains.values().all(|domain| domain.state == DomainState::Healthy)
     }
 
     /// Whether a server may be probed: nothing that is left or in works, or in trouble for all to see.
     pub fn may_probe(&self, server: ServerId) -> bool {
         let domain = self.servers.get(&server).and_then(|(zone, ..)| self.domains.get(zone));
-        domain.is_none_or(|domain| !matches!(domain.degree, Degree::Left | Degree::Works))
+        domain.is_none_or(|domain| !matches!(domain.state, DomainState::Ejected | DomainState::Maintenance))
     }
 
-    fn around(&self) -> Around {
-        Around {
+    fn around(&self) -> StepContext {
+        StepContext {
             now: self.now,
             automatic: self.policy.automatic,
             lone: self.lone(),
@@ -304,62 +304,76 @@
 
     /// Takes all steps that are due.
     pub fn judge(&mut self) {
-        let before: Vec<Degree> = self.domains.values().map(|domain| domain.degree).collect();
+        let before: Vec<DomainState> = self.domains.values().map(|domain| domain.state).collect();
         let around = self.around();
         let away: Vec<Zone> = self
             .domains
             .values()
-            .filter(|d| matches!(d.degree, Degree::Left | Degree::Tried | Degree::Works | Degree::Returning))
+            .filter(|d| {
+                matches!(
+                    d.state,
+                    DomainState::Ejected
+                        | DomainState::Probing
+                        | DomainState::Maintenance
+                        | DomainState::Recovering
+                )
+            })
             .map(|d| d.zone.clone())
             .collect();
-        let signs = |of: &Domain| of.evidence.of_late(around.now);
+        let signs = |of: &Domain| of.evidence.recent(around.now);
         let all = self.domains.values().map(signs).fold((0, 0), |(g, b), (good, bad)| (g + good, b + bad));
         for domain in self.domains.values_mut() {
-            domain.handle_works(around.now, self.policy.works.contains(&*domain.zone));
+            domain.set_maintenance(around.now, self.policy.works.contains(&*domain.zone));
             let other_away = away.iter().any(|zone| *zone != domain.zone);
             let (good, bad) = signs(domain);
             let others = (all.0 - good, all.1 - bad);
-            domain.step(&self.common, &Around { other_away, others, ..around });
+            domain.step(&self.common, &StepContext { other_away, others, ..around });
         }
-        let (all, bad) =
-            self.domains.values().filter(|d| d.degree != Degree::Works).fold((0.0, 0.0), |(all, bad), d| {
-                (all + d.weight, bad + if d.degree.judged_bad() { d.weight } else { 0.0 })
+        let (all, bad) = self
+            .domains
+            .values()
+            .filter(|d| d.state != DomainState::Maintenance)
+            .fold((0.0, 0.0), |(all, bad), d| {
+                (all + d.weight, bad + if d.state.judged_bad() { d.weight } else { 0.0 })
             });
         let part = if all > 0.0 { bad / all } else { 0.0 };
         if part > self.policy.distrust && !self.distrusted {
-            if self.now > self.distrusted_until.plus_millis(DISTRUSTED_LAST) {
+            if self.now > self.distrusted_until.plus_millis(MAX_DISTRUST_TIME) {
                 self.distrusted_times = 0;
             }
-            let holds = DISTRUSTED * f64::from(1u32 << self.distrusted_times.min(8));
+            let holds = MIN_DISTRUST_TIME * f64::from(1u32 << self.distrusted_times.min(8));
             (self.distrusted, self.distrusted_until) =
-                (true, self.now.plus_millis(holds.min(DISTRUSTED_LAST)));
+                (true, self.now.plus_millis(holds.min(MAX_DISTRUST_TIME)));
             self.distrusted_times += 1;
-            self.happen(Happening::Distrusted(part));
+            self.emit(DomainEvent::Distrusted(part));
         } else if self.distrusted && self.now >= self.distrusted_until {
             self.distrusted = false;
-            self.happen(Happening::Trusted);
+            self.emit(DomainEvent::Trusted);
         }
         let safe_rate = self.safe_rate();
-        let turned: Vec<Happening> = self
+        let turned: Vec<DomainEvent> = self
             .domains
             .values()
             .zip(before)
-            .filter(|(domain, from)| domain.degree != *from)
-            .map(|(domain, from)| Happening::Turned { from, to: domain.belief(&self.common, safe_rate) })
+            .filter(|(domain, from)| domain.state != *from)
+            .map(|(domain, from)| DomainEvent::StateChanged {
+                from,
+                to: domain.belief(&self.common, safe_rate),
+            })
             .collect();
-        turned.into_iter().for_each(|turned| self.happen(turned));
+        turned.into_iter().for_each(|turned| self.emit(turned));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        if self.happenings.len() == HAPPENINGS {
-            self.happenings.pop_front();
+    fn emit(&mut self, event: DomainEvent) {
+        if self.events.len() == MAX_EVENTS {
+            self.events.pop_front();
         }
-        self.happenings.push_back(happening);
+        self.events.push_back(event);
     }
 
-    /// The next happening that nobody has been told of.
-    pub fn poll_happening(&mut self) -> Option<Happening> {
-        self.happenings.pop_front()
+    /// The next event that nobody has been told of.
+    pub fn poll_event(&mut self) -> Option<DomainEvent> {
+        self.events.pop_front()
     }
 
     /// Advice, if it differs from what was last given; zones that it does not name are as ever.
@@ -392,6 +406,6 @@
     }
 }
 
-fn common(policy: &Policy) -> Common {
-    Common { processes: policy.processes, cold_from: policy.cold_from, warm: policy.warm }
+fn common(policy: &Policy) -> PoolProfile {
+    PoolProfile { processes: policy.processes, cold_from: policy.cold_from, warm: policy.warm }
 }
--- a/crates/failure-domains/src/evidence.rs
+++ b/crates/failure-domains/src/evidence.rs
@@ -9,29 +9,30 @@
 use std::collections::VecDeque;
 
 /// Most signs kept.
-const KEPT: usize = 64;
+const MAX_SIGNS: usize = 64;
 /// A sign older than this says nothing of now.
-const LIFE: Millis = 10_000.0;
+const SIGN_LIFETIME: Millis = 10_000.0;
 /// Part of bad signs in a domain that fails.
-const FAILING: f64 = 0.5;
+const FAILING_BAD_RATIO: f64 = 0.5;
 /// Or this many times as many as usual, up to so many.
-const FAILING_TIMES: f64 = 2.0;
-const FAILING_MOST: f64 = 0.95;
+const FAILING_FACTOR: f64 = 2.0;
+const MAX_FAILING_BAD_RATIO: f64 = 0.95;
 /// Bounds on the part of bad signs that is taken to be usual.
-const USUAL: (f64, f64) = (0.02, 0.5);
+const MIN_BASELINE_BAD_RATIO: f64 = 0.02;
+const MAX_BASELINE_BAD_RATIO: f64 = 0.5;
 /// Signs that are added to those of the other domains before their bad part is believed.
-const OTHERS: f64 = 5.0;
+const OTHERS_PRIOR_SIGNS: f64 = 5.0;
 /// Weight of one sign in that part.
-const USUAL_WEIGHT: f64 = 0.002;
+const BASELINE_LEARNING_WEIGHT: f64 = 0.002;
 /// Score from which a domain is left: 12 is four bad signs in a row where one in fifty is bad as ever.
-pub const ALARM: f64 = 12.0;
+pub const ALARM_SCORE: f64 = 12.0;
 /// Score from which it is suspect: two in a row.
-pub const SUSPECT: f64 = 6.0;
-/// What has to be left of ALARM without the worst server, and without the worst customer.
-const WITHOUT_SERVER: f64 = 0.5;
-const WITHOUT_CUSTOMER: f64 = 0.25;
+pub const SUSPECT_SCORE: f64 = 6.0;
+/// What has to be left of ALARM_SCORE without the worst server, and without the worst customer.
+const MIN_SCORE_RATIO_WITHOUT_SERVER: f64 = 0.5;
+const MIN_SCORE_RATIO_WITHOUT_CUSTOMER: f64 = 0.25;
 /// From this part of bad signs on that were answers all the same, the domain is slow rather than lost.
-const SLOW_PART: f64 = 0.34;
+const MIN_SLOW_RATIO: f64 = 0.34;
 
 /// What an attempt has shown of a server's domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,14 +103,14 @@
 
 impl Default for Evidence {
     fn default() -> Self {
-        Self { seen: VecDeque::with_capacity(KEPT), usual: USUAL.0 }
+        Self { seen: VecDeque::with_capacity(MAX_SIGNS), usual: MIN_BASELINE_BAD_RATIO }
     }
 }
 
 impl Evidence {
     /// Takes in a sign; `number` is its own.
     pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
-        if self.seen.len() == KEPT {
+        if self.seen.len() == MAX_SIGNS {
             self.seen.pop_front();
         }
         self.seen.push_back(Seen { number, at: now, server, customer, sign });
@@ -125,7 +126,7 @@
     /// Learns how often signs are bad while nothing is wrong.
     pub fn learn(&mut self, sign: Sign) {
         let bad = f64::from(u8::from(sign != Sign::Good));
-        self.usual += USUAL_WEIGHT * (bad - self.usual);
+        self.usual += BASELINE_LEARNING_WEIGHT * (bad - self.usual);
     }
 
     /// Nothing that was seen until now counts any more.
@@ -157,23 +158,23 @@
     }
 
     /// Good and bad signs of late.
-    pub fn of_late(&self, now: Timestamp) -> (u32, u32) {
-        self.since(now.minus_millis(LIFE))
+    pub fn recent(&self, now: Timestamp) -> (u32, u32) {
+        self.since(now.minus_millis(SIGN_LIFETIME))
     }
 
     /// What the signs come to. `servers` is how many take requests here; `lone` says that all signs of all domains are
     /// of one customer; `others` are the good and bad signs of the other domains of late: what is as bad everywhere is
     /// no fault of this one.
     pub fn finding(&self, now: Timestamp, servers: usize, lone: bool, others: (u32, u32)) -> Finding {
-        let elsewhere = f64::from(others.1) / (f64::from(others.0 + others.1) + OTHERS);
-        let usual = self.usual.max(elsewhere).clamp(USUAL.0, USUAL.1);
-        let failing = FAILING.max((FAILING_TIMES * usual).min(FAILING_MOST));
+        let elsewhere = f64::from(others.1) / (f64::from(others.0 + others.1) + OTHERS_PRIOR_SIGNS);
+        let usual = self.usual.max(elsewhere).clamp(MIN_BASELINE_BAD_RATIO, MAX_BASELINE_BAD_RATIO);
+        let failing = FAILING_BAD_RATIO.max((FAILING_FACTOR * usual).min(MAX_FAILING_BAD_RATIO));
         let (for_bad, for_good) = ((failing / usual).ln(), ((1.0 - failing) / (1.0 - usual)).ln());
         let weigh = |seen: &Seen| if seen.sign == Sign::Good { for_good } else { for_bad };
         // Page's test: the latest signs whose sum is largest.
         let (mut sum, mut best, mut length) = (0.0, 0.0, 0);
         for (count, seen) in
-            self.seen.iter().rev().take_while(|seen| seen.at > now.minus_millis(LIFE)).enumerate()
+            self.seen.iter().rev().take_while(|seen| seen.at > now.minus_millis(SIGN_LIFETIME)).enumerate()
         {
             sum += weigh(seen);
             if sum > best {
@@ -197,16 +198,16 @@
         let by_customer = |seen: &Seen| seen.customer;
         let no_server = least(bad.iter().map(|s| by_server(s)).collect(), &by_server);
         let no_customer = least(bad.iter().map(|s| by_customer(s)).collect(), &by_customer);
-        let of_many = |part: f64| servers < 2 || no_server >= part * WITHOUT_SERVER;
-        let of_some = |part: f64| lone || no_customer >= part * WITHOUT_CUSTOMER;
+        let of_many = |part: f64| servers < 2 || no_server >= part * MIN_SCORE_RATIO_WITHOUT_SERVER;
+        let of_some = |part: f64| lone || no_customer >= part * MIN_SCORE_RATIO_WITHOUT_CUSTOMER;
         let kinds = [Sign::Silent, Sign::Late, Sign::Refused, Sign::Reset, Sign::Wrong];
         let count = |kind: Sign| bad.iter().filter(|seen| seen.sign == kind).count();
         let kind = kinds.into_iter().max_by_key(|kind| count(*kind));
         Finding {
             score: best,
-            alarm: best >= ALARM && of_many(ALARM) && of_some(ALARM),
-            suspect: best >= SUSPECT && of_many(SUSPECT) && of_some(SUSPECT),
-            slow: count(Sign::Late) as f64 >= SLOW_PART * bad.len() as f64,
+            alarm: best >= ALARM_SCORE && of_many(ALARM_SCORE) && of_some(ALARM_SCORE),
+            suspect: best >= SUSPECT_SCORE && of_many(SUSPECT_SCORE) && of_some(SUSPECT_SCORE),
+            slow: count(Sign::Late) as f64 >= MIN_SLOW_RATIO * bad.len() as f64,
             bad: bad.len() as u32,
             signs: latest.len() as u32,
             kind,
--- a/crates/failure-domains/src/evidence/tests.rs
+++ b/crates/failure-domains/src/evidence/tests.rs
@@ -21,9 +21,9 @@
         (0..40).map(|n| if n % 4 == 1 { (1, n, Reset) } else { (n as u32 % 4, n, Good) }).collect();
     assert!(!told(&one_server).alarm && !told(&one_server).suspect);
     let only_one_asked: Vec<_> = (0..40).map(|n| (1, n, Reset)).collect();
-    assert!(told(&only_one_asked).score > ALARM && !told(&only_one_asked).alarm);
+    assert!(told(&only_one_asked).score > ALARM_SCORE && !told(&only_one_asked).alarm);
     let one_customer: Vec<_> = (0..40).map(|n| (n % 4, 7, Reset)).collect();
-    assert!(told(&one_customer).score > ALARM && !told(&one_customer).suspect);
+    assert!(told(&one_customer).score > ALARM_SCORE && !told(&one_customer).suspect);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     (0..6).for_each(|n| evidence.handle_answer(n));
     let slow = told(&evidence, 6.0);
     assert!(slow.slow && slow.alarm && slow.kind == Some(Sign::Late));
-    assert_eq!(told(&evidence, LIFE + 6.0), Finding::default());
+    assert_eq!(told(&evidence, SIGN_LIFETIME + 6.0), Finding::default());
 }
 
 #[test]
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/guarded.rs
@@ -1,10 +1,10 @@
 //! A decision module with its pool's domains in front: reads signs off what comes of its attempts, and gives it advice.
 
 use crate::domain::Belief;
+use crate::domains::{DomainEvent, Domains, Policy};
 use crate::evidence::Sign;
-use crate::hearsay::Tally;
-use crate::judgement::{Domains, Happening, Policy};
-use crate::usual::Usual;
+use crate::latency_baseline::LatencyBaseline;
+use crate::peer_reports::Tally;
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, RejectReason, RequestId,
     ServerId,
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 
 /// Shortest time between two looks at what is open.
-const LOOK: Millis = 10.0;
+const SCAN_INTERVAL: Millis = 10.0;
 /// Most answers a server may owe to requests that have ended, for as long as they are noted.
-const OPEN_MOST: usize = 65_536;
+const MAX_OPEN_REQUESTS: usize = 65_536;
 
 /// What is known of a class.
 #[derive(Clone, Copy, Debug)]
@@ -44,17 +44,17 @@
 }
 
 /// A [`Gateway`] that is advised on failure domains.
-pub struct Guarded {
+pub struct GuardedGateway {
     gateway: Gateway,
     domains: Domains,
-    kinds: HashMap<Arc<str>, (Kind, Usual)>,
+    kinds: HashMap<Arc<str>, (Kind, LatencyBaseline)>,
     /// In order, so that one seed gives one course of things.
     open: BTreeMap<RequestId, Open>,
     hasher: RandomState,
     looked_at: Timestamp,
 }
 
-impl Guarded {
+impl GuardedGateway {
     /// A gateway with the domains of its pool. `kinds` are its classes, by name.
     pub fn new(
         gateway: Gateway,
@@ -65,7 +65,7 @@
         Self {
             gateway,
             domains: Domains::new(policy, seed),
-            kinds: kinds.into_iter().map(|(name, kind)| (name, (kind, Usual::default()))).collect(),
+            kinds: kinds.into_iter().map(|(name, kind)| (name, (kind, LatencyBaseline::default()))).collect(),
             open: BTreeMap::new(),
             hasher: RandomState::new(),
             looked_at: Timestamp::DISTANT_PAST,
@@ -101,14 +101,14 @@
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_word(&mut self, now: Timestamp, author: u64, tallies: &[Tally]) {
+    pub fn handle_report(&mut self, now: Timestamp, author: u64, tallies: &[Tally]) {
         self.domains.handle_time(now);
-        self.domains.handle_word(author, tallies);
+        self.domains.handle_report(author, tallies);
     }
 
     /// What is to be told to the other processes now, if anything.
-    pub fn poll_word(&mut self) -> Option<Vec<Tally>> {
-        self.domains.poll_word()
+    pub fn poll_report(&mut self) -> Option<Vec<Tally>> {
+        self.domains.poll_report()
     }
 
     /// What is believed of each domain, and whether that is believed itself.
@@ -117,13 +117,13 @@
     }
 
     /// The next happening that nobody has been told of.
-    pub fn poll_happening(&mut self) -> Option<Happening> {
-        self.domains.poll_happening()
+    pub fn poll_event(&mut self) -> Option<DomainEvent> {
+        self.domains.poll_event()
     }
 
     /// Looks for attempts that are overdue, and takes the steps that are due.
     fn look(&mut self, now: Timestamp) {
-        if now < self.looked_at.plus_millis(LOOK) {
+        if now < self.looked_at.plus_millis(SCAN_INTERVAL) {
             return;
         }
         self.looked_at = now;
@@ -155,7 +155,7 @@
         if kind.safe {
             self.domains.handle_safe();
         }
-        if self.open.len() < OPEN_MOST {
+        if self.open.len() < MAX_OPEN_REQUESTS {
             let customer = self.hasher.hash_one(&*arrival.customer);
             let open = Open { class: arrival.class.clone(), customer, closed: false, attempts: Vec::new() };
             self.open.entry(arrival.request.clone()).or_insert(open);
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -1,20 +1,20 @@
 //! Failure domains: which zones of a pool's servers to leave, how much may go there, and at what pace to come back.
 //!
-//! Called by the sidecar's pools and by measurements, through [`Guarded`], which stands round a [`Gateway`]. It gives the
+//! Called by the sidecar's pools and by measurements, through [`GuardedGateway`], which stands round a [`Gateway`]. It gives the
 //! gateway advice on zones and nothing else: it must never choose a server, send anything again or refuse, and it must
 //! not do I/O or read a clock.
 //!
 //! [`Gateway`]: ivygate_gateway::Gateway
 
 mod domain;
+mod domains;
 mod evidence;
 mod guarded;
-mod hearsay;
-mod judgement;
-mod usual;
+mod latency_baseline;
+mod peer_reports;
 
-pub use domain::{Belief, Degree};
+pub use domain::{Belief, DomainState};
+pub use domains::{DomainEvent, Domains, Policy, Zone};
 pub use evidence::{Finding, Sign};
-pub use guarded::{Guarded, Kind};
-pub use hearsay::{Tally, Voices};
-pub use judgement::{Domains, Happening, Policy, Zone};
+pub use guarded::{GuardedGateway, Kind};
+pub use peer_reports::{PeerVotes, Tally};
--- a/crates/failure-domains/src/hearsay.rs
+++ b/crates/failure-domains/src/peer_reports.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 /// What is told are signs of this time at most, and that a zone fails is heard for as long.
-const TOLD: Millis = 1_000.0;
+const REPORT_LIFETIME: Millis = 1_000.0;
 /// That it serves is old news sooner: all that was good before a fault speaks against it.
-const SERVED: Millis = 200.0;
-/// Most voices kept of a zone.
-const VOICES: usize = 512;
+const SUCCESS_LIFETIME: Millis = 200.0;
+/// Most votes kept of a zone.
+const MAX_REPORTERS: usize = 512;
 /// Most own signs kept of a zone.
-const SIGNS: usize = 256;
+const MAX_OWN_SIGNS: usize = 256;
 
 /// What a process tells of a zone: its latest signs, as far as they are alike.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// How many other processes say what of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Voices {
+pub struct PeerVotes {
     /// That it serves.
     pub good: u32,
     /// That it fails.
@@ -38,37 +38,40 @@
 
 /// Own signs to be told, and the words of others.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Hearsay {
+pub(crate) struct PeerReports {
     own: VecDeque<(Timestamp, u64, bool)>,
-    voices: BTreeMap<u64, (Timestamp, u16, u16)>,
+    votes: BTreeMap<u64, (Timestamp, u16, u16)>,
     /// This process last said that it fails.
-    pub told_failing: bool,
+    pub reported_failing: bool,
     /// When another process last said so.
     failing_at: Option<Timestamp>,
 }
 
-impl Hearsay {
+impl PeerReports {
     /// Takes in an own sign.
     pub fn handle_sign(&mut self, now: Timestamp, number: u64, good: bool) {
-        if self.own.len() == SIGNS {
+        if self.own.len() == MAX_OWN_SIGNS {
             self.own.pop_front();
         }
         self.own.push_back((now, number, good));
     }
 
     /// An own sign has turned out to be neither good nor bad.
-    pub fn take_back(&mut self, number: u64) {
+    pub fn retract(&mut self, number: u64) {
         self.own.retain(|(_, own, _)| *own != number);
     }
 
     /// The latest own signs, as far as they are alike: so many good ones, or so many bad ones.
     pub fn own(&self, now: Timestamp) -> (u16, u16) {
         let Some((last_at, _, last)) = self.own.back() else { return (0, 0) };
-        let alike =
-            self.own.iter().rev().take_while(|(at, _, good)| *at > now.minus_millis(TOLD) && good == last);
+        let alike = self
+            .own
+            .iter()
+            .rev()
+            .take_while(|(at, _, good)| *at > now.minus_millis(REPORT_LIFETIME) && good == last);
         let count = alike.count() as u16;
         match last {
-            true if *last_at > now.minus_millis(SERVED) => (count, 0),
+            true if *last_at > now.minus_millis(SUCCESS_LIFETIME) => (count, 0),
             true => (0, 0),
             false => (0, count),
         }
@@ -76,7 +79,7 @@
 
     /// Whether so many other processes say that it fails.
     pub fn is_told_of(&self, now: Timestamp, by: u32) -> bool {
-        self.failing_at.is_some_and(|at| at > now.minus_millis(TOLD)) && self.voices(now).bad >= by
+        self.failing_at.is_some_and(|at| at > now.minus_millis(REPORT_LIFETIME)) && self.votes(now).bad >= by
     }
 
     /// Own signs say nothing any more.
@@ -85,26 +88,26 @@
     }
 
     /// Takes in what another process tells.
-    pub fn handle_word(&mut self, now: Timestamp, author: u64, good: u16, bad: u16) {
-        if self.voices.len() >= VOICES && !self.voices.contains_key(&author) {
-            self.voices.retain(|_, (at, ..)| *at > now.minus_millis(TOLD));
-            if self.voices.len() >= VOICES {
+    pub fn handle_report(&mut self, now: Timestamp, author: u64, good: u16, bad: u16) {
+        if self.votes.len() >= MAX_REPORTERS && !self.votes.contains_key(&author) {
+            self.votes.retain(|_, (at, ..)| *at > now.minus_millis(REPORT_LIFETIME));
+            if self.votes.len() >= MAX_REPORTERS {
                 return;
             }
         }
         if bad > 0 {
             self.failing_at = Some(now);
         }
-        self.voices.insert(author, (now, good, bad));
+        self.votes.insert(author, (now, good, bad));
     }
 
     /// What others say now.
-    pub fn voices(&self, now: Timestamp) -> Voices {
-        let mut voices = Voices::default();
-        for (at, good, bad) in self.voices.values() {
-            voices.bad += u32::from(*bad > 0 && *at > now.minus_millis(TOLD));
-            voices.good += u32::from(*bad == 0 && *good > 0 && *at > now.minus_millis(SERVED));
+    pub fn votes(&self, now: Timestamp) -> PeerVotes {
+        let mut votes = PeerVotes::default();
+        for (at, good, bad) in self.votes.values() {
+            votes.bad += u32::from(*bad > 0 && *at > now.minus_millis(REPORT_LIFETIME));
+            votes.good += u32::from(*bad == 0 && *good > 0 && *at > now.minus_millis(SUCCESS_LIFETIME));
         }
-        voices
+        votes
     }
 }
--- a/crates/failure-domains/tests/judgement.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,6 +1,6 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
-use ivygate_failure_domains::{Degree, Domains, Guarded, Happening, Kind, Policy, Sign, Tally};
+use ivygate_failure_domains::{DomainEvent, DomainState, Domains, GuardedGateway, Kind, Policy, Sign, Tally};
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
     ServerId, ServerState, Settings,
@@ -50,8 +50,8 @@
         }
     }
 
-    fn degree(&self, zone: &str) -> Degree {
-        self.domains.beliefs().iter().find(|belief| *belief.zone == *zone).expect("a zone").degree
+    fn state(&self, zone: &str) -> DomainState {
+        self.domains.beliefs().iter().find(|belief| *belief.zone == *zone).expect("a zone").state
     }
 
     fn shares(&self, zone: &str) -> (f64, f64) {
@@ -67,22 +67,22 @@
     rig.see(1, 20, Sign::Good);
     rig.see(1, 2, Sign::Reset);
     assert_eq!(
-        (rig.degree("b"), rig.shares("b").1),
-        (Degree::Suspect, 0.0),
+        (rig.state("b"), rig.shares("b").1),
+        (DomainState::Suspect, 0.0),
         "what may not run twice goes elsewhere"
     );
     rig.see(1, 3, Sign::Reset);
-    assert_eq!((rig.degree("b"), rig.shares("b")), (Degree::Left, (0.0, 0.0)));
+    assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Ejected, (0.0, 0.0)));
     assert!(!rig.domains.may_probe(3) && rig.domains.may_probe(0));
     rig.wait(1_300.0);
-    assert_eq!(rig.degree("b"), Degree::Tried);
+    assert_eq!(rig.state("b"), DomainState::Probing);
     rig.see(1, 2, Sign::Silent);
-    assert_eq!(rig.degree("b"), Degree::Left);
+    assert_eq!(rig.state("b"), DomainState::Ejected);
     rig.wait(1_300.0);
-    assert_eq!(rig.degree("b"), Degree::Left, "longer than the first time");
+    assert_eq!(rig.state("b"), DomainState::Ejected, "longer than the first time");
     rig.wait(1_300.0);
     rig.see(1, 4, Sign::Good);
-    assert_eq!(rig.degree("b"), Degree::Returning);
+    assert_eq!(rig.state("b"), DomainState::Recovering);
     let at_first = rig.shares("b").0;
     assert!(at_first <= 0.2, "a cold server's part at most, not {at_first}");
     rig.wait(2_000.0);
@@ -92,7 +92,7 @@
     assert!(rig.shares("b").0 < later, "a step back");
     rig.see(1, 10, Sign::Good);
     rig.wait(9_000.0);
-    assert_eq!(rig.degree("b"), Degree::Well);
+    assert_eq!(rig.state("b"), DomainState::Healthy);
 }
 
 #[test]
@@ -102,7 +102,7 @@
         rig.see(zone, 10, Sign::Good);
     }
     rig.see(0, 5, Sign::Silent);
-    assert_eq!(rig.degree("a"), Degree::Left);
+    assert_eq!(rig.state("a"), DomainState::Ejected);
     // A zone that bears another's load is believed to be lost once nothing good has come for a while.
     rig.wait(600.0);
     rig.see(1, 40, Sign::Silent);
@@ -111,7 +111,7 @@
     rig.see(1, 40, Sign::Silent);
     assert!(rig.domains.distrusted());
     assert!(["a", "b", "c"].iter().all(|zone| rig.shares(zone) == (1.0, 1.0)));
-    assert!(rig.domains.poll_happening().is_some());
+    assert!(rig.domains.poll_event().is_some());
     rig.see(2, 40, Sign::Silent);
     assert!(["a", "b", "c"].iter().all(|zone| rig.shares(zone) == (1.0, 1.0)));
 }
@@ -119,7 +119,7 @@
 /// Others say that zone b fails, or serves.
 fn told(rig: &mut Rig, authors: std::ops::Range<u64>, good: u16, bad: u16) {
     for author in authors {
-        rig.domains.handle_word(author, &[Tally { zone: "b".into(), good, bad }]);
+        rig.domains.handle_report(author, &[Tally { zone: "b".into(), good, bad }]);
     }
 }
 
@@ -132,33 +132,33 @@
     };
     let mut rig = fresh(10);
     (0..50).for_each(|_| told(&mut rig, 0..1, 0, 900));
-    assert_eq!(rig.degree("b"), Degree::Well, "one liar, however loud");
+    assert_eq!(rig.state("b"), DomainState::Healthy, "one liar, however loud");
     told(&mut rig, 1..2, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Suspect);
+    assert_eq!(rig.state("b"), DomainState::Suspect);
     told(&mut rig, 2..3, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Left, "three of ten");
+    assert_eq!(rig.state("b"), DomainState::Ejected, "three of ten");
     // Of thirty, three are a tenth; with an own sign two thirds of a quorum are enough.
     let mut rig = fresh(30);
     told(&mut rig, 0..3, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Suspect);
+    assert_eq!(rig.state("b"), DomainState::Suspect);
     rig.see(1, 1, Sign::Silent);
-    assert_eq!(rig.degree("b"), Degree::Suspect);
+    assert_eq!(rig.state("b"), DomainState::Suspect);
     told(&mut rig, 3..6, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Left);
+    assert_eq!(rig.state("b"), DomainState::Ejected);
     // As many who say the contrary, or own eyes, weigh against it.
     let mut rig = fresh(10);
     told(&mut rig, 5..10, 9, 0);
     told(&mut rig, 0..5, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Well);
+    assert_eq!(rig.state("b"), DomainState::Healthy);
     let mut rig = fresh(10);
     rig.see(1, 1, Sign::Good);
     told(&mut rig, 0..10, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Well);
-    assert!(rig.domains.poll_word().is_some());
+    assert_eq!(rig.state("b"), DomainState::Healthy);
+    assert!(rig.domains.poll_report().is_some());
     rig.wait(100.0);
     rig.see(1, 1, Sign::Good);
     assert_eq!(
-        rig.domains.poll_word().map(|word| (word[0].good, word[0].bad)),
+        rig.domains.poll_report().map(|word| (word[0].good, word[0].bad)),
         Some((2, 0)),
         "who sees it serve says so"
     );
@@ -168,18 +168,18 @@
 fn words_fade_and_where_nothing_is_heard_own_eyes_decide() {
     let mut rig = Rig::new(&["a", "b"], Policy::default());
     told(&mut rig, 0..2, 0, 1);
-    assert_eq!(rig.degree("b"), Degree::Suspect);
+    assert_eq!(rig.state("b"), DomainState::Suspect);
     rig.wait(3_100.0);
-    assert_eq!((rig.degree("b"), rig.domains.heard()), (Degree::Well, 0));
+    assert_eq!((rig.state("b"), rig.domains.heard()), (DomainState::Healthy, 0));
     rig.see(1, 5, Sign::Silent);
-    assert_eq!(rig.degree("b"), Degree::Left);
+    assert_eq!(rig.state("b"), DomainState::Ejected);
     // Others have tried it in vain just now: this one does not.
     rig.wait(700.0);
     told(&mut rig, 0..1, 0, 1);
     rig.wait(700.0);
-    assert_eq!(rig.degree("b"), Degree::Left);
+    assert_eq!(rig.state("b"), DomainState::Ejected);
     rig.wait(900.0);
-    assert_eq!(rig.degree("b"), Degree::Tried);
+    assert_eq!(rig.state("b"), DomainState::Probing);
 }
 
 #[test]
@@ -190,7 +190,7 @@
     let mut words = 0;
     for _ in 0..1_000 {
         rig.see(1, 1, Sign::Reset);
-        words += usize::from(rig.domains.poll_word().is_some());
+        words += usize::from(rig.domains.poll_report().is_some());
     }
     // 2 s: at most one in 256 ms for 512 others.
     assert!((2..=9).contains(&words), "{words}");
@@ -204,9 +204,9 @@
     rig.now += 3_000.0;
     assert!(rig.domains.handle_time(Timestamp::from_millis(rig.now)));
     rig.see(1, 2, Sign::Silent);
-    assert_ne!(rig.degree("b"), Degree::Left);
-    let mut told = std::iter::from_fn(|| rig.domains.poll_happening());
-    assert!(told.any(|happening| matches!(happening, Happening::StoodStill(time) if time > 2_900.0)));
+    assert_ne!(rig.state("b"), DomainState::Ejected);
+    let mut told = std::iter::from_fn(|| rig.domains.poll_event());
+    assert!(told.any(|happening| matches!(happening, DomainEvent::ProcessPaused(time) if time > 2_900.0)));
 }
 
 #[test]
@@ -214,7 +214,7 @@
     let [paused, silent] = [true, false].map(|paused| {
         let gateway = Gateway::new(settings(), 3).expect("sound settings");
         let kind = Kind { safe: true, aim: 1_000.0 };
-        let mut guarded = Guarded::new(gateway, Policy::default(), [("read".into(), kind)], 3);
+        let mut guarded = GuardedGateway::new(gateway, Policy::default(), [("read".into(), kind)], 3);
         let mut actions = Vec::new();
         let members: Vec<ServerEntry> = (0..8_u32)
             .map(|server| ServerEntry {
@@ -257,7 +257,11 @@
         }
         guarded.handle(Timestamp::from_millis(600.0), Event::Timer { token: 0 }, &mut actions);
         guarded.handle(Timestamp::from_millis(640.0), Event::Timer { token: 0 }, &mut actions);
-        guarded.beliefs().0.iter().any(|belief| belief.because.bad > 0 || belief.degree != Degree::Well)
+        guarded
+            .beliefs()
+            .0
+            .iter()
+            .any(|belief| belief.because.bad > 0 || belief.state != DomainState::Healthy)
             || guarded.beliefs().1
     });
     assert!(silent && !paused);
@@ -303,7 +307,7 @@
     let mut rig = Rig::new(&["a", "b"], Policy::default());
     rig.see(0, 40, Sign::Good);
     rig.see(1, 10, Sign::Late);
-    assert_eq!((rig.degree("b"), rig.shares("b")), (Degree::Leaving, (0.5, 0.5)));
+    assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Draining, (0.5, 0.5)));
     rig.see(1, 10, Sign::Late);
     rig.wait(1_100.0);
     rig.see(1, 4, Sign::Late);
@@ -313,7 +317,7 @@
         rig.wait(100.0);
         rig.see(1, 2, Sign::Late);
     }
-    assert_eq!((rig.degree("b"), rig.shares("b")), (Degree::Leaving, (1.0, 1.0)));
+    assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Draining, (1.0, 1.0)));
 }
 
 #[test]
@@ -322,17 +326,17 @@
     let mut rig = Rig::new(&["a", "b"], policy.clone());
     rig.see(0, 10, Sign::Good);
     rig.see(1, 20, Sign::Wrong);
-    assert_eq!(rig.degree("b"), Degree::Well, "only by hand");
+    assert_eq!(rig.state("b"), DomainState::Healthy, "only by hand");
     policy.works.insert("b".into());
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy.clone());
-    assert_eq!((rig.degree("b"), rig.shares("b")), (Degree::Works, (0.0, 0.0)));
+    assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Maintenance, (0.0, 0.0)));
     rig.wait(20_000.0);
-    assert_eq!(rig.degree("b"), Degree::Works);
+    assert_eq!(rig.state("b"), DomainState::Maintenance);
     policy.works.clear();
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy);
-    assert_eq!(rig.degree("b"), Degree::Tried);
+    assert_eq!(rig.state("b"), DomainState::Probing);
     rig.see(1, 4, Sign::Good);
-    assert_eq!(rig.degree("b"), Degree::Returning);
+    assert_eq!(rig.state("b"), DomainState::Recovering);
 }
 
 #[test]
@@ -340,11 +344,11 @@
     let mut rig = Rig::new(&["a", "b"], Policy { distrust: 1.0, ..Policy::default() });
     rig.see(0, 10, Sign::Good);
     rig.see(1, 5, Sign::Reset);
-    assert_eq!(rig.degree("b"), Degree::Left);
+    assert_eq!(rig.state("b"), DomainState::Ejected);
     for _ in 0..10 {
         rig.see(0, 4, Sign::Late);
         rig.see(0, 1, Sign::Good);
     }
-    assert_ne!(rig.degree("a"), Degree::Leaving);
-    assert_ne!(rig.degree("a"), Degree::Left);
+    assert_ne!(rig.state("a"), DomainState::Draining);
+    assert_ne!(rig.state("a"), DomainState::Ejected);
 }
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -102,7 +102,7 @@
         for (name, pool) in &site.pools {
             if let Some(zones) = &pool.zones {
                 let told = by_pool.get(name).map_or(&[][..], Vec::as_slice);
-                zones.handle_word(now, author, told);
+                zones.handle_report(now, author, told);
             }
         }
     }
@@ -111,7 +111,7 @@
         let site = shared.site.borrow().clone();
         let (mut due, mut words) = (false, Vec::new());
         for (name, pool) in &site.pools {
-            if let Some(word) = pool.zones.as_ref().and_then(super::zones::Zones::poll_word) {
+            if let Some(word) = pool.zones.as_ref().and_then(super::zones::Zones::poll_report) {
                 due = true;
                 words.extend(word.into_iter().map(|tally| (name.clone(), tally)));
             }
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -2,7 +2,7 @@
 //! told of it.
 
 use ivygate_config as config;
-use ivygate_failure_domains::{Belief, Degree, Guarded, Happening, Kind, Policy, Tally};
+use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, Tally};
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
 use ivygate_time::Timestamp;
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 pub struct Zones {
     pool: Rc<str>,
-    guarded: Rc<RefCell<Guarded>>,
+    guarded: Rc<RefCell<GuardedGateway>>,
 }
 
 impl Zones {
@@ -27,7 +27,7 @@
     ) -> Self {
         let kind = |class: &ivygate_gateway::RequestClass| Kind::from((class.effect, class.latency_target));
         let kinds = settings.classes.iter().map(|class| (class.name.as_str().into(), kind(class)));
-        let guarded = Guarded::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
+        let guarded = GuardedGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
         Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
     }
 
@@ -39,13 +39,13 @@
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_word(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
-        self.guarded.borrow_mut().handle_word(now, author, tallies);
+    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
+        self.guarded.borrow_mut().handle_report(now, author, tallies);
     }
 
     /// What is to be told to the other processes now, if anything.
-    pub fn poll_word(&self) -> Option<Vec<Tally>> {
-        self.guarded.borrow_mut().poll_word()
+    pub fn poll_report(&self) -> Option<Vec<Tally>> {
+        self.guarded.borrow_mut().poll_report()
     }
 
     /// What is believed of each zone, one JSON document each; ages in milliseconds.
@@ -53,10 +53,10 @@
         let (beliefs, distrusted) = self.guarded.borrow().beliefs();
         let one = |belief: &Belief| {
             json!({
-                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.degree.word(),
+                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
-                "because": because(belief), "others_good": belief.voices.good, "others_bad": belief.voices.bad,
+                "because": because(belief), "others_good": belief.votes.good, "others_bad": belief.votes.bad,
                 "failed_again": belief.failed_again, "distrusted": distrusted,
             })
         };
@@ -68,7 +68,7 @@
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let mut guarded = self.guarded.borrow_mut();
         guarded.handle(now, event, actions);
-        while let Some(happening) = guarded.poll_happening() {
+        while let Some(happening) = guarded.poll_event() {
             tell(&self.pool, &happening);
         }
     }
@@ -93,7 +93,7 @@
         Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.word()),
         None => "nothing against it".to_owned(),
     };
-    let voices = belief.voices;
+    let voices = belief.votes;
     if voices.good + voices.bad == 0 {
         return own;
     }
@@ -101,31 +101,33 @@
 }
 
 /// One event for each happening, and none for a request.
-fn tell(pool: &str, happening: &Happening) {
+fn tell(pool: &str, happening: &DomainEvent) {
     match happening {
         // Two late answers make a suspicion, and it changes little.
-        Happening::Turned { from, to } if *from == Degree::Suspect || to.degree == Degree::Suspect => {
-            if to.degree.judged_bad() {
+        DomainEvent::StateChanged { from, to }
+            if *from == DomainState::Suspect || to.state == DomainState::Suspect =>
+        {
+            if to.state.judged_bad() {
                 tell_turn(pool, *from, to);
             }
         }
-        Happening::Turned { from, to } => tell_turn(pool, *from, to),
-        Happening::Distrusted(part) => {
+        DomainEvent::StateChanged { from, to } => tell_turn(pool, *from, to),
+        DomainEvent::Distrusted(part) => {
             tracing::warn!(pool, part, "too much is judged bad to be believed: requests go to all zones");
         }
-        Happening::Trusted => tracing::warn!(pool, "judgements are believed again"),
-        Happening::StoodStill(time) => {
+        DomainEvent::Trusted => tracing::warn!(pool, "judgements are believed again"),
+        DomainEvent::ProcessPaused(time) => {
             tracing::warn!(pool, for_ms = time.round(), "stood still: what was seen before says nothing now");
         }
     }
 }
 
-fn tell_turn(pool: &str, from: Degree, to: &Belief) {
+fn tell_turn(pool: &str, from: DomainState, to: &Belief) {
     tracing::warn!(
         pool,
         zone = &*to.zone,
         from = from.word(),
-        to = to.degree.word(),
+        to = to.state.word(),
         because = because(to),
         failed_again = to.failed_again,
         "zone judged anew"
