--- a/crates/config-store/src/commands.rs
+++ b/crates/config-store/src/commands.rs
@@ -3,7 +3,8 @@
 use crate::member::Member;
 use crate::membership::Membership;
 use crate::messages::{Command, CommandOutcome};
-use crate::proposer::{PendingCommand, COMMAND_TIMEOUT};
+use crate::pending_command::{EvaluatedCommand, PendingCommand};
+use crate::proposer::COMMAND_TIMEOUT;
 use crate::round::Draft;
 use crate::store::Store;
 use ivygate_control_state::{apply_update, ConfigUpdate, Item, Items, Table};
@@ -14,13 +15,6 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// A command with its outcome, which holds once the round's items are chosen.
-#[derive(Clone, Debug)]
-pub(crate) struct EvaluatedCommand {
-    pub pending: PendingCommand,
-    pub result: Result<CommandOutcome, RpcError>,
-}
-
 impl Store {
     /// The membership that the first pending command asks for.
     pub(crate) fn first_pending_change(&self, now: Timestamp, register: &Items) -> Option<Membership> {
--- /dev/null
+++ b/crates/config-store/src/learner_state.rs
@@ -0,0 +1,66 @@
+//! The state of the learner: a snapshot transfer under way, and what was known to be chosen.
+
+use crate::messages::Ballot;
+use crate::snapshot_transfer::SnapshotTransfer;
+use ivygate_time::Timestamp;
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+
+/// A snapshot transfer in progress, with the deadline after which another peer is tried.
+#[derive(Clone, Debug)]
+pub(crate) struct CatchUp {
+    pub transfer: SnapshotTransfer,
+    pub deadline: Timestamp,
+}
+
+/// The learner's state.
+#[derive(Clone, Debug)]
+pub(crate) struct Learner {
+    pub catch_up: Option<CatchUp>,
+    /// The number of the last request for a chunk: a reply to an earlier one is not taken for its reply.
+    pub chunk_request: u64,
+    /// Peers that sent requests while this replica was no member: they may know the membership.
+    pub requesters: BTreeSet<Ipv4Addr>,
+    /// Which source of snapshots is asked next where none has answered yet.
+    pub next_source: usize,
+    /// The round up to which the state was last saved for its own sake, and when.
+    pub lazily_saved: Ballot,
+    pub lazily_saved_at: Timestamp,
+    /// What was known to be chosen at the last ping and at the one before: a candidate must not lag behind the older.
+    pub chosen_at_pings: [Ballot; 2],
+}
+
+impl Default for Learner {
+    fn default() -> Self {
+        Self {
+            catch_up: None,
+            chunk_request: 0,
+            requesters: BTreeSet::new(),
+            next_source: 0,
+            lazily_saved: Ballot::NONE,
+            lazily_saved_at: Timestamp::DISTANT_PAST,
+            chosen_at_pings: [Ballot::NONE; 2],
+        }
+    }
+}
+
+impl Learner {
+    /// A peer can't be reached: a transfer from it is given up.
+    pub fn abort_transfer_from(&mut self, peer: Ipv4Addr) {
+        self.catch_up.take_if(|catch_up| catch_up.transfer.request().from == peer);
+    }
+
+    /// The members are being pinged.
+    pub fn note_ping(&mut self, chosen: Ballot) {
+        self.chosen_at_pings = [self.chosen_at_pings[1], chosen];
+    }
+
+    /// What was known to be chosen at the ping before the last.
+    pub fn chosen_before_last_ping(&self) -> Ballot {
+        self.chosen_at_pings[0]
+    }
+
+    pub fn is_catching_up(&self, now: Timestamp) -> bool {
+        self.catch_up.as_ref().is_some_and(|catch_up| now < catch_up.deadline)
+    }
+}
--- a/crates/config-store/src/membership_change.rs
+++ b/crates/config-store/src/membership_change.rs
@@ -6,120 +6,26 @@
 use crate::effect::Effect;
 use crate::member::Member;
 use crate::membership::{Membership, MAX_MEMBERS};
+use crate::membership_change_state::{Place, WaitingCandidate, CANDIDATE_TIMEOUT};
 use crate::messages::{Ballot, Command, JoinCandidate, PeerRequest, PeerResponse};
 use crate::peers::CONTACT_TIMEOUT;
-use crate::proposer::PendingCommand;
+use crate::pending_command::PendingCommand;
 use crate::store::{MembershipStatus, Store};
 use ivygate_control_state::Table;
 use ivygate_time::Timestamp;
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval in which a replica that is no member asks its peers.
-const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// The store is founded when no new machine has announced itself for this long.
 const FOUNDING_QUIET_PERIOD: Duration = Duration::from_millis(1_200);
 /// A member that has answered nothing for this long has failed, if a candidate waits for its place.
 const MEMBER_FAILURE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A candidate asks again and again; one that has not asked for this long has given up.
-const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Least time between two changes of the membership that one member proposes.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(600);
 /// The id of commands that nobody waits for.
 const INTERNAL_COMMAND: u64 = 0;
 
-/// A candidate, and when it last asked.
-#[derive(Clone, Copy, Debug)]
-struct WaitingCandidate {
-    asked_at: Timestamp,
-    candidate: JoinCandidate,
-}
-
-/// The membership that replaced this member, and who of it is known to have it on disk.
-#[derive(Clone, Debug)]
-struct Successor {
-    membership: Membership,
-    informed: BTreeSet<Member>,
-}
-
-/// A place among the members.
-#[derive(Clone, Copy, Debug)]
-enum Place {
-    /// One that nobody has.
-    Free,
-    /// The place of a member.
-    Of(Member),
-}
-
-/// The state of membership changes.
-#[derive(Clone, Debug)]
-pub(crate) struct MembershipChange {
-    /// Machines that have announced themselves, at the founder.
-    announced: BTreeMap<Ipv4Addr, u64>,
-    last_announced_at: Timestamp,
-    candidates: BTreeMap<Ipv4Addr, WaitingCandidate>,
-    next_change_at: Timestamp,
-    next_retry_at: Timestamp,
-    /// Whether the process is about to end, and gives its place to a candidate.
-    leaving: bool,
-    successor: Option<Successor>,
-}
-
-impl Default for MembershipChange {
-    fn default() -> Self {
-        Self {
-            announced: BTreeMap::new(),
-            last_announced_at: Timestamp::DISTANT_FUTURE,
-            candidates: BTreeMap::new(),
-            next_change_at: Timestamp::DISTANT_PAST,
-            next_retry_at: Timestamp::DISTANT_PAST,
-            leaving: false,
-            successor: None,
-        }
-    }
-}
-
-impl MembershipChange {
-    /// Whether another machine has taken this member's place.
-    pub fn was_replaced(&self) -> bool {
-        self.successor.is_some()
-    }
-
-    /// Whether the process is about to end.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
-    }
-
-    /// A membership is in force; it is given where it replaced this member.
-    pub fn set_successor(&mut self, membership: Option<Membership>) {
-        self.successor = membership.map(|membership| Successor { membership, informed: BTreeSet::new() });
-    }
-
-    /// A peer has told which membership it has on disk.
-    pub fn note_reply(&mut self, from: Member, membership_version: Option<u64>) {
-        if let Some(successor) = &mut self.successor {
-            if membership_version.is_some_and(|version| version >= successor.membership.version) {
-                successor.informed.insert(from);
-            }
-        }
-    }
-
-    /// Whether peers are to be asked again; if so, the next time is scheduled.
-    pub fn is_retry_due(&mut self, now: Timestamp) -> bool {
-        let is_due = now >= self.next_retry_at;
-        if is_due {
-            self.next_retry_at = now + JOIN_RETRY_INTERVAL;
-        }
-        is_due
-    }
-
-    fn drop_stale_candidates(&mut self, now: Timestamp) {
-        self.candidates.retain(|_, waiting| now < waiting.asked_at + CANDIDATE_TIMEOUT);
-    }
-}
-
 impl Store {
     // Founding.
 
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -6,18 +6,18 @@
 //! Safety: a proposal contains what the highest accepted proposal of the promises contains ("Paxos Made Simple", P2c), and
 //! a proposal that changes the membership, or may follow one that does, has a quorum of both memberships promise first.
 
-use crate::commands::EvaluatedCommand;
 use crate::member::Member;
 use crate::membership::Membership;
 use crate::messages::{AcceptedProposal, Ballot, Command, CommandId, CommandOutcome, PeerRequest};
-use crate::peers::MIN_PROBE_INTERVAL;
+use crate::peer_tracker::MIN_PROBE_INTERVAL;
+use crate::pending_command::{EvaluatedCommand, PendingCommand};
 use crate::round::{Draft, Preparation, Promise, Proposal, Round};
 use crate::snapshot_transfer::MAX_CHUNK_ITEMS;
 use crate::store::Store;
 use ivygate_control_state::Item;
 use ivygate_rpc::{ErrorKind, RpcError};
 use ivygate_time::{millis, Timestamp};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,78 +29,6 @@
 const MIN_ROUND_BACKOFF: Duration = Duration::from_millis(40);
 const MAX_ROUND_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Most pending commands.
-const MAX_PENDING_COMMANDS: usize = 256;
-
-/// A command that waits for a round, or is in one.
-#[derive(Clone, Debug)]
-pub(crate) struct PendingCommand {
-    pub id: CommandId,
-    pub command: Command,
-    pub since: Timestamp,
-    /// The version that a drain would have brought when it was first evaluated: nothing else tells whether it came into
-    /// force in a round that was abandoned.
-    pub first_version: Option<u64>,
-}
-
-/// The proposer's state.
-#[derive(Clone, Debug)]
-pub(crate) struct Proposer {
-    round: Round,
-    pub pending: VecDeque<PendingCommand>,
-    /// The highest counter of a ballot seen.
-    highest_counter: u64,
-    /// No round starts before.
-    paused_until: Timestamp,
-    /// Rounds abandoned since the last that was chosen.
-    preempted_rounds: u32,
-    /// When an accepted proposal that is not known to be chosen is proposed again.
-    pub recovery_deadline: Option<Timestamp>,
-}
-
-impl Proposer {
-    /// No round is under way; ballots go on above `highest_counter`.
-    pub fn new(highest_counter: u64) -> Self {
-        Self {
-            round: Round::Idle,
-            pending: VecDeque::new(),
-            highest_counter,
-            paused_until: Timestamp::DISTANT_PAST,
-            preempted_rounds: 0,
-            recovery_deadline: None,
-        }
-    }
-
-    /// Adds a command to the pending ones; `false` if there are too many.
-    pub fn enqueue(&mut self, now: Timestamp, id: CommandId, command: Command) -> bool {
-        if self.pending.len() >= MAX_PENDING_COMMANDS {
-            return false;
-        }
-        self.pending.push_back(PendingCommand { id, command, since: now, first_version: None });
-        true
-    }
-
-    /// A ballot was seen: own ones must be higher.
-    pub fn note_counter(&mut self, ballot: Ballot) {
-        self.highest_counter = self.highest_counter.max(ballot.counter);
-    }
-
-    /// Whether a round has started at this very time.
-    pub fn has_prepared_at(&self, now: Timestamp) -> bool {
-        matches!(&self.round, Round::Preparing(preparation) if preparation.since == now)
-    }
-
-    fn is_idle(&self) -> bool {
-        matches!(self.round, Round::Idle)
-    }
-
-    /// Puts commands back to the front of the pending ones, in their order.
-    pub fn requeue(&mut self, commands: impl DoubleEndedIterator<Item = PendingCommand>) {
-        for command in commands.rev() {
-            self.pending.push_front(command);
-        }
-    }
-}
 
 impl Store {
     /// Starts a round if there is something to do and none is under way.
--- a/crates/config-store/src/round.rs
+++ b/crates/config-store/src/round.rs
@@ -1,9 +1,9 @@
 //! A round of the proposer, as an explicit state: idle, preparing (phase 1) or accepting (phase 2).
 
-use crate::commands::EvaluatedCommand;
 use crate::member::Member;
 use crate::membership::Membership;
 use crate::messages::{AcceptedProposal, Ballot};
+use crate::pending_command::EvaluatedCommand;
 use ivygate_control_state::{Item, Items};
 use ivygate_time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -18,13 +18,13 @@
 
 use crate::durable_state::{DurableState, Watermark};
 use crate::effect::Effect;
-use crate::learner::Learner;
+use crate::learner_state::Learner;
 use crate::member::Member;
 use crate::membership::Membership;
-use crate::membership_change::MembershipChange;
+use crate::membership_change_state::MembershipChange;
 use crate::messages::{Ballot, Command, CommandId, CommandOutcome, PeerReply, PeerRequest, PeerResponse};
-use crate::peers::PeerTracker;
-use crate::proposer::Proposer;
+use crate::peer_tracker::PeerTracker;
+use crate::proposer_state::Proposer;
 use ivygate_control_state::Table;
 use ivygate_rpc::{ErrorKind, RpcError};
 use ivygate_time::Timestamp;
--- a/crates/registry/src/service/api.rs
+++ b/crates/registry/src/service/api.rs
@@ -1,9 +1,9 @@
 //! The calls that the registry answers.
 
+use super::endpoints::Endpoint;
 use super::node::{RegistryNode, PEER_TIMEOUT};
 use crate::messages::{AntiEntropyRequest, HeartbeatRequest, HeartbeatResponse, UsageReportRequest};
 use crate::proxy_directory::proxy_addresses;
-use crate::request_forwarding::OperatorRequest;
 use ivygate_cluster::{PullRequest, PullResponse};
 use ivygate_control_state::{Table, COORDINATOR_ROLE};
 use ivygate_rpc::{json_response, ErrorKind, RouteMatcher, RpcError, RpcRequest, RpcResponse};
@@ -14,43 +14,6 @@
 /// How long a client may use an answer of the directory, in seconds, where the rules allow as much.
 const DIRECTORY_TTL_S: f64 = 1.5;
 
-#[derive(Clone, Copy)]
-pub(super) enum Endpoint {
-    Pull,
-    Heartbeat,
-    AntiEntropy,
-    Lookup,
-    UsageReport,
-    Store(OperatorRequest),
-    Status,
-}
-
-pub(super) fn routes() -> Vec<RouteMatcher<Endpoint>> {
-    use RouteMatcher::{Endpoint as End, Parameter, Segment};
-    vec![
-        Segment("lookup", vec![End("GET", Endpoint::Lookup)]),
-        Segment("news", vec![End("POST", Endpoint::Pull)]),
-        Segment("beat", vec![End("POST", Endpoint::Heartbeat)]),
-        Segment("told", vec![End("POST", Endpoint::AntiEntropy)]),
-        Segment("shares", vec![End("POST", Endpoint::UsageReport)]),
-        Segment(
-            "config",
-            vec![
-                Segment("amend", vec![End("POST", Endpoint::Store(OperatorRequest::Update))]),
-                Segment("read", vec![End("GET", Endpoint::Store(OperatorRequest::Read))]),
-            ],
-        ),
-        Segment(
-            "drain",
-            vec![Parameter(vec![
-                Segment("begin", vec![End("POST", Endpoint::Store(OperatorRequest::Drain))]),
-                Segment("finish", vec![End("POST", Endpoint::Store(OperatorRequest::Drain))]),
-            ])],
-        ),
-        Segment("status", vec![End("GET", Endpoint::Status)]),
-    ]
-}
-
 impl RegistryNode {
     /// Answers a call.
     pub async fn handle(self: Rc<Self>, request: RpcRequest) -> RpcResponse {
--- a/crates/registry/src/service/mod.rs
+++ b/crates/registry/src/service/mod.rs
@@ -3,6 +3,7 @@
 mod anti_entropy;
 mod api;
 mod coordinator_role;
+mod endpoints;
 mod heartbeats;
 mod node;
 mod quota;
--- a/crates/registry/src/service/node.rs
+++ b/crates/registry/src/service/node.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::api::{routes, Endpoint};
+use super::endpoints::{routes, Endpoint};
 
 /// How long other registries' answers are waited for.
 pub(super) const PEER_TIMEOUT: Duration = Duration::from_millis(800);
