--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -227,15 +227,20 @@
     }
 }
 
+/// A new folder, the simulated disk below it, and the store's disk opened there.
+fn opened() -> (Folder, Simulated, Disk, DurableState) {
+    let folder = Folder::new();
+    let disk = Simulated::of(&folder.0);
+    let (real, kept) = Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
+    (folder, disk, real, kept)
+}
+
 #[test]
 fn power_loss_at_any_point_keeps_the_last_acknowledged_save() {
     let mut opened_again = 0;
     for seed in 0..6_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let folder = Folder::new();
-        let disk = Simulated::of(&folder.0);
-        let (mut real, mut kept) =
-            Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
+        let (_folder, disk, mut real, mut kept) = opened();
         let mut answered = told(&kept);
         for round in 1..=40 {
             // Before each sync of this save a power loss may have been.
@@ -272,10 +277,7 @@
 fn power_loss_while_opening_loses_nothing() {
     for seed in 0..24_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let folder = Folder::new();
-        let disk = Simulated::of(&folder.0);
-        let (mut real, mut kept) =
-            Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
+        let (_folder, disk, mut real, mut kept) = opened();
         for round in 1..=10 {
             step(&mut kept, &mut rng, round);
             real.save(&kept).expect("it saves");
@@ -302,10 +304,7 @@
 fn failed_sync_keeps_the_last_acknowledged_save() {
     for seed in 0..24_u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let folder = Folder::new();
-        let disk = Simulated::of(&folder.0);
-        let (mut real, mut kept) =
-            Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
+        let (folder, disk, mut real, mut kept) = opened();
         let fails_from = disk.0.borrow().syncs + rng.usize(1..25);
         disk.0.borrow_mut().fails_from = Some(fails_from);
         let mut answered = told(&kept);
@@ -331,9 +330,7 @@
 
 #[test]
 fn each_save_costs_one_sync() {
-    let folder = Folder::new();
-    let disk = Simulated::of(&folder.0);
-    let (mut real, mut kept) = Disk::open_with(&folder.0, LIFE, Box::new(disk.clone())).expect("it opens");
+    let (folder, disk, mut real, mut kept) = opened();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut folders = listed(&folder.0);
     for round in 1..=200 {
--- a/crates/gateway/src/customer_record.rs
+++ b/crates/gateway/src/customer_record.rs
@@ -58,9 +58,9 @@
     /// Fills the buckets up to now.
     pub fn fill(&mut self, now: Timestamp, plan: &Plan) {
         self.own_bucket =
-            (self.own_bucket + (now.millis_since(self.own_filled_at)) / 1000.0 * plan.rate).min(plan.burst);
+            (self.own_bucket + now.millis_since(self.own_filled_at) / 1000.0 * plan.rate).min(plan.burst);
         self.own_filled_at = now;
-        let gain = (now.millis_since(self.limit_filled_at)) / 1000.0 * plan.limit_rate / self.gateways;
+        let gain = now.millis_since(self.limit_filled_at) / 1000.0 * plan.limit_rate / self.gateways;
         self.limit_bucket = (self.limit_bucket + gain).min(plan.limit_burst / self.gateways);
         self.limit_filled_at = now;
     }
--- a/crates/gateway/src/estimators.rs
+++ b/crates/gateway/src/estimators.rs
@@ -55,7 +55,7 @@
     /// Requests thought to be on a server.
     pub(crate) fn concurrency(&self, server: &ServerRecord, unreported: f64) -> f64 {
         let report_weight =
-            (-(self.now.millis_since(server.reported_at)) / (REPORT_MEMORY * self.shortest_target)).exp();
+            (-self.now.millis_since(server.reported_at) / (REPORT_MEMORY * self.shortest_target)).exp();
         let others = unreported + report_weight * (server.others_in_flight - unreported);
         server.in_flight.len() as f64 + others
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -16,8 +16,6 @@
 const SKETCH_COLUMNS: usize = 2048;
 /// Time kept before a deadline or a latency target for the way back.
 pub(crate) const DEADLINE_MARGIN: Millis = 2.0;
-
-const MICROS_PER_MILLI: f64 = 1000.0;
 /// The timer of housekeeping.
 const HOUSEKEEPING_TIMER: u64 = 0;
 /// The timer after which the server list is asked for again.
@@ -56,19 +54,15 @@
 
 impl PendingHedge {
     pub fn new(due_at: Timestamp, request: RequestId) -> Self {
-        Self { due_us: Self::micros(due_at), request }
+        Self { due_us: due_at.whole_micros(), request }
     }
 
     pub fn due_at(&self) -> Timestamp {
-        Timestamp::from_millis(self.due_us as f64 / MICROS_PER_MILLI)
+        Timestamp::from_micros(self.due_us)
     }
 
     pub fn is_due(&self, now: Timestamp) -> bool {
-        self.due_us <= Self::micros(now)
-    }
-
-    fn micros(at: Timestamp) -> u64 {
-        (at.as_millis().max(0.0) * MICROS_PER_MILLI) as u64
+        self.due_us <= now.whole_micros()
     }
 }
 
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -108,7 +108,7 @@
         let own_parts = (1.0 / limits.excess_cost).clamp(MIN_OWN_PARTS, MAX_OWN_PARTS);
         let own_ratio = (own_parts / gateways).min(1.0);
         // An earlier run of this gateway may have emptied its part just before this one began.
-        let limit_gain = (now.millis_since(started_at)) / 1000.0 * limits.limit_rate / gateways;
+        let limit_gain = now.millis_since(started_at) / 1000.0 * limits.limit_rate / gateways;
         self.customers.entry(key.clone()).or_insert_with(|| CustomerRecord {
             plan,
             gateways,
--- a/crates/gateway/src/server_record.rs
+++ b/crates/gateway/src/server_record.rs
@@ -85,7 +85,7 @@
     /// Whether its slow-start bound lets one more request through; it stores one at most.
     pub fn passes_slow_start_bound(&mut self, now: Timestamp) -> bool {
         let Some(bound) = self.slow_start.filter(|bound| now < bound.until) else { return true };
-        let gain = bound.requests_per_s * (now.millis_since(self.tokens_filled_at)) / 1000.0;
+        let gain = bound.requests_per_s * now.millis_since(self.tokens_filled_at) / 1000.0;
         self.slow_start_tokens = (self.slow_start_tokens + gain).min(1.0);
         self.tokens_filled_at = now;
         self.slow_start_tokens >= 1.0
@@ -93,6 +93,6 @@
 
     /// Its service time against the fleet's; what time-outs have added fades within `memory`.
     pub fn slowness_at(&self, now: Timestamp, memory: Millis) -> f64 {
-        self.slowness + self.timeout_slowness * (-(now.millis_since(self.slowness_changed_at)) / memory).exp()
+        self.slowness + self.timeout_slowness * (-now.millis_since(self.slowness_changed_at) / memory).exp()
     }
 }
--- a/crates/gateway/src/slow_start.rs
+++ b/crates/gateway/src/slow_start.rs
@@ -18,9 +18,8 @@
 impl Gateway {
     /// Present part of a server's capacity, at the least.
     pub(crate) fn capacity_ratio(&self, server: &ServerRecord) -> f64 {
-        let age = server
-            .started_at
-            .map_or(f64::INFINITY, |started_at| (self.now.millis_since(started_at)).max(0.0));
+        let age =
+            server.started_at.map_or(f64::INFINITY, |started_at| self.now.millis_since(started_at).max(0.0));
         if age >= self.settings.slow_start_duration {
             return 1.0;
         }
@@ -43,7 +42,7 @@
             let start = if is_new { self.rng.f64() * (burst + work) } else { 0.0 };
             let now = self.now;
             if let Some(server) = self.servers.get_mut(&id) {
-                let gain = rate * (now.millis_since(server.budget_filled_at)).max(0.0);
+                let gain = rate * now.millis_since(server.budget_filled_at).max(0.0);
                 let budget = server.slow_start_budget.unwrap_or(start) + gain;
                 server.slow_start_budget = Some(bounded_budget(budget, burst, work));
                 server.budget_filled_at = now;
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -42,8 +42,6 @@
 /// After a stall nothing is sent for this long: what waits to be read may say that a server drains.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
-const MICROS_PER_MILLI: f64 = 1000.0;
-
 /// What a head says, checked.
 #[derive(Debug, PartialEq)]
 pub struct Head {
@@ -472,7 +470,7 @@
             match first {
                 Some((at, _)) => {
                     tokio::select! {
-                        () = sleep_until(self.clock.instant(Timestamp::from_millis(at as f64 / MICROS_PER_MILLI))) => self.fire(),
+                        () = sleep_until(self.clock.instant(Timestamp::from_micros(at))) => self.fire(),
                         () = self.sooner.notified() => {}
                     }
                 }
@@ -502,7 +500,7 @@
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         self.wake(now);
-        let now = micros(now);
+        let now = now.whole_micros();
         // Only what is due now: a timer set meanwhile for a time that has passed fires in the next round.
         let later = state.timers.split_off(&(now + 1, 0));
         for (_, timer) in std::mem::replace(&mut state.timers, later) {
@@ -534,7 +532,7 @@
 
     fn set_timer(&self, state: &mut State, at: Timestamp, timer: Timer) -> TimerKey {
         state.timer_number += 1;
-        let key = (micros(at), state.timer_number);
+        let key = (at.whole_micros(), state.timer_number);
         state.timers.insert(key, timer);
         if state.timers.keys().next() == Some(&key) {
             self.sooner.notify_one();
@@ -670,7 +668,7 @@
         };
         let task = tokio::task::spawn_local(attempt).abort_handle();
         *timer_number += 1;
-        let timer = (micros(give_up_at), *timer_number);
+        let timer = (give_up_at.whole_micros(), *timer_number);
         timers.insert(timer, Timer::GiveUp(id, number));
         if timers.keys().next() == Some(&timer) {
             self.sooner.notify_one();
@@ -788,10 +786,6 @@
     }
 }
 
-fn micros(at: Timestamp) -> u64 {
-    (at.as_millis().max(0.0) * MICROS_PER_MILLI) as u64
-}
-
 /// Tells the driver that the client has left, unless its answer came first.
 pub struct Leaving {
     driver: Rc<Driver>,
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -18,6 +18,7 @@
 use std::time::{Duration, Instant};
 
 const NANOS_PER_MILLI: f64 = 1e6;
+const MICROS_PER_MILLI: f64 = 1e3;
 
 /// A computed length of time in milliseconds. A point in time is a [`Timestamp`].
 pub type Millis = f64;
@@ -51,6 +52,16 @@
         self.millis
     }
 
+    /// The point that is so many microseconds after the clock's start.
+    pub fn from_micros(micros: u64) -> Self {
+        Self { millis: micros as f64 / MICROS_PER_MILLI }
+    }
+
+    /// Whole microseconds since the clock's start, as keys of timers have them; 0 for a point before it.
+    pub fn whole_micros(self) -> u64 {
+        (self.millis.max(0.0) * MICROS_PER_MILLI) as u64
+    }
+
     /// Milliseconds since another point; negative if that is later, infinite for a distant one.
     pub fn millis_since(self, earlier: Self) -> f64 {
         self.millis - earlier.millis
