--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,8 @@
 //! Lines of the wire to events, actions to lines.
 
 use ivygate_gateway::{
-    Action, Arrival, AttemptResult, Event, Gateway, ListKind, Load, Outcome, ServerEntry, ServerState, Setup,
+    Action, Arrival, AttemptResult, Event, Gateway, ListKind, Load, Outcome, ServerEntry, ServerState,
+    WireSettings,
 };
 use ivygate_time::Timestamp;
 use std::collections::BTreeMap;
@@ -120,8 +121,8 @@
         let node = m.whole("node")?;
         match m.name {
             "enlist" => {
-                let settings = Setup::parse(m.text("setup")?)
-                    .and_then(Setup::settings)
+                let settings = WireSettings::parse(m.text("setup")?)
+                    .and_then(WireSettings::into_settings)
                     .map_err(|e| m.bad("setup", &e))?;
                 let gateway = Gateway::new(settings, m.whole("salt")?).map_err(|e| m.bad("setup", &e))?;
                 self.gateways.insert(node, gateway);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -28,12 +28,12 @@
 mod server_list;
 mod server_record;
 mod settings;
-mod setup;
 mod sketch;
 mod slow_start;
+mod wire_settings;
 
 pub use api::*;
 pub use gateway::Gateway;
 pub use settings::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings, SettingsError};
-pub use setup::{Bounds, Links, Setup, SetupError};
 pub use sketch::CountMinSketch;
+pub use wire_settings::{Bounds, Links, SetupError, WireSettings};
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -4,10 +4,10 @@
 use ivygate_time::Millis;
 use serde::Deserialize;
 
-/// The settings object as it is written; [`Setup::settings`] gives what a gateway acts on.
+/// The settings object as it is written; [`WireSettings::into_settings`] gives what a gateway acts on.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Setup {
+pub struct WireSettings {
     allowed: Allowed,
     az: String,
     balancers: u32,
@@ -137,7 +137,7 @@
     },
 }
 
-impl Setup {
+impl WireSettings {
     /// Reads a settings object.
     ///
     /// # Errors
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// Names the key whose value is unknown.
-    pub fn settings(self) -> Result<Settings, SetupError> {
+    pub fn into_settings(self) -> Result<Settings, SetupError> {
         Ok(Settings {
             gateways: self.balancers,
             rank: self.rank,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start.
 
-use ivygate_gateway::{Bounds, Links, Settings, Setup};
+use ivygate_gateway::{Bounds, Links, Settings, WireSettings};
 use ivygate_runtime::Listing;
 use serde::Deserialize;
 use std::fmt;
@@ -57,7 +57,7 @@
     #[serde(default)]
     limits: Limits,
     known: Option<Listing>,
-    settings: Setup,
+    settings: WireSettings,
 }
 
 #[derive(Deserialize)]
@@ -100,7 +100,7 @@
             seed,
             sockets: file.limits.sockets,
             known: file.known,
-            settings: file.settings.settings().map_err(|e| format!("settings: {e}"))?,
+            settings: file.settings.into_settings().map_err(|e| format!("settings: {e}"))?,
             links,
             bounds,
         })
