--- a/crates/gateway/src/wire_settings.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -120,7 +120,7 @@
 
 /// Why a settings object can't be acted on.
 #[derive(Debug, thiserror::Error)]
-pub enum SetupError {
+pub enum WireSettingsError {
     /// It is no JSON, or a key is missing or malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// Names the key that is missing or malformed.
-    pub fn parse(text: &str) -> Result<Self, SetupError> {
+    pub fn parse(text: &str) -> Result<Self, WireSettingsError> {
         Ok(serde_json::from_str(text)?)
     }
 
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// Names the key whose value is unknown.
-    pub fn into_settings(self) -> Result<Settings, SetupError> {
+    pub fn into_settings(self) -> Result<Settings, WireSettingsError> {
         Ok(Settings {
             gateways: self.balancers,
             rank: self.rank,
@@ -185,7 +185,7 @@
             subscribe_to_list: match self.discovery.as_str() {
                 "automatic" => false,
                 "subscribe" => true,
-                other => return Err(SetupError::UnknownDiscovery(other.to_owned())),
+                other => return Err(WireSettingsError::UnknownDiscovery(other.to_owned())),
             },
             max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after_ms),
             meter_period: (self.domain.use_period_ms > 0.0).then_some(self.domain.use_period_ms),
@@ -198,7 +198,7 @@
     }
 }
 
-fn class(c: WireClass) -> Result<RequestClass, SetupError> {
+fn class(c: WireClass) -> Result<RequestClass, WireSettingsError> {
     let effect = match (c.effect.as_str(), c.key_scope.as_str()) {
         ("safe", _) => Effect::Safe,
         ("unsafe", _) => Effect::Unsafe,
@@ -206,7 +206,10 @@
         ("keyed", "zone") => Effect::Keyed(KeyScope::Zone),
         ("keyed", "cell") => Effect::Keyed(KeyScope::Cell),
         (effect, scope) => {
-            return Err(SetupError::UnknownEffect { effect: effect.to_owned(), scope: scope.to_owned() });
+            return Err(WireSettingsError::UnknownEffect {
+                effect: effect.to_owned(),
+                scope: scope.to_owned(),
+            });
         }
     };
     Ok(RequestClass {
