--- a/crates/gateway/src/wire_settings.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -100,7 +100,7 @@
 
 /// What the settings tell of connections to app servers; a decision needs none of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Links {
+pub struct ConnectionSettings {
     /// A connection not established by then has failed; `None` where the settings do not tell.
     pub connect_timeout: Option<Millis>,
     /// App servers close a connection that has stood idle for this long; `None` if they do not tell.
@@ -147,9 +147,9 @@
     }
 
     /// The part about connections.
-    pub fn links(&self) -> Links {
+    pub fn connection_settings(&self) -> ConnectionSettings {
         let given = |ms: f64| Some(ms).filter(|ms| ms.is_finite() && *ms > 0.0);
-        Links {
+        ConnectionSettings {
             connect_timeout: given(self.allowed.connect_timeout_ms),
             keepalive: given(self.allowed.keepalive_ms),
         }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start.
 
-use ivygate_gateway::{Bounds, Links, Settings, WireSettings};
+use ivygate_gateway::{Bounds, ConnectionSettings, Settings, WireSettings};
 use ivygate_runtime::Listing;
 use serde::Deserialize;
 use std::fmt;
@@ -21,7 +21,7 @@
     /// What the decisions rest on.
     pub settings: Settings,
     /// What the settings tell of connections.
-    pub links: Links,
+    pub links: ConnectionSettings,
     /// What requests may say of themselves.
     pub bounds: Bounds,
 }
@@ -93,7 +93,7 @@
                 file.limits.sockets
             ));
         }
-        let (links, bounds) = (file.settings.links(), file.settings.bounds());
+        let (links, bounds) = (file.settings.connection_settings(), file.settings.bounds());
         Ok(Self {
             listen: file.listen,
             discovery: file.discovery,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -10,7 +10,7 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivygate_gateway::{Links, Load, Outcome, ServerId};
+use ivygate_gateway::{ConnectionSettings, Load, Outcome, ServerId};
 use ivygate_time::Millis;
 use serde::Deserialize;
 use socket2::SockRef;
@@ -209,7 +209,7 @@
 
 impl UpstreamLimits {
     /// The platform's, by what its settings tell.
-    pub fn platform(links: Links, connections: usize) -> Self {
+    pub fn platform(links: ConnectionSettings, connections: usize) -> Self {
         let keep = |ms: Millis| millis(ms * KEEP_PART);
         Self {
             connections,
