--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -36,4 +36,4 @@
 pub use gateway::Gateway;
 pub use settings::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings, SettingsError};
 pub use sketch::CountMinSketch;
-pub use wire_settings::{Bounds, ConnectionSettings, WireSettings, WireSettingsError};
+pub use wire_settings::{ConnectionSettings, RequestLimits, WireSettings, WireSettingsError};
--- a/crates/gateway/src/wire_settings.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -109,13 +109,13 @@
 
 /// Bounds on what a request may say of itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// Number of nodes.
     pub nodes: u32,
     /// Most units that one request counts; infinite where the settings do not tell.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Longest time that a client may say it waits: twice the longest deadline of all classes.
-    pub longest_wait: Millis,
+    pub max_wait: Millis,
 }
 
 /// Why a settings object can't be acted on.
@@ -156,12 +156,12 @@
     }
 
     /// What a request may say of itself.
-    pub fn bounds(&self) -> Bounds {
+    pub fn request_limits(&self) -> RequestLimits {
         let deadlines = self.classes.iter().map(|c| c.deadline_ms);
-        Bounds {
+        RequestLimits {
             nodes: self.balancers,
-            most_units: if self.domain.units_top > 0.0 { self.domain.units_top } else { f64::INFINITY },
-            longest_wait: 2.0 * deadlines.fold(0.0, f64::max),
+            max_units: if self.domain.units_top > 0.0 { self.domain.units_top } else { f64::INFINITY },
+            max_wait: 2.0 * deadlines.fold(0.0, f64::max),
         }
     }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start.
 
-use ivygate_gateway::{Bounds, ConnectionSettings, Settings, WireSettings};
+use ivygate_gateway::{ConnectionSettings, RequestLimits, Settings, WireSettings};
 use ivygate_runtime::Listing;
 use serde::Deserialize;
 use std::fmt;
@@ -23,7 +23,7 @@
     /// What the settings tell of connections.
     pub links: ConnectionSettings,
     /// What requests may say of themselves.
-    pub bounds: Bounds,
+    pub bounds: RequestLimits,
 }
 
 /// Why a configuration cannot be used.
@@ -93,7 +93,7 @@
                 file.limits.sockets
             ));
         }
-        let (links, bounds) = (file.settings.connection_settings(), file.settings.bounds());
+        let (links, bounds) = (file.settings.connection_settings(), file.settings.request_limits());
         Ok(Self {
             listen: file.listen,
             discovery: file.discovery,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -4,7 +4,7 @@
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::Method;
-use ivygate_gateway::{Bounds, Effect, Settings};
+use ivygate_gateway::{Effect, RequestLimits, Settings};
 use ivygate_runtime::{one, Head};
 use ivygate_time::Millis;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 pub struct Reader {
     classes: Vec<(Arc<str>, Effect)>,
     plans: Vec<Arc<str>>,
-    bounds: Bounds,
+    bounds: RequestLimits,
 }
 
 impl Reader {
     /// A reader for these settings.
-    pub fn new(settings: &Settings, bounds: Bounds) -> Self {
+    pub fn new(settings: &Settings, bounds: RequestLimits) -> Self {
         Self {
             classes: settings.classes.iter().map(|c| (c.name.as_str().into(), c.effect)).collect(),
             plans: settings.plans.iter().map(|p| p.name.as_str().into()).collect(),
@@ -49,7 +49,7 @@
         let customer = customer(headers).ok_or("the cookie 'customer' is missing or malformed")?;
         let wait = one(headers, "req-deadline")?.and_then(duration);
         // Guards the timers and what is kept for a request against a client that would wait for ever.
-        let wait = wait.filter(|wait| *wait <= self.bounds.longest_wait);
+        let wait = wait.filter(|wait| *wait <= self.bounds.max_wait);
         let wait = wait.ok_or("Req-Deadline is missing, malformed or too long")?;
         let terms = one(headers, "api-terms")?.and_then(|text| self.terms(text));
         let (units, width) = terms.ok_or("Api-Terms is missing, malformed or out of range")?;
@@ -87,7 +87,7 @@
         let (units, nodes) = (units?, f64::from(self.bounds.nodes));
         let spread = spread.filter(|n| n.fract() == 0.0 && (1.0..=nodes).contains(n))?;
         let first = first.filter(|n| n.fract() == 0.0 && *n < nodes);
-        (units > 0.0 && units <= self.bounds.most_units && first.is_some()).then_some((units, spread as u32))
+        (units > 0.0 && units <= self.bounds.max_units && first.is_some()).then_some((units, spread as u32))
     }
 }
 
