--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -3,7 +3,7 @@
 use crate::domain::{Belief, Domain, DomainState, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
 use crate::evidence::Sign;
 use crate::peer_reports::Tally;
-use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneAdvice};
+use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneShares};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -90,7 +90,7 @@
     /// Mean time between safe requests, and the last one.
     gap: Millis,
     safe_at: Timestamp,
-    given: Vec<ZoneAdvice>,
+    given: Vec<ZoneShares>,
     /// Processes that were heard, and when.
     authors: BTreeMap<u64, Timestamp>,
     /// Something is to be told; when something was told last.
@@ -377,15 +377,15 @@
     }
 
     /// Advice, if it differs from what was last given; zones that it does not name are as ever.
-    pub fn poll_advice(&mut self) -> Option<Vec<ZoneAdvice>> {
+    pub fn poll_zone_shares(&mut self) -> Option<Vec<ZoneShares>> {
         let safe_rate = self.safe_rate();
         let shares = |domain: &Domain| domain.shares(&self.common, safe_rate);
-        let advice: Vec<ZoneAdvice> = self
+        let advice: Vec<ZoneShares> = self
             .domains
             .values()
             .map(|domain| (domain, shares(domain)))
             .filter(|(_, shares)| *shares != (1.0, 1.0))
-            .map(|(domain, (safe, other))| ZoneAdvice { zone: domain.zone.clone(), safe, other })
+            .map(|(domain, (safe, other))| ZoneShares { zone: domain.zone.clone(), safe, other })
             .collect();
         if advice == self.given {
             return None;
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/guarded.rs
@@ -145,8 +145,8 @@
     }
 
     fn advise(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        if let Some(zones) = self.domains.poll_advice() {
-            self.gateway.handle(now, Event::Advice { zones: zones.into() }, actions);
+        if let Some(zones) = self.domains.poll_zone_shares() {
+            self.gateway.handle(now, Event::ZoneShares { zones: zones.into() }, actions);
         }
     }
 
--- a/crates/gateway/src/api.rs
+++ b/crates/gateway/src/api.rs
@@ -156,7 +156,7 @@
 /// How much may go to a zone, by the advice of whoever judges zones as a whole. It bears on each attempt, the first and
 /// further ones; what may go nowhere else, such as a repeat of a keyed request, goes there all the same.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ZoneAdvice {
+pub struct ZoneShares {
     /// The zone.
     pub zone: Arc<str>,
     /// Part of the requests that may run again any number of times, from 0 to 1.
@@ -169,9 +169,9 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Advice on zones, in place of all that was given before; zones that it does not name are as ever.
-    Advice {
+    ZoneShares {
         /// The zones.
-        zones: Arc<[ZoneAdvice]>,
+        zones: Arc<[ZoneShares]>,
     },
     /// A class that is new, or means something else from now on.
     Class(RequestClass),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,6 +1,6 @@
 //! The gateway: its state, and the handler of each event.
 
-use crate::api::{Action, Event, RequestId, ServerId, ZoneAdvice};
+use crate::api::{Action, Event, RequestId, ServerId, ZoneShares};
 use crate::customer_record::CustomerRecord;
 use crate::request_record::RequestRecord;
 use crate::server_record::ServerRecord;
@@ -87,7 +87,7 @@
     /// Failures of late, by zone.
     pub(crate) zone_failures: BTreeMap<Arc<str>, ZoneFailures>,
     /// What others advise on zones.
-    pub(crate) advice: Arc<[ZoneAdvice]>,
+    pub(crate) zone_shares: Arc<[ZoneShares]>,
     pub(crate) requests: BTreeMap<RequestId, RequestRecord>,
     pub(crate) customers: BTreeMap<Arc<str>, CustomerRecord>,
     pub(crate) plans: Vec<PlanUsage>,
@@ -146,7 +146,7 @@
             servers: BTreeMap::new(),
             ready_servers: 1.0,
             zone_failures: BTreeMap::new(),
-            advice: Arc::new([]),
+            zone_shares: Arc::new([]),
             requests: BTreeMap::new(),
             customers: BTreeMap::new(),
             hedges: BTreeSet::new(),
@@ -167,7 +167,7 @@
         self.now = self.now.max(now);
         self.start(actions);
         match event {
-            Event::Advice { zones } => self.handle_advice(zones),
+            Event::ZoneShares { zones } => self.handle_zone_shares(zones),
             Event::Class(class) => self.handle_class(class),
             Event::RetryBudget(budget) => self.handle_retry_budget(budget),
             Event::List { kind, servers } => self.handle_list(kind, &servers, actions),
@@ -197,8 +197,8 @@
         }
     }
 
-    fn handle_advice(&mut self, zones: Arc<[ZoneAdvice]>) {
-        self.advice = zones;
+    fn handle_zone_shares(&mut self, zones: Arc<[ZoneShares]>) {
+        self.zone_shares = zones;
         self.count_ready_servers();
     }
 
--- a/crates/gateway/src/load_balancing.rs
+++ b/crates/gateway/src/load_balancing.rs
@@ -3,7 +3,7 @@
 //! The cost is the expected wait by own attempts, reports and answers, what the way there costs, and the failures seen in its zone;
 //! a random part keeps gateways that know the same from choosing the same server.
 
-use crate::api::{ServerId, ZoneAdvice};
+use crate::api::{ServerId, ZoneShares};
 use crate::estimators::CONTENTION;
 use crate::gateway::{Gateway, ZoneFailures};
 use crate::outlier_ejection::MAX_EJECTION_TIME;
@@ -50,8 +50,8 @@
 
 impl Selection<'_> {
     /// Whether the request is to stay away from a zone by the advice on it.
-    fn avoids(&self, advice: &ZoneAdvice) -> bool {
-        let ratio = if self.effect == Effect::Safe { advice.safe } else { advice.other };
+    fn avoids(&self, shares: &ZoneShares) -> bool {
+        let ratio = if self.effect == Effect::Safe { shares.safe } else { shares.other };
         self.zone_draw >= ratio
     }
 }
@@ -79,7 +79,7 @@
             work,
             unreported: self.unreported_requests(),
             cross_zone_cost: CROSS_ZONE_TARGETS * self.settings.cross_zone_cost * latency_target,
-            zone_draw: if self.advice.is_empty() { 0.0 } else { self.rng.f64() },
+            zone_draw: if self.zone_shares.is_empty() { 0.0 } else { self.rng.f64() },
             at_slow_start_bound: self.servers_at_slow_start_bound(),
             effect,
             latency_target,
@@ -146,7 +146,7 @@
     }
 
     fn is_zone_avoided(&self, selection: &Selection, server: &ServerRecord) -> bool {
-        self.advice.iter().any(|advice| advice.zone == server.zone && selection.avoids(advice))
+        self.zone_shares.iter().any(|shares| shares.zone == server.zone && selection.avoids(shares))
     }
 
     /// The expected time until a server's answer, and the queueing in it.
--- a/crates/gateway/src/server_list.rs
+++ b/crates/gateway/src/server_list.rs
@@ -56,6 +56,8 @@
 
     /// Whether nothing may go to a server's zone: what hangs there is no load elsewhere.
     pub(crate) fn is_zone_left(&self, server: &ServerRecord) -> bool {
-        self.advice.iter().any(|advice| advice.zone == server.zone && advice.safe.max(advice.other) <= 0.0)
+        self.zone_shares
+            .iter()
+            .any(|shares| shares.zone == server.zone && shares.safe.max(shares.other) <= 0.0)
     }
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -239,10 +239,10 @@
                 let rng = &mut self.rng;
                 let zones = ZONES.map(|zone| {
                     let (safe, other) = (part(rng), part(rng));
-                    ZoneAdvice { zone: zone.into(), safe, other }
+                    ZoneShares { zone: zone.into(), safe, other }
                 });
                 let count = self.rng.usize(..3);
-                self.tell(Event::Advice { zones: zones[..count].into() });
+                self.tell(Event::ZoneShares { zones: zones[..count].into() });
             }
             2 => {
                 let request: RequestId = format!("r{}", self.rng.u32(..self.number.max(1))).into();
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1086,8 +1086,8 @@
         |server, zone: &str| ServerEntry { zone: zone.into(), ..member(server, 0, ServerState::Ready) };
     let members = vec![zoned(1, "west"), zoned(2, "west"), zoned(3, "east"), zoned(4, "east")];
     let mut rig = Rig::new(settings, members);
-    let zones = Arc::new([ZoneAdvice { zone: "west".into(), safe: west, other: 0.0 }]);
-    rig.handle(0.0, Event::Advice { zones });
+    let zones = Arc::new([ZoneShares { zone: "west".into(), safe: west, other: 0.0 }]);
+    rig.handle(0.0, Event::ZoneShares { zones });
     rig
 }
 
@@ -1131,9 +1131,9 @@
         rig.list(1.0, ListKind::Changes, east(ServerState::Draining));
         (0..30).for_each(|n| drop(rig.arrive(2.0 + f64::from(n), "read", "c")));
         rig.list(40.0, ListKind::Changes, east(ServerState::Ready));
-        let advice = ZoneAdvice { zone: "west".into(), safe: 0.0, other: 0.0 };
+        let advice = ZoneShares { zone: "west".into(), safe: 0.0, other: 0.0 };
         let zones: Vec<_> = if left { vec![advice] } else { Vec::new() };
-        rig.handle(41.0, Event::Advice { zones: zones.into() });
+        rig.handle(41.0, Event::ZoneShares { zones: zones.into() });
         let mut refused = 0;
         for n in 0..40 {
             let now = 50.0 + 10.0 * f64::from(n);
