--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,7 +1,7 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
 use crate::scene::Scene;
-use ivygate_failure_domains::{DomainEvent, DomainState, GuardedGateway, Kind, Tally};
+use ivygate_failure_domains::{DomainEvent, DomainState, GuardedGateway, Kind, ZoneReport};
 use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
@@ -52,7 +52,7 @@
     }
 
     /// What it tells the other processes now, if anything.
-    pub fn word(&mut self) -> Option<Vec<Tally>> {
+    pub fn word(&mut self) -> Option<Vec<ZoneReport>> {
         match &mut self.decisions {
             Decisions::Alone(_) => None,
             Decisions::Guarded(guarded) => guarded.poll_report(),
@@ -60,9 +60,9 @@
     }
 
     /// Another process tells something.
-    pub fn hear(&mut self, now: Millis, author: usize, tallies: &[Tally]) {
+    pub fn hear(&mut self, now: Millis, author: usize, reports: &[ZoneReport]) {
         if let Decisions::Guarded(guarded) = &mut self.decisions {
-            guarded.handle_report(Timestamp::from_millis(now), author as u64, tallies);
+            guarded.handle_report(Timestamp::from_millis(now), author as u64, reports);
         }
     }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -3,7 +3,7 @@
 use crate::node::{Attempt, Node, Open};
 use crate::scene::{Fault, FaultKind, Scene, Talk, MIX, ZONES};
 use crate::server::{Job, Server};
-use ivygate_failure_domains::Tally;
+use ivygate_failure_domains::ZoneReport;
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, ListKind, Load, Outcome, RequestClass, ServerEntry,
     ServerState, SettingsError,
@@ -74,7 +74,7 @@
     Back(usize, u64, u32, Outcome),
     Probed(usize, usize, Outcome),
     /// Another process's word comes to a node.
-    Word(usize, usize, Rc<[Tally]>),
+    Word(usize, usize, Rc<[ZoneReport]>),
     Lie(usize),
     Die(usize),
     Rise(usize),
@@ -262,13 +262,13 @@
                     Event::HealthChecked { server: server as u32, outcome, load: Load::default() },
                 );
             }
-            What::Word(node, author, tallies) => {
+            What::Word(node, author, reports) => {
                 self.words += 1;
-                self.nodes[node].hear(self.now, author, &tallies);
+                self.nodes[node].hear(self.now, author, &reports);
             }
             What::Lie(liar) => {
-                let all = |zone: &&str| Tally { zone: (*zone).into(), good: 0, bad: 99 };
-                let lies: Vec<Tally> = ZONES[..self.scene.zones].iter().map(all).collect();
+                let all = |zone: &&str| ZoneReport { zone: (*zone).into(), successes: 0, failures: 99 };
+                let lies: Vec<ZoneReport> = ZONES[..self.scene.zones].iter().map(all).collect();
                 self.spread(liar, lies);
                 self.at(self.now + 100.0, What::Lie(liar));
             }
@@ -313,17 +313,17 @@
     }
 
     /// Passes a node's word on to all others.
-    fn spread(&mut self, author: usize, tallies: Vec<Tally>) {
+    fn spread(&mut self, author: usize, reports: Vec<ZoneReport>) {
         let Some(Talk { delay, lost, apart, silent, .. }) = self.scene.talk else { return };
         let holds = |(from, until): (Millis, Millis)| (from..until).contains(&self.now);
         let (apart, silent) = (holds(apart), holds(silent));
-        let tallies: Rc<[Tally]> = tallies.into();
+        let reports: Rc<[ZoneReport]> = reports.into();
         for node in (0..self.nodes.len()).filter(|node| *node != author) {
             if silent || apart && node % 2 != author % 2 || lost > 0.0 && self.rng.f64() < lost {
                 continue;
             }
             let at = self.now + delay * (1.0 + self.rng.f64());
-            self.at(at, What::Word(node, author, tallies.clone()));
+            self.at(at, What::Word(node, author, reports.clone()));
         }
     }
 
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -2,7 +2,7 @@
 
 use crate::domain::{Belief, Domain, DomainState, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
 use crate::evidence::Sign;
-use crate::peer_reports::Tally;
+use crate::peer_reports::ZoneReport;
 use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneShares};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -228,7 +228,7 @@
     }
 
     /// Another process tells something of zones; `author` is its name.
-    pub fn handle_report(&mut self, author: u64, tallies: &[Tally]) {
+    pub fn handle_report(&mut self, author: u64, reports: &[ZoneReport]) {
         if self.authors.len() >= MAX_PEERS && !self.authors.contains_key(&author) {
             self.authors.retain(|_, at| *at > self.now.minus_millis(PEER_LIFETIME));
             if self.authors.len() >= MAX_PEERS {
@@ -236,28 +236,34 @@
             }
         }
         self.authors.insert(author, self.now);
-        for tally in tallies {
-            if let Some(domain) = self.domains.get_mut(&tally.zone) {
-                domain.peer_reports.handle_report(self.now, author, tally.good, tally.bad);
+        for report in reports {
+            if let Some(domain) = self.domains.get_mut(&report.zone) {
+                domain.peer_reports.handle_report(self.now, author, report.successes, report.failures);
             }
         }
         self.judge();
     }
 
     /// What is to be told to the other processes now, if anything: also nothing at all, to be heard.
-    pub fn poll_report(&mut self) -> Option<Vec<Tally>> {
+    pub fn poll_report(&mut self) -> Option<Vec<ZoneReport>> {
         let pause = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_PEER * self.heard() as f64);
         if self.now < self.told_at.plus_millis(if self.news { pause } else { REPORT_INTERVAL }) {
             return None;
         }
         (self.news, self.told_at) = (false, self.now);
         let now = self.now;
-        let tally = |domain: &mut Domain| {
+        let report = |domain: &mut Domain| {
             let (good, bad) = domain.peer_reports.own(now);
             domain.peer_reports.reported_failing = bad > 0;
-            Tally { zone: domain.zone.clone(), good, bad }
+            ZoneReport { zone: domain.zone.clone(), successes: good, failures: bad }
         };
-        Some(self.domains.values_mut().map(tally).filter(|tally| tally.good + tally.bad > 0).collect())
+        Some(
+            self.domains
+                .values_mut()
+                .map(report)
+                .filter(|report| report.successes + report.failures > 0)
+                .collect(),
+        )
     }
 
     /// Other processes that were heard of late.
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/guarded.rs
@@ -4,7 +4,7 @@
 use crate::domains::{DomainEvent, Domains, Policy};
 use crate::evidence::Sign;
 use crate::latency_baseline::LatencyBaseline;
-use crate::peer_reports::Tally;
+use crate::peer_reports::ZoneReport;
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, RejectReason, RequestId,
     ServerId,
@@ -101,13 +101,13 @@
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_report(&mut self, now: Timestamp, author: u64, tallies: &[Tally]) {
+    pub fn handle_report(&mut self, now: Timestamp, author: u64, reports: &[ZoneReport]) {
         self.domains.handle_time(now);
-        self.domains.handle_report(author, tallies);
+        self.domains.handle_report(author, reports);
     }
 
     /// What is to be told to the other processes now, if anything.
-    pub fn poll_report(&mut self) -> Option<Vec<Tally>> {
+    pub fn poll_report(&mut self) -> Option<Vec<ZoneReport>> {
         self.domains.poll_report()
     }
 
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -17,4 +17,4 @@
 pub use domains::{DomainEvent, Domains, Policy, Zone};
 pub use evidence::{Finding, Sign};
 pub use guarded::{GuardedGateway, Kind};
-pub use peer_reports::{PeerVotes, Tally};
+pub use peer_reports::{PeerVotes, ZoneReport};
--- a/crates/failure-domains/src/peer_reports.rs
+++ b/crates/failure-domains/src/peer_reports.rs
@@ -18,13 +18,13 @@
 
 /// What a process tells of a zone: its latest signs, as far as they are alike.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tally {
+pub struct ZoneReport {
     /// The zone.
     pub zone: Arc<str>,
     /// Good signs since the last bad one, if the last is good and just seen.
-    pub good: u16,
+    pub successes: u16,
     /// Bad ones since the last good one, if the last is bad. Answers that came late are neither.
-    pub bad: u16,
+    pub failures: u16,
 }
 
 /// How many other processes say what of a zone.
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,6 +1,8 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
-use ivygate_failure_domains::{DomainEvent, DomainState, Domains, GuardedGateway, Kind, Policy, Sign, Tally};
+use ivygate_failure_domains::{
+    DomainEvent, DomainState, Domains, GuardedGateway, Kind, Policy, Sign, ZoneReport,
+};
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
     ServerId, ServerState, Settings,
@@ -119,7 +121,7 @@
 /// Others say that zone b fails, or serves.
 fn told(rig: &mut Rig, authors: std::ops::Range<u64>, good: u16, bad: u16) {
     for author in authors {
-        rig.domains.handle_report(author, &[Tally { zone: "b".into(), good, bad }]);
+        rig.domains.handle_report(author, &[ZoneReport { zone: "b".into(), successes: good, failures: bad }]);
     }
 }
 
@@ -158,7 +160,7 @@
     rig.wait(100.0);
     rig.see(1, 1, Sign::Good);
     assert_eq!(
-        rig.domains.poll_report().map(|word| (word[0].good, word[0].bad)),
+        rig.domains.poll_report().map(|word| (word[0].successes, word[0].failures)),
         Some((2, 0)),
         "who sees it serve says so"
     );
--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -1,7 +1,7 @@
 //! Members: who was heard, whose packets are old, and how much each may say.
 
 use crate::packet::{open, seal, Key, Packet, Unreadable};
-use ivygate_failure_domains::Tally;
+use ivygate_failure_domains::ZoneReport;
 use std::collections::HashMap;
 
 /// Most members; packets of further ones are dropped.
@@ -84,7 +84,7 @@
     }
 
     /// A packet that tells this; `None` without a key.
-    pub fn seal(&mut self, now: f64, words: Vec<(String, Tally)>) -> Option<Vec<u8>> {
+    pub fn seal(&mut self, now: f64, words: Vec<(String, ZoneReport)>) -> Option<Vec<u8>> {
         self.number += 1;
         let packet = Packet { sender: self.own, number: self.number, sent_at: now.max(0.0) as u64, words };
         self.keys.first().map(|key| seal(&packet, key))
@@ -94,7 +94,11 @@
     ///
     /// # Errors
     /// Says why it is dropped, and counts that.
-    pub fn handle_packet(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), Dropped> {
+    pub fn handle_packet(
+        &mut self,
+        now: f64,
+        bytes: &[u8],
+    ) -> Result<(u64, Vec<(String, ZoneReport)>), Dropped> {
         let taken = self.take(now, bytes);
         if let Err(dropped) = taken {
             self.dropped[dropped as usize] += 1;
@@ -102,7 +106,7 @@
         taken
     }
 
-    fn take(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), Dropped> {
+    fn take(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, ZoneReport)>), Dropped> {
         let packet = open(bytes, &self.keys).map_err(|unreadable| match unreadable {
             Unreadable::Malformed => Dropped::Malformed,
             Unreadable::Forged => Dropped::Forged,
--- a/crates/peer-gossip/src/packet.rs
+++ b/crates/peer-gossip/src/packet.rs
@@ -5,7 +5,7 @@
 //! each; then 16 bytes of HMAC-SHA256 over all before.
 
 use hmac::{Hmac, Mac};
-use ivygate_failure_domains::Tally;
+use ivygate_failure_domains::ZoneReport;
 use sha2::Sha256;
 use std::fmt;
 
@@ -54,7 +54,7 @@
     pub number: u64,
     pub sent_at: u64,
     /// Pool and what is told of one of its zones.
-    pub words: Vec<(String, Tally)>,
+    pub words: Vec<(String, ZoneReport)>,
 }
 
 /// Writes a packet; words that find no room are left out, the last first.
@@ -80,8 +80,8 @@
         bytes.extend(pool.as_bytes());
         bytes.push(zone_length);
         bytes.extend(tally.zone.as_bytes());
-        bytes.extend(tally.good.to_be_bytes());
-        bytes.extend(tally.bad.to_be_bytes());
+        bytes.extend(tally.successes.to_be_bytes());
+        bytes.extend(tally.failures.to_be_bytes());
         count += 1;
     }
     bytes[at] = count;
@@ -134,7 +134,7 @@
         rest = after;
         let [a, b, c, d] = *counts;
         let (good, bad) = (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d]));
-        words.push((pool, Tally { zone: zone.into(), good, bad }));
+        words.push((pool, ZoneReport { zone: zone.into(), successes: good, failures: bad }));
     }
     rest.is_empty().then_some(Packet { sender, number, sent_at, words })
 }
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -1,6 +1,6 @@
 //! Packets that are forged, replayed, broken, late, or too many.
 
-use ivygate_failure_domains::Tally;
+use ivygate_failure_domains::ZoneReport;
 use ivygate_peer_gossip::{Dropped, Group, Key, PACKET_MOST};
 
 fn key(text: &str) -> Key {
@@ -14,9 +14,11 @@
 const OLD: &str = "an old key that was long in use";
 const NEW: &str = "a new key that nobody knows yet\n";
 
-fn words(count: usize) -> Vec<(String, Tally)> {
+fn words(count: usize) -> Vec<(String, ZoneReport)> {
     (0..count)
-        .map(|n| ("tiles".to_owned(), Tally { zone: format!("zone-{n}").into(), good: 3, bad: 700 }))
+        .map(|n| {
+            ("tiles".to_owned(), ZoneReport { zone: format!("zone-{n}").into(), successes: 3, failures: 700 })
+        })
         .collect()
 }
 
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -2,7 +2,7 @@
 
 use crate::front::Shared;
 use ivygate_config as config;
-use ivygate_failure_domains::Tally;
+use ivygate_failure_domains::ZoneReport;
 use ivygate_peer_gossip::{Group, Key, PACKET_MOST};
 use ivygate_runtime::Clock;
 use serde_json::{json, Value};
@@ -94,7 +94,7 @@
         let Ok((author, words)) = self.group.borrow_mut().handle_packet(now.as_millis(), packet) else {
             return;
         };
-        let mut by_pool: BTreeMap<String, Vec<Tally>> = BTreeMap::new();
+        let mut by_pool: BTreeMap<String, Vec<ZoneReport>> = BTreeMap::new();
         for (pool, tally) in words {
             by_pool.entry(pool).or_default().push(tally);
         }
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -2,7 +2,7 @@
 //! told of it.
 
 use ivygate_config as config;
-use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, Tally};
+use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, ZoneReport};
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
 use ivygate_time::Timestamp;
@@ -39,12 +39,12 @@
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
+    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[ZoneReport]) {
         self.guarded.borrow_mut().handle_report(now, author, tallies);
     }
 
     /// What is to be told to the other processes now, if anything.
-    pub fn poll_report(&self) -> Option<Vec<Tally>> {
+    pub fn poll_report(&self) -> Option<Vec<ZoneReport>> {
         self.guarded.borrow_mut().poll_report()
     }
 
