--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -247,15 +247,15 @@
         let contradicted = good > 0 && bad == 0;
         let fails = around.automatic
             && !contradicted
-            && votes.bad >= MIN_SUSPECTING_PEERS
-            && votes.bad > CONTRADICTION_FACTOR * votes.good;
+            && votes.failing >= MIN_SUSPECTING_PEERS
+            && votes.failing > CONTRADICTION_FACTOR * votes.healthy;
         let quorum = ((EJECTION_QUORUM_RATIO * around.heard as f64).ceil() as u32).max(MIN_EJECTION_QUORUM);
         let quorum = if found.score >= SUSPECT_SCORE / 2.0 {
             (2 * quorum).div_ceil(3).max(MIN_EJECTION_QUORUM)
         } else {
             quorum
         };
-        (fails, fails && votes.bad >= quorum && !around.other_away)
+        (fails, fails && votes.failing >= quorum && !around.other_away)
     }
 
     /// The next step, if one is due.
@@ -359,14 +359,14 @@
 
     fn step_ejected(&mut self, now: Timestamp) {
         let votes = self.peer_reports.votes(now);
-        let is_found_well = votes.good >= MIN_SUSPECTING_PEERS && votes.bad == 0;
+        let is_found_well = votes.healthy >= MIN_SUSPECTING_PEERS && votes.failing == 0;
         if is_found_well && now > self.since.plus_millis(PEER_RECOVERY_TIME) {
             self.until = self.until.min(now.plus_millis(self.jitter.f64() * PEER_RECOVERY_TIME));
         }
         if now < self.until {
             return;
         }
-        if votes.bad > 0 && votes.good == 0 {
+        if votes.failing > 0 && votes.healthy == 0 {
             self.until = now.plus_millis(self.jittered(FAILED_PROBE_PAUSE));
         } else {
             self.set_state(now, DomainState::Probing, self.because);
@@ -378,7 +378,7 @@
         let (good, bad) = self.evidence.since(self.since);
         let is_failing = bad >= 2 || bad == 1 && good == 0;
         let votes = self.peer_reports.votes(now);
-        let good = if votes.bad == 0 { good + votes.good } else { good };
+        let good = if votes.failing == 0 { good + votes.healthy } else { good };
         let enough = GOOD_PROBES.min(1 + self.servers as u32);
         if is_failing && around.automatic {
             self.eject(now, verdict.found, true);
--- a/crates/failure-domains/src/peer_reports.rs
+++ b/crates/failure-domains/src/peer_reports.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerVotes {
     /// That it serves.
-    pub good: u32,
+    pub healthy: u32,
     /// That it fails.
-    pub bad: u32,
+    pub failing: u32,
 }
 
 /// Own signs to be told, and the words of others.
@@ -79,7 +79,8 @@
 
     /// Whether so many other processes say that it fails.
     pub fn is_told_of(&self, now: Timestamp, by: u32) -> bool {
-        self.failing_at.is_some_and(|at| at > now.minus_millis(REPORT_LIFETIME)) && self.votes(now).bad >= by
+        self.failing_at.is_some_and(|at| at > now.minus_millis(REPORT_LIFETIME))
+            && self.votes(now).failing >= by
     }
 
     /// Own signs say nothing any more.
@@ -105,8 +106,8 @@
     pub fn votes(&self, now: Timestamp) -> PeerVotes {
         let mut votes = PeerVotes::default();
         for (at, good, bad) in self.votes.values() {
-            votes.bad += u32::from(*bad > 0 && *at > now.minus_millis(REPORT_LIFETIME));
-            votes.good += u32::from(*bad == 0 && *good > 0 && *at > now.minus_millis(SUCCESS_LIFETIME));
+            votes.failing += u32::from(*bad > 0 && *at > now.minus_millis(REPORT_LIFETIME));
+            votes.healthy += u32::from(*bad == 0 && *good > 0 && *at > now.minus_millis(SUCCESS_LIFETIME));
         }
         votes
     }
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -56,7 +56,7 @@
                 "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
-                "because": because(belief), "others_good": belief.votes.good, "others_bad": belief.votes.bad,
+                "because": because(belief), "others_good": belief.votes.healthy, "others_bad": belief.votes.failing,
                 "failed_again": belief.failed_again, "distrusted": distrusted,
             })
         };
@@ -94,10 +94,10 @@
         None => "nothing against it".to_owned(),
     };
     let voices = belief.votes;
-    if voices.good + voices.bad == 0 {
+    if voices.healthy + voices.failing == 0 {
         return own;
     }
-    format!("{own}; {} others say it fails, {} that it serves", voices.bad, voices.good)
+    format!("{own}; {} others say it fails, {} that it serves", voices.failing, voices.healthy)
 }
 
 /// One event for each happening, and none for a request.
