--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,7 +1,7 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
 use crate::scene::Scene;
-use ivygate_failure_domains::{DomainEvent, DomainState, GuardedGateway, Kind, ZoneReport};
+use ivygate_failure_domains::{ClassProfile, DomainEvent, DomainState, GuardedGateway, ZoneReport};
 use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
                 let classes = scene.classes();
                 let kinds = classes
                     .iter()
-                    .map(|c| (c.name.as_str().into(), Kind::from((c.effect, c.latency_target))));
+                    .map(|c| (c.name.as_str().into(), ClassProfile::from((c.effect, c.latency_target))));
                 Decisions::Guarded(Box::new(GuardedGateway::new(gateway, policy.clone(), kinds, seed)))
             }
         };
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/guarded.rs
@@ -21,11 +21,11 @@
 
 /// What is known of a class.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct ClassProfile {
     /// Whether its requests may run any number of times.
-    pub safe: bool,
+    pub is_safe: bool,
     /// An answer within this time is in time.
-    pub aim: Millis,
+    pub latency_target: Millis,
 }
 
 struct Attempt {
@@ -47,7 +47,7 @@
 pub struct GuardedGateway {
     gateway: Gateway,
     domains: Domains,
-    kinds: HashMap<Arc<str>, (Kind, LatencyBaseline)>,
+    kinds: HashMap<Arc<str>, (ClassProfile, LatencyBaseline)>,
     /// In order, so that one seed gives one course of things.
     open: BTreeMap<RequestId, Open>,
     hasher: RandomState,
@@ -59,7 +59,7 @@
     pub fn new(
         gateway: Gateway,
         policy: Policy,
-        kinds: impl IntoIterator<Item = (Arc<str>, Kind)>,
+        kinds: impl IntoIterator<Item = (Arc<str>, ClassProfile)>,
         seed: u64,
     ) -> Self {
         Self {
@@ -135,7 +135,7 @@
                 continue;
             }
             let Some((kind, usual)) = self.kinds.get(&open.class) else { continue };
-            let overdue = usual.overdue(kind.aim);
+            let overdue = usual.overdue(kind.latency_target);
             let due = |a: &&mut Attempt| a.out && a.silent.is_none() && now > a.sent_at.plus_millis(overdue);
             for attempt in open.attempts.iter_mut().filter(due) {
                 attempt.silent = Some(self.domains.handle_sign(attempt.server, open.customer, Sign::Silent));
@@ -152,7 +152,7 @@
 
     fn arrive(&mut self, arrival: &Arrival) {
         let Some((kind, _)) = self.kinds.get(&arrival.class) else { return };
-        if kind.safe {
+        if kind.is_safe {
             self.domains.handle_safe();
         }
         if self.open.len() < MAX_OPEN_REQUESTS {
@@ -247,8 +247,8 @@
 }
 
 /// Whether requests of an effect may run any number of times.
-impl From<(Effect, Millis)> for Kind {
-    fn from((effect, aim): (Effect, Millis)) -> Self {
-        Self { safe: effect == Effect::Safe, aim }
+impl From<(Effect, Millis)> for ClassProfile {
+    fn from((effect, latency_target): (Effect, Millis)) -> Self {
+        Self { is_safe: effect == Effect::Safe, latency_target }
     }
 }
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -16,5 +16,5 @@
 pub use domain::{Belief, DomainState};
 pub use domains::{DomainEvent, Domains, Policy, Zone};
 pub use evidence::{Finding, Sign};
-pub use guarded::{GuardedGateway, Kind};
+pub use guarded::{ClassProfile, GuardedGateway};
 pub use peer_reports::{PeerVotes, ZoneReport};
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -2,7 +2,9 @@
 //! told of it.
 
 use ivygate_config as config;
-use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, ZoneReport};
+use ivygate_failure_domains::{
+    Belief, ClassProfile, DomainEvent, DomainState, GuardedGateway, Policy, ZoneReport,
+};
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
 use ivygate_time::Timestamp;
@@ -25,7 +27,8 @@
         settings: &Settings,
         gateway: Gateway,
     ) -> Self {
-        let kind = |class: &ivygate_gateway::RequestClass| Kind::from((class.effect, class.latency_target));
+        let kind =
+            |class: &ivygate_gateway::RequestClass| ClassProfile::from((class.effect, class.latency_target));
         let kinds = settings.classes.iter().map(|class| (class.name.as_str().into(), kind(class)));
         let guarded = GuardedGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
         Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
