--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,14 +1,14 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
 use crate::scene::Scene;
-use ivygate_failure_domains::{ClassProfile, DomainEvent, DomainState, GuardedGateway, ZoneReport};
+use ivygate_failure_domains::{ClassProfile, DomainEvent, DomainState, ZoneAwareGateway, ZoneReport};
 use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
 use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
 
 pub enum Decisions {
     Alone(Box<Gateway>),
-    Guarded(Box<GuardedGateway>),
+    Guarded(Box<ZoneAwareGateway>),
 }
 
 /// An attempt that has not ended.
@@ -45,7 +45,7 @@
                 let kinds = classes
                     .iter()
                     .map(|c| (c.name.as_str().into(), ClassProfile::from((c.effect, c.latency_target))));
-                Decisions::Guarded(Box::new(GuardedGateway::new(gateway, policy.clone(), kinds, seed)))
+                Decisions::Guarded(Box::new(ZoneAwareGateway::new(gateway, policy.clone(), kinds, seed)))
             }
         };
         Ok(Self { zone: number % scene.zones, decisions, open: HashMap::new(), turns: Vec::new() })
--- a/crates/failure-domains/src/latency_baseline.rs
+++ b/crates/failure-domains/src/latency_baseline.rs
@@ -1,6 +1,6 @@
 //! How long requests of a class usually take: what is far beyond it is a sign.
 //!
-//! Called by [`crate::GuardedGateway`] alone.
+//! Called by [`crate::ZoneAwareGateway`] alone.
 
 use ivygate_time::Millis;
 
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -1,6 +1,6 @@
 //! Failure domains: which zones of a pool's servers to leave, how much may go there, and at what pace to come back.
 //!
-//! Called by the sidecar's pools and by measurements, through [`GuardedGateway`], which stands round a [`Gateway`]. It gives the
+//! Called by the sidecar's pools and by measurements, through [`ZoneAwareGateway`], which stands round a [`Gateway`]. It gives the
 //! gateway advice on zones and nothing else: it must never choose a server, send anything again or refuse, and it must
 //! not do I/O or read a clock.
 //!
@@ -9,12 +9,12 @@
 mod domain;
 mod domains;
 mod evidence;
-mod guarded;
 mod latency_baseline;
 mod peer_reports;
+mod zone_aware_gateway;
 
 pub use domain::{Belief, DomainState};
 pub use domains::{DomainEvent, Domains, Policy, Zone};
 pub use evidence::{Finding, Sign};
-pub use guarded::{ClassProfile, GuardedGateway};
 pub use peer_reports::{PeerVotes, ZoneReport};
+pub use zone_aware_gateway::{ClassProfile, ZoneAwareGateway};
--- a/crates/failure-domains/src/guarded.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -44,7 +44,7 @@
 }
 
 /// A [`Gateway`] that is advised on failure domains.
-pub struct GuardedGateway {
+pub struct ZoneAwareGateway {
     gateway: Gateway,
     domains: Domains,
     kinds: HashMap<Arc<str>, (ClassProfile, LatencyBaseline)>,
@@ -54,7 +54,7 @@
     looked_at: Timestamp,
 }
 
-impl GuardedGateway {
+impl ZoneAwareGateway {
     /// A gateway with the domains of its pool. `kinds` are its classes, by name.
     pub fn new(
         gateway: Gateway,
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,7 +1,7 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
 use ivygate_failure_domains::{
-    ClassProfile, DomainEvent, DomainState, Domains, GuardedGateway, Policy, Sign, ZoneReport,
+    ClassProfile, DomainEvent, DomainState, Domains, Policy, Sign, ZoneAwareGateway, ZoneReport,
 };
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
@@ -216,7 +216,7 @@
     let [paused, silent] = [true, false].map(|paused| {
         let gateway = Gateway::new(settings(), 3).expect("sound settings");
         let kind = ClassProfile { is_safe: true, latency_target: 1_000.0 };
-        let mut guarded = GuardedGateway::new(gateway, Policy::default(), [("read".into(), kind)], 3);
+        let mut guarded = ZoneAwareGateway::new(gateway, Policy::default(), [("read".into(), kind)], 3);
         let mut actions = Vec::new();
         let members: Vec<ServerEntry> = (0..8_u32)
             .map(|server| ServerEntry {
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -3,7 +3,7 @@
 
 use ivygate_config as config;
 use ivygate_failure_domains::{
-    Belief, ClassProfile, DomainEvent, DomainState, GuardedGateway, Policy, ZoneReport,
+    Belief, ClassProfile, DomainEvent, DomainState, Policy, ZoneAwareGateway, ZoneReport,
 };
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
@@ -16,7 +16,7 @@
 #[derive(Clone)]
 pub struct Zones {
     pool: Rc<str>,
-    guarded: Rc<RefCell<GuardedGateway>>,
+    guarded: Rc<RefCell<ZoneAwareGateway>>,
 }
 
 impl Zones {
@@ -30,7 +30,7 @@
         let kind =
             |class: &ivygate_gateway::RequestClass| ClassProfile::from((class.effect, class.latency_target));
         let kinds = settings.classes.iter().map(|class| (class.name.as_str().into(), kind(class)));
-        let guarded = GuardedGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
+        let guarded = ZoneAwareGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
         Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
     }
 
