--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -93,7 +93,7 @@
 
 /// What is believed of a domain, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Belief {
+pub struct DomainStatus {
     /// Its zone.
     pub zone: Arc<str>,
     /// Its state.
@@ -103,11 +103,11 @@
     /// Part of the safe requests, and of the others, that may go there.
     pub shares: (f64, f64),
     /// What the last change rested on.
-    pub because: Finding,
+    pub cause: Finding,
     /// What other processes said of it then.
     pub votes: PeerVotes,
     /// How often it failed again on its way back, of late.
-    pub failed_again: u32,
+    pub failed_recoveries: u32,
     /// Servers that take requests.
     pub servers: usize,
 }
@@ -168,8 +168,8 @@
     /// Part of the requests that may go there, on the way out of a slow domain and on the way back.
     level: f64,
     level_at: Timestamp,
-    failed_again: u32,
-    because: Finding,
+    failed_recoveries: u32,
+    cause: Finding,
     votes: PeerVotes,
     jitter: fastrand::Rng,
 }
@@ -187,8 +187,8 @@
             until: now,
             level: 1.0,
             level_at: now,
-            failed_again: 0,
-            because: Finding::default(),
+            failed_recoveries: 0,
+            cause: Finding::default(),
             votes: PeerVotes::default(),
             jitter: fastrand::Rng::with_seed(seed),
         }
@@ -198,8 +198,8 @@
         time * (1.0 + BACKOFF_JITTER * (2.0 * self.jitter.f64() - 1.0))
     }
 
-    fn set_state(&mut self, now: Timestamp, state: DomainState, because: Finding) {
-        (self.state, self.since, self.because) = (state, now, because);
+    fn set_state(&mut self, now: Timestamp, state: DomainState, cause: Finding) {
+        (self.state, self.since, self.cause) = (state, now, cause);
         self.votes = self.peer_reports.votes(now);
         (self.until, self.level_at) = (now, now);
         if state != DomainState::Suspect {
@@ -207,10 +207,11 @@
         }
     }
 
-    fn eject(&mut self, now: Timestamp, because: Finding, again: bool) {
-        self.failed_again = if again { (self.failed_again + 1).min(16) } else { self.failed_again };
-        self.set_state(now, DomainState::Ejected, because);
-        let away = (MIN_EJECTION_TIME * f64::from(1u32 << self.failed_again)).min(MAX_EJECTION_TIME);
+    fn eject(&mut self, now: Timestamp, cause: Finding, again: bool) {
+        self.failed_recoveries =
+            if again { (self.failed_recoveries + 1).min(16) } else { self.failed_recoveries };
+        self.set_state(now, DomainState::Ejected, cause);
+        let away = (MIN_EJECTION_TIME * f64::from(1u32 << self.failed_recoveries)).min(MAX_EJECTION_TIME);
         self.until = now.plus_millis(self.jittered(away));
     }
 
@@ -321,7 +322,7 @@
         if verdict.is_told || found.suspect && around.automatic && !found.slow {
             self.set_state(around.now, DomainState::Suspect, found);
         } else if around.now > self.since.plus_millis(FAILURE_MEMORY) {
-            self.failed_again = 0;
+            self.failed_recoveries = 0;
         }
     }
 
@@ -369,7 +370,7 @@
         if votes.failing > 0 && votes.healthy == 0 {
             self.until = now.plus_millis(self.jittered(FAILED_PROBE_PAUSE));
         } else {
-            self.set_state(now, DomainState::Probing, self.because);
+            self.set_state(now, DomainState::Probing, self.cause);
         }
     }
 
@@ -395,7 +396,7 @@
         } else if (found.suspect || verdict.is_told) && now >= self.until {
             self.level = (self.level * RECOVERY_STEP_BACK)
                 .max(SLOW_START_RATIO * common.cold_from * RECOVERY_STEP_BACK);
-            self.because = found;
+            self.cause = found;
             self.evidence.clear();
             self.until = now.plus_millis(self.jittered(RECOVERY_PAUSE));
         } else if now >= self.until {
@@ -424,15 +425,15 @@
         }
     }
 
-    pub fn belief(&self, common: &PoolProfile, safe_rate: f64) -> Belief {
-        Belief {
+    pub fn status(&self, common: &PoolProfile, safe_rate: f64) -> DomainStatus {
+        DomainStatus {
             zone: self.zone.clone(),
             state: self.state,
             since: self.since,
             shares: self.shares(common, safe_rate),
-            because: self.because,
+            cause: self.cause,
             votes: self.votes,
-            failed_again: self.failed_again,
+            failed_recoveries: self.failed_recoveries,
             servers: self.servers,
         }
     }
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -1,6 +1,6 @@
 //! All domains of a pool together: what is judged of each, and when the judgement itself is not to be believed.
 
-use crate::domain::{Belief, Domain, DomainState, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
+use crate::domain::{Domain, DomainState, DomainStatus, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
 use crate::evidence::Sign;
 use crate::peer_reports::ZoneReport;
 use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneShares};
@@ -65,7 +65,7 @@
         /// What was believed before.
         from: DomainState,
         /// What is believed now.
-        to: Belief,
+        to: DomainStatus,
     },
     /// More is judged bad than is believed; the part, by weight.
     Distrusted(f64),
@@ -364,7 +364,7 @@
             .filter(|(domain, from)| domain.state != *from)
             .map(|(domain, from)| DomainEvent::StateChanged {
                 from,
-                to: domain.belief(&self.common, safe_rate),
+                to: domain.status(&self.common, safe_rate),
             })
             .collect();
         turned.into_iter().for_each(|turned| self.emit(turned));
@@ -401,9 +401,9 @@
     }
 
     /// What is believed of each domain.
-    pub fn beliefs(&self) -> Vec<Belief> {
+    pub fn statuses(&self) -> Vec<DomainStatus> {
         let safe_rate = self.safe_rate();
-        self.domains.values().map(|domain| domain.belief(&self.common, safe_rate)).collect()
+        self.domains.values().map(|domain| domain.status(&self.common, safe_rate)).collect()
     }
 
     /// Whether too much is judged bad for the judgement to be believed.
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -13,7 +13,7 @@
 mod peer_reports;
 mod zone_aware_gateway;
 
-pub use domain::{Belief, DomainState};
+pub use domain::{DomainState, DomainStatus};
 pub use domains::{DomainEvent, Domains, Policy, Zone};
 pub use evidence::{Finding, Sign};
 pub use peer_reports::{PeerVotes, ZoneReport};
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -1,6 +1,6 @@
 //! A decision module with its pool's domains in front: reads signs off what comes of its attempts, and gives it advice.
 
-use crate::domain::Belief;
+use crate::domain::DomainStatus;
 use crate::domains::{DomainEvent, Domains, Policy};
 use crate::evidence::Sign;
 use crate::latency_baseline::LatencyBaseline;
@@ -112,8 +112,8 @@
     }
 
     /// What is believed of each domain, and whether that is believed itself.
-    pub fn beliefs(&self) -> (Vec<Belief>, bool) {
-        (self.domains.beliefs(), self.domains.distrusted())
+    pub fn statuses(&self) -> (Vec<DomainStatus>, bool) {
+        (self.domains.statuses(), self.domains.distrusted())
     }
 
     /// The next happening that nobody has been told of.
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -53,11 +53,11 @@
     }
 
     fn state(&self, zone: &str) -> DomainState {
-        self.domains.beliefs().iter().find(|belief| *belief.zone == *zone).expect("a zone").state
+        self.domains.statuses().iter().find(|status| *status.zone == *zone).expect("a zone").state
     }
 
     fn shares(&self, zone: &str) -> (f64, f64) {
-        self.domains.beliefs().iter().find(|belief| *belief.zone == *zone).expect("a zone").shares
+        self.domains.statuses().iter().find(|status| *status.zone == *zone).expect("a zone").shares
     }
 }
 
@@ -259,12 +259,8 @@
         }
         guarded.handle(Timestamp::from_millis(600.0), Event::Timer { token: 0 }, &mut actions);
         guarded.handle(Timestamp::from_millis(640.0), Event::Timer { token: 0 }, &mut actions);
-        guarded
-            .beliefs()
-            .0
-            .iter()
-            .any(|belief| belief.because.bad > 0 || belief.state != DomainState::Healthy)
-            || guarded.beliefs().1
+        guarded.statuses().0.iter().any(|status| status.cause.bad > 0 || status.state != DomainState::Healthy)
+            || guarded.statuses().1
     });
     assert!(silent && !paused);
 }
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -3,7 +3,7 @@
 
 use ivygate_config as config;
 use ivygate_failure_domains::{
-    Belief, ClassProfile, DomainEvent, DomainState, Policy, ZoneAwareGateway, ZoneReport,
+    ClassProfile, DomainEvent, DomainState, DomainStatus, Policy, ZoneAwareGateway, ZoneReport,
 };
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
@@ -53,14 +53,14 @@
 
     /// What is believed of each zone, one JSON document each; ages in milliseconds.
     pub fn told(&self, now: Timestamp) -> Vec<Value> {
-        let (beliefs, distrusted) = self.guarded.borrow().beliefs();
-        let one = |belief: &Belief| {
+        let (beliefs, distrusted) = self.guarded.borrow().statuses();
+        let one = |belief: &DomainStatus| {
             json!({
                 "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
                 "because": because(belief), "others_good": belief.votes.healthy, "others_bad": belief.votes.failing,
-                "failed_again": belief.failed_again, "distrusted": distrusted,
+                "failed_again": belief.failed_recoveries, "distrusted": distrusted,
             })
         };
         beliefs.iter().map(one).collect()
@@ -90,8 +90,8 @@
 }
 
 /// What a belief rests on, in words.
-fn because(belief: &Belief) -> String {
-    let found = &belief.because;
+fn because(belief: &DomainStatus) -> String {
+    let found = &belief.cause;
     let own = match found.kind {
         Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.word()),
         None => "nothing against it".to_owned(),
@@ -125,14 +125,14 @@
     }
 }
 
-fn tell_turn(pool: &str, from: DomainState, to: &Belief) {
+fn tell_turn(pool: &str, from: DomainState, to: &DomainStatus) {
     tracing::warn!(
         pool,
         zone = &*to.zone,
         from = from.word(),
         to = to.state.word(),
         because = because(to),
-        failed_again = to.failed_again,
+        failed_again = to.failed_recoveries,
         "zone judged anew"
     );
 }
