--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scene.rs
@@ -1,6 +1,6 @@
 //! What is played.
 
-use ivygate_failure_domains::Policy;
+use ivygate_failure_domains::EjectionPolicy;
 use ivygate_gateway::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_time::Millis;
 
@@ -90,7 +90,7 @@
     /// What goes wrong.
     pub faults: Vec<Fault>,
     /// How zones are judged; `None` for decision modules alone.
-    pub domains: Option<Policy>,
+    pub domains: Option<EjectionPolicy>,
     /// How processes hear each other, if they do; only where zones are judged.
     pub talk: Option<Talk>,
 }
@@ -131,7 +131,12 @@
     #[must_use]
     pub fn judged(mut self) -> Self {
         let processes = self.nodes as u32;
-        self.domains = Some(Policy { processes, cold_from: COLD_FROM, warm: WARM, ..Policy::default() });
+        self.domains = Some(EjectionPolicy {
+            processes,
+            slow_start_capacity: COLD_FROM,
+            slow_start_duration: WARM,
+            ..EjectionPolicy::default()
+        });
         self
     }
 
--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -118,9 +118,9 @@
     /// Processes that share the servers.
     pub processes: u32,
     /// Capacity of a server at its start, as a part.
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// It has all of it after this.
-    pub warm: Millis,
+    pub slow_start_duration: Millis,
 }
 
 /// What else a domain's next step depends on.
@@ -385,7 +385,7 @@
             self.eject(now, verdict.found, true);
         } else if good >= enough || now > self.since.plus_millis(MAX_PROBING_TIME) {
             self.set_state(now, DomainState::Recovering, verdict.found);
-            self.level = SLOW_START_RATIO * common.cold_from;
+            self.level = SLOW_START_RATIO * common.slow_start_capacity;
         }
     }
 
@@ -395,12 +395,13 @@
             self.eject(now, found, true);
         } else if (found.suspect || verdict.is_told) && now >= self.until {
             self.level = (self.level * RECOVERY_STEP_BACK)
-                .max(SLOW_START_RATIO * common.cold_from * RECOVERY_STEP_BACK);
+                .max(SLOW_START_RATIO * common.slow_start_capacity * RECOVERY_STEP_BACK);
             self.cause = found;
             self.evidence.clear();
             self.until = now.plus_millis(self.jittered(RECOVERY_PAUSE));
         } else if now >= self.until {
-            let pace = SLOW_START_RATIO * (1.0 - common.cold_from) / common.warm.max(1.0);
+            let pace =
+                SLOW_START_RATIO * (1.0 - common.slow_start_capacity) / common.slow_start_duration.max(1.0);
             self.level += pace * now.millis_since(self.level_at.max(self.until)).max(0.0);
             if self.level >= SLOW_START_RATIO {
                 self.level = 1.0;
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -32,25 +32,31 @@
 
 /// How domains are judged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Policy {
+pub struct EjectionPolicy {
     /// Whether domains are left by signs; else only by hand, and signs are only told of.
-    pub automatic: bool,
+    pub automatic_ejection: bool,
     /// Zones taken out by hand.
-    pub works: BTreeSet<String>,
+    pub maintenance_zones: BTreeSet<String>,
     /// From this part of the servers on, by weight, that is judged bad, the judgement is not believed.
-    pub distrust: f64,
+    pub panic_threshold: f64,
     /// Processes that share the servers.
     pub processes: u32,
     /// Capacity of a server at its start, as a part.
-    pub cold_from: f64,
+    pub slow_start_capacity: f64,
     /// It has all of it after this.
-    pub warm: Millis,
+    pub slow_start_duration: Millis,
 }
 
-impl Default for Policy {
+impl Default for EjectionPolicy {
     fn default() -> Self {
-        let works = BTreeSet::new();
-        Self { automatic: true, works, distrust: 0.5, processes: 1, cold_from: 0.2, warm: 10_000.0 }
+        Self {
+            automatic_ejection: true,
+            maintenance_zones: BTreeSet::new(),
+            panic_threshold: 0.5,
+            processes: 1,
+            slow_start_capacity: 0.2,
+            slow_start_duration: 10_000.0,
+        }
     }
 }
 
@@ -77,7 +83,7 @@
 
 /// The domains of one pool.
 pub struct Domains {
-    policy: Policy,
+    policy: EjectionPolicy,
     common: PoolProfile,
     domains: BTreeMap<Zone, Domain>,
     servers: BTreeMap<ServerId, (Zone, f64, bool)>,
@@ -102,7 +108,7 @@
 
 impl Domains {
     /// Domains of which nothing is known.
-    pub fn new(policy: Policy, seed: u64) -> Self {
+    pub fn new(policy: EjectionPolicy, seed: u64) -> Self {
         Self {
             common: common(&policy),
             policy,
@@ -126,7 +132,7 @@
     }
 
     /// Another policy, as after a reload.
-    pub fn handle_policy(&mut self, now: Timestamp, policy: Policy) {
+    pub fn handle_policy(&mut self, now: Timestamp, policy: EjectionPolicy) {
         self.common = common(&policy);
         self.policy = policy;
         self.handle_time(now);
@@ -285,7 +291,7 @@
     fn around(&self) -> StepContext {
         StepContext {
             now: self.now,
-            automatic: self.policy.automatic,
+            automatic: self.policy.automatic_ejection,
             lone: self.lone(),
             others: (0, 0),
             heard: self.heard(),
@@ -329,7 +335,7 @@
         let signs = |of: &Domain| of.evidence.recent(around.now);
         let all = self.domains.values().map(signs).fold((0, 0), |(g, b), (good, bad)| (g + good, b + bad));
         for domain in self.domains.values_mut() {
-            domain.set_maintenance(around.now, self.policy.works.contains(&*domain.zone));
+            domain.set_maintenance(around.now, self.policy.maintenance_zones.contains(&*domain.zone));
             let other_away = away.iter().any(|zone| *zone != domain.zone);
             let (good, bad) = signs(domain);
             let others = (all.0 - good, all.1 - bad);
@@ -343,7 +349,7 @@
                 (all + d.weight, bad + if d.state.judged_bad() { d.weight } else { 0.0 })
             });
         let part = if all > 0.0 { bad / all } else { 0.0 };
-        if part > self.policy.distrust && !self.distrusted {
+        if part > self.policy.panic_threshold && !self.distrusted {
             if self.now > self.distrusted_until.plus_millis(MAX_DISTRUST_TIME) {
                 self.distrusted_times = 0;
             }
@@ -412,6 +418,10 @@
     }
 }
 
-fn common(policy: &Policy) -> PoolProfile {
-    PoolProfile { processes: policy.processes, cold_from: policy.cold_from, warm: policy.warm }
+fn common(policy: &EjectionPolicy) -> PoolProfile {
+    PoolProfile {
+        processes: policy.processes,
+        slow_start_capacity: policy.slow_start_capacity,
+        slow_start_duration: policy.slow_start_duration,
+    }
 }
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -1,7 +1,7 @@
 //! A decision module with its pool's domains in front: reads signs off what comes of its attempts, and gives it advice.
 
 use crate::domain::DomainStatus;
-use crate::domains::{DomainEvent, Domains, Policy};
+use crate::domains::{DomainEvent, Domains, EjectionPolicy};
 use crate::evidence::Sign;
 use crate::latency_baseline::LatencyBaseline;
 use crate::peer_reports::ZoneReport;
@@ -58,7 +58,7 @@
     /// A gateway with the domains of its pool. `kinds` are its classes, by name.
     pub fn new(
         gateway: Gateway,
-        policy: Policy,
+        policy: EjectionPolicy,
         kinds: impl IntoIterator<Item = (Arc<str>, ClassProfile)>,
         seed: u64,
     ) -> Self {
@@ -96,7 +96,7 @@
     }
 
     /// Another policy, as after a reload.
-    pub fn handle_policy(&mut self, now: Timestamp, policy: Policy) {
+    pub fn handle_policy(&mut self, now: Timestamp, policy: EjectionPolicy) {
         self.domains.handle_policy(now, policy);
     }
 
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,7 +1,7 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
 use ivygate_failure_domains::{
-    ClassProfile, DomainEvent, DomainState, Domains, Policy, Sign, ZoneAwareGateway, ZoneReport,
+    ClassProfile, DomainEvent, DomainState, Domains, EjectionPolicy, Sign, ZoneAwareGateway, ZoneReport,
 };
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
@@ -17,7 +17,7 @@
 
 impl Rig {
     /// Zones of three servers each: 0 to 2 stand in a, 3 to 5 in b, and so on.
-    fn new(zones: &[&str], policy: Policy) -> Self {
+    fn new(zones: &[&str], policy: EjectionPolicy) -> Self {
         let mut domains = Domains::new(policy, 7);
         let member = |number: usize| ServerEntry {
             server: number as ServerId,
@@ -63,7 +63,12 @@
 
 #[test]
 fn a_lost_zone_is_left_tried_by_few_and_comes_back_in_steps() {
-    let policy = Policy { processes: 10, cold_from: 0.2, warm: 5_000.0, ..Policy::default() };
+    let policy = EjectionPolicy {
+        processes: 10,
+        slow_start_capacity: 0.2,
+        slow_start_duration: 5_000.0,
+        ..EjectionPolicy::default()
+    };
     let mut rig = Rig::new(&["a", "b"], policy);
     rig.see(0, 20, Sign::Good);
     rig.see(1, 20, Sign::Good);
@@ -99,7 +104,7 @@
 
 #[test]
 fn where_too_much_is_judged_bad_the_judgement_is_not_believed() {
-    let mut rig = Rig::new(&["a", "b", "c"], Policy::default());
+    let mut rig = Rig::new(&["a", "b", "c"], EjectionPolicy::default());
     for zone in 0..3 {
         rig.see(zone, 10, Sign::Good);
     }
@@ -128,7 +133,7 @@
 #[test]
 fn a_quorum_of_others_makes_a_zone_left_and_one_voice_does_nothing() {
     let fresh = |heard: u64| {
-        let mut rig = Rig::new(&["a", "b"], Policy::default());
+        let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
         told(&mut rig, 0..heard, 0, 0);
         rig
     };
@@ -168,7 +173,7 @@
 
 #[test]
 fn words_fade_and_where_nothing_is_heard_own_eyes_decide() {
-    let mut rig = Rig::new(&["a", "b"], Policy::default());
+    let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
     told(&mut rig, 0..2, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Suspect);
     rig.wait(3_100.0);
@@ -186,7 +191,7 @@
 
 #[test]
 fn what_one_process_says_is_bounded_whatever_it_sees() {
-    let mut rig = Rig::new(&["a", "b"], Policy::default());
+    let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
     told(&mut rig, 0..600, 0, 0);
     assert_eq!(rig.domains.heard(), 512, "no more are heard");
     let mut words = 0;
@@ -200,7 +205,7 @@
 
 #[test]
 fn what_was_seen_before_a_pause_says_nothing_after_it() {
-    let mut rig = Rig::new(&["a", "b"], Policy::default());
+    let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
     rig.see(0, 10, Sign::Good);
     rig.see(1, 3, Sign::Silent);
     rig.now += 3_000.0;
@@ -216,7 +221,8 @@
     let [paused, silent] = [true, false].map(|paused| {
         let gateway = Gateway::new(settings(), 3).expect("sound settings");
         let kind = ClassProfile { is_safe: true, latency_target: 1_000.0 };
-        let mut guarded = ZoneAwareGateway::new(gateway, Policy::default(), [("read".into(), kind)], 3);
+        let mut guarded =
+            ZoneAwareGateway::new(gateway, EjectionPolicy::default(), [("read".into(), kind)], 3);
         let mut actions = Vec::new();
         let members: Vec<ServerEntry> = (0..8_u32)
             .map(|server| ServerEntry {
@@ -302,7 +308,7 @@
 
 #[test]
 fn a_slow_zone_keeps_what_the_others_do_not_bear() {
-    let mut rig = Rig::new(&["a", "b"], Policy::default());
+    let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
     rig.see(0, 40, Sign::Good);
     rig.see(1, 10, Sign::Late);
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Draining, (0.5, 0.5)));
@@ -320,17 +326,17 @@
 
 #[test]
 fn works_take_a_zone_out_and_give_it_back_step_by_step() {
-    let mut policy = Policy { automatic: false, ..Policy::default() };
+    let mut policy = EjectionPolicy { automatic_ejection: false, ..EjectionPolicy::default() };
     let mut rig = Rig::new(&["a", "b"], policy.clone());
     rig.see(0, 10, Sign::Good);
     rig.see(1, 20, Sign::Wrong);
     assert_eq!(rig.state("b"), DomainState::Healthy, "only by hand");
-    policy.works.insert("b".into());
+    policy.maintenance_zones.insert("b".into());
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy.clone());
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Maintenance, (0.0, 0.0)));
     rig.wait(20_000.0);
     assert_eq!(rig.state("b"), DomainState::Maintenance);
-    policy.works.clear();
+    policy.maintenance_zones.clear();
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy);
     assert_eq!(rig.state("b"), DomainState::Probing);
     rig.see(1, 4, Sign::Good);
@@ -339,7 +345,7 @@
 
 #[test]
 fn a_zone_that_bears_anothers_load_may_be_slow() {
-    let mut rig = Rig::new(&["a", "b"], Policy { distrust: 1.0, ..Policy::default() });
+    let mut rig = Rig::new(&["a", "b"], EjectionPolicy { panic_threshold: 1.0, ..EjectionPolicy::default() });
     rig.see(0, 10, Sign::Good);
     rig.see(1, 5, Sign::Reset);
     assert_eq!(rig.state("b"), DomainState::Ejected);
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -3,7 +3,7 @@
 
 use ivygate_config as config;
 use ivygate_failure_domains::{
-    ClassProfile, DomainEvent, DomainState, DomainStatus, Policy, ZoneAwareGateway, ZoneReport,
+    ClassProfile, DomainEvent, DomainState, DomainStatus, EjectionPolicy, ZoneAwareGateway, ZoneReport,
 };
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
@@ -77,15 +77,15 @@
     }
 }
 
-fn policy(pool: &config::Pool, domains: &config::Domains) -> Policy {
-    let usual = Policy::default();
-    Policy {
-        automatic: domains.leave,
-        works: domains.works.iter().cloned().collect(),
-        distrust: domains.distrust,
+fn policy(pool: &config::Pool, domains: &config::Domains) -> EjectionPolicy {
+    let usual = EjectionPolicy::default();
+    EjectionPolicy {
+        automatic_ejection: domains.leave,
+        maintenance_zones: domains.works.iter().cloned().collect(),
+        panic_threshold: domains.distrust,
         processes: pool.sidecars,
-        cold_from: pool.cold.map_or(usual.cold_from, |cold| cold.from),
-        warm: pool.cold.map_or(usual.warm, |cold| cold.warm),
+        slow_start_capacity: pool.cold.map_or(usual.slow_start_capacity, |cold| cold.from),
+        slow_start_duration: pool.cold.map_or(usual.slow_start_duration, |cold| cold.warm),
     }
 }
 
