--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by [`crate::Domains`] alone.
 
-use crate::evidence::{Evidence, Finding, Sign, ALARM_SCORE, SUSPECT_SCORE};
+use crate::evidence::{Evidence, Finding, Observation, ALARM_SCORE, SUSPECT_SCORE};
 use crate::peer_reports::{PeerReports, PeerVotes};
 use ivygate_gateway::ServerId;
 use ivygate_time::{Millis, Timestamp};
@@ -42,7 +42,7 @@
 /// Other processes that say so make a zone suspect; more than twice as many as say the contrary.
 pub(crate) const MIN_SUSPECTING_PEERS: u32 = 2;
 const CONTRADICTION_FACTOR: u32 = 2;
-/// Part of the processes heard of late that make it left, with no own sign; with one two thirds as many do.
+/// Part of the processes heard of late that make it left, with no own observation; with one two thirds as many do.
 const EJECTION_QUORUM_RATIO: f64 = 0.3;
 const MIN_EJECTION_QUORUM: u32 = 3;
 /// A zone that others have tried in vain just now is not tried for this long.
@@ -57,7 +57,7 @@
 pub enum DomainState {
     /// As ever.
     Healthy,
-    /// A first sign: what may not run twice goes elsewhere.
+    /// A first observation: what may not run twice goes elsewhere.
     Suspect,
     /// Lost: nothing goes there.
     Ejected,
@@ -224,14 +224,21 @@
         }
     }
 
-    /// Takes in a sign.
-    pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
+    /// Takes in a observation.
+    pub fn handle_observation(
+        &mut self,
+        now: Timestamp,
+        number: u64,
+        server: ServerId,
+        customer: u64,
+        observation: Observation,
+    ) {
         if self.state == DomainState::Healthy {
-            self.evidence.learn(sign);
+            self.evidence.learn(observation);
         }
-        self.evidence.handle_sign(now, number, server, customer, sign);
-        if sign != Sign::Late {
-            self.peer_reports.handle_sign(now, number, sign == Sign::Good);
+        self.evidence.handle_observation(now, number, server, customer, observation);
+        if observation != Observation::Slow {
+            self.peer_reports.handle_observation(now, number, observation == Observation::Success);
         }
     }
 
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -1,7 +1,7 @@
 //! All domains of a pool together: what is judged of each, and when the judgement itself is not to be believed.
 
 use crate::domain::{Domain, DomainState, DomainStatus, PoolProfile, StepContext, MIN_SUSPECTING_PEERS};
-use crate::evidence::Sign;
+use crate::evidence::Observation;
 use crate::peer_reports::ZoneReport;
 use ivygate_gateway::{ServerEntry, ServerId, ServerState, ZoneShares};
 use ivygate_time::{Millis, Timestamp};
@@ -88,7 +88,7 @@
     domains: BTreeMap<Zone, Domain>,
     servers: BTreeMap<ServerId, (Zone, f64, bool)>,
     now: Timestamp,
-    signs: u64,
+    observations: u64,
     pressed_until: Timestamp,
     distrusted: bool,
     distrusted_until: Timestamp,
@@ -115,7 +115,7 @@
             domains: BTreeMap::new(),
             servers: BTreeMap::new(),
             now: Timestamp::DISTANT_PAST,
-            signs: 0,
+            observations: 0,
             pressed_until: Timestamp::DISTANT_PAST,
             distrusted: false,
             distrusted_until: Timestamp::DISTANT_PAST,
@@ -200,25 +200,28 @@
     }
 
     /// An attempt has shown something; the sign's number is returned.
-    pub fn handle_sign(&mut self, server: ServerId, customer: u64, sign: Sign) -> u64 {
-        self.signs += 1;
-        let number = self.signs;
+    pub fn handle_observation(&mut self, server: ServerId, customer: u64, observation: Observation) -> u64 {
+        self.observations += 1;
+        let number = self.observations;
         let domain = self.servers.get(&server).and_then(|(zone, ..)| self.domains.get_mut(zone));
         if let Some(domain) = domain {
-            domain.handle_sign(self.now, number, server, customer, sign);
-            self.news |= match sign {
+            domain.handle_observation(self.now, number, server, customer, observation);
+            self.news |= match observation {
                 // Who is told that a zone fails, by enough to be heeded, and sees it serve, says so;
                 // and who has said so itself takes it back.
-                Sign::Good => {
+                Observation::Success => {
                     domain.state != DomainState::Healthy
                         || domain.peer_reports.reported_failing
                         || domain.peer_reports.is_told_of(self.now, MIN_SUSPECTING_PEERS)
                 }
-                Sign::Late => false,
-                Sign::Silent | Sign::Refused | Sign::Reset | Sign::Wrong => true,
+                Observation::Slow => false,
+                Observation::NoResponse
+                | Observation::ConnectFailed
+                | Observation::Reset
+                | Observation::Error => true,
             };
             // Good news changes nothing at once, and most news is good.
-            if sign != Sign::Good {
+            if observation != Observation::Success {
                 self.judge();
             }
         }
--- a/crates/failure-domains/src/evidence.rs
+++ b/crates/failure-domains/src/evidence.rs
@@ -36,31 +36,31 @@
 
 /// What an attempt has shown of a server's domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// An answer in the usual time.
-    Good,
+    Success,
     /// An answer long after the usual time.
-    Late,
+    Slow,
     /// No answer, long after the usual time.
-    Silent,
+    NoResponse,
     /// No connection.
-    Refused,
+    ConnectFailed,
     /// The connection broke.
     Reset,
     /// An answer that is an error.
-    Wrong,
+    Error,
 }
 
-impl Sign {
+impl Observation {
     /// Its name in beliefs and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Sign::Good => "good",
-            Sign::Late => "late",
-            Sign::Silent => "silent",
-            Sign::Refused => "refused",
-            Sign::Reset => "reset",
-            Sign::Wrong => "wrong",
+            Observation::Success => "good",
+            Observation::Slow => "late",
+            Observation::NoResponse => "silent",
+            Observation::ConnectFailed => "refused",
+            Observation::Reset => "reset",
+            Observation::Error => "wrong",
         }
     }
 }
@@ -71,7 +71,7 @@
     at: Timestamp,
     server: ServerId,
     customer: u64,
-    sign: Sign,
+    observation: Observation,
 }
 
 /// What the signs of late come to.
@@ -89,8 +89,8 @@
     pub bad: u32,
     /// All signs that it rests on.
     pub signs: u32,
-    /// The commonest bad sign.
-    pub kind: Option<Sign>,
+    /// The commonest bad observation.
+    pub kind: Option<Observation>,
 }
 
 /// The signs of one domain.
@@ -108,24 +108,31 @@
 }
 
 impl Evidence {
-    /// Takes in a sign; `number` is its own.
-    pub fn handle_sign(&mut self, now: Timestamp, number: u64, server: ServerId, customer: u64, sign: Sign) {
+    /// Takes in a observation; `number` is its own.
+    pub fn handle_observation(
+        &mut self,
+        now: Timestamp,
+        number: u64,
+        server: ServerId,
+        customer: u64,
+        observation: Observation,
+    ) {
         if self.seen.len() == MAX_SIGNS {
             self.seen.pop_front();
         }
-        self.seen.push_back(Seen { number, at: now, server, customer, sign });
+        self.seen.push_back(Seen { number, at: now, server, customer, observation });
     }
 
     /// An attempt that was called silent has been answered after all.
     pub fn handle_answer(&mut self, number: u64) {
         if let Some(seen) = self.seen.iter_mut().rev().find(|seen| seen.number == number) {
-            seen.sign = Sign::Late;
+            seen.observation = Observation::Slow;
         }
     }
 
     /// Learns how often signs are bad while nothing is wrong.
-    pub fn learn(&mut self, sign: Sign) {
-        let bad = f64::from(u8::from(sign != Sign::Good));
+    pub fn learn(&mut self, observation: Observation) {
+        let bad = f64::from(u8::from(observation != Observation::Success));
         self.usual += BASELINE_LEARNING_WEIGHT * (bad - self.usual);
     }
 
@@ -137,8 +144,8 @@
     /// Good and bad signs since a time.
     pub fn since(&self, at: Timestamp) -> (u32, u32) {
         let late = self.seen.iter().rev().take_while(|seen| seen.at >= at);
-        late.fold((0, 0), |(good, bad), seen| match seen.sign {
-            Sign::Good => (good + 1, bad),
+        late.fold((0, 0), |(good, bad), seen| match seen.observation {
+            Observation::Success => (good + 1, bad),
             _ => (good, bad + 1),
         })
     }
@@ -170,7 +177,7 @@
         let usual = self.usual.max(elsewhere).clamp(MIN_BASELINE_BAD_RATIO, MAX_BASELINE_BAD_RATIO);
         let failing = FAILING_BAD_RATIO.max((FAILING_FACTOR * usual).min(MAX_FAILING_BAD_RATIO));
         let (for_bad, for_good) = ((failing / usual).ln(), ((1.0 - failing) / (1.0 - usual)).ln());
-        let weigh = |seen: &Seen| if seen.sign == Sign::Good { for_good } else { for_bad };
+        let weigh = |seen: &Seen| if seen.observation == Observation::Success { for_good } else { for_bad };
         // Page's test: the latest signs whose sum is largest.
         let (mut sum, mut best, mut length) = (0.0, 0.0, 0);
         for (count, seen) in
@@ -182,7 +189,8 @@
             }
         }
         let latest: Vec<&Seen> = self.seen.iter().rev().take(length).collect();
-        let bad: Vec<&&Seen> = latest.iter().filter(|seen| seen.sign != Sign::Good).collect();
+        let bad: Vec<&&Seen> =
+            latest.iter().filter(|seen| seen.observation != Observation::Success).collect();
         if bad.is_empty() {
             return Finding::default();
         }
@@ -200,14 +208,20 @@
         let no_customer = least(bad.iter().map(|s| by_customer(s)).collect(), &by_customer);
         let of_many = |part: f64| servers < 2 || no_server >= part * MIN_SCORE_RATIO_WITHOUT_SERVER;
         let of_some = |part: f64| lone || no_customer >= part * MIN_SCORE_RATIO_WITHOUT_CUSTOMER;
-        let kinds = [Sign::Silent, Sign::Late, Sign::Refused, Sign::Reset, Sign::Wrong];
-        let count = |kind: Sign| bad.iter().filter(|seen| seen.sign == kind).count();
+        let kinds = [
+            Observation::NoResponse,
+            Observation::Slow,
+            Observation::ConnectFailed,
+            Observation::Reset,
+            Observation::Error,
+        ];
+        let count = |kind: Observation| bad.iter().filter(|seen| seen.observation == kind).count();
         let kind = kinds.into_iter().max_by_key(|kind| count(*kind));
         Finding {
             score: best,
             alarm: best >= ALARM_SCORE && of_many(ALARM_SCORE) && of_some(ALARM_SCORE),
             suspect: best >= SUSPECT_SCORE && of_many(SUSPECT_SCORE) && of_some(SUSPECT_SCORE),
-            slow: count(Sign::Late) as f64 >= MIN_SLOW_RATIO * bad.len() as f64,
+            slow: count(Observation::Slow) as f64 >= MIN_SLOW_RATIO * bad.len() as f64,
             bad: bad.len() as u32,
             signs: latest.len() as u32,
             kind,
--- a/crates/failure-domains/src/evidence/tests.rs
+++ b/crates/failure-domains/src/evidence/tests.rs
@@ -2,23 +2,29 @@
 
 use super::*;
 
-/// Signs a millisecond apart: server, customer, sign.
-fn told(signs: &[(ServerId, u64, Sign)]) -> Finding {
+/// Signs a millisecond apart: server, customer, observation.
+fn told(signs: &[(ServerId, u64, Observation)]) -> Finding {
     let mut evidence = Evidence::default();
-    for (number, (server, customer, sign)) in signs.iter().enumerate() {
-        evidence.handle_sign(Timestamp::from_millis(number as f64), number as u64, *server, *customer, *sign);
+    for (number, (server, customer, observation)) in signs.iter().enumerate() {
+        evidence.handle_observation(
+            Timestamp::from_millis(number as f64),
+            number as u64,
+            *server,
+            *customer,
+            *observation,
+        );
     }
     evidence.finding(Timestamp::from_millis(signs.len() as f64), 4, false, (10, 0))
 }
 
 #[test]
 fn one_server_or_one_customer_is_no_domain() {
-    use Sign::{Good, Reset, Silent};
-    let lost: Vec<_> = (0..4).map(|n| (n % 2, u64::from(n), Silent)).collect();
+    use Observation::{NoResponse, Reset, Success};
+    let lost: Vec<_> = (0..4).map(|n| (n % 2, u64::from(n), NoResponse)).collect();
     assert!(told(&lost).alarm, "two servers, four customers, nothing but silence");
     assert!(told(&lost[..2]).suspect && !told(&lost[..3]).alarm);
     let one_server: Vec<_> =
-        (0..40).map(|n| if n % 4 == 1 { (1, n, Reset) } else { (n as u32 % 4, n, Good) }).collect();
+        (0..40).map(|n| if n % 4 == 1 { (1, n, Reset) } else { (n as u32 % 4, n, Success) }).collect();
     assert!(!told(&one_server).alarm && !told(&one_server).suspect);
     let only_one_asked: Vec<_> = (0..40).map(|n| (1, n, Reset)).collect();
     assert!(told(&only_one_asked).score > ALARM_SCORE && !told(&only_one_asked).alarm);
@@ -30,7 +36,13 @@
 fn a_third_lost_is_found_and_a_hundredth_is_not() {
     let lossy = |one_in: u32| -> Vec<_> {
         (0..64)
-            .map(|n| (n / 3 % 4, u64::from(n), if n % one_in == 0 { Sign::Reset } else { Sign::Good }))
+            .map(|n| {
+                (
+                    n / 3 % 4,
+                    u64::from(n),
+                    if n % one_in == 0 { Observation::Reset } else { Observation::Success },
+                )
+            })
             .collect()
     };
     assert!(told(&lossy(3)).alarm);
@@ -41,12 +53,12 @@
 fn what_answers_late_is_slow_and_what_is_old_is_forgotten() {
     let mut evidence = Evidence::default();
     for n in 0..6 {
-        evidence.handle_sign(
+        evidence.handle_observation(
             Timestamp::from_millis(f64::from(n)),
             u64::from(n),
             n % 3,
             u64::from(n),
-            Sign::Silent,
+            Observation::NoResponse,
         );
     }
     let told =
@@ -54,7 +66,7 @@
     assert!(!told(&evidence, 6.0).slow);
     (0..6).for_each(|n| evidence.handle_answer(n));
     let slow = told(&evidence, 6.0);
-    assert!(slow.slow && slow.alarm && slow.kind == Some(Sign::Late));
+    assert!(slow.slow && slow.alarm && slow.kind == Some(Observation::Slow));
     assert_eq!(told(&evidence, SIGN_LIFETIME + 6.0), Finding::default());
 }
 
@@ -62,8 +74,14 @@
 fn what_is_as_bad_elsewhere_is_no_fault_of_the_domain() {
     let mut evidence = Evidence::default();
     for n in 0..60_u32 {
-        let sign = if n % 5 == 0 { Sign::Wrong } else { Sign::Good };
-        evidence.handle_sign(Timestamp::from_millis(f64::from(n)), u64::from(n), n % 7, u64::from(n), sign);
+        let observation = if n % 5 == 0 { Observation::Error } else { Observation::Success };
+        evidence.handle_observation(
+            Timestamp::from_millis(f64::from(n)),
+            u64::from(n),
+            n % 7,
+            u64::from(n),
+            observation,
+        );
     }
     let score = |others| evidence.finding(Timestamp::from_millis(60.0), 7, false, others).score;
     assert!(score((60, 0)) > 6.0, "a fifth is bad here and nothing elsewhere: {}", score((60, 0)));
--- a/crates/failure-domains/src/latency_baseline.rs
+++ b/crates/failure-domains/src/latency_baseline.rs
@@ -1,4 +1,4 @@
-//! How long requests of a class usually take: what is far beyond it is a sign.
+//! How long requests of a class usually take: what is far beyond it is a observation.
 //!
 //! Called by [`crate::ZoneAwareGateway`] alone.
 
@@ -12,7 +12,7 @@
 const UNKNOWN_OVERDUE_RATIO: f64 = 0.5;
 /// A request is overdue this many mean deviations after the mean: with exponential times one in a hundred is.
 const OVERDUE_DEVIATIONS: f64 = 5.0;
-/// And this many times the mean at the least: times that hardly vary must not make each hiccup a sign.
+/// And this many times the mean at the least: times that hardly vary must not make each hiccup a observation.
 const OVERDUE_MEAN_FACTOR: f64 = 3.0;
 /// And this long, for what the processes and the network add.
 const MIN_OVERDUE_TIME: Millis = 20.0;
--- a/crates/failure-domains/src/peer_reports.rs
+++ b/crates/failure-domains/src/peer_reports.rs
@@ -48,8 +48,8 @@
 }
 
 impl PeerReports {
-    /// Takes in an own sign.
-    pub fn handle_sign(&mut self, now: Timestamp, number: u64, good: bool) {
+    /// Takes in an own observation.
+    pub fn handle_observation(&mut self, now: Timestamp, number: u64, good: bool) {
         if self.own.len() == MAX_OWN_SIGNS {
             self.own.pop_front();
         }
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::domain::DomainStatus;
 use crate::domains::{DomainEvent, Domains, EjectionPolicy};
-use crate::evidence::Sign;
+use crate::evidence::Observation;
 use crate::latency_baseline::LatencyBaseline;
 use crate::peer_reports::ZoneReport;
 use ivygate_gateway::{
@@ -138,7 +138,11 @@
             let overdue = usual.overdue(kind.latency_target);
             let due = |a: &&mut Attempt| a.out && a.silent.is_none() && now > a.sent_at.plus_millis(overdue);
             for attempt in open.attempts.iter_mut().filter(due) {
-                attempt.silent = Some(self.domains.handle_sign(attempt.server, open.customer, Sign::Silent));
+                attempt.silent = Some(self.domains.handle_observation(
+                    attempt.server,
+                    open.customer,
+                    Observation::NoResponse,
+                ));
             }
         }
         self.domains.judge();
@@ -168,24 +172,24 @@
         if let Some(attempt) = open.attempts.get_mut(done.attempt as usize).filter(|attempt| attempt.out) {
             attempt.out = false;
             let (server, customer, silent) = (attempt.server, open.customer, attempt.silent);
-            let sign = match done.outcome {
-                Outcome::Ok => Some(Sign::Good),
-                Outcome::Error => Some(Sign::Wrong),
-                Outcome::Timeout => Some(Sign::Silent),
-                Outcome::ConnectFailed => Some(Sign::Refused),
-                Outcome::Reset => Some(Sign::Reset),
+            let observation = match done.outcome {
+                Outcome::Ok => Some(Observation::Success),
+                Outcome::Error => Some(Observation::Error),
+                Outcome::Timeout => Some(Observation::NoResponse),
+                Outcome::ConnectFailed => Some(Observation::ConnectFailed),
+                Outcome::Reset => Some(Observation::Reset),
                 // Turned away or cut short for reasons that are none of the domain's.
                 Outcome::Rejected | Outcome::Unusable | Outcome::Cancelled | Outcome::NeverSent => None,
             };
-            match (sign, silent) {
-                (Some(Sign::Good), Some(number)) => self.domains.handle_answer(server, number),
+            match (observation, silent) {
+                (Some(Observation::Success), Some(number)) => self.domains.handle_answer(server, number),
                 // It has been counted.
-                (Some(Sign::Silent), Some(_)) | (None, _) => {}
-                (Some(sign), _) => {
-                    self.domains.handle_sign(server, customer, sign);
+                (Some(Observation::NoResponse), Some(_)) | (None, _) => {}
+                (Some(observation), _) => {
+                    self.domains.handle_observation(server, customer, observation);
                 }
             }
-            let well = sign == Some(Sign::Good) && self.domains.all_well();
+            let well = observation == Some(Observation::Success) && self.domains.all_well();
             if let Some((_, usual)) = self.kinds.get_mut(&open.class).filter(|_| well) {
                 usual.learn(done.elapsed);
             }
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,7 +1,8 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
 use ivygate_failure_domains::{
-    ClassProfile, DomainEvent, DomainState, Domains, EjectionPolicy, Sign, ZoneAwareGateway, ZoneReport,
+    ClassProfile, DomainEvent, DomainState, Domains, EjectionPolicy, Observation, ZoneAwareGateway,
+    ZoneReport,
 };
 use ivygate_gateway::{
     Action, Arrival, Effect, Event, Gateway, ListKind, Plan, RequestClass, RetryBudget, ServerEntry,
@@ -44,11 +45,11 @@
     }
 
     /// Signs of a zone's servers in turn, of one customer after the other.
-    fn see(&mut self, zone: u32, count: u32, sign: Sign) {
+    fn see(&mut self, zone: u32, count: u32, observation: Observation) {
         for n in 0..count {
             self.wait(2.0);
             self.customer += 1;
-            self.domains.handle_sign(3 * zone + n % 3, self.customer, sign);
+            self.domains.handle_observation(3 * zone + n % 3, self.customer, observation);
         }
     }
 
@@ -70,34 +71,34 @@
         ..EjectionPolicy::default()
     };
     let mut rig = Rig::new(&["a", "b"], policy);
-    rig.see(0, 20, Sign::Good);
-    rig.see(1, 20, Sign::Good);
-    rig.see(1, 2, Sign::Reset);
+    rig.see(0, 20, Observation::Success);
+    rig.see(1, 20, Observation::Success);
+    rig.see(1, 2, Observation::Reset);
     assert_eq!(
         (rig.state("b"), rig.shares("b").1),
         (DomainState::Suspect, 0.0),
         "what may not run twice goes elsewhere"
     );
-    rig.see(1, 3, Sign::Reset);
+    rig.see(1, 3, Observation::Reset);
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Ejected, (0.0, 0.0)));
     assert!(!rig.domains.may_probe(3) && rig.domains.may_probe(0));
     rig.wait(1_300.0);
     assert_eq!(rig.state("b"), DomainState::Probing);
-    rig.see(1, 2, Sign::Silent);
+    rig.see(1, 2, Observation::NoResponse);
     assert_eq!(rig.state("b"), DomainState::Ejected);
     rig.wait(1_300.0);
     assert_eq!(rig.state("b"), DomainState::Ejected, "longer than the first time");
     rig.wait(1_300.0);
-    rig.see(1, 4, Sign::Good);
+    rig.see(1, 4, Observation::Success);
     assert_eq!(rig.state("b"), DomainState::Recovering);
     let at_first = rig.shares("b").0;
     assert!(at_first <= 0.2, "a cold server's part at most, not {at_first}");
     rig.wait(2_000.0);
     let later = rig.shares("b").0;
     assert!(later > at_first && later <= 0.2 + 0.8 * 2.1 / 5.0, "under the curve: {later}");
-    rig.see(1, 3, Sign::Reset);
+    rig.see(1, 3, Observation::Reset);
     assert!(rig.shares("b").0 < later, "a step back");
-    rig.see(1, 10, Sign::Good);
+    rig.see(1, 10, Observation::Success);
     rig.wait(9_000.0);
     assert_eq!(rig.state("b"), DomainState::Healthy);
 }
@@ -106,20 +107,20 @@
 fn where_too_much_is_judged_bad_the_judgement_is_not_believed() {
     let mut rig = Rig::new(&["a", "b", "c"], EjectionPolicy::default());
     for zone in 0..3 {
-        rig.see(zone, 10, Sign::Good);
+        rig.see(zone, 10, Observation::Success);
     }
-    rig.see(0, 5, Sign::Silent);
+    rig.see(0, 5, Observation::NoResponse);
     assert_eq!(rig.state("a"), DomainState::Ejected);
     // A zone that bears another's load is believed to be lost once nothing good has come for a while.
     rig.wait(600.0);
-    rig.see(1, 40, Sign::Silent);
+    rig.see(1, 40, Observation::NoResponse);
     assert!(!rig.domains.distrusted());
     rig.wait(400.0);
-    rig.see(1, 40, Sign::Silent);
+    rig.see(1, 40, Observation::NoResponse);
     assert!(rig.domains.distrusted());
     assert!(["a", "b", "c"].iter().all(|zone| rig.shares(zone) == (1.0, 1.0)));
     assert!(rig.domains.poll_event().is_some());
-    rig.see(2, 40, Sign::Silent);
+    rig.see(2, 40, Observation::NoResponse);
     assert!(["a", "b", "c"].iter().all(|zone| rig.shares(zone) == (1.0, 1.0)));
 }
 
@@ -148,7 +149,7 @@
     let mut rig = fresh(30);
     told(&mut rig, 0..3, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Suspect);
-    rig.see(1, 1, Sign::Silent);
+    rig.see(1, 1, Observation::NoResponse);
     assert_eq!(rig.state("b"), DomainState::Suspect);
     told(&mut rig, 3..6, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Ejected);
@@ -158,12 +159,12 @@
     told(&mut rig, 0..5, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Healthy);
     let mut rig = fresh(10);
-    rig.see(1, 1, Sign::Good);
+    rig.see(1, 1, Observation::Success);
     told(&mut rig, 0..10, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Healthy);
     assert!(rig.domains.poll_report().is_some());
     rig.wait(100.0);
-    rig.see(1, 1, Sign::Good);
+    rig.see(1, 1, Observation::Success);
     assert_eq!(
         rig.domains.poll_report().map(|word| (word[0].successes, word[0].failures)),
         Some((2, 0)),
@@ -178,7 +179,7 @@
     assert_eq!(rig.state("b"), DomainState::Suspect);
     rig.wait(3_100.0);
     assert_eq!((rig.state("b"), rig.domains.heard()), (DomainState::Healthy, 0));
-    rig.see(1, 5, Sign::Silent);
+    rig.see(1, 5, Observation::NoResponse);
     assert_eq!(rig.state("b"), DomainState::Ejected);
     // Others have tried it in vain just now: this one does not.
     rig.wait(700.0);
@@ -196,7 +197,7 @@
     assert_eq!(rig.domains.heard(), 512, "no more are heard");
     let mut words = 0;
     for _ in 0..1_000 {
-        rig.see(1, 1, Sign::Reset);
+        rig.see(1, 1, Observation::Reset);
         words += usize::from(rig.domains.poll_report().is_some());
     }
     // 2 s: at most one in 256 ms for 512 others.
@@ -206,11 +207,11 @@
 #[test]
 fn what_was_seen_before_a_pause_says_nothing_after_it() {
     let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
-    rig.see(0, 10, Sign::Good);
-    rig.see(1, 3, Sign::Silent);
+    rig.see(0, 10, Observation::Success);
+    rig.see(1, 3, Observation::NoResponse);
     rig.now += 3_000.0;
     assert!(rig.domains.handle_time(Timestamp::from_millis(rig.now)));
-    rig.see(1, 2, Sign::Silent);
+    rig.see(1, 2, Observation::NoResponse);
     assert_ne!(rig.state("b"), DomainState::Ejected);
     let mut told = std::iter::from_fn(|| rig.domains.poll_event());
     assert!(told.any(|happening| matches!(happening, DomainEvent::ProcessPaused(time) if time > 2_900.0)));
@@ -309,17 +310,17 @@
 #[test]
 fn a_slow_zone_keeps_what_the_others_do_not_bear() {
     let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
-    rig.see(0, 40, Sign::Good);
-    rig.see(1, 10, Sign::Late);
+    rig.see(0, 40, Observation::Success);
+    rig.see(1, 10, Observation::Slow);
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Draining, (0.5, 0.5)));
-    rig.see(1, 10, Sign::Late);
+    rig.see(1, 10, Observation::Slow);
     rig.wait(1_100.0);
-    rig.see(1, 4, Sign::Late);
+    rig.see(1, 4, Observation::Slow);
     assert!(rig.shares("b").0 < 0.2);
     for _ in 0..30 {
         rig.domains.handle_pressure();
         rig.wait(100.0);
-        rig.see(1, 2, Sign::Late);
+        rig.see(1, 2, Observation::Slow);
     }
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Draining, (1.0, 1.0)));
 }
@@ -328,8 +329,8 @@
 fn works_take_a_zone_out_and_give_it_back_step_by_step() {
     let mut policy = EjectionPolicy { automatic_ejection: false, ..EjectionPolicy::default() };
     let mut rig = Rig::new(&["a", "b"], policy.clone());
-    rig.see(0, 10, Sign::Good);
-    rig.see(1, 20, Sign::Wrong);
+    rig.see(0, 10, Observation::Success);
+    rig.see(1, 20, Observation::Error);
     assert_eq!(rig.state("b"), DomainState::Healthy, "only by hand");
     policy.maintenance_zones.insert("b".into());
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy.clone());
@@ -339,19 +340,19 @@
     policy.maintenance_zones.clear();
     rig.domains.handle_policy(Timestamp::from_millis(rig.now), policy);
     assert_eq!(rig.state("b"), DomainState::Probing);
-    rig.see(1, 4, Sign::Good);
+    rig.see(1, 4, Observation::Success);
     assert_eq!(rig.state("b"), DomainState::Recovering);
 }
 
 #[test]
 fn a_zone_that_bears_anothers_load_may_be_slow() {
     let mut rig = Rig::new(&["a", "b"], EjectionPolicy { panic_threshold: 1.0, ..EjectionPolicy::default() });
-    rig.see(0, 10, Sign::Good);
-    rig.see(1, 5, Sign::Reset);
+    rig.see(0, 10, Observation::Success);
+    rig.see(1, 5, Observation::Reset);
     assert_eq!(rig.state("b"), DomainState::Ejected);
     for _ in 0..10 {
-        rig.see(0, 4, Sign::Late);
-        rig.see(0, 1, Sign::Good);
+        rig.see(0, 4, Observation::Slow);
+        rig.see(0, 1, Observation::Success);
     }
     assert_ne!(rig.state("a"), DomainState::Draining);
     assert_ne!(rig.state("a"), DomainState::Ejected);
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -93,7 +93,7 @@
 fn because(belief: &DomainStatus) -> String {
     let found = &belief.cause;
     let own = match found.kind {
-        Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.word()),
+        Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.as_str()),
         None => "nothing against it".to_owned(),
     };
     let voices = belief.votes;
