--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by [`crate::Domains`] alone.
 
-use crate::evidence::{Evidence, Finding, Observation, ALARM_SCORE, SUSPECT_SCORE};
+use crate::evidence::{Assessment, Evidence, Observation, ALARM_SCORE, SUSPECT_SCORE};
 use crate::peer_reports::{PeerReports, PeerVotes};
 use ivygate_gateway::ServerId;
 use ivygate_time::{Millis, Timestamp};
@@ -103,7 +103,7 @@
     /// Part of the safe requests, and of the others, that may go there.
     pub shares: (f64, f64),
     /// What the last change rested on.
-    pub cause: Finding,
+    pub cause: Assessment,
     /// What other processes said of it then.
     pub votes: PeerVotes,
     /// How often it failed again on its way back, of late.
@@ -145,7 +145,7 @@
 
 /// What own signs and other processes come to.
 struct Verdict {
-    found: Finding,
+    found: Assessment,
     /// Own signs are enough to leave the domain.
     is_alarm: bool,
     /// Other processes say that it fails.
@@ -169,7 +169,7 @@
     level: f64,
     level_at: Timestamp,
     failed_recoveries: u32,
-    cause: Finding,
+    cause: Assessment,
     votes: PeerVotes,
     jitter: fastrand::Rng,
 }
@@ -188,7 +188,7 @@
             level: 1.0,
             level_at: now,
             failed_recoveries: 0,
-            cause: Finding::default(),
+            cause: Assessment::default(),
             votes: PeerVotes::default(),
             jitter: fastrand::Rng::with_seed(seed),
         }
@@ -198,7 +198,7 @@
         time * (1.0 + BACKOFF_JITTER * (2.0 * self.jitter.f64() - 1.0))
     }
 
-    fn set_state(&mut self, now: Timestamp, state: DomainState, cause: Finding) {
+    fn set_state(&mut self, now: Timestamp, state: DomainState, cause: Assessment) {
         (self.state, self.since, self.cause) = (state, now, cause);
         self.votes = self.peer_reports.votes(now);
         (self.until, self.level_at) = (now, now);
@@ -207,7 +207,7 @@
         }
     }
 
-    fn eject(&mut self, now: Timestamp, cause: Finding, again: bool) {
+    fn eject(&mut self, now: Timestamp, cause: Assessment, again: bool) {
         self.failed_recoveries =
             if again { (self.failed_recoveries + 1).min(16) } else { self.failed_recoveries };
         self.set_state(now, DomainState::Ejected, cause);
@@ -218,8 +218,8 @@
     /// Takes it out by hand, or begins the way back.
     pub fn set_maintenance(&mut self, now: Timestamp, works: bool) {
         match (works, self.state == DomainState::Maintenance) {
-            (true, false) => self.set_state(now, DomainState::Maintenance, Finding::default()),
-            (false, true) => self.set_state(now, DomainState::Probing, Finding::default()),
+            (true, false) => self.set_state(now, DomainState::Maintenance, Assessment::default()),
+            (false, true) => self.set_state(now, DomainState::Probing, Assessment::default()),
             _ => {}
         }
     }
@@ -249,7 +249,7 @@
     }
 
     /// Whether other processes say that it fails, and enough of them to leave it. Own eyes weigh more.
-    fn peer_verdict(&self, around: &StepContext, found: &Finding) -> (bool, bool) {
+    fn peer_verdict(&self, around: &StepContext, found: &Assessment) -> (bool, bool) {
         let votes = self.peer_reports.votes(around.now);
         let (good, bad) = self.peer_reports.own(around.now);
         let contradicted = good > 0 && bad == 0;
@@ -269,7 +269,7 @@
     /// The next step, if one is due.
     pub fn step(&mut self, common: &PoolProfile, around: &StepContext) {
         let now = around.now;
-        let found = self.evidence.finding(now, self.servers, around.lone, around.others);
+        let found = self.evidence.assess(now, self.servers, around.lone, around.others);
         let verdict = self.verdict(around, found);
         if around.distrusted && self.state != DomainState::Maintenance {
             self.drop_judgement(now, found);
@@ -290,14 +290,14 @@
     }
 
     /// What own signs and other processes come to.
-    fn verdict(&self, around: &StepContext, found: Finding) -> Verdict {
+    fn verdict(&self, around: &StepContext, found: Assessment) -> Verdict {
         // What bears another's load may well be slow.
         let is_overloaded_only = || {
             let (good, bad) = self.evidence.since(around.now.minus_millis(OVERLOAD_WINDOW));
             good > 0 || bad < MIN_OVERLOAD_FAILURES
         };
-        let is_sure = !found.slow || found.score >= SLOW_ALARM_FACTOR * ALARM_SCORE;
-        let is_alarm = found.alarm
+        let is_sure = !found.is_slow || found.score >= SLOW_ALARM_FACTOR * ALARM_SCORE;
+        let is_alarm = found.is_failed
             && is_sure
             && around.automatic
             && !around.distrusted
@@ -307,7 +307,7 @@
     }
 
     /// What was judged is not believed, and what it rested on neither.
-    fn drop_judgement(&mut self, now: Timestamp, found: Finding) {
+    fn drop_judgement(&mut self, now: Timestamp, found: Assessment) {
         if self.state != DomainState::Healthy {
             self.set_state(now, DomainState::Healthy, found);
         }
@@ -316,7 +316,7 @@
 
     /// A slow domain is left by and by, a lost one at once.
     fn eject_or_drain(&mut self, now: Timestamp, verdict: &Verdict) {
-        if verdict.found.slow && !verdict.has_quorum {
+        if verdict.found.is_slow && !verdict.has_quorum {
             self.set_state(now, DomainState::Draining, verdict.found);
             self.level = DRAIN_FACTOR;
         } else {
@@ -326,7 +326,7 @@
 
     fn step_healthy(&mut self, around: &StepContext, verdict: &Verdict) {
         let found = verdict.found;
-        if verdict.is_told || found.suspect && around.automatic && !found.slow {
+        if verdict.is_told || found.is_suspect && around.automatic && !found.is_slow {
             self.set_state(around.now, DomainState::Suspect, found);
         } else if around.now > self.since.plus_millis(FAILURE_MEMORY) {
             self.failed_recoveries = 0;
@@ -335,7 +335,7 @@
 
     fn step_suspect(&mut self, now: Timestamp, verdict: &Verdict) {
         let found = verdict.found;
-        let has_nothing_new = now > self.since.plus_millis(SUSPICION_LIFETIME) && !found.suspect;
+        let has_nothing_new = now > self.since.plus_millis(SUSPICION_LIFETIME) && !found.is_suspect;
         if !verdict.is_told && (found.score < 1.0 || has_nothing_new) {
             self.set_state(now, DomainState::Healthy, found);
         }
@@ -345,7 +345,7 @@
         let (now, found) = (around.now, verdict.found);
         let from = self.since.max(now.minus_millis(4.0 * DRAIN_INTERVAL));
         let (good, bad) = self.evidence.since(from);
-        if verdict.is_alarm && !found.slow {
+        if verdict.is_alarm && !found.is_slow {
             self.eject(now, found, false);
             return;
         }
@@ -400,7 +400,7 @@
         let found = verdict.found;
         if verdict.is_alarm {
             self.eject(now, found, true);
-        } else if (found.suspect || verdict.is_told) && now >= self.until {
+        } else if (found.is_suspect || verdict.is_told) && now >= self.until {
             self.level = (self.level * RECOVERY_STEP_BACK)
                 .max(SLOW_START_RATIO * common.slow_start_capacity * RECOVERY_STEP_BACK);
             self.cause = found;
--- a/crates/failure-domains/src/evidence.rs
+++ b/crates/failure-domains/src/evidence.rs
@@ -76,21 +76,21 @@
 
 /// What the signs of late come to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Finding {
+pub struct Assessment {
     /// The score of all; at least 0.
     pub score: f64,
     /// Whether it is enough to leave the domain, whichever server or customer is left out.
-    pub alarm: bool,
+    pub is_failed: bool,
     /// Whether it is enough to be careful.
-    pub suspect: bool,
+    pub is_suspect: bool,
     /// Whether the domain answers, only too late.
-    pub slow: bool,
+    pub is_slow: bool,
     /// Bad signs that it rests on, and all of them.
-    pub bad: u32,
+    pub failures: u32,
     /// All signs that it rests on.
-    pub signs: u32,
+    pub observations: u32,
     /// The commonest bad observation.
-    pub kind: Option<Observation>,
+    pub main_failure: Option<Observation>,
 }
 
 /// The signs of one domain.
@@ -172,7 +172,7 @@
     /// What the signs come to. `servers` is how many take requests here; `lone` says that all signs of all domains are
     /// of one customer; `others` are the good and bad signs of the other domains of late: what is as bad everywhere is
     /// no fault of this one.
-    pub fn finding(&self, now: Timestamp, servers: usize, lone: bool, others: (u32, u32)) -> Finding {
+    pub fn assess(&self, now: Timestamp, servers: usize, lone: bool, others: (u32, u32)) -> Assessment {
         let elsewhere = f64::from(others.1) / (f64::from(others.0 + others.1) + OTHERS_PRIOR_SIGNS);
         let usual = self.usual.max(elsewhere).clamp(MIN_BASELINE_BAD_RATIO, MAX_BASELINE_BAD_RATIO);
         let failing = FAILING_BAD_RATIO.max((FAILING_FACTOR * usual).min(MAX_FAILING_BAD_RATIO));
@@ -192,7 +192,7 @@
         let bad: Vec<&&Seen> =
             latest.iter().filter(|seen| seen.observation != Observation::Success).collect();
         if bad.is_empty() {
-            return Finding::default();
+            return Assessment::default();
         }
         let without = |left_out: &dyn Fn(&Seen) -> bool| -> f64 {
             latest.iter().filter(|seen| !left_out(seen)).map(|seen| weigh(seen)).sum()
@@ -216,15 +216,15 @@
             Observation::Error,
         ];
         let count = |kind: Observation| bad.iter().filter(|seen| seen.observation == kind).count();
-        let kind = kinds.into_iter().max_by_key(|kind| count(*kind));
-        Finding {
+        let main_failure = kinds.into_iter().max_by_key(|kind| count(*kind));
+        Assessment {
             score: best,
-            alarm: best >= ALARM_SCORE && of_many(ALARM_SCORE) && of_some(ALARM_SCORE),
-            suspect: best >= SUSPECT_SCORE && of_many(SUSPECT_SCORE) && of_some(SUSPECT_SCORE),
-            slow: count(Observation::Slow) as f64 >= MIN_SLOW_RATIO * bad.len() as f64,
-            bad: bad.len() as u32,
-            signs: latest.len() as u32,
-            kind,
+            is_failed: best >= ALARM_SCORE && of_many(ALARM_SCORE) && of_some(ALARM_SCORE),
+            is_suspect: best >= SUSPECT_SCORE && of_many(SUSPECT_SCORE) && of_some(SUSPECT_SCORE),
+            is_slow: count(Observation::Slow) as f64 >= MIN_SLOW_RATIO * bad.len() as f64,
+            failures: bad.len() as u32,
+            observations: latest.len() as u32,
+            main_failure,
         }
     }
 }
--- a/crates/failure-domains/src/evidence/tests.rs
+++ b/crates/failure-domains/src/evidence/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Signs a millisecond apart: server, customer, observation.
-fn told(signs: &[(ServerId, u64, Observation)]) -> Finding {
+fn told(signs: &[(ServerId, u64, Observation)]) -> Assessment {
     let mut evidence = Evidence::default();
     for (number, (server, customer, observation)) in signs.iter().enumerate() {
         evidence.handle_observation(
@@ -14,22 +14,22 @@
             *observation,
         );
     }
-    evidence.finding(Timestamp::from_millis(signs.len() as f64), 4, false, (10, 0))
+    evidence.assess(Timestamp::from_millis(signs.len() as f64), 4, false, (10, 0))
 }
 
 #[test]
 fn one_server_or_one_customer_is_no_domain() {
     use Observation::{NoResponse, Reset, Success};
     let lost: Vec<_> = (0..4).map(|n| (n % 2, u64::from(n), NoResponse)).collect();
-    assert!(told(&lost).alarm, "two servers, four customers, nothing but silence");
-    assert!(told(&lost[..2]).suspect && !told(&lost[..3]).alarm);
+    assert!(told(&lost).is_failed, "two servers, four customers, nothing but silence");
+    assert!(told(&lost[..2]).is_suspect && !told(&lost[..3]).is_failed);
     let one_server: Vec<_> =
         (0..40).map(|n| if n % 4 == 1 { (1, n, Reset) } else { (n as u32 % 4, n, Success) }).collect();
-    assert!(!told(&one_server).alarm && !told(&one_server).suspect);
+    assert!(!told(&one_server).is_failed && !told(&one_server).is_suspect);
     let only_one_asked: Vec<_> = (0..40).map(|n| (1, n, Reset)).collect();
-    assert!(told(&only_one_asked).score > ALARM_SCORE && !told(&only_one_asked).alarm);
+    assert!(told(&only_one_asked).score > ALARM_SCORE && !told(&only_one_asked).is_failed);
     let one_customer: Vec<_> = (0..40).map(|n| (n % 4, 7, Reset)).collect();
-    assert!(told(&one_customer).score > ALARM_SCORE && !told(&one_customer).suspect);
+    assert!(told(&one_customer).score > ALARM_SCORE && !told(&one_customer).is_suspect);
 }
 
 #[test]
@@ -45,8 +45,8 @@
             })
             .collect()
     };
-    assert!(told(&lossy(3)).alarm);
-    assert!(!told(&lossy(20)).suspect);
+    assert!(told(&lossy(3)).is_failed);
+    assert!(!told(&lossy(20)).is_suspect);
 }
 
 #[test]
@@ -62,12 +62,12 @@
         );
     }
     let told =
-        |evidence: &Evidence, now: Millis| evidence.finding(Timestamp::from_millis(now), 3, false, (10, 0));
-    assert!(!told(&evidence, 6.0).slow);
+        |evidence: &Evidence, now: Millis| evidence.assess(Timestamp::from_millis(now), 3, false, (10, 0));
+    assert!(!told(&evidence, 6.0).is_slow);
     (0..6).for_each(|n| evidence.handle_answer(n));
     let slow = told(&evidence, 6.0);
-    assert!(slow.slow && slow.alarm && slow.kind == Some(Observation::Slow));
-    assert_eq!(told(&evidence, SIGN_LIFETIME + 6.0), Finding::default());
+    assert!(slow.is_slow && slow.is_failed && slow.main_failure == Some(Observation::Slow));
+    assert_eq!(told(&evidence, SIGN_LIFETIME + 6.0), Assessment::default());
 }
 
 #[test]
@@ -83,7 +83,7 @@
             observation,
         );
     }
-    let score = |others| evidence.finding(Timestamp::from_millis(60.0), 7, false, others).score;
+    let score = |others| evidence.assess(Timestamp::from_millis(60.0), 7, false, others).score;
     assert!(score((60, 0)) > 6.0, "a fifth is bad here and nothing elsewhere: {}", score((60, 0)));
     assert!(score((48, 12)) < 3.0, "a fifth is bad everywhere: {}", score((48, 12)));
 }
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -15,6 +15,6 @@
 
 pub use domain::{DomainState, DomainStatus};
 pub use domains::{DomainEvent, Domains, EjectionPolicy, Zone};
-pub use evidence::{Finding, Observation};
+pub use evidence::{Assessment, Observation};
 pub use peer_reports::{PeerVotes, ZoneReport};
 pub use zone_aware_gateway::{ClassProfile, ZoneAwareGateway};
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -266,7 +266,11 @@
         }
         guarded.handle(Timestamp::from_millis(600.0), Event::Timer { token: 0 }, &mut actions);
         guarded.handle(Timestamp::from_millis(640.0), Event::Timer { token: 0 }, &mut actions);
-        guarded.statuses().0.iter().any(|status| status.cause.bad > 0 || status.state != DomainState::Healthy)
+        guarded
+            .statuses()
+            .0
+            .iter()
+            .any(|status| status.cause.failures > 0 || status.state != DomainState::Healthy)
             || guarded.statuses().1
     });
     assert!(silent && !paused);
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -92,8 +92,10 @@
 /// What a belief rests on, in words.
 fn because(belief: &DomainStatus) -> String {
     let found = &belief.cause;
-    let own = match found.kind {
-        Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.as_str()),
+    let own = match found.main_failure {
+        Some(kind) => {
+            format!("{} of {} signs bad, most of them {}", found.failures, found.observations, kind.as_str())
+        }
         None => "nothing against it".to_owned(),
     };
     let voices = belief.votes;
