--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -140,7 +140,7 @@
     /// Another domain is away, so that this one bears its load and may be slow for that.
     pub other_away: bool,
     /// Too much is judged bad for the judgement to be believed.
-    pub distrusted: bool,
+    pub in_panic_mode: bool,
 }
 
 /// What own signs and other processes come to.
@@ -271,7 +271,7 @@
         let now = around.now;
         let found = self.evidence.assess(now, self.servers, around.lone, around.others);
         let verdict = self.verdict(around, found);
-        if around.distrusted && self.state != DomainState::Maintenance {
+        if around.in_panic_mode && self.state != DomainState::Maintenance {
             self.drop_judgement(now, found);
             return;
         }
@@ -300,7 +300,7 @@
         let is_alarm = found.is_failed
             && is_sure
             && around.automatic
-            && !around.distrusted
+            && !around.in_panic_mode
             && (!around.other_away || !is_overloaded_only());
         let (is_told, has_quorum) = self.peer_verdict(around, &found);
         Verdict { found, is_alarm, is_told, has_quorum }
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -74,9 +74,9 @@
         to: DomainStatus,
     },
     /// More is judged bad than is believed; the part, by weight.
-    Distrusted(f64),
+    PanicModeEntered(f64),
     /// The judgement is believed again.
-    Trusted,
+    PanicModeLeft,
     /// The process has stood still for this long.
     ProcessPaused(Millis),
 }
@@ -90,9 +90,9 @@
     now: Timestamp,
     observations: u64,
     pressed_until: Timestamp,
-    distrusted: bool,
-    distrusted_until: Timestamp,
-    distrusted_times: u32,
+    in_panic_mode: bool,
+    panic_until: Timestamp,
+    panic_count: u32,
     /// Mean time between safe requests, and the last one.
     gap: Millis,
     safe_at: Timestamp,
@@ -117,9 +117,9 @@
             now: Timestamp::DISTANT_PAST,
             observations: 0,
             pressed_until: Timestamp::DISTANT_PAST,
-            distrusted: false,
-            distrusted_until: Timestamp::DISTANT_PAST,
-            distrusted_times: 0,
+            in_panic_mode: false,
+            panic_until: Timestamp::DISTANT_PAST,
+            panic_count: 0,
             gap: 1_000.0,
             safe_at: Timestamp::DISTANT_PAST,
             given: Vec::new(),
@@ -300,7 +300,7 @@
             heard: self.heard(),
             pressed: self.now < self.pressed_until,
             other_away: false,
-            distrusted: self.distrusted,
+            in_panic_mode: self.in_panic_mode,
         }
     }
 
@@ -352,18 +352,18 @@
                 (all + d.weight, bad + if d.state.judged_bad() { d.weight } else { 0.0 })
             });
         let part = if all > 0.0 { bad / all } else { 0.0 };
-        if part > self.policy.panic_threshold && !self.distrusted {
-            if self.now > self.distrusted_until.plus_millis(MAX_DISTRUST_TIME) {
-                self.distrusted_times = 0;
+        if part > self.policy.panic_threshold && !self.in_panic_mode {
+            if self.now > self.panic_until.plus_millis(MAX_DISTRUST_TIME) {
+                self.panic_count = 0;
             }
-            let holds = MIN_DISTRUST_TIME * f64::from(1u32 << self.distrusted_times.min(8));
-            (self.distrusted, self.distrusted_until) =
+            let holds = MIN_DISTRUST_TIME * f64::from(1u32 << self.panic_count.min(8));
+            (self.in_panic_mode, self.panic_until) =
                 (true, self.now.plus_millis(holds.min(MAX_DISTRUST_TIME)));
-            self.distrusted_times += 1;
-            self.emit(DomainEvent::Distrusted(part));
-        } else if self.distrusted && self.now >= self.distrusted_until {
-            self.distrusted = false;
-            self.emit(DomainEvent::Trusted);
+            self.panic_count += 1;
+            self.emit(DomainEvent::PanicModeEntered(part));
+        } else if self.in_panic_mode && self.now >= self.panic_until {
+            self.in_panic_mode = false;
+            self.emit(DomainEvent::PanicModeLeft);
         }
         let safe_rate = self.safe_rate();
         let turned: Vec<DomainEvent> = self
@@ -416,8 +416,8 @@
     }
 
     /// Whether too much is judged bad for the judgement to be believed.
-    pub fn distrusted(&self) -> bool {
-        self.distrusted
+    pub fn is_in_panic_mode(&self) -> bool {
+        self.in_panic_mode
     }
 }
 
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -113,7 +113,7 @@
 
     /// What is believed of each domain, and whether that is believed itself.
     pub fn statuses(&self) -> (Vec<DomainStatus>, bool) {
-        (self.domains.statuses(), self.domains.distrusted())
+        (self.domains.statuses(), self.domains.is_in_panic_mode())
     }
 
     /// The next happening that nobody has been told of.
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -114,10 +114,10 @@
     // A zone that bears another's load is believed to be lost once nothing good has come for a while.
     rig.wait(600.0);
     rig.see(1, 40, Observation::NoResponse);
-    assert!(!rig.domains.distrusted());
+    assert!(!rig.domains.is_in_panic_mode());
     rig.wait(400.0);
     rig.see(1, 40, Observation::NoResponse);
-    assert!(rig.domains.distrusted());
+    assert!(rig.domains.is_in_panic_mode());
     assert!(["a", "b", "c"].iter().all(|zone| rig.shares(zone) == (1.0, 1.0)));
     assert!(rig.domains.poll_event().is_some());
     rig.see(2, 40, Observation::NoResponse);
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -117,10 +117,10 @@
             }
         }
         DomainEvent::StateChanged { from, to } => tell_turn(pool, *from, to),
-        DomainEvent::Distrusted(part) => {
+        DomainEvent::PanicModeEntered(part) => {
             tracing::warn!(pool, part, "too much is judged bad to be believed: requests go to all zones");
         }
-        DomainEvent::Trusted => tracing::warn!(pool, "judgements are believed again"),
+        DomainEvent::PanicModeLeft => tracing::warn!(pool, "judgements are believed again"),
         DomainEvent::ProcessPaused(time) => {
             tracing::warn!(pool, for_ms = time.round(), "stood still: what was seen before says nothing now");
         }
