--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -73,7 +73,7 @@
 
 impl DomainState {
     /// Its name in beliefs and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             DomainState::Healthy => "well",
             DomainState::Suspect => "suspect",
@@ -86,7 +86,7 @@
     }
 
     /// Whether it is judged bad, by signs and not by hand.
-    pub fn judged_bad(self) -> bool {
+    pub fn is_judged_failing(self) -> bool {
         matches!(self, DomainState::Ejected | DomainState::Draining | DomainState::Probing)
     }
 }
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -349,7 +349,7 @@
             .values()
             .filter(|d| d.state != DomainState::Maintenance)
             .fold((0.0, 0.0), |(all, bad), d| {
-                (all + d.weight, bad + if d.state.judged_bad() { d.weight } else { 0.0 })
+                (all + d.weight, bad + if d.state.is_judged_failing() { d.weight } else { 0.0 })
             });
         let part = if all > 0.0 { bad / all } else { 0.0 };
         if part > self.policy.panic_threshold && !self.in_panic_mode {
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -56,7 +56,7 @@
         let (beliefs, distrusted) = self.guarded.borrow().statuses();
         let one = |belief: &DomainStatus| {
             json!({
-                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
+                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.as_str(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
                 "because": because(belief), "others_good": belief.votes.healthy, "others_bad": belief.votes.failing,
@@ -112,7 +112,7 @@
         DomainEvent::StateChanged { from, to }
             if *from == DomainState::Suspect || to.state == DomainState::Suspect =>
         {
-            if to.state.judged_bad() {
+            if to.state.is_judged_failing() {
                 tell_turn(pool, *from, to);
             }
         }
@@ -131,8 +131,8 @@
     tracing::warn!(
         pool,
         zone = &*to.zone,
-        from = from.word(),
-        to = to.state.word(),
+        from = from.as_str(),
+        to = to.state.as_str(),
         because = because(to),
         failed_again = to.failed_recoveries,
         "zone judged anew"
