--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -1,6 +1,6 @@
 //! One domain: what is believed of it, how much may go there, and when that changes.
 //!
-//! Called by [`crate::Domains`] alone.
+//! Called by [`crate::FailureDomains`] alone.
 
 use crate::evidence::{Assessment, Evidence, Observation, ALARM_SCORE, SUSPECT_SCORE};
 use crate::peer_reports::{PeerReports, PeerVotes};
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -61,7 +61,7 @@
 }
 
 /// A domain: all servers of a pool in one zone.
-pub type Zone = Arc<str>;
+pub type ZoneName = Arc<str>;
 
 /// Something that operators want to know.
 #[derive(Clone, Debug, PartialEq)]
@@ -82,11 +82,11 @@
 }
 
 /// The domains of one pool.
-pub struct Domains {
+pub struct FailureDomains {
     policy: EjectionPolicy,
     common: PoolProfile,
-    domains: BTreeMap<Zone, Domain>,
-    servers: BTreeMap<ServerId, (Zone, f64, bool)>,
+    domains: BTreeMap<ZoneName, Domain>,
+    servers: BTreeMap<ServerId, (ZoneName, f64, bool)>,
     now: Timestamp,
     observations: u64,
     pressed_until: Timestamp,
@@ -106,8 +106,8 @@
     rng: fastrand::Rng,
 }
 
-impl Domains {
-    /// Domains of which nothing is known.
+impl FailureDomains {
+    /// FailureDomains of which nothing is known.
     pub fn new(policy: EjectionPolicy, seed: u64) -> Self {
         Self {
             common: common(&policy),
@@ -182,7 +182,7 @@
                 (domain.servers, domain.weight) = (domain.servers + 1, domain.weight + weight);
             }
         }
-        let named: BTreeSet<&Zone> = self.servers.values().map(|(zone, ..)| zone).collect();
+        let named: BTreeSet<&ZoneName> = self.servers.values().map(|(zone, ..)| zone).collect();
         self.domains.retain(|zone, _| named.contains(zone));
         self.judge();
     }
@@ -321,7 +321,7 @@
     pub fn judge(&mut self) {
         let before: Vec<DomainState> = self.domains.values().map(|domain| domain.state).collect();
         let around = self.around();
-        let away: Vec<Zone> = self
+        let away: Vec<ZoneName> = self
             .domains
             .values()
             .filter(|d| {
--- a/crates/failure-domains/src/lib.rs
+++ b/crates/failure-domains/src/lib.rs
@@ -14,7 +14,7 @@
 mod zone_aware_gateway;
 
 pub use domain::{DomainState, DomainStatus};
-pub use domains::{DomainEvent, Domains, EjectionPolicy, Zone};
+pub use domains::{DomainEvent, EjectionPolicy, FailureDomains, ZoneName};
 pub use evidence::{Assessment, Observation};
 pub use peer_reports::{PeerVotes, ZoneReport};
 pub use zone_aware_gateway::{ClassProfile, ZoneAwareGateway};
--- a/crates/failure-domains/src/peer_reports.rs
+++ b/crates/failure-domains/src/peer_reports.rs
@@ -1,6 +1,6 @@
 //! What other processes tell of a zone: how many of them see it fail, and how many see it well.
 //!
-//! Called by [`crate::Domains`] alone. A process is one voice however much it says, and it is heard only for a moment: who
+//! Called by [`crate::FailureDomains`] alone. A process is one voice however much it says, and it is heard only for a moment: who
 //! says nothing any more says neither that all is well nor that all is bad.
 
 use ivygate_time::{Millis, Timestamp};
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -1,7 +1,7 @@
 //! A decision module with its pool's domains in front: reads signs off what comes of its attempts, and gives it advice.
 
 use crate::domain::DomainStatus;
-use crate::domains::{DomainEvent, Domains, EjectionPolicy};
+use crate::domains::{DomainEvent, EjectionPolicy, FailureDomains};
 use crate::evidence::Observation;
 use crate::latency_baseline::LatencyBaseline;
 use crate::peer_reports::ZoneReport;
@@ -46,7 +46,7 @@
 /// A [`Gateway`] that is advised on failure domains.
 pub struct ZoneAwareGateway {
     gateway: Gateway,
-    domains: Domains,
+    domains: FailureDomains,
     kinds: HashMap<Arc<str>, (ClassProfile, LatencyBaseline)>,
     /// In order, so that one seed gives one course of things.
     open: BTreeMap<RequestId, Open>,
@@ -64,7 +64,7 @@
     ) -> Self {
         Self {
             gateway,
-            domains: Domains::new(policy, seed),
+            domains: FailureDomains::new(policy, seed),
             kinds: kinds.into_iter().map(|(name, kind)| (name, (kind, LatencyBaseline::default()))).collect(),
             open: BTreeMap::new(),
             hasher: RandomState::new(),
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -1,7 +1,7 @@
 //! Judgements of all domains of a pool, by made-up signs.
 
 use ivygate_failure_domains::{
-    ClassProfile, DomainEvent, DomainState, Domains, EjectionPolicy, Observation, ZoneAwareGateway,
+    ClassProfile, DomainEvent, DomainState, EjectionPolicy, FailureDomains, Observation, ZoneAwareGateway,
     ZoneReport,
 };
 use ivygate_gateway::{
@@ -11,7 +11,7 @@
 use ivygate_time::Timestamp;
 
 struct Rig {
-    domains: Domains,
+    domains: FailureDomains,
     now: f64,
     customer: u64,
 }
@@ -19,7 +19,7 @@
 impl Rig {
     /// Zones of three servers each: 0 to 2 stand in a, 3 to 5 in b, and so on.
     fn new(zones: &[&str], policy: EjectionPolicy) -> Self {
-        let mut domains = Domains::new(policy, 7);
+        let mut domains = FailureDomains::new(policy, 7);
         let member = |number: usize| ServerEntry {
             server: number as ServerId,
             zone: zones[number / 3].into(),
