--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -1,7 +1,7 @@
 //! Zones that fail, played in virtual time: decision modules alone, with zones judged as a whole,
 //! and with processes that tell each other what they see.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scene, Talk};
+use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
 use std::io;
 
 const FROM: f64 = 5_000.0;
@@ -113,8 +113,8 @@
         for (faults, what) in [(&cut, "cut"), (&Vec::new(), "no fault")] {
             let mut figures = Figures::default();
             for seed in 1..=seeds {
-                let mut scene = Scene::new(seed, 30, rate * 30.0).talking(talk);
-                (scene.length, scene.faults) = (25_000.0, faults.clone());
+                let mut scene = Scenario::new(seed, 30, rate * 30.0).talking(talk);
+                (scene.duration, scene.faults) = (25_000.0, faults.clone());
                 add(&mut figures, &play(&scene).map_err(io::Error::other)?);
             }
             figures.left.sort_by(f64::total_cmp);
@@ -127,8 +127,8 @@
             );
         }
     }
-    let mut quiet = Scene::new(1, 30, 30.0 * rate).talking(Talk::default());
-    quiet.length = hours * 3_600_000.0;
+    let mut quiet = Scenario::new(1, 30, 30.0 * rate).talking(Talk::default());
+    quiet.duration = hours * 3_600_000.0;
     let figures = play(&quiet).map_err(io::Error::other)?;
     println!(
         "{hours} h without a fault, 30 processes, {} requests: {} zones left wrongly, {} lost or late",
@@ -156,8 +156,8 @@
 ) -> io::Result<Figures> {
     let mut all = Figures::default();
     for seed in 1..=seeds {
-        let mut scene = Scene::new(seed, nodes, rate * nodes as f64);
-        scene.length = if name.starts_with("flapping") { 40_000.0 } else { 25_000.0 };
+        let mut scene = Scenario::new(seed, nodes, rate * nodes as f64);
+        scene.duration = if name.starts_with("flapping") { 40_000.0 } else { 25_000.0 };
         scene.faults = faults.to_vec();
         let scene = match judged {
             Judged::Not => scene,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,9 +5,9 @@
 //! judged from what servers ran and clients got; when a node left a zone is the one thing that it takes from a node.
 
 mod node;
-mod scene;
+mod scenario;
 mod server;
 mod world;
 
-pub use scene::{Fault, FaultKind, Scene, Talk};
+pub use scenario::{Fault, FaultKind, Scenario, Talk};
 pub use world::{play, Figures};
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,6 +1,6 @@
 //! A process of the fleet: its decision module, with or without domains in front, and its open requests.
 
-use crate::scene::Scene;
+use crate::scenario::Scenario;
 use ivygate_failure_domains::{ClassProfile, DomainEvent, DomainState, ZoneAwareGateway, ZoneReport};
 use ivygate_gateway::{Action, Event, Gateway, RequestId, SettingsError};
 use ivygate_time::{Millis, Timestamp};
@@ -36,19 +36,19 @@
 }
 
 impl Node {
-    pub fn new(scene: &Scene, number: usize, seed: u64) -> Result<Self, SettingsError> {
-        let gateway = Gateway::new(scene.settings(number), seed)?;
-        let decisions = match &scene.domains {
+    pub fn new(scenario: &Scenario, number: usize, seed: u64) -> Result<Self, SettingsError> {
+        let gateway = Gateway::new(scenario.settings(number), seed)?;
+        let decisions = match &scenario.policy {
             None => Decisions::Alone(Box::new(gateway)),
             Some(policy) => {
-                let classes = scene.classes();
+                let classes = scenario.classes();
                 let kinds = classes
                     .iter()
                     .map(|c| (c.name.as_str().into(), ClassProfile::from((c.effect, c.latency_target))));
                 Decisions::Guarded(Box::new(ZoneAwareGateway::new(gateway, policy.clone(), kinds, seed)))
             }
         };
-        Ok(Self { zone: number % scene.zones, decisions, open: HashMap::new(), turns: Vec::new() })
+        Ok(Self { zone: number % scenario.zones, decisions, open: HashMap::new(), turns: Vec::new() })
     }
 
     /// What it tells the other processes now, if anything.
--- a/crates/emulator/src/scene.rs
+++ b/crates/emulator/src/scenario.rs
@@ -70,7 +70,7 @@
 
 /// A fleet, its load, and what goes wrong.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// Decides all.
     pub seed: u64,
     /// Processes.
@@ -78,21 +78,21 @@
     /// Zones; processes and servers are dealt to them in turn.
     pub zones: usize,
     /// Servers in each.
-    pub servers: usize,
+    pub servers_per_zone: usize,
     /// Requests that a server works on at once.
     pub workers: usize,
     /// Requests a second over all processes.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// How long requests come.
-    pub length: Millis,
+    pub duration: Millis,
     /// Customers.
     pub customers: u32,
     /// What goes wrong.
     pub faults: Vec<Fault>,
     /// How zones are judged; `None` for decision modules alone.
-    pub domains: Option<EjectionPolicy>,
+    pub policy: Option<EjectionPolicy>,
     /// How processes hear each other, if they do; only where zones are judged.
-    pub talk: Option<Talk>,
+    pub peer_network: Option<Talk>,
 }
 
 /// Names of the zones.
@@ -106,7 +106,7 @@
 /// Mean work of the classes, and their parts of the load.
 pub(crate) const MIX: [(f64, f64); 3] = [(20.0, 0.6), (30.0, 0.2), (40.0, 0.2)];
 
-impl Scene {
+impl Scenario {
     /// Processes of two zones before servers that have twice the capacity that is needed.
     pub fn new(seed: u64, nodes: usize, rate: f64) -> Self {
         let (zones, servers) = (2, (nodes / 3).clamp(3, 50));
@@ -116,14 +116,14 @@
             seed,
             nodes,
             zones,
-            servers,
+            servers_per_zone: servers,
             workers,
-            rate,
-            length: 20_000.0,
+            requests_per_s: rate,
+            duration: 20_000.0,
             customers: 500,
             faults: Vec::new(),
-            domains: None,
-            talk: None,
+            policy: None,
+            peer_network: None,
         }
     }
 
@@ -131,7 +131,7 @@
     #[must_use]
     pub fn judged(mut self) -> Self {
         let processes = self.nodes as u32;
-        self.domains = Some(EjectionPolicy {
+        self.policy = Some(EjectionPolicy {
             processes,
             slow_start_capacity: COLD_FROM,
             slow_start_duration: WARM,
@@ -143,7 +143,7 @@
     /// With processes that tell each other what they see.
     #[must_use]
     pub fn talking(mut self, talk: Talk) -> Self {
-        self.talk = Some(talk);
+        self.peer_network = Some(talk);
         self.judged()
     }
 
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,6 +1,6 @@
 //! A made-up app server: so many workers, a queue, a cold start.
 
-use crate::scene::{COLD_FROM, WARM};
+use crate::scenario::{COLD_FROM, WARM};
 use ivygate_time::Millis;
 use std::collections::VecDeque;
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,7 +1,7 @@
 //! The world of a play: who sends what to whom, when it arrives, and what came of it.
 
 use crate::node::{Attempt, Node, Open};
-use crate::scene::{Fault, FaultKind, Scene, Talk, MIX, ZONES};
+use crate::scenario::{Fault, FaultKind, Scenario, Talk, MIX, ZONES};
 use crate::server::{Job, Server};
 use ivygate_failure_domains::ZoneReport;
 use ivygate_gateway::{
@@ -108,7 +108,7 @@
 impl Eq for Due {}
 
 struct World<'a> {
-    scene: &'a Scene,
+    scenario: &'a Scenario,
     now: Millis,
     events: BinaryHeap<Due>,
     number: u64,
@@ -126,24 +126,25 @@
     figures: Figures,
 }
 
-/// Plays a scene.
+/// Plays a scenario.
 ///
 /// # Errors
 /// If a decision module cannot act on its settings.
-pub fn play(scene: &Scene) -> Result<Figures, SettingsError> {
-    let mut rng = fastrand::Rng::with_seed(scene.seed);
+pub fn play(scenario: &Scenario) -> Result<Figures, SettingsError> {
+    let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut nodes = Vec::new();
-    for number in 0..scene.nodes {
-        nodes.push(Node::new(scene, number, rng.u64(..))?);
+    for number in 0..scenario.nodes {
+        nodes.push(Node::new(scenario, number, rng.u64(..))?);
     }
-    let count = scene.zones * scene.servers;
-    let servers = (0..count).map(|n| Server::new(n % scene.zones, n / scene.zones, scene.workers)).collect();
+    let count = scenario.zones * scenario.servers_per_zone;
+    let servers =
+        (0..count).map(|n| Server::new(n % scenario.zones, n / scenario.zones, scenario.workers)).collect();
     let mut world = World {
-        scene,
+        scenario,
         now: 0.0,
         events: BinaryHeap::new(),
         number: 0,
-        classes: scene.classes(),
+        classes: scenario.classes(),
         rng,
         nodes,
         servers,
@@ -183,21 +184,21 @@
         for node in 0..self.nodes.len() {
             self.tell(node, Event::List { kind: ListKind::Full, servers: members.clone().into() });
         }
-        for fault in self.scene.faults.clone() {
+        for fault in self.scenario.faults.clone() {
             if fault.kind == FaultKind::Dead {
-                let hit = |s: &usize| hits(self.scene, &fault, &self.servers[*s]);
+                let hit = |s: &usize| hits(self.scenario, &fault, &self.servers[*s]);
                 for server in (0..self.servers.len()).filter(hit).collect::<Vec<_>>() {
                     self.at(fault.at, What::Die(server));
                     self.at(fault.until, What::Rise(server));
                 }
             }
         }
-        for liar in 0..self.scene.talk.map_or(0, |talk| talk.liars) {
+        for liar in 0..self.scenario.peer_network.map_or(0, |talk| talk.liars) {
             self.at(0.0, What::Lie(liar));
         }
         self.at(0.0, What::Arrive);
         // What is open at the end is answered within the longest deadline.
-        let end = self.scene.length + 3_000.0;
+        let end = self.scenario.duration + 3_000.0;
         while let Some(Due { at, what, .. }) = self.events.pop() {
             self.now = at;
             if self.now > end {
@@ -210,11 +211,11 @@
     /// The fault of a kind that holds now between a node and a server.
     fn holds(&self, node: usize, server: usize, kind: impl Fn(&FaultKind) -> bool) -> Option<FaultKind> {
         let zones = (self.nodes[node].zone, self.servers[server].zone);
-        let held = self.scene.faults.iter().find(|fault| {
+        let held = self.scenario.faults.iter().find(|fault| {
             (fault.at..fault.until).contains(&self.now)
                 && kind(&fault.kind)
                 && node % fault.nodes.1 < fault.nodes.0
-                && (hits(self.scene, fault, &self.servers[server])
+                && (hits(self.scenario, fault, &self.servers[server])
                     || fault.kind == FaultKind::CutBetween
                         && fault.zone == Some(zones.0)
                         && zones.0 != zones.1)
@@ -268,7 +269,7 @@
             }
             What::Lie(liar) => {
                 let all = |zone: &&str| ZoneReport { zone: (*zone).into(), successes: 0, failures: 99 };
-                let lies: Vec<ZoneReport> = ZONES[..self.scene.zones].iter().map(all).collect();
+                let lies: Vec<ZoneReport> = ZONES[..self.scenario.zones].iter().map(all).collect();
                 self.spread(liar, lies);
                 self.at(self.now + 100.0, What::Lie(liar));
             }
@@ -282,8 +283,8 @@
     }
 
     fn arrive(&mut self) {
-        let gap = -(1.0 - self.rng.f64()).ln() * 1000.0 / self.scene.rate;
-        if self.now + gap < self.scene.length {
+        let gap = -(1.0 - self.rng.f64()).ln() * 1000.0 / self.scenario.requests_per_s;
+        if self.now + gap < self.scenario.duration {
             self.at(self.now + gap, What::Arrive);
         }
         let node = self.rng.usize(0..self.nodes.len());
@@ -297,7 +298,7 @@
         let open = Open { id: id.clone(), class, arrived: self.now, answered: false, attempts: Vec::new() };
         self.nodes[node].open.insert(request, open);
         self.at(deadline, What::Deadline(node, request));
-        let customer = self.rng.u32(0..self.scene.customers);
+        let customer = self.rng.u32(0..self.scenario.customers);
         let arrival = Arrival {
             request: id,
             class: self.classes[class].name.as_str().into(),
@@ -305,7 +306,7 @@
             customer: customer.to_string().into(),
             deadline: Timestamp::from_millis(deadline - 12.0),
             units: 1.0,
-            gateways: self.scene.nodes as u32,
+            gateways: self.scenario.nodes as u32,
             zones: None,
             max_attempts: None,
         };
@@ -314,7 +315,7 @@
 
     /// Passes a node's word on to all others.
     fn spread(&mut self, author: usize, reports: Vec<ZoneReport>) {
-        let Some(Talk { delay, lost, apart, silent, .. }) = self.scene.talk else { return };
+        let Some(Talk { delay, lost, apart, silent, .. }) = self.scenario.peer_network else { return };
         let holds = |(from, until): (Millis, Millis)| (from..until).contains(&self.now);
         let (apart, silent) = (holds(apart), holds(silent));
         let reports: Rc<[ZoneReport]> = reports.into();
@@ -347,7 +348,7 @@
                 Action::Subscribe | Action::Log { .. } => {}
             }
         }
-        let lies = self.scene.talk.is_some_and(|talk| node < talk.liars);
+        let lies = self.scenario.peer_network.is_some_and(|talk| node < talk.liars);
         if let Some(word) = self.nodes[node].word().filter(|_| !lies) {
             self.spread(node, word);
         }
@@ -363,7 +364,7 @@
             return;
         }
         // The same work wherever it runs, as a request's is.
-        let mut draw = fastrand::Rng::with_seed(self.scene.seed ^ (request << 16));
+        let mut draw = fastrand::Rng::with_seed(self.scenario.seed ^ (request << 16));
         draw.f64();
         let work = mean * (0.3 - 0.7 * (1.0 - draw.f64()).ln());
         self.at(self.now + WAY, What::AtServer(server, Job { node, request, attempt, work }));
@@ -469,7 +470,7 @@
 
     /// The client has its answer: served, refused (`Full`) or failed.
     fn answered(&mut self, node: usize, request: u64, answer: Option<Outcome>) {
-        let first = self.scene.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
+        let first = self.scenario.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
         let Some(open) = self.nodes[node].open.get_mut(&request).filter(|open| !open.answered) else {
             return;
         };
@@ -498,9 +499,9 @@
     }
 
     fn judged(mut self) -> Figures {
-        let first = self.scene.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
+        let first = self.scenario.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
         let faulty = |zone: &str, at: Millis| {
-            self.scene.faults.iter().any(|fault| {
+            self.scenario.faults.iter().any(|fault| {
                 // What was seen during a fault may be acted on shortly after it.
                 (fault.at..fault.until + 3_000.0).contains(&at)
                     && fault.zone.is_none_or(|number| ZONES[number] == zone)
@@ -525,7 +526,7 @@
         self.figures.left.sort_by(f64::total_cmp);
         for (server, sent) in self.servers.iter().zip(&self.sent) {
             let able = |from: Millis, to: Millis| {
-                server.warmth(to.max(from)) * self.scene.workers as f64 * (to - from)
+                server.warmth(to.max(from)) * self.scenario.workers as f64 * (to - from)
             };
             let (mut begin, mut sum) = (0, 0.0);
             let (mut second, mut in_second) = (0_u64, 0.0);
@@ -535,7 +536,7 @@
                     sum -= sent[begin].1;
                     begin += 1;
                 }
-                let cold = server.started.is_some_and(|s| (0.0..crate::scene::WARM).contains(&(at - s)));
+                let cold = server.started.is_some_and(|s| (0.0..crate::scenario::WARM).contains(&(at - s)));
                 if cold {
                     self.figures.cold_load = self.figures.cold_load.max(sum / able(at - WINDOW, *at));
                 }
@@ -544,19 +545,19 @@
                 }
                 in_second += work;
                 if !cold {
-                    let load = in_second / (1000.0 * self.scene.workers as f64);
+                    let load = in_second / (1000.0 * self.scenario.workers as f64);
                     self.figures.load = self.figures.load.max(load);
                 }
             }
         }
-        self.figures.heard = self.words as f64 / self.nodes.len() as f64 / (self.scene.length / 1000.0);
+        self.figures.heard = self.words as f64 / self.nodes.len() as f64 / (self.scenario.duration / 1000.0);
         self.figures.probes = self.probed.values().copied().max().unwrap_or(0) as f64;
         self.figures
     }
 }
 
 /// Whether a fault is about a server.
-fn hits(scene: &Scene, fault: &Fault, server: &Server) -> bool {
-    let some = (server.place as f64) < fault.servers * scene.servers as f64;
+fn hits(scenario: &Scenario, fault: &Fault, server: &Server) -> bool {
+    let some = (server.place as f64) < fault.servers * scenario.servers_per_zone as f64;
     fault.zone.is_none_or(|zone| zone == server.zone) && some
 }
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -1,6 +1,6 @@
 //! Digests of what fleets in virtual time do: a change of names or shape leaves them as they are.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scene, Talk};
+use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
 use std::fmt::Write;
 
 const NODES: usize = 12;
@@ -35,15 +35,15 @@
 }
 
 fn played(seed: u64, kind: FaultKind, talk: Option<Talk>) -> String {
-    let mut scene = Scene::new(seed, NODES, REQUESTS_PER_S);
-    scene.length = LENGTH_MS;
-    scene.faults = vec![Fault::of(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
-    let scene = scene.judged();
-    let scene = match talk {
-        Some(talk) => scene.talking(talk),
-        None => scene,
+    let mut scenario = Scenario::new(seed, NODES, REQUESTS_PER_S);
+    scenario.duration = LENGTH_MS;
+    scenario.faults = vec![Fault::of(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
+    let scenario = scenario.judged();
+    let scenario = match talk {
+        Some(talk) => scenario.talking(talk),
+        None => scenario,
     };
-    spelt(&play(&scene).expect("a sound scene"))
+    spelt(&play(&scenario).expect("a sound scenario"))
 }
 
 #[test]
--- a/crates/emulator/tests/zones.rs
+++ b/crates/emulator/tests/zones.rs
@@ -1,13 +1,13 @@
 //! Zones that fail before fleets in virtual time: what judging them as a whole must do, and must not.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scene, Talk};
+use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
 
 /// Processes of ten requests a second each; what goes wrong goes wrong from 5 s to 9 s.
 fn played(nodes: usize, faults: Vec<Fault>, judged: bool) -> Figures {
-    let mut scene = Scene::new(7, nodes, 10.0 * nodes as f64);
-    scene.length = 25_000.0;
-    scene.faults = faults;
-    let figures = play(&if judged { scene.judged() } else { scene }).expect("a sound scene");
+    let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64);
+    scenario.duration = 25_000.0;
+    scenario.faults = faults;
+    let figures = play(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario");
     assert_eq!(figures.twice, 0, "an effect happened twice");
     let answered = figures.served + figures.late + figures.refused + figures.lost;
     assert_eq!(answered, figures.requests, "each request has one answer");
@@ -78,10 +78,10 @@
 fn tiny_fleets_and_processes_with_one_server_a_zone_are_no_worse_off() {
     for seed in 0..5 {
         let play = |judged: bool| {
-            let mut scene = Scene::new(seed, 2, 20.0);
-            (scene.servers, scene.workers) = (1, 4);
-            scene.faults = south(FaultKind::Cut);
-            play(&if judged { scene.judged() } else { scene }).expect("a sound scene")
+            let mut scenario = Scenario::new(seed, 2, 20.0);
+            (scenario.servers_per_zone, scenario.workers) = (1, 4);
+            scenario.faults = south(FaultKind::Cut);
+            play(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario")
         };
         let [old, new] = [false, true].map(play);
         let sum = |f: &Figures| f.hurt.0 + f.hurt.1;
@@ -90,9 +90,9 @@
 }
 
 fn talking(nodes: usize, faults: Vec<Fault>, talk: Talk) -> Figures {
-    let mut scene = Scene::new(7, nodes, 10.0 * nodes as f64).talking(talk);
-    (scene.length, scene.faults) = (25_000.0, faults);
-    play(&scene).expect("a sound scene")
+    let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64).talking(talk);
+    (scenario.duration, scenario.faults) = (25_000.0, faults);
+    play(&scenario).expect("a sound scenario")
 }
 
 #[test]
