--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -1,7 +1,7 @@
 //! Zones that fail, played in virtual time: decision modules alone, with zones judged as a whole,
 //! and with processes that tell each other what they see.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
 use std::io;
 
 const FROM: f64 = 5_000.0;
@@ -115,7 +115,7 @@
             for seed in 1..=seeds {
                 let mut scene = Scenario::new(seed, 30, rate * 30.0).talking(talk);
                 (scene.duration, scene.faults) = (25_000.0, faults.clone());
-                add(&mut figures, &play(&scene).map_err(io::Error::other)?);
+                add(&mut figures, &simulate(&scene).map_err(io::Error::other)?);
             }
             figures.left.sort_by(f64::total_cmp);
             println!(
@@ -129,7 +129,7 @@
     }
     let mut quiet = Scenario::new(1, 30, 30.0 * rate).talking(Talk::default());
     quiet.duration = hours * 3_600_000.0;
-    let figures = play(&quiet).map_err(io::Error::other)?;
+    let figures = simulate(&quiet).map_err(io::Error::other)?;
     println!(
         "{hours} h without a fault, 30 processes, {} requests: {} zones left wrongly, {} lost or late",
         figures.requests,
@@ -164,7 +164,7 @@
             Judged::Alone => scene.judged(),
             Judged::Together => scene.talking(Talk::default()),
         };
-        let figures = play(&scene).map_err(io::Error::other)?;
+        let figures = simulate(&scene).map_err(io::Error::other)?;
         if figures.twice > 0 {
             return Err(io::Error::other(format!("{name}: an effect happened twice")));
         }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,4 +10,4 @@
 mod world;
 
 pub use scenario::{Fault, FaultKind, Scenario, Talk};
-pub use world::{play, Figures};
+pub use world::{simulate, Figures};
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 /// If a decision module cannot act on its settings.
-pub fn play(scenario: &Scenario) -> Result<Figures, SettingsError> {
+pub fn simulate(scenario: &Scenario) -> Result<Figures, SettingsError> {
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut nodes = Vec::new();
     for number in 0..scenario.nodes {
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -1,6 +1,6 @@
 //! Digests of what fleets in virtual time do: a change of names or shape leaves them as they are.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
 use std::fmt::Write;
 
 const NODES: usize = 12;
@@ -9,7 +9,7 @@
 const FAULT_BEGIN_MS: f64 = 5_000.0;
 const FAULT_END_MS: f64 = 9_000.0;
 
-/// FNV-1a over the figures of a play, spelt out.
+/// FNV-1a over the figures of a simulate, spelt out.
 fn digest(text: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
@@ -43,7 +43,7 @@
         Some(talk) => scenario.talking(talk),
         None => scenario,
     };
-    spelt(&play(&scenario).expect("a sound scenario"))
+    spelt(&simulate(&scenario).expect("a sound scenario"))
 }
 
 #[test]
--- a/crates/emulator/tests/zones.rs
+++ b/crates/emulator/tests/zones.rs
@@ -1,13 +1,13 @@
 //! Zones that fail before fleets in virtual time: what judging them as a whole must do, and must not.
 
-use ivygate_emulator::{play, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
 
 /// Processes of ten requests a second each; what goes wrong goes wrong from 5 s to 9 s.
 fn played(nodes: usize, faults: Vec<Fault>, judged: bool) -> Figures {
     let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64);
     scenario.duration = 25_000.0;
     scenario.faults = faults;
-    let figures = play(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario");
+    let figures = simulate(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario");
     assert_eq!(figures.twice, 0, "an effect happened twice");
     let answered = figures.served + figures.late + figures.refused + figures.lost;
     assert_eq!(answered, figures.requests, "each request has one answer");
@@ -81,7 +81,7 @@
             let mut scenario = Scenario::new(seed, 2, 20.0);
             (scenario.servers_per_zone, scenario.workers) = (1, 4);
             scenario.faults = south(FaultKind::Cut);
-            play(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario")
+            simulate(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario")
         };
         let [old, new] = [false, true].map(play);
         let sum = |f: &Figures| f.hurt.0 + f.hurt.1;
@@ -92,7 +92,7 @@
 fn talking(nodes: usize, faults: Vec<Fault>, talk: Talk) -> Figures {
     let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64).talking(talk);
     (scenario.duration, scenario.faults) = (25_000.0, faults);
-    play(&scenario).expect("a sound scenario")
+    simulate(&scenario).expect("a sound scenario")
 }
 
 #[test]
