--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -1,7 +1,7 @@
 //! Zones that fail, played in virtual time: decision modules alone, with zones judged as a whole,
 //! and with processes that tell each other what they see.
 
-use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, PeerNetwork, Scenario};
 use std::io;
 
 const FROM: f64 = 5_000.0;
@@ -97,23 +97,26 @@
     let cut = vec![Fault::of(1, FaultKind::Cut, FROM, UNTIL)];
     println!("Zone cut as above, 30 processes that tell each other, and what is wrong with that:");
     let talks = [
-        ("nothing", Talk::default()),
-        ("30 % of the packets lost", Talk { lost: 0.3, ..Talk::default() }),
-        ("packets take 300 to 600 ms", Talk { delay: 300.0, ..Talk::default() }),
-        ("two halves that don't hear each other", Talk { apart: (0.0, 1e9), ..Talk::default() }),
-        ("nobody hears anything", Talk { silent: (0.0, 1e9), ..Talk::default() }),
+        ("nothing", PeerNetwork::default()),
+        ("30 % of the packets lost", PeerNetwork { loss: 0.3, ..PeerNetwork::default() }),
+        ("packets take 300 to 600 ms", PeerNetwork { delay: 300.0, ..PeerNetwork::default() }),
+        (
+            "two halves that don't hear each other",
+            PeerNetwork { partition: (0.0, 1e9), ..PeerNetwork::default() },
+        ),
+        ("nobody hears anything", PeerNetwork { outage: (0.0, 1e9), ..PeerNetwork::default() }),
         (
             "nobody hears anything from 1 s of the cut",
-            Talk { silent: (FROM + 1_000.0, 1e9), ..Talk::default() },
+            PeerNetwork { outage: (FROM + 1_000.0, 1e9), ..PeerNetwork::default() },
         ),
-        ("one liar", Talk { liars: 1, ..Talk::default() }),
-        ("a tenth are liars", Talk { liars: 3, ..Talk::default() }),
+        ("one liar", PeerNetwork { byzantine_nodes: 1, ..PeerNetwork::default() }),
+        ("a tenth are liars", PeerNetwork { byzantine_nodes: 3, ..PeerNetwork::default() }),
     ];
     for (name, talk) in talks {
         for (faults, what) in [(&cut, "cut"), (&Vec::new(), "no fault")] {
             let mut figures = Figures::default();
             for seed in 1..=seeds {
-                let mut scene = Scenario::new(seed, 30, rate * 30.0).talking(talk);
+                let mut scene = Scenario::new(seed, 30, rate * 30.0).with_peer_network(talk);
                 (scene.duration, scene.faults) = (25_000.0, faults.clone());
                 add(&mut figures, &simulate(&scene).map_err(io::Error::other)?);
             }
@@ -127,7 +130,7 @@
             );
         }
     }
-    let mut quiet = Scenario::new(1, 30, 30.0 * rate).talking(Talk::default());
+    let mut quiet = Scenario::new(1, 30, 30.0 * rate).with_peer_network(PeerNetwork::default());
     quiet.duration = hours * 3_600_000.0;
     let figures = simulate(&quiet).map_err(io::Error::other)?;
     println!(
@@ -162,7 +165,7 @@
         let scene = match judged {
             Judged::Not => scene,
             Judged::Alone => scene.judged(),
-            Judged::Together => scene.talking(Talk::default()),
+            Judged::Together => scene.with_peer_network(PeerNetwork::default()),
         };
         let figures = simulate(&scene).map_err(io::Error::other)?;
         if figures.twice > 0 {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -9,5 +9,5 @@
 mod server;
 mod world;
 
-pub use scenario::{Fault, FaultKind, Scenario, Talk};
+pub use scenario::{Fault, FaultKind, PeerNetwork, Scenario};
 pub use world::{simulate, Figures};
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -49,22 +49,22 @@
 
 /// How processes hear each other.
 #[derive(Clone, Copy, Debug)]
-pub struct Talk {
+pub struct PeerNetwork {
     /// How long a packet takes, and up to as long again.
     pub delay: Millis,
     /// Part of the packets that is lost.
-    pub lost: f64,
+    pub loss: f64,
     /// The first so many processes say ten times a second that all zones fail.
-    pub liars: usize,
+    pub byzantine_nodes: usize,
     /// From and until when the processes with even numbers and those with odd ones don't hear each other.
-    pub apart: (Millis, Millis),
+    pub partition: (Millis, Millis),
     /// From and until when nobody hears anything.
-    pub silent: (Millis, Millis),
+    pub outage: (Millis, Millis),
 }
 
-impl Default for Talk {
+impl Default for PeerNetwork {
     fn default() -> Self {
-        Self { delay: 1.0, lost: 0.0, liars: 0, apart: (0.0, 0.0), silent: (0.0, 0.0) }
+        Self { delay: 1.0, loss: 0.0, byzantine_nodes: 0, partition: (0.0, 0.0), outage: (0.0, 0.0) }
     }
 }
 
@@ -92,7 +92,7 @@
     /// How zones are judged; `None` for decision modules alone.
     pub policy: Option<EjectionPolicy>,
     /// How processes hear each other, if they do; only where zones are judged.
-    pub peer_network: Option<Talk>,
+    pub peer_network: Option<PeerNetwork>,
 }
 
 /// Names of the zones.
@@ -142,7 +142,7 @@
 
     /// With processes that tell each other what they see.
     #[must_use]
-    pub fn talking(mut self, talk: Talk) -> Self {
+    pub fn with_peer_network(mut self, talk: PeerNetwork) -> Self {
         self.peer_network = Some(talk);
         self.judged()
     }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,7 +1,7 @@
 //! The world of a play: who sends what to whom, when it arrives, and what came of it.
 
 use crate::node::{Attempt, Node, Open};
-use crate::scenario::{Fault, FaultKind, Scenario, Talk, MIX, ZONES};
+use crate::scenario::{Fault, FaultKind, PeerNetwork, Scenario, MIX, ZONES};
 use crate::server::{Job, Server};
 use ivygate_failure_domains::ZoneReport;
 use ivygate_gateway::{
@@ -193,7 +193,7 @@
                 }
             }
         }
-        for liar in 0..self.scenario.peer_network.map_or(0, |talk| talk.liars) {
+        for liar in 0..self.scenario.peer_network.map_or(0, |talk| talk.byzantine_nodes) {
             self.at(0.0, What::Lie(liar));
         }
         self.at(0.0, What::Arrive);
@@ -315,12 +315,14 @@
 
     /// Passes a node's word on to all others.
     fn spread(&mut self, author: usize, reports: Vec<ZoneReport>) {
-        let Some(Talk { delay, lost, apart, silent, .. }) = self.scenario.peer_network else { return };
+        let Some(PeerNetwork { delay, loss, partition, outage, .. }) = self.scenario.peer_network else {
+            return;
+        };
         let holds = |(from, until): (Millis, Millis)| (from..until).contains(&self.now);
-        let (apart, silent) = (holds(apart), holds(silent));
+        let (is_partitioned, is_out) = (holds(partition), holds(outage));
         let reports: Rc<[ZoneReport]> = reports.into();
         for node in (0..self.nodes.len()).filter(|node| *node != author) {
-            if silent || apart && node % 2 != author % 2 || lost > 0.0 && self.rng.f64() < lost {
+            if is_out || is_partitioned && node % 2 != author % 2 || loss > 0.0 && self.rng.f64() < loss {
                 continue;
             }
             let at = self.now + delay * (1.0 + self.rng.f64());
@@ -348,7 +350,7 @@
                 Action::Subscribe | Action::Log { .. } => {}
             }
         }
-        let lies = self.scenario.peer_network.is_some_and(|talk| node < talk.liars);
+        let lies = self.scenario.peer_network.is_some_and(|talk| node < talk.byzantine_nodes);
         if let Some(word) = self.nodes[node].word().filter(|_| !lies) {
             self.spread(node, word);
         }
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -1,6 +1,6 @@
 //! Digests of what fleets in virtual time do: a change of names or shape leaves them as they are.
 
-use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, PeerNetwork, Scenario};
 use std::fmt::Write;
 
 const NODES: usize = 12;
@@ -34,13 +34,13 @@
     text
 }
 
-fn played(seed: u64, kind: FaultKind, talk: Option<Talk>) -> String {
+fn played(seed: u64, kind: FaultKind, talk: Option<PeerNetwork>) -> String {
     let mut scenario = Scenario::new(seed, NODES, REQUESTS_PER_S);
     scenario.duration = LENGTH_MS;
     scenario.faults = vec![Fault::of(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
     let scenario = scenario.judged();
     let scenario = match talk {
-        Some(talk) => scenario.talking(talk),
+        Some(talk) => scenario.with_peer_network(talk),
         None => scenario,
     };
     spelt(&simulate(&scenario).expect("a sound scenario"))
@@ -53,7 +53,8 @@
     for seed in 1..=6 {
         for kind in kinds {
             writeln!(text, "{}", played(seed, kind, None)).expect("a string takes all");
-            writeln!(text, "{}", played(seed, kind, Some(Talk::default()))).expect("a string takes all");
+            writeln!(text, "{}", played(seed, kind, Some(PeerNetwork::default())))
+                .expect("a string takes all");
         }
     }
     assert_eq!(digest(&text), 18_399_918_682_171_736_968, "the decisions on zones have changed");
--- a/crates/emulator/tests/zones.rs
+++ b/crates/emulator/tests/zones.rs
@@ -1,6 +1,6 @@
 //! Zones that fail before fleets in virtual time: what judging them as a whole must do, and must not.
 
-use ivygate_emulator::{simulate, Fault, FaultKind, Figures, Scenario, Talk};
+use ivygate_emulator::{simulate, Fault, FaultKind, Figures, PeerNetwork, Scenario};
 
 /// Processes of ten requests a second each; what goes wrong goes wrong from 5 s to 9 s.
 fn played(nodes: usize, faults: Vec<Fault>, judged: bool) -> Figures {
@@ -89,8 +89,8 @@
     }
 }
 
-fn talking(nodes: usize, faults: Vec<Fault>, talk: Talk) -> Figures {
-    let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64).talking(talk);
+fn talking(nodes: usize, faults: Vec<Fault>, talk: PeerNetwork) -> Figures {
+    let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64).with_peer_network(talk);
     (scenario.duration, scenario.faults) = (25_000.0, faults);
     simulate(&scenario).expect("a sound scenario")
 }
@@ -98,7 +98,7 @@
 #[test]
 fn processes_that_tell_each_other_leave_together() {
     let alone = played(30, south(FaultKind::Cut), true);
-    let all = talking(30, south(FaultKind::Cut), Talk::default());
+    let all = talking(30, south(FaultKind::Cut), PeerNetwork::default());
     assert!(all.left.len() >= 28 && all.left_by(0.95) < Some(500.0), "{all:?}");
     assert!(3 * all.hurt.0 < 2 * alone.hurt.0 && all.away_at_end == 0, "{alone:?}\n{all:?}");
     assert!(all.probes < alone.probes + 5.0);
@@ -109,20 +109,20 @@
     let cut = || south(FaultKind::Cut);
     let alone = played(30, cut(), true);
     for talk in [
-        Talk { lost: 0.3, ..Talk::default() },
-        Talk { delay: 150.0, ..Talk::default() },
-        Talk { apart: (0.0, 1e9), ..Talk::default() },
-        Talk { apart: (5_500.0, 8_000.0), ..Talk::default() },
-        Talk { silent: (0.0, 1e9), ..Talk::default() },
-        Talk { liars: 1, ..Talk::default() },
-        Talk { liars: 3, ..Talk::default() },
+        PeerNetwork { loss: 0.3, ..PeerNetwork::default() },
+        PeerNetwork { delay: 150.0, ..PeerNetwork::default() },
+        PeerNetwork { partition: (0.0, 1e9), ..PeerNetwork::default() },
+        PeerNetwork { partition: (5_500.0, 8_000.0), ..PeerNetwork::default() },
+        PeerNetwork { outage: (0.0, 1e9), ..PeerNetwork::default() },
+        PeerNetwork { byzantine_nodes: 1, ..PeerNetwork::default() },
+        PeerNetwork { byzantine_nodes: 3, ..PeerNetwork::default() },
     ] {
         let all = talking(30, cut(), talk);
         assert!(all.hurt.0 <= alone.hurt.0 * 5 / 4 + 3, "{talk:?}: {alone:?}\n{all:?}");
         assert_eq!(all.away_at_end, 0, "{talk:?}");
         let quiet = talking(30, Vec::new(), talk);
         // Lies move load, and a few processes find a zone slow; nothing may be lost by it.
-        let most = if talk.liars > 1 { 3 } else { 0 };
+        let most = if talk.byzantine_nodes > 1 { 3 } else { 0 };
         assert!(quiet.left_wrongly <= most && quiet.lost + quiet.late <= 1, "{talk:?}: {quiet:?}");
     }
 }
