--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -1,7 +1,7 @@
 //! Zones that fail, played in virtual time: decision modules alone, with zones judged as a whole,
 //! and with processes that tell each other what they see.
 
-use ivygate_emulator::{simulate, Fault, FaultKind, Figures, PeerNetwork, Scenario};
+use ivygate_emulator::{simulate, Fault, FaultKind, PeerNetwork, Scenario, SimulationResults};
 use std::io;
 
 const FROM: f64 = 5_000.0;
@@ -71,26 +71,27 @@
             let [old, own, all] = [Judged::Not, Judged::Alone, Judged::Together]
                 .map(|judged| sum(name, faults, *nodes, rate, seeds, judged));
             let (old, own, all) = (old?, own?, all?);
-            let by =
-                |figures: &Figures| figures.left_by(0.95).map_or("-".to_owned(), |at| format!("{at:.0}"));
+            let by = |figures: &SimulationResults| {
+                figures.ejected_by(0.95).map_or("-".to_owned(), |at| format!("{at:.0}"))
+            };
             println!(
                 "{name:>38} {nodes:>5} {:>8} |{:>6} {:>6} {:>6}|{:>6} {:>6} {:>6}|{:>6.2} {:>7.2}|{:>5.0} {:>5.0}|{:>8} {:>8}|{:>3} {:>3}|{:>5.0}",
                 all.requests,
-                old.hurt.0,
-                own.hurt.0,
-                all.hurt.0,
-                old.hurt.1,
-                own.hurt.1,
-                all.hurt.1,
-                old.cold_load,
-                all.cold_load,
-                old.probes,
-                all.probes,
+                old.affected.0,
+                own.affected.0,
+                all.affected.0,
+                old.affected.1,
+                own.affected.1,
+                all.affected.1,
+                old.peak_cold_load,
+                all.peak_cold_load,
+                old.peak_probes_per_s,
+                all.peak_probes_per_s,
                 by(&own),
                 by(&all),
-                own.left_wrongly,
-                all.left_wrongly,
-                all.heard
+                own.false_ejections,
+                all.false_ejections,
+                all.reports_per_s
             );
         }
     }
@@ -114,19 +115,19 @@
     ];
     for (name, talk) in talks {
         for (faults, what) in [(&cut, "cut"), (&Vec::new(), "no fault")] {
-            let mut figures = Figures::default();
+            let mut figures = SimulationResults::default();
             for seed in 1..=seeds {
                 let mut scene = Scenario::new(seed, 30, rate * 30.0).with_peer_network(talk);
                 (scene.duration, scene.faults) = (25_000.0, faults.clone());
                 add(&mut figures, &simulate(&scene).map_err(io::Error::other)?);
             }
-            figures.left.sort_by(f64::total_cmp);
+            figures.ejected_after.sort_by(f64::total_cmp);
             println!(
                 "{name:>45} {what:>9}: lost or late {:>5}, refused {:>5}, 95 % left {:>6} ms, left wrongly {:>3}",
-                figures.lost + figures.late,
-                figures.refused,
-                figures.left_by(0.95).map_or("-".to_owned(), |at| format!("{at:.0}")),
-                figures.left_wrongly
+                figures.failed + figures.served_late,
+                figures.rejected,
+                figures.ejected_by(0.95).map_or("-".to_owned(), |at| format!("{at:.0}")),
+                figures.false_ejections
             );
         }
     }
@@ -136,8 +137,8 @@
     println!(
         "{hours} h without a fault, 30 processes, {} requests: {} zones left wrongly, {} lost or late",
         figures.requests,
-        figures.left_wrongly,
-        figures.lost + figures.late
+        figures.false_ejections,
+        figures.failed + figures.served_late
     );
     Ok(())
 }
@@ -156,8 +157,8 @@
     rate: f64,
     seeds: u64,
     judged: Judged,
-) -> io::Result<Figures> {
-    let mut all = Figures::default();
+) -> io::Result<SimulationResults> {
+    let mut all = SimulationResults::default();
     for seed in 1..=seeds {
         let mut scene = Scenario::new(seed, nodes, rate * nodes as f64);
         scene.duration = if name.starts_with("flapping") { 40_000.0 } else { 25_000.0 };
@@ -168,25 +169,25 @@
             Judged::Together => scene.with_peer_network(PeerNetwork::default()),
         };
         let figures = simulate(&scene).map_err(io::Error::other)?;
-        if figures.twice > 0 {
+        if figures.repeated_effects > 0 {
             return Err(io::Error::other(format!("{name}: an effect happened twice")));
         }
         add(&mut all, &figures);
     }
-    all.left.sort_by(f64::total_cmp);
+    all.ejected_after.sort_by(f64::total_cmp);
     Ok(all)
 }
 
-fn add(all: &mut Figures, figures: &Figures) {
+fn add(all: &mut SimulationResults, figures: &SimulationResults) {
     all.requests += figures.requests;
-    all.lost += figures.lost;
-    all.late += figures.late;
-    all.refused += figures.refused;
-    all.hurt = (all.hurt.0 + figures.hurt.0, all.hurt.1 + figures.hurt.1);
-    all.cold_load = all.cold_load.max(figures.cold_load);
-    all.probes = all.probes.max(figures.probes);
-    all.heard = all.heard.max(figures.heard);
-    all.left_wrongly += figures.left_wrongly;
-    all.away_at_end += figures.away_at_end;
-    all.left.extend(&figures.left);
+    all.failed += figures.failed;
+    all.served_late += figures.served_late;
+    all.rejected += figures.rejected;
+    all.affected = (all.affected.0 + figures.affected.0, all.affected.1 + figures.affected.1);
+    all.peak_cold_load = all.peak_cold_load.max(figures.peak_cold_load);
+    all.peak_probes_per_s = all.peak_probes_per_s.max(figures.peak_probes_per_s);
+    all.reports_per_s = all.reports_per_s.max(figures.reports_per_s);
+    all.false_ejections += figures.false_ejections;
+    all.ejected_at_end += figures.ejected_at_end;
+    all.ejected_after.extend(&figures.ejected_after);
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,4 +10,4 @@
 mod world;
 
 pub use scenario::{Fault, FaultKind, PeerNetwork, Scenario};
-pub use world::{simulate, Figures};
+pub use world::{simulate, SimulationResults};
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -22,42 +22,42 @@
 
 /// What came of a play.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct SimulationResults {
     /// Requests.
     pub requests: u64,
     /// Served within the aim.
     pub served: u64,
     /// Served later.
-    pub late: u64,
+    pub served_late: u64,
     /// Refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed or never answered.
-    pub lost: u64,
+    pub failed: u64,
     /// Effects that happened twice.
-    pub twice: u64,
+    pub repeated_effects: u64,
     /// Lost or late, and refused, of those that came from the first fault on.
-    pub hurt: (u64, u64),
+    pub affected: (u64, u64),
     /// When nodes first left the faulty zone, after the first fault began, in order; a node that never did is missing.
-    pub left: Vec<Millis>,
+    pub ejected_after: Vec<Millis>,
     /// Zones left while nothing was wrong with them.
-    pub left_wrongly: u64,
+    pub false_ejections: u64,
     /// Nodes for which some zone was not as ever at the end.
-    pub away_at_end: u64,
+    pub ejected_at_end: u64,
     /// Most work that a cold server was sent in a window, against what it can do in it.
-    pub cold_load: f64,
+    pub peak_cold_load: f64,
     /// Most work that a server that lives was sent in a second, against what it can do in it.
-    pub load: f64,
+    pub peak_load: f64,
     /// Packets that a process heard from others, a second.
-    pub heard: f64,
+    pub reports_per_s: f64,
     /// Probes that the servers of a zone got a second, at most.
-    pub probes: f64,
+    pub peak_probes_per_s: f64,
 }
 
-impl Figures {
+impl SimulationResults {
     /// When this part of the nodes that left had left, in milliseconds after the first fault.
-    pub fn left_by(&self, part: f64) -> Option<Millis> {
-        let last = (part * self.left.len() as f64).ceil() as usize;
-        self.left.get(last.max(1) - 1).copied()
+    pub fn ejected_by(&self, part: f64) -> Option<Millis> {
+        let last = (part * self.ejected_after.len() as f64).ceil() as usize;
+        self.ejected_after.get(last.max(1) - 1).copied()
     }
 }
 
@@ -123,14 +123,14 @@
     effects: HashMap<u64, Vec<usize>>,
     next: u64,
     words: u64,
-    figures: Figures,
+    figures: SimulationResults,
 }
 
 /// Plays a scenario.
 ///
 /// # Errors
 /// If a decision module cannot act on its settings.
-pub fn simulate(scenario: &Scenario) -> Result<Figures, SettingsError> {
+pub fn simulate(scenario: &Scenario) -> Result<SimulationResults, SettingsError> {
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut nodes = Vec::new();
     for number in 0..scenario.nodes {
@@ -153,7 +153,7 @@
         effects: HashMap::new(),
         next: 0,
         words: 0,
-        figures: Figures::default(),
+        figures: SimulationResults::default(),
     };
     world.run();
     Ok(world.judged())
@@ -425,7 +425,7 @@
             Some(_) => known.push(zone),
         }
         if known.len() == 2 {
-            self.figures.twice += 1;
+            self.figures.repeated_effects += 1;
         }
     }
 
@@ -481,14 +481,14 @@
         let in_time = self.now <= arrived + self.classes[class].latency_target;
         let (count, lost, refused) = match answer {
             Some(Outcome::Ok) if in_time => (&mut self.figures.served, 0, 0),
-            Some(Outcome::Ok) => (&mut self.figures.late, 1, 0),
-            Some(_) => (&mut self.figures.refused, 0, 1),
-            None => (&mut self.figures.lost, 1, 0),
+            Some(Outcome::Ok) => (&mut self.figures.served_late, 1, 0),
+            Some(_) => (&mut self.figures.rejected, 0, 1),
+            None => (&mut self.figures.failed, 1, 0),
         };
         *count += 1;
         if arrived >= first {
-            self.figures.hurt.0 += lost;
-            self.figures.hurt.1 += refused;
+            self.figures.affected.0 += lost;
+            self.figures.affected.1 += refused;
         }
         self.drop_if_over(node, request);
     }
@@ -500,7 +500,7 @@
         }
     }
 
-    fn judged(mut self) -> Figures {
+    fn judged(mut self) -> SimulationResults {
         let first = self.scenario.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
         let faulty = |zone: &str, at: Millis| {
             self.scenario.faults.iter().any(|fault| {
@@ -514,18 +514,18 @@
             for (at, zone, away) in &node.turns {
                 match (away, faulty(zone, *at)) {
                     (true, true) => left.push(at - first),
-                    (true, false) => self.figures.left_wrongly += 1,
+                    (true, false) => self.figures.false_ejections += 1,
                     (false, _) => {}
                 }
             }
-            self.figures.left.extend(left.first());
+            self.figures.ejected_after.extend(left.first());
             let mut last: BTreeMap<&str, bool> = BTreeMap::new();
             for (_, zone, away) in &node.turns {
                 last.insert(zone, *away);
             }
-            self.figures.away_at_end += u64::from(last.values().any(|away| *away));
+            self.figures.ejected_at_end += u64::from(last.values().any(|away| *away));
         }
-        self.figures.left.sort_by(f64::total_cmp);
+        self.figures.ejected_after.sort_by(f64::total_cmp);
         for (server, sent) in self.servers.iter().zip(&self.sent) {
             let able = |from: Millis, to: Millis| {
                 server.warmth(to.max(from)) * self.scenario.workers as f64 * (to - from)
@@ -540,7 +540,8 @@
                 }
                 let cold = server.started.is_some_and(|s| (0.0..crate::scenario::WARM).contains(&(at - s)));
                 if cold {
-                    self.figures.cold_load = self.figures.cold_load.max(sum / able(at - WINDOW, *at));
+                    self.figures.peak_cold_load =
+                        self.figures.peak_cold_load.max(sum / able(at - WINDOW, *at));
                 }
                 if (at / 1000.0) as u64 != second {
                     (second, in_second) = ((at / 1000.0) as u64, 0.0);
@@ -548,12 +549,13 @@
                 in_second += work;
                 if !cold {
                     let load = in_second / (1000.0 * self.scenario.workers as f64);
-                    self.figures.load = self.figures.load.max(load);
+                    self.figures.peak_load = self.figures.peak_load.max(load);
                 }
             }
         }
-        self.figures.heard = self.words as f64 / self.nodes.len() as f64 / (self.scenario.duration / 1000.0);
-        self.figures.probes = self.probed.values().copied().max().unwrap_or(0) as f64;
+        self.figures.reports_per_s =
+            self.words as f64 / self.nodes.len() as f64 / (self.scenario.duration / 1000.0);
+        self.figures.peak_probes_per_s = self.probed.values().copied().max().unwrap_or(0) as f64;
         self.figures
     }
 }
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -1,6 +1,6 @@
 //! Digests of what fleets in virtual time do: a change of names or shape leaves them as they are.
 
-use ivygate_emulator::{simulate, Fault, FaultKind, Figures, PeerNetwork, Scenario};
+use ivygate_emulator::{simulate, Fault, FaultKind, PeerNetwork, Scenario, SimulationResults};
 use std::fmt::Write;
 
 const NODES: usize = 12;
@@ -15,22 +15,23 @@
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-fn spelt(figures: &Figures) -> String {
+fn spelt(figures: &SimulationResults) -> String {
     let mut text = String::new();
     let counts = [
         figures.requests,
         figures.served,
-        figures.late,
-        figures.refused,
-        figures.lost,
-        figures.twice,
-        figures.hurt.0,
-        figures.hurt.1,
-        figures.left_wrongly,
-        figures.away_at_end,
+        figures.served_late,
+        figures.rejected,
+        figures.failed,
+        figures.repeated_effects,
+        figures.affected.0,
+        figures.affected.1,
+        figures.false_ejections,
+        figures.ejected_at_end,
     ];
-    let measures = [figures.cold_load, figures.load, figures.heard, figures.probes];
-    write!(text, "{counts:?} {measures:.6?} {:.6?}", figures.left).expect("a string takes all");
+    let measures =
+        [figures.peak_cold_load, figures.peak_load, figures.reports_per_s, figures.peak_probes_per_s];
+    write!(text, "{counts:?} {measures:.6?} {:.6?}", figures.ejected_after).expect("a string takes all");
     text
 }
 
