--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -14,22 +14,22 @@
     let mut flapping = Vec::new();
     for turn in 0..3 {
         let at = FROM + 6_000.0 * f64::from(turn);
-        flapping.push(Fault::of(1, FaultKind::Cut, at, at + 3_000.0));
+        flapping.push(Fault::of(1, FaultKind::NetworkPartition, at, at + 3_000.0));
     }
-    let half = vec![Fault { nodes: (2, 4), ..Fault::of(1, FaultKind::Cut, FROM, UNTIL) }];
-    let all = vec![Fault { zone: None, ..Fault::of(0, FaultKind::Cut, FROM, UNTIL) }];
+    let half = vec![Fault { nodes: (2, 4), ..Fault::of(1, FaultKind::NetworkPartition, FROM, UNTIL) }];
+    let all = vec![Fault { zone: None, ..Fault::of(0, FaultKind::NetworkPartition, FROM, UNTIL) }];
     let scenes = [
-        ("cut", zone(FaultKind::Cut)),
-        ("cut on the way back", zone(FaultKind::CutBack)),
-        ("cut between zones", zone(FaultKind::CutBetween)),
+        ("cut", zone(FaultKind::NetworkPartition)),
+        ("cut on the way back", zone(FaultKind::ResponseLoss)),
+        ("cut between zones", zone(FaultKind::ZonePartition)),
         ("cut for half the processes", half),
-        ("dead, back cold", zone(FaultKind::Dead)),
-        ("30 % lost", zone(FaultKind::Loss(0.3))),
-        ("10 times as slow", zone(FaultKind::Slow(10.0))),
-        ("nine in ten wrong", zone(FaultKind::Wrong(0.9))),
+        ("dead, back cold", zone(FaultKind::Crash)),
+        ("30 % lost", zone(FaultKind::Resets(0.3))),
+        ("10 times as slow", zone(FaultKind::Slowdown(10.0))),
+        ("nine in ten wrong", zone(FaultKind::Errors(0.9))),
         ("flapping each 3 s", flapping),
         ("all zones cut", all),
-        ("one server in five wrong, in all zones", one_server(FaultKind::Wrong(1.0))),
+        ("one server in five wrong, in all zones", one_server(FaultKind::Errors(1.0))),
     ];
     println!("{rate} requests a second of each process; sums over {seeds} seeds.");
     println!("old: decision modules alone; own: zones judged, each process by itself; all: processes tell each other.");
@@ -95,7 +95,7 @@
             );
         }
     }
-    let cut = vec![Fault::of(1, FaultKind::Cut, FROM, UNTIL)];
+    let cut = vec![Fault::of(1, FaultKind::NetworkPartition, FROM, UNTIL)];
     println!("Zone cut as above, 30 processes that tell each other, and what is wrong with that:");
     let talks = [
         ("nothing", PeerNetwork::default()),
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// Nothing passes, and nobody is told.
-    Cut,
+    NetworkPartition,
     /// Nothing passes between that zone and nodes of other zones.
-    CutBetween,
+    ZonePartition,
     /// Answers don't come back.
-    CutBack,
+    ResponseLoss,
     /// They are dead, refuse connections, and come back cold; nobody is told.
-    Dead,
+    Crash,
     /// This part of the answers is lost in a reset.
-    Loss(f64),
+    Resets(f64),
     /// This part of the requests is answered at once, with an error.
-    Wrong(f64),
+    Errors(f64),
     /// They take this many times as long.
-    Slow(f64),
+    Slowdown(f64),
 }
 
 /// A fault of one zone, or of some servers of each zone.
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -185,7 +185,7 @@
             self.tell(node, Event::List { kind: ListKind::Full, servers: members.clone().into() });
         }
         for fault in self.scenario.faults.clone() {
-            if fault.kind == FaultKind::Dead {
+            if fault.kind == FaultKind::Crash {
                 let hit = |s: &usize| hits(self.scenario, &fault, &self.servers[*s]);
                 for server in (0..self.servers.len()).filter(hit).collect::<Vec<_>>() {
                     self.at(fault.at, What::Die(server));
@@ -216,25 +216,25 @@
                 && kind(&fault.kind)
                 && node % fault.nodes.1 < fault.nodes.0
                 && (hits(self.scenario, fault, &self.servers[server])
-                    || fault.kind == FaultKind::CutBetween
+                    || fault.kind == FaultKind::ZonePartition
                         && fault.zone == Some(zones.0)
                         && zones.0 != zones.1)
-                && (fault.kind != FaultKind::CutBetween || zones.0 != zones.1)
+                && (fault.kind != FaultKind::ZonePartition || zones.0 != zones.1)
         });
         held.map(|fault| fault.kind)
     }
 
     fn is_cut(&self, node: usize, server: usize, back: bool) -> bool {
         let cuts = |kind: &FaultKind| match kind {
-            FaultKind::Cut | FaultKind::CutBetween => true,
-            FaultKind::CutBack => back,
+            FaultKind::NetworkPartition | FaultKind::ZonePartition => true,
+            FaultKind::ResponseLoss => back,
             _ => false,
         };
         self.holds(node, server, cuts).is_some()
     }
 
     fn is_dead(&self, node: usize, server: usize) -> bool {
-        self.holds(node, server, |kind| *kind == FaultKind::Dead).is_some()
+        self.holds(node, server, |kind| *kind == FaultKind::Crash).is_some()
     }
 
     fn happen(&mut self, what: What) {
@@ -389,7 +389,8 @@
             return;
         }
         self.sent[server].push((self.now, job.work));
-        if let Some(FaultKind::Wrong(part)) = self.holds(node, server, |k| matches!(k, FaultKind::Wrong(_))) {
+        if let Some(FaultKind::Errors(part)) = self.holds(node, server, |k| matches!(k, FaultKind::Errors(_)))
+        {
             if self.rng.f64() < part {
                 self.take_effect(request, server, node);
                 self.at(self.now + WAY, What::Back(node, request, attempt, Outcome::Error));
@@ -405,8 +406,8 @@
 
     fn begin(&mut self, server: usize, job: Job) {
         self.take_effect(job.request, server, job.node);
-        let slow = match self.holds(job.node, server, |k| matches!(k, FaultKind::Slow(_))) {
-            Some(FaultKind::Slow(times)) => times,
+        let slow = match self.holds(job.node, server, |k| matches!(k, FaultKind::Slowdown(_))) {
+            Some(FaultKind::Slowdown(times)) => times,
             _ => 1.0,
         };
         let (warmth, life) = (self.servers[server].warmth(self.now), self.servers[server].life);
@@ -438,7 +439,8 @@
             return;
         }
         let mut outcome = Outcome::Ok;
-        if let Some(FaultKind::Loss(part)) = self.holds(node, server, |k| matches!(k, FaultKind::Loss(_))) {
+        if let Some(FaultKind::Resets(part)) = self.holds(node, server, |k| matches!(k, FaultKind::Resets(_)))
+        {
             if self.rng.f64() < part {
                 outcome = Outcome::Reset;
             }
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -49,7 +49,8 @@
 
 #[test]
 fn decisions_on_zones_keep_their_digest() {
-    let kinds = [FaultKind::Cut, FaultKind::Dead, FaultKind::Slow(10.0), FaultKind::Wrong(0.9)];
+    let kinds =
+        [FaultKind::NetworkPartition, FaultKind::Crash, FaultKind::Slowdown(10.0), FaultKind::Errors(0.9)];
     let mut text = String::new();
     for seed in 1..=6 {
         for kind in kinds {
--- a/crates/emulator/tests/zones.rs
+++ b/crates/emulator/tests/zones.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_zone_that_is_cut_off_is_left_soon_and_come_back_to() {
-    let [old, new] = both(30, south(FaultKind::Cut));
+    let [old, new] = both(30, south(FaultKind::NetworkPartition));
     assert!(new.ejected_after.len() >= 12 && new.ejected_by(0.5) < Some(800.0), "{new:?}");
     assert!(
         2 * new.affected.0 < old.affected.0 && 2 * new.affected.1 < old.affected.1 + 10,
@@ -35,13 +35,13 @@
 
 #[test]
 fn servers_that_answer_at_once_and_wrong_are_left_together() {
-    let [old, new] = both(30, south(FaultKind::Wrong(0.9)));
+    let [old, new] = both(30, south(FaultKind::Errors(0.9)));
     assert!(5 * new.affected.0 < old.affected.0 && 5 * new.affected.1 < old.affected.1, "{old:?}\n{new:?}");
 }
 
 #[test]
 fn a_slow_zone_is_left_as_far_as_the_others_bear_it() {
-    let [old, new] = both(30, south(FaultKind::Slow(10.0)));
+    let [old, new] = both(30, south(FaultKind::Slowdown(10.0)));
     let sum = |f: &SimulationResults| f.affected.0 + f.affected.1;
     assert!(2 * sum(&new) < sum(&old) && new.peak_load < old.peak_load + 0.1, "{old:?}\n{new:?}");
     assert_eq!(new.ejected_at_end, 0);
@@ -49,7 +49,7 @@
 
 #[test]
 fn cold_servers_of_a_zone_that_returns_are_not_flooded() {
-    let new = played(30, south(FaultKind::Dead), true);
+    let new = played(30, south(FaultKind::Crash), true);
     assert!(new.peak_cold_load < 1.1, "{new:?}");
     assert_eq!(new.ejected_at_end, 0);
 }
@@ -58,7 +58,7 @@
 fn a_zone_that_fails_again_and_again_is_left_alone_for_longer() {
     let fault = |turn| {
         let at = 3_000.0 + 5_000.0 * f64::from(turn);
-        Fault::of(1, FaultKind::Cut, at, at + 3_000.0)
+        Fault::of(1, FaultKind::NetworkPartition, at, at + 3_000.0)
     };
     let [old, new] = both(30, (0..4).map(fault).collect());
     assert!(2 * new.affected.0 < old.affected.0, "{old:?}\n{new:?}");
@@ -67,10 +67,10 @@
 #[test]
 fn what_is_no_zone_is_not_left() {
     // One server in five of every zone, as after a release that breaks one build; and a process that sees all fail.
-    let some = Fault { zone: None, servers: 0.2, ..Fault::of(0, FaultKind::Wrong(1.0), 5_000.0, 9_000.0) };
+    let some = Fault { zone: None, servers: 0.2, ..Fault::of(0, FaultKind::Errors(1.0), 5_000.0, 9_000.0) };
     let new = played(30, vec![some], true);
     assert!(new.ejected_after.len() <= 1, "{new:?}");
-    let all = Fault { zone: None, ..Fault::of(0, FaultKind::Cut, 5_000.0, 9_000.0) };
+    let all = Fault { zone: None, ..Fault::of(0, FaultKind::NetworkPartition, 5_000.0, 9_000.0) };
     let [old, new] = both(30, vec![all]);
     assert_eq!(new.ejected_at_end, 0, "{new:?}");
     assert!(new.affected.0 + new.affected.1 < (old.affected.0 + old.affected.1) * 5 / 4, "{old:?}\n{new:?}");
@@ -83,7 +83,7 @@
         let play = |judged: bool| {
             let mut scenario = Scenario::new(seed, 2, 20.0);
             (scenario.servers_per_zone, scenario.workers) = (1, 4);
-            scenario.faults = south(FaultKind::Cut);
+            scenario.faults = south(FaultKind::NetworkPartition);
             simulate(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario")
         };
         let [old, new] = [false, true].map(play);
@@ -100,8 +100,8 @@
 
 #[test]
 fn processes_that_tell_each_other_leave_together() {
-    let alone = played(30, south(FaultKind::Cut), true);
-    let all = talking(30, south(FaultKind::Cut), PeerNetwork::default());
+    let alone = played(30, south(FaultKind::NetworkPartition), true);
+    let all = talking(30, south(FaultKind::NetworkPartition), PeerNetwork::default());
     assert!(all.ejected_after.len() >= 28 && all.ejected_by(0.95) < Some(500.0), "{all:?}");
     assert!(3 * all.affected.0 < 2 * alone.affected.0 && all.ejected_at_end == 0, "{alone:?}\n{all:?}");
     assert!(all.peak_probes_per_s < alone.peak_probes_per_s + 5.0);
@@ -109,7 +109,7 @@
 
 #[test]
 fn words_that_are_lost_late_or_lies_do_no_harm() {
-    let cut = || south(FaultKind::Cut);
+    let cut = || south(FaultKind::NetworkPartition);
     let alone = played(30, cut(), true);
     for talk in [
         PeerNetwork { loss: 0.3, ..PeerNetwork::default() },
@@ -135,6 +135,6 @@
 
 #[test]
 fn one_seed_gives_one_play() {
-    let cut = || played(6, south(FaultKind::CutBack), true);
+    let cut = || played(6, south(FaultKind::ResponseLoss), true);
     assert_eq!(cut(), cut());
 }
