--- a/crates/bench/src/domains.rs
+++ b/crates/bench/src/domains.rs
@@ -9,15 +9,16 @@
 
 /// Plays and prints a table.
 pub fn measure(nodes: &[usize], rate: f64, seeds: u64, hours: f64) -> io::Result<()> {
-    let zone = |kind| vec![Fault::of(1, kind, FROM, UNTIL)];
-    let one_server = |kind| vec![Fault { servers: 0.2, zone: None, ..Fault::of(0, kind, FROM, UNTIL) }];
+    let zone = |kind| vec![Fault::in_zone(1, kind, FROM, UNTIL)];
+    let one_server =
+        |kind| vec![Fault { server_ratio: 0.2, zone: None, ..Fault::in_zone(0, kind, FROM, UNTIL) }];
     let mut flapping = Vec::new();
     for turn in 0..3 {
         let at = FROM + 6_000.0 * f64::from(turn);
-        flapping.push(Fault::of(1, FaultKind::NetworkPartition, at, at + 3_000.0));
+        flapping.push(Fault::in_zone(1, FaultKind::NetworkPartition, at, at + 3_000.0));
     }
-    let half = vec![Fault { nodes: (2, 4), ..Fault::of(1, FaultKind::NetworkPartition, FROM, UNTIL) }];
-    let all = vec![Fault { zone: None, ..Fault::of(0, FaultKind::NetworkPartition, FROM, UNTIL) }];
+    let half = vec![Fault { nodes: (2, 4), ..Fault::in_zone(1, FaultKind::NetworkPartition, FROM, UNTIL) }];
+    let all = vec![Fault { zone: None, ..Fault::in_zone(0, FaultKind::NetworkPartition, FROM, UNTIL) }];
     let scenes = [
         ("cut", zone(FaultKind::NetworkPartition)),
         ("cut on the way back", zone(FaultKind::ResponseLoss)),
@@ -95,7 +96,7 @@
             );
         }
     }
-    let cut = vec![Fault::of(1, FaultKind::NetworkPartition, FROM, UNTIL)];
+    let cut = vec![Fault::in_zone(1, FaultKind::NetworkPartition, FROM, UNTIL)];
     println!("Zone cut as above, 30 processes that tell each other, and what is wrong with that:");
     let talks = [
         ("nothing", PeerNetwork::default()),
@@ -165,7 +166,7 @@
         scene.faults = faults.to_vec();
         let scene = match judged {
             Judged::Not => scene,
-            Judged::Alone => scene.judged(),
+            Judged::Alone => scene.with_failure_domains(),
             Judged::Together => scene.with_peer_network(PeerNetwork::default()),
         };
         let figures = simulate(&scene).map_err(io::Error::other)?;
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -33,7 +33,7 @@
     /// The zone, by number; `None` for all.
     pub zone: Option<usize>,
     /// Only for this part of its servers, counted from the first.
-    pub servers: f64,
+    pub server_ratio: f64,
     /// Only for nodes whose number, modulo the second figure, is below the first.
     pub nodes: (usize, usize),
     /// What.
@@ -42,8 +42,8 @@
 
 impl Fault {
     /// A fault of a whole zone, for all nodes.
-    pub fn of(zone: usize, kind: FaultKind, at: Millis, until: Millis) -> Self {
-        Self { at, until, zone: Some(zone), servers: 1.0, nodes: (1, 1), kind }
+    pub fn in_zone(zone: usize, kind: FaultKind, at: Millis, until: Millis) -> Self {
+        Self { at, until, zone: Some(zone), server_ratio: 1.0, nodes: (1, 1), kind }
     }
 }
 
@@ -129,7 +129,7 @@
 
     /// With zones judged as a whole, as a sidecar's pool has it.
     #[must_use]
-    pub fn judged(mut self) -> Self {
+    pub fn with_failure_domains(mut self) -> Self {
         let processes = self.nodes as u32;
         self.policy = Some(EjectionPolicy {
             processes,
@@ -144,7 +144,7 @@
     #[must_use]
     pub fn with_peer_network(mut self, talk: PeerNetwork) -> Self {
         self.peer_network = Some(talk);
-        self.judged()
+        self.with_failure_domains()
     }
 
     pub(crate) fn classes(&self) -> Vec<RequestClass> {
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -156,7 +156,7 @@
         figures: SimulationResults::default(),
     };
     world.run();
-    Ok(world.judged())
+    Ok(world.results())
 }
 
 impl World<'_> {
@@ -502,7 +502,7 @@
         }
     }
 
-    fn judged(mut self) -> SimulationResults {
+    fn results(mut self) -> SimulationResults {
         let first = self.scenario.faults.iter().map(|fault| fault.at).fold(f64::INFINITY, f64::min);
         let faulty = |zone: &str, at: Millis| {
             self.scenario.faults.iter().any(|fault| {
@@ -564,6 +564,6 @@
 
 /// Whether a fault is about a server.
 fn hits(scenario: &Scenario, fault: &Fault, server: &Server) -> bool {
-    let some = (server.place as f64) < fault.servers * scenario.servers_per_zone as f64;
+    let some = (server.place as f64) < fault.server_ratio * scenario.servers_per_zone as f64;
     fault.zone.is_none_or(|zone| zone == server.zone) && some
 }
--- a/crates/emulator/tests/digests.rs
+++ b/crates/emulator/tests/digests.rs
@@ -38,8 +38,8 @@
 fn played(seed: u64, kind: FaultKind, talk: Option<PeerNetwork>) -> String {
     let mut scenario = Scenario::new(seed, NODES, REQUESTS_PER_S);
     scenario.duration = LENGTH_MS;
-    scenario.faults = vec![Fault::of(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
-    let scenario = scenario.judged();
+    scenario.faults = vec![Fault::in_zone(1, kind, FAULT_BEGIN_MS, FAULT_END_MS)];
+    let scenario = scenario.with_failure_domains();
     let scenario = match talk {
         Some(talk) => scenario.with_peer_network(talk),
         None => scenario,
--- a/crates/emulator/tests/zones.rs
+++ b/crates/emulator/tests/zones.rs
@@ -7,7 +7,8 @@
     let mut scenario = Scenario::new(7, nodes, 10.0 * nodes as f64);
     scenario.duration = 25_000.0;
     scenario.faults = faults;
-    let figures = simulate(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario");
+    let figures =
+        simulate(&if judged { scenario.with_failure_domains() } else { scenario }).expect("a sound scenario");
     assert_eq!(figures.repeated_effects, 0, "an effect happened twice");
     let answered = figures.served + figures.served_late + figures.rejected + figures.failed;
     assert_eq!(answered, figures.requests, "each request has one answer");
@@ -15,7 +16,7 @@
 }
 
 fn south(kind: FaultKind) -> Vec<Fault> {
-    vec![Fault::of(1, kind, 5_000.0, 9_000.0)]
+    vec![Fault::in_zone(1, kind, 5_000.0, 9_000.0)]
 }
 
 fn both(nodes: usize, faults: Vec<Fault>) -> [SimulationResults; 2] {
@@ -58,7 +59,7 @@
 fn a_zone_that_fails_again_and_again_is_left_alone_for_longer() {
     let fault = |turn| {
         let at = 3_000.0 + 5_000.0 * f64::from(turn);
-        Fault::of(1, FaultKind::NetworkPartition, at, at + 3_000.0)
+        Fault::in_zone(1, FaultKind::NetworkPartition, at, at + 3_000.0)
     };
     let [old, new] = both(30, (0..4).map(fault).collect());
     assert!(2 * new.affected.0 < old.affected.0, "{old:?}\n{new:?}");
@@ -67,10 +68,14 @@
 #[test]
 fn what_is_no_zone_is_not_left() {
     // One server in five of every zone, as after a release that breaks one build; and a process that sees all fail.
-    let some = Fault { zone: None, servers: 0.2, ..Fault::of(0, FaultKind::Errors(1.0), 5_000.0, 9_000.0) };
+    let some = Fault {
+        zone: None,
+        server_ratio: 0.2,
+        ..Fault::in_zone(0, FaultKind::Errors(1.0), 5_000.0, 9_000.0)
+    };
     let new = played(30, vec![some], true);
     assert!(new.ejected_after.len() <= 1, "{new:?}");
-    let all = Fault { zone: None, ..Fault::of(0, FaultKind::NetworkPartition, 5_000.0, 9_000.0) };
+    let all = Fault { zone: None, ..Fault::in_zone(0, FaultKind::NetworkPartition, 5_000.0, 9_000.0) };
     let [old, new] = both(30, vec![all]);
     assert_eq!(new.ejected_at_end, 0, "{new:?}");
     assert!(new.affected.0 + new.affected.1 < (old.affected.0 + old.affected.1) * 5 / 4, "{old:?}\n{new:?}");
@@ -84,7 +89,8 @@
             let mut scenario = Scenario::new(seed, 2, 20.0);
             (scenario.servers_per_zone, scenario.workers) = (1, 4);
             scenario.faults = south(FaultKind::NetworkPartition);
-            simulate(&if judged { scenario.judged() } else { scenario }).expect("a sound scenario")
+            simulate(&if judged { scenario.with_failure_domains() } else { scenario })
+                .expect("a sound scenario")
         };
         let [old, new] = [false, true].map(play);
         let sum = |f: &SimulationResults| f.affected.0 + f.affected.1;
