--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -243,8 +243,8 @@
     }
 
     /// What was called silent has been answered after all.
-    pub fn handle_answer(&mut self, number: u64) {
-        self.evidence.handle_answer(number);
+    pub fn handle_late_response(&mut self, number: u64) {
+        self.evidence.handle_late_response(number);
         self.peer_reports.retract(number);
     }
 
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -136,7 +136,7 @@
         self.common = common(&policy);
         self.policy = policy;
         self.handle_time(now);
-        self.judge();
+        self.evaluate();
     }
 
     /// Time has passed: to be told some times a second. True if the process has stood still, so that what is open says
@@ -156,7 +156,7 @@
     }
 
     /// News of the servers.
-    pub fn handle_members(&mut self, all: bool, members: &[ServerEntry]) {
+    pub fn handle_server_list(&mut self, all: bool, members: &[ServerEntry]) {
         if all {
             self.servers.clear();
         }
@@ -184,18 +184,18 @@
         }
         let named: BTreeSet<&ZoneName> = self.servers.values().map(|(zone, ..)| zone).collect();
         self.domains.retain(|zone, _| named.contains(zone));
-        self.judge();
+        self.evaluate();
     }
 
     /// A safe request has come.
-    pub fn handle_safe(&mut self) {
+    pub fn handle_safe_request(&mut self) {
         let gap = self.now.millis_since(self.safe_at).clamp(0.0, 10_000.0);
         self.gap += RATE_LEARNING_WEIGHT * (gap - self.gap);
         self.safe_at = self.now;
     }
 
     /// A request was refused for want of room.
-    pub fn handle_pressure(&mut self) {
+    pub fn handle_overload(&mut self) {
         self.pressed_until = self.now.plus_millis(OVERLOAD_MEMORY);
     }
 
@@ -222,17 +222,17 @@
             };
             // Good news changes nothing at once, and most news is good.
             if observation != Observation::Success {
-                self.judge();
+                self.evaluate();
             }
         }
         number
     }
 
     /// What was called silent has been answered after all.
-    pub fn handle_answer(&mut self, server: ServerId, number: u64) {
+    pub fn handle_late_response(&mut self, server: ServerId, number: u64) {
         let domain = self.servers.get(&server).and_then(|(zone, ..)| self.domains.get_mut(zone));
         if let Some(domain) = domain {
-            domain.handle_answer(number);
+            domain.handle_late_response(number);
         }
     }
 
@@ -250,12 +250,12 @@
                 domain.peer_reports.handle_report(self.now, author, report.successes, report.failures);
             }
         }
-        self.judge();
+        self.evaluate();
     }
 
     /// What is to be told to the other processes now, if anything: also nothing at all, to be heard.
     pub fn poll_report(&mut self) -> Option<Vec<ZoneReport>> {
-        let pause = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_PEER * self.heard() as f64);
+        let pause = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_PEER * self.live_peers() as f64);
         if self.now < self.told_at.plus_millis(if self.news { pause } else { REPORT_INTERVAL }) {
             return None;
         }
@@ -276,17 +276,17 @@
     }
 
     /// Other processes that were heard of late.
-    pub fn heard(&self) -> usize {
+    pub fn live_peers(&self) -> usize {
         self.authors.values().filter(|at| **at > self.now.minus_millis(PEER_LIFETIME)).count()
     }
 
     /// Whether nothing is wrong anywhere, so that usual times may be learned.
-    pub fn all_well(&self) -> bool {
+    pub fn are_all_healthy(&self) -> bool {
         self.domains.values().all(|domain| domain.state == DomainState::Healthy)
     }
 
     /// Whether a server may be probed: nothing that is left or in works, or in trouble for all to see.
-    pub fn may_probe(&self, server: ServerId) -> bool {
+    pub fn allows_health_check(&self, server: ServerId) -> bool {
         let domain = self.servers.get(&server).and_then(|(zone, ..)| self.domains.get(zone));
         domain.is_none_or(|domain| !matches!(domain.state, DomainState::Ejected | DomainState::Maintenance))
     }
@@ -297,7 +297,7 @@
             automatic: self.policy.automatic_ejection,
             lone: self.lone(),
             others: (0, 0),
-            heard: self.heard(),
+            heard: self.live_peers(),
             pressed: self.now < self.pressed_until,
             other_away: false,
             in_panic_mode: self.in_panic_mode,
@@ -318,7 +318,7 @@
     }
 
     /// Takes all steps that are due.
-    pub fn judge(&mut self) {
+    pub fn evaluate(&mut self) {
         let before: Vec<DomainState> = self.domains.values().map(|domain| domain.state).collect();
         let around = self.around();
         let away: Vec<ZoneName> = self
--- a/crates/failure-domains/src/evidence.rs
+++ b/crates/failure-domains/src/evidence.rs
@@ -124,7 +124,7 @@
     }
 
     /// An attempt that was called silent has been answered after all.
-    pub fn handle_answer(&mut self, number: u64) {
+    pub fn handle_late_response(&mut self, number: u64) {
         if let Some(seen) = self.seen.iter_mut().rev().find(|seen| seen.number == number) {
             seen.observation = Observation::Slow;
         }
--- a/crates/failure-domains/src/evidence/tests.rs
+++ b/crates/failure-domains/src/evidence/tests.rs
@@ -64,7 +64,7 @@
     let told =
         |evidence: &Evidence, now: Millis| evidence.assess(Timestamp::from_millis(now), 3, false, (10, 0));
     assert!(!told(&evidence, 6.0).is_slow);
-    (0..6).for_each(|n| evidence.handle_answer(n));
+    (0..6).for_each(|n| evidence.handle_late_response(n));
     let slow = told(&evidence, 6.0);
     assert!(slow.is_slow && slow.is_failed && slow.main_failure == Some(Observation::Slow));
     assert_eq!(told(&evidence, SIGN_LIFETIME + 6.0), Assessment::default());
--- a/crates/failure-domains/src/zone_aware_gateway.rs
+++ b/crates/failure-domains/src/zone_aware_gateway.rs
@@ -78,7 +78,7 @@
         let from = actions.len();
         match &event {
             Event::List { kind, servers: members } if *kind != ListKind::Failed => {
-                self.domains.handle_members(*kind == ListKind::Full, members);
+                self.domains.handle_server_list(*kind == ListKind::Full, members);
             }
             Event::Arrival(arrival) => self.arrive(arrival),
             Event::AttemptEnded(done) => self.done(done),
@@ -145,7 +145,7 @@
                 ));
             }
         }
-        self.domains.judge();
+        self.domains.evaluate();
     }
 
     fn advise(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -157,7 +157,7 @@
     fn arrive(&mut self, arrival: &Arrival) {
         let Some((kind, _)) = self.kinds.get(&arrival.class) else { return };
         if kind.is_safe {
-            self.domains.handle_safe();
+            self.domains.handle_safe_request();
         }
         if self.open.len() < MAX_OPEN_REQUESTS {
             let customer = self.hasher.hash_one(&*arrival.customer);
@@ -182,14 +182,16 @@
                 Outcome::Rejected | Outcome::Unusable | Outcome::Cancelled | Outcome::NeverSent => None,
             };
             match (observation, silent) {
-                (Some(Observation::Success), Some(number)) => self.domains.handle_answer(server, number),
+                (Some(Observation::Success), Some(number)) => {
+                    self.domains.handle_late_response(server, number)
+                }
                 // It has been counted.
                 (Some(Observation::NoResponse), Some(_)) | (None, _) => {}
                 (Some(observation), _) => {
                     self.domains.handle_observation(server, customer, observation);
                 }
             }
-            let well = observation == Some(Observation::Success) && self.domains.all_well();
+            let well = observation == Some(Observation::Success) && self.domains.are_all_healthy();
             if let Some((_, usual)) = self.kinds.get_mut(&open.class).filter(|_| well) {
                 usual.learn(done.elapsed);
             }
@@ -228,7 +230,7 @@
                 }
                 Action::Reject { request, reason, .. } => {
                     if *reason == RejectReason::Overload {
-                        self.domains.handle_pressure();
+                        self.domains.handle_overload();
                     }
                     let request = request.clone();
                     self.close(&request);
@@ -237,7 +239,7 @@
                     let request = request.clone();
                     self.close(&request);
                 }
-                Action::CheckHealth { server } if !self.domains.may_probe(*server) => {
+                Action::CheckHealth { server } if !self.domains.allows_health_check(*server) => {
                     held_back.push(*server);
                     actions.remove(at);
                     continue;
--- a/crates/failure-domains/tests/domains.rs
+++ b/crates/failure-domains/tests/domains.rs
@@ -31,7 +31,7 @@
             slow_start: None,
         };
         domains.handle_time(Timestamp::from_millis(0.0));
-        domains.handle_members(true, &(0..3 * zones.len()).map(member).collect::<Vec<_>>());
+        domains.handle_server_list(true, &(0..3 * zones.len()).map(member).collect::<Vec<_>>());
         Self { domains, now: 0.0, customer: 0 }
     }
 
@@ -40,7 +40,7 @@
         while self.now < until {
             self.now = (self.now + 50.0).min(until);
             self.domains.handle_time(Timestamp::from_millis(self.now));
-            self.domains.judge();
+            self.domains.evaluate();
         }
     }
 
@@ -81,7 +81,7 @@
     );
     rig.see(1, 3, Observation::Reset);
     assert_eq!((rig.state("b"), rig.shares("b")), (DomainState::Ejected, (0.0, 0.0)));
-    assert!(!rig.domains.may_probe(3) && rig.domains.may_probe(0));
+    assert!(!rig.domains.allows_health_check(3) && rig.domains.allows_health_check(0));
     rig.wait(1_300.0);
     assert_eq!(rig.state("b"), DomainState::Probing);
     rig.see(1, 2, Observation::NoResponse);
@@ -178,7 +178,7 @@
     told(&mut rig, 0..2, 0, 1);
     assert_eq!(rig.state("b"), DomainState::Suspect);
     rig.wait(3_100.0);
-    assert_eq!((rig.state("b"), rig.domains.heard()), (DomainState::Healthy, 0));
+    assert_eq!((rig.state("b"), rig.domains.live_peers()), (DomainState::Healthy, 0));
     rig.see(1, 5, Observation::NoResponse);
     assert_eq!(rig.state("b"), DomainState::Ejected);
     // Others have tried it in vain just now: this one does not.
@@ -194,7 +194,7 @@
 fn what_one_process_says_is_bounded_whatever_it_sees() {
     let mut rig = Rig::new(&["a", "b"], EjectionPolicy::default());
     told(&mut rig, 0..600, 0, 0);
-    assert_eq!(rig.domains.heard(), 512, "no more are heard");
+    assert_eq!(rig.domains.live_peers(), 512, "no more are heard");
     let mut words = 0;
     for _ in 0..1_000 {
         rig.see(1, 1, Observation::Reset);
@@ -322,7 +322,7 @@
     rig.see(1, 4, Observation::Slow);
     assert!(rig.shares("b").0 < 0.2);
     for _ in 0..30 {
-        rig.domains.handle_pressure();
+        rig.domains.handle_overload();
         rig.wait(100.0);
         rig.see(1, 2, Observation::Slow);
     }
