--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,7 +1,7 @@
-//! Points on a process's monotonic clock.
+//! Timestamps on a process's monotonic clock.
 //!
-//! State machines of this workspace read no clock: each event is handed to them with the [`Timestamp`] at which it
-//! happened. Lengths of time that are fixed are [`Duration`]s; lengths that are computed are [`Millis`].
+//! The state machines of this workspace read no clock: each event is passed to them with the [`Timestamp`] at which it
+//! happened. Fixed durations are [`Duration`]s, computed ones are [`Millis`].
 //!
 //! ```
 //! use ivygate_time::Timestamp;
@@ -20,79 +20,79 @@
 const NANOS_PER_MILLI: f64 = 1e6;
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// A computed length of time in milliseconds. A point in time is a [`Timestamp`].
+/// A computed duration in milliseconds. A point in time is a [`Timestamp`].
 pub type Millis = f64;
 
-/// A length of time in milliseconds; exact where it is a whole number of them.
-pub fn millis(length: Duration) -> Millis {
-    length.as_nanos() as f64 / NANOS_PER_MILLI
+/// Converts a duration to milliseconds; exact for whole numbers of milliseconds.
+pub fn millis(duration: Duration) -> Millis {
+    duration.as_nanos() as f64 / NANOS_PER_MILLI
 }
 
-/// A point on a monotonic clock that may have started at any time.
+/// A point in time on a monotonic clock with an arbitrary origin.
 ///
-/// Never compare points of two machines, nor of two runs of a process.
+/// Timestamps of two machines or of two runs of a process must not be compared.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Timestamp {
     millis: f64,
 }
 
 impl Timestamp {
-    /// Before every other point: "never yet".
+    /// A point before all others, for events that have not happened yet.
     pub const DISTANT_PAST: Self = Self { millis: f64::NEG_INFINITY };
-    /// After every other point: "not for now".
+    /// A point after all others, for events that are not scheduled.
     pub const DISTANT_FUTURE: Self = Self { millis: f64::INFINITY };
 
-    /// The point that is so many milliseconds after the clock's start.
+    /// Creates the point `millis` milliseconds after the clock's origin.
     pub const fn from_millis(millis: f64) -> Self {
         Self { millis }
     }
 
-    /// Milliseconds since the clock's start.
+    /// Returns the milliseconds since the clock's origin.
     pub const fn as_millis(self) -> f64 {
         self.millis
     }
 
-    /// The point that is so many microseconds after the clock's start.
+    /// Creates the point `micros` microseconds after the clock's origin.
     pub fn from_micros(micros: u64) -> Self {
         Self { millis: micros as f64 / MICROS_PER_MILLI }
     }
 
-    /// Whole microseconds since the clock's start, as keys of timers have them; 0 for a point before it.
+    /// Returns the whole microseconds since the clock's origin, as used in timer keys; 0 for a point before it.
     pub fn whole_micros(self) -> u64 {
         (self.millis.max(0.0) * MICROS_PER_MILLI) as u64
     }
 
-    /// Milliseconds since another point; negative if that is later, infinite for a distant one.
+    /// Returns the milliseconds since `earlier`; negative if that is later, infinite if one point is distant.
     pub fn millis_since(self, earlier: Self) -> f64 {
         self.millis - earlier.millis
     }
 
-    /// The point so many milliseconds later.
+    /// Returns the point `millis` milliseconds later.
     pub fn plus_millis(self, millis: f64) -> Self {
         Self { millis: self.millis + millis }
     }
 
-    /// The point so many milliseconds earlier.
+    /// Returns the point `millis` milliseconds earlier.
     pub fn minus_millis(self, millis: f64) -> Self {
         Self { millis: self.millis - millis }
     }
 
-    /// The later of two points.
+    /// Returns the later of two points.
     pub fn max(self, other: Self) -> Self {
         Self { millis: self.millis.max(other.millis) }
     }
 
-    /// The earlier of two points.
+    /// Returns the earlier of two points.
     pub fn min(self, other: Self) -> Self {
         Self { millis: self.millis.min(other.millis) }
     }
 
-    /// Orders points totally, for sorting.
+    /// Compares two points in a total order, for sorting.
     pub fn total_cmp(&self, other: &Self) -> Ordering {
         self.millis.total_cmp(&other.millis)
     }
 
-    /// Whether this is a point on a clock, and not a distant one.
+    /// Returns whether this is neither the distant past nor the distant future.
     pub fn is_finite(self) -> bool {
         self.millis.is_finite()
     }
@@ -101,32 +101,32 @@
 impl Add<Duration> for Timestamp {
     type Output = Self;
 
-    fn add(self, length: Duration) -> Self {
-        self.plus_millis(millis(length))
+    fn add(self, duration: Duration) -> Self {
+        self.plus_millis(millis(duration))
     }
 }
 
 impl Sub<Duration> for Timestamp {
     type Output = Self;
 
-    fn sub(self, length: Duration) -> Self {
-        self.minus_millis(millis(length))
+    fn sub(self, duration: Duration) -> Self {
+        self.minus_millis(millis(duration))
     }
 }
 
-/// The clock of a process.
+/// A monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     start: Instant,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// Creates a clock whose origin is the current time.
     pub fn start() -> Self {
         Self { start: Instant::now() }
     }
 
-    /// The point that it is now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         Timestamp::from_millis(self.start.elapsed().as_secs_f64() * 1000.0)
     }
