--- a/crates/gateway/examples/one_gateway.rs
+++ b/crates/gateway/examples/one_gateway.rs
@@ -1,4 +1,4 @@
-//! Drives one gateway from a made-up list of events, as an operator's own gateway would.
+//! Drives one gateway with a fixed sequence of events, as a gateway that embeds this crate would.
 
 use ivygate_gateway::*;
 use ivygate_time::{millis, Timestamp};
@@ -41,7 +41,7 @@
     };
     let mut gateway = Gateway::new(settings, 42)?;
     let mut actions = Vec::new();
-    let member = |server| ServerEntry {
+    let server_entry = |server| ServerEntry {
         server,
         zone: "east".into(),
         cell: 0,
@@ -53,10 +53,10 @@
     };
     gateway.handle(
         Timestamp::from_millis(0.0),
-        Event::List { kind: ListKind::Full, servers: Arc::from([member(1), member(2)]) },
+        Event::List { kind: ListKind::Full, servers: Arc::from([server_entry(1), server_entry(2)]) },
         &mut actions,
     );
-    // One customer asks every 100 ms, five times its rate: the burst passes, then about two a second.
+    // One customer sends a request every 100 ms, five times its rate: the burst passes, then about two requests per second.
     for i in 0..30_u32 {
         let now = Timestamp::from_millis(f64::from(i) * 100.0);
         let request: RequestId = format!("r{i}").into();
@@ -75,7 +75,7 @@
         gateway.handle(now, Event::Arrival(arrival), &mut actions);
         for action in std::mem::take(&mut actions) {
             println!("{:6.0} ms  {action:?}", now.as_millis());
-            // A real gateway would send the attempt; here it is answered after 20 ms.
+            // A real gateway would send the attempt; here it succeeds after 20 ms.
             if let Action::Send { server, .. } = action {
                 let done = AttemptResult {
                     request: request.clone(),
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: whether a request is sent at all.
+//! Admission: accepts or rejects a request before its first attempt.
 //!
-//! Under pressure within quotas the least value for work is rejected first, before it is sent. A plan's price has no part in it:
-//! what customers of a cheap plan ask for within their quotas is owed to them too.
+//! Under overload, requests with the lowest value per work are rejected first. A plan's price does not count: customers of a
+//! cheap plan are entitled to their quota as well.
 
 use crate::api::{Action, Arrival, RejectReason};
 use crate::gateway::Gateway;
@@ -10,29 +10,29 @@
 use crate::request_record::RequestRecord;
 use ivygate_time::{Millis, Timestamp};
 
-/// Part of what is left of its own latency target that a request's expected wait may take.
+/// Maximum expected wait, as a share of the time left until the request's latency target.
 const MAX_WAIT_RATIO: f64 = 0.7;
-/// Part of the shortest latency target of all classes that the queue may take before a request of mean value for work: a class with
-/// a long target would else fill queues that starve the others.
+/// Maximum queueing time of a request of mean value per work, as a share of the shortest latency target of all classes: a class
+/// with a long target would otherwise fill queues that starve the others.
 const MAX_QUEUE_RATIO: f64 = 0.25;
-/// Bounds on the factor that value for work puts on that part: cheap requests are rejected first, and with them those beyond a
-/// quota that still pay.
+/// Bounds of the factor by which value per work scales that share. Requests of low value are rejected first; paid requests beyond
+/// a quota get the minimum.
 const MIN_QUEUE_FACTOR: f64 = 0.4;
 const MAX_QUEUE_FACTOR: f64 = 2.0;
-/// One over the own attempts in flight for each server from which on that factor has its full weight: with fewer, a gateway mostly
-/// knows nothing of the queue at the server that it chooses.
-const QUEUE_KNOWLEDGE: f64 = 4.0;
-/// Queue that every request may join, in works of a mean request. Where work is long against the shortest latency target, the part
-/// above comes to less than one request's: one that is only guessed to be at each server would then reject all cheap work, on an
-/// idle fleet too.
-const MIN_QUEUE_WORKS: f64 = 1.0;
-/// Part of what is left of the latency target after which a rejected request may come back.
+/// Reciprocal of the number of own attempts in flight per server from which that factor has its full weight. With fewer, a
+/// gateway mostly has no observation of the queue at the server that it selects.
+const QUEUE_FACTOR_WEIGHT_PER_ATTEMPT: f64 = 4.0;
+/// Queueing time that is allowed for every request, in mean works of a request. Where work is long compared with the shortest
+/// latency target, the share above is less than one request's work: a single request merely assumed to be at each server would
+/// then cause all low-value requests to be rejected, even on an idle fleet.
+const MIN_QUEUE_WORK: f64 = 1.0;
+/// Retry-after time of a rejected request, as a share of the time left until its latency target.
 const RETRY_AFTER_RATIO: f64 = 0.25;
-/// Weight of one request in the mean value for work.
+/// Weight of one request in the mean value per work and in the mean work.
 const MEAN_VALUE_WEIGHT: f64 = 0.01;
 
 impl Gateway {
-    /// Takes in a request: sends its first attempt, or rejects it.
+    /// Handles a new request: sends its first attempt or rejects it.
     pub(crate) fn handle_arrival(&mut self, mut arrival: Arrival, actions: &mut Vec<Action>) {
         arrival.gateways = arrival.gateways.clamp(1, self.settings.gateways);
         if self.requests.contains_key(&arrival.request) {
@@ -71,22 +71,23 @@
         }
     }
 
-    /// When a rejected client may come back. Its retry counts from its first attempt: one after the latency target would spend quota
-    /// for nothing.
+    /// Returns the time after which a rejected client may retry. The client's latency target counts from its first attempt, so a
+    /// retry after that target would use up quota without any value.
     fn retry_after(&self, time_left: Millis) -> Millis {
         (time_left * RETRY_AFTER_RATIO).min(self.settings.max_retry_after.unwrap_or(0.0))
     }
 
-    /// Why a request is rejected by its quota, if it is. What is beyond a quota may still pay.
+    /// Returns the reason for which quota or rate limit reject a request, if they do. A request beyond the quota is accepted if
+    /// its excess value is greater than its excess cost.
     fn quota_rejection(&mut self, plan: usize, status: QuotaStatus) -> Option<RejectReason> {
         let limits = &self.settings.plans[plan];
-        let excess_pays = limits.excess_value > limits.excess_cost;
+        let is_excess_profitable = limits.excess_value > limits.excess_cost;
         match status {
             QuotaStatus::RateLimited => {
                 self.rejected.rate_limit += 1;
                 Some(RejectReason::RateLimit)
             }
-            QuotaStatus::Exceeded if !excess_pays => {
+            QuotaStatus::Exceeded if !is_excess_profitable => {
                 self.rejected.quota += 1;
                 Some(RejectReason::Quota)
             }
@@ -117,17 +118,18 @@
         }
     }
 
-    /// The longest queue that a request may join, by its value for work.
+    /// Returns the maximum queueing time of a request, by its value per work.
     fn max_queue(&mut self, request: &RequestRecord, status: QuotaStatus) -> Millis {
         let work = self.expected_work(request.class, request.units);
         let value = self.settings.classes[request.class].value * request.units / work;
         self.update_means(value, work);
-        // Many gateways that see little guess the same queue at all servers, and would reject all cheap work on it, also where there
-        // is capacity: the factor's weight rests on what this gateway knows itself.
-        let knowledge = (QUEUE_KNOWLEDGE * self.typical_in_flight / self.ready_servers).min(1.0);
-        let factor = (value / self.mean_value).clamp(MIN_QUEUE_FACTOR, MAX_QUEUE_FACTOR).powf(knowledge);
+        // With many gateways, each has few observations and assumes the same queue at all servers; with the full factor it would
+        // reject all low-value requests although there is capacity. The factor's weight therefore grows with the own attempts.
+        let factor_weight =
+            (QUEUE_FACTOR_WEIGHT_PER_ATTEMPT * self.typical_in_flight / self.ready_servers).min(1.0);
+        let factor = (value / self.mean_value).clamp(MIN_QUEUE_FACTOR, MAX_QUEUE_FACTOR).powf(factor_weight);
         let factor = if status == QuotaStatus::Exceeded { MIN_QUEUE_FACTOR } else { factor };
-        (MAX_QUEUE_RATIO * self.shortest_target * factor).max(MIN_QUEUE_WORKS * self.mean_work)
+        (MAX_QUEUE_RATIO * self.shortest_target * factor).max(MIN_QUEUE_WORK * self.mean_work)
     }
 
     fn update_means(&mut self, value: f64, work: Millis) {
--- a/crates/gateway/src/api.rs
+++ b/crates/gateway/src/api.rs
@@ -1,31 +1,31 @@
-//! What a [`Gateway`](crate::Gateway) is told and what it wants done: events, actions, outcomes.
+//! Interface of a [`Gateway`](crate::Gateway): its events, its actions and the outcomes of attempts.
 //!
-//! Points in time are on the caller's clock, which may start anywhere.
+//! Timestamps are on the caller's clock, whose origin is arbitrary.
 
 use crate::settings::{RequestClass, RetryBudget};
 use ivygate_time::{Millis, Timestamp};
 use std::sync::Arc;
 
-/// Identifies a server; stays the same when its process restarts.
+/// Identifier of a server; it stays the same when the server's process restarts.
 pub type ServerId = u32;
-/// Identifies one request of a client at this gateway. Never repeated.
+/// Identifier of a client's request at this gateway; never reused.
 pub type RequestId = Arc<str>;
 
-/// A bound on the requests to a server that warms up.
+/// Limit on the request rate to a server that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartBound {
-    /// Requests a second from this gateway.
+    /// Requests per second from this gateway.
     pub requests_per_s: f64,
-    /// Until then.
+    /// End of the limit.
     pub until: Timestamp,
 }
 
-/// State of a server on the list.
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes its work and must be sent nothing new.
+    /// Finishes its open requests and must not get new ones.
     Draining,
     /// Removed.
     Gone,
@@ -38,64 +38,64 @@
     pub server: ServerId,
     /// Its zone.
     pub zone: String,
-    /// Its cell: servers that share the keys they have seen.
+    /// Its cell: the servers that share their idempotency keys.
     pub cell: u32,
     /// Its state.
     pub state: ServerState,
-    /// Its size against the others.
+    /// Its capacity relative to the other servers.
     pub weight: f64,
-    /// When it last started; `None` for long ago.
+    /// Time of its last start; `None` if it is fully warmed up.
     pub started_at: Option<Timestamp>,
-    /// What the way there is taken to cost, as time.
+    /// Cost of the network distance to it, as a time added to the expected wait.
     pub distance_cost: Millis,
-    /// Bounds what is sent to it while it warms up, where that is told as a rate of requests.
+    /// Limit on its request rate while it warms up, where the deployment sets one.
     pub slow_start: Option<SlowStartBound>,
 }
 
-/// What became of an attempt or a health check.
+/// Result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered successfully.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// An answer that is of no use; the request may have run, and the server's health is not in question.
+    /// The response is unusable; the request may have run, and the result does not count against the server's health.
     Unusable,
-    /// Rejected by the server unseen.
+    /// The server rejected the request without running it.
     Rejected,
-    /// No answer in time; it may have run or may yet.
+    /// No response in time; the request may have run or may still run.
     Timeout,
-    /// No connection could be made.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt never ran.
+    /// Returns whether the outcome proves that the request never ran on the server.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent)
     }
 }
 
-/// A server's report of its load, as far as it tells.
+/// A server's load report; fields that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests held.
+    /// Requests being processed or queued.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests queued.
     pub queue: Option<f64>,
-    /// Share of its processors that was busy over some time that has passed; no decision rests on it.
+    /// CPU utilization averaged over a past period, from 0 to 1; not used in any decision.
     pub utilization: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time without queueing.
     pub service_time: Option<Millis>,
 }
 
-/// A request that came in.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The request.
@@ -106,85 +106,85 @@
     pub plan: Arc<str>,
     /// The customer.
     pub customer: Arc<str>,
-    /// When the client gives this attempt up.
+    /// Time at which the client gives up.
     pub deadline: Timestamp,
-    /// Units that it takes from the quota.
+    /// Units that it consumes from the quota.
     pub units: f64,
-    /// Number of gateways through which the customer's requests may come.
+    /// Number of gateways over which the customer's requests are spread.
     pub gateways: u32,
-    /// The only zones whose servers may have it; `None` for all.
+    /// Zones whose servers may get it; `None` for all.
     pub zones: Option<Zones>,
-    /// Most attempts for it, where that is fewer than for others.
+    /// Maximum number of attempts, if lower than [`Settings::max_attempts`](crate::Settings::max_attempts).
     pub max_attempts: Option<u32>,
 }
 
-/// Zones by their names.
+/// Names of zones.
 pub type Zones = Arc<[Arc<str>]>;
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, in order of the sends, from 0.
+    /// Index of the attempt in the order of sending, from 0.
     pub attempt: u32,
     /// The server.
     pub server: ServerId,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Millis,
-    /// Whether the request has its final answer.
+    /// Set if the client has its final answer.
     pub is_final: bool,
-    /// Use of the customer over all gateways in the last metered period, in percent of its rate.
+    /// The customer's usage over all gateways in the last metering period, in percent of its rate.
     pub metered_percent: Option<f64>,
-    /// The server's report, if one came along.
+    /// The server's load report.
     pub load: Load,
 }
 
-/// What a list event holds.
+/// Content of a server list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The whole list; what it lacks is gone.
+    /// The complete list; servers that are missing are gone.
     Full,
     /// Changed entries only.
     Changes,
-    /// Asking failed; nothing is known anew.
+    /// The list could not be fetched; the known servers stay.
     Failed,
 }
 
-/// How much may go to a zone, by the advice of whoever judges zones as a whole. It bears on each attempt, the first and
-/// further ones; what may go nowhere else, such as a repeat of a keyed request, goes there all the same.
+/// Shares of the requests that may go to a zone, as set by failure-domain detection. They apply to first attempts and to
+/// retries alike. A request that no other zone may serve, such as the retry of a keyed request, is sent regardless.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneShares {
     /// The zone.
     pub zone: Arc<str>,
-    /// Part of the requests that may run again any number of times, from 0 to 1.
+    /// Share of the safe requests, from 0 to 1.
     pub safe: f64,
-    /// Part of all others.
+    /// Share of all other requests, from 0 to 1.
     pub other: f64,
 }
 
-/// What a gateway is told.
+/// Input of a gateway.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Advice on zones, in place of all that was given before; zones that it does not name are as ever.
+    /// New zone shares, which replace all earlier ones; zones that are missing are unrestricted.
     ZoneShares {
         /// The zones.
         zones: Arc<[ZoneShares]>,
     },
-    /// A class that is new, or means something else from now on.
+    /// A class that was added or changed.
     Class(RequestClass),
-    /// How much may be retried from now on.
+    /// A new retry budget.
     RetryBudget(RetryBudget),
-    /// News of the server list.
+    /// An update of the server list.
     List {
-        /// What the entries are.
+        /// The kind of the update.
         kind: ListKind,
         /// The entries.
         servers: Arc<[ServerEntry]>,
     },
-    /// A request came in.
+    /// A request arrived.
     Arrival(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptResult),
@@ -192,42 +192,42 @@
     HealthChecked {
         /// The server.
         server: ServerId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
-        /// The server's report, if one came along.
+        /// The server's load report.
         load: Load,
     },
-    /// A streamed answer has begun: the attempt belongs to the client.
+    /// A streamed response has begun to reach the client.
     StreamStarted {
         /// The request.
         request: RequestId,
-        /// Number of the attempt.
+        /// Index of the attempt.
         attempt: u32,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected; no answer is due any more.
     ClientGone {
         /// The request.
         request: RequestId,
     },
-    /// A timer fell due.
+    /// A timer expired.
     Timer {
-        /// The token it was set with.
+        /// The token of [`Action::Timer`].
         token: u64,
     },
 }
 
-/// Why a request is rejected.
+/// Reason of a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its customer is beyond the quota.
+    /// The customer has exceeded its quota.
     Quota,
-    /// Its customer is at the rate limit.
+    /// The customer has reached its rate limit.
     RateLimit,
-    /// No server has capacity for it, or none took it.
+    /// No server has capacity for the request, or all attempts were rejected or failed.
     Overload,
 }
 
-/// What a gateway wants done.
+/// Output of a gateway, to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -236,19 +236,19 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// When to give the attempt up.
+        /// Time at which the attempt is abandoned.
         give_up_at: Timestamp,
     },
-    /// Final answer: rejected; trying again is harmless.
+    /// Final answer: rejected; the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away, 0 for no advice.
+        /// Time after which the client should retry; 0 to send no such hint.
         retry_after: Millis,
-        /// Why.
+        /// The reason.
         reason: RejectReason,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -257,7 +257,7 @@
     Cancel {
         /// The request.
         request: RequestId,
-        /// Number of the attempt.
+        /// Index of the attempt.
         attempt: u32,
     },
     /// Send a health check to a server.
@@ -267,12 +267,12 @@
     },
     /// Set a timer.
     Timer {
-        /// Comes back with the event.
+        /// Token that the event returns.
         token: u64,
-        /// When it falls due.
+        /// Expiry time.
         at: Timestamp,
     },
-    /// Ask for changes of the server list from now on.
+    /// Subscribe to changes of the server list.
     Subscribe,
     /// A line for the log.
     Log {
--- a/crates/gateway/src/customer_record.rs
+++ b/crates/gateway/src/customer_record.rs
@@ -1,61 +1,62 @@
-//! The exact record of a customer that is heavy or has a rate limit.
+//! Exact usage record of a customer that is heavy or has a rate limit.
 
 use crate::settings::Plan;
 use ivygate_time::{Millis, Timestamp};
 use std::collections::VecDeque;
 
-/// A reading of the meter.
+/// A reading of the usage meter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MeterReading {
     pub at: Timestamp,
-    /// Use over all gateways in the last period, in percent of the rate.
+    /// Usage over all gateways in the last period, in percent of the rate.
     pub percent: f64,
 }
 
-/// A ratio of requests that pass, and since when it was in force.
+/// A pass ratio and the time from which it applied.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PassRatio {
     pub since: Timestamp,
     pub ratio: f64,
 }
 
-/// What is known of a customer.
+/// Usage and quota state of a customer.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerRecord {
     /// Index of its plan.
     pub plan: usize,
-    /// Gateways through which its requests may come.
+    /// Number of gateways over which its requests are spread.
     pub gateways: f64,
-    /// Heavy by a reading rather than by the sketch, until then.
+    /// Time until which it counts as heavy because of a meter reading, whatever the sketch says.
     pub heavy_until: Timestamp,
-    /// Part of its requests that passes.
+    /// Share of its requests that passes.
     pub pass_ratio: f64,
-    /// Fraction of a request still to pass.
+    /// Accumulated credit; a request passes for each whole unit.
     pub pass_credit: f64,
-    /// Pass ratios, in order.
+    /// Recent pass ratios in order of time.
     pub pass_ratios: VecDeque<PassRatio>,
-    /// Estimate of the quota's bucket, drained by metered use.
+    /// Estimated level of the quota's bucket, drained by metered usage.
     pub metered_bucket: f64,
-    /// Part of the customer's use that this gateway is taken to send.
+    /// Estimated share of the customer's usage that passes through this gateway.
     pub own_ratio: f64,
-    /// Bucket drained by what this gateway sent, scaled up by that part.
+    /// Bucket drained by the units that this gateway sent, divided by `own_ratio`.
     pub own_bucket: f64,
     pub own_filled_at: Timestamp,
-    /// Units sent since the last reading.
+    /// Units sent since the last meter reading.
     pub unmetered: f64,
-    /// Units sent here in the last periods, and metered of all gateways.
+    /// Decaying sum of the units sent by this gateway.
     pub own_use: f64,
+    /// Decaying sum of the units metered over all gateways.
     pub metered_use: f64,
     pub reading: Option<MeterReading>,
     pub created_at: Timestamp,
-    /// This gateway's part of the rate limit's bucket.
+    /// Level of this gateway's share of the rate limit's bucket.
     pub limit_bucket: f64,
     pub limit_filled_at: Timestamp,
     pub last_seen_at: Timestamp,
 }
 
 impl CustomerRecord {
-    /// Fills the buckets up to now.
+    /// Refills the buckets up to `now`.
     pub fn fill(&mut self, now: Timestamp, plan: &Plan) {
         self.own_bucket =
             (self.own_bucket + now.millis_since(self.own_filled_at) / 1000.0 * plan.rate).min(plan.burst);
@@ -65,7 +66,7 @@
         self.limit_filled_at = now;
     }
 
-    /// Sets the pass ratio; ratios that ended more than `memory` ago are forgotten.
+    /// Sets the pass ratio and drops ratios that were replaced more than `memory` ago.
     pub fn set_pass_ratio(&mut self, now: Timestamp, ratio: f64, memory: Millis) {
         self.pass_ratio = ratio;
         self.pass_ratios.push_back(PassRatio { since: now, ratio });
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The pass ratio that was in force at a time; 1 where that is not known.
+    /// Returns the pass ratio that applied at a time: the oldest known one if the time is earlier, 1 if there is none.
     pub fn pass_ratio_at(&self, at: Timestamp) -> f64 {
         let in_force = self.pass_ratios.iter().rev().find(|ratio| ratio.since <= at);
         in_force.or(self.pass_ratios.front()).map_or(1.0, |ratio| ratio.ratio)
--- a/crates/gateway/src/estimators.rs
+++ b/crates/gateway/src/estimators.rs
@@ -1,4 +1,4 @@
-//! What is learned from answers: work of requests, slowness of servers, requests of other gateways.
+//! Estimates learned from responses: work of requests, slowness of servers, requests of other gateways.
 
 use crate::api::{AttemptResult, Load, Outcome, ServerId};
 use crate::gateway::{Gateway, ZoneFailures};
@@ -6,40 +6,40 @@
 use crate::server_record::ServerRecord;
 use ivygate_time::{Millis, Timestamp};
 
-/// Part of a latency target that an unmeasured request is taken to need on an idle server.
+/// Initial estimate of a request's work on an idle server, as a share of its latency target.
 const INITIAL_WORK_RATIO: f64 = 0.1;
-/// How many answers that guess is worth, and the one that a server is as quick as others: one unusually long request must not
-/// close a gateway.
+/// Weight, in responses, of the initial estimates of work and of a server's slowness. Without it one unusually long request could
+/// make a gateway reject everything.
 const INITIAL_ANSWERS: f64 = 4.0;
-/// Weight of one answer in a class's learned work; some seconds of traffic.
+/// Weight of one response in the estimated work of a class; averages over some seconds of traffic.
 const WORK_WEIGHT: f64 = 0.04;
-/// Weight of one answer in a server's learned slowness; a slow server shows within some twenty answers.
+/// Weight of one response in the estimated slowness of a server; a slow server is detected within about 20 responses.
 const SLOWNESS_WEIGHT: f64 = 0.05;
 /// Bounds on a server's slowness.
 const MIN_SLOWNESS: f64 = 0.3;
 const MAX_SLOWNESS: f64 = 10.0;
-/// Time in which what time-outs taught of a server's slowness loses most of its weight, in shortest latency targets. Time-outs
-/// come with faults, and a server that is not asked for them shows nothing better: it would be left for ever.
+/// Time constant with which slowness learned from timeouts decays, in shortest latency targets. Timeouts come with faults, and a
+/// server that gets no requests because of them cannot show that it has recovered.
 const TIMEOUT_SLOWNESS_MEMORY: f64 = 4.0;
-/// Weight of one report in what other gateways keep on a server; reports are noisy.
+/// Weight of one load report in the estimated requests of other gateways; reports are noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Time in which a report loses most of its weight, in shortest latency targets. A gateway that rejects hears no more reports:
-/// without this, one bad report would keep it rejecting.
+/// Time constant with which load reports decay, in shortest latency targets. A gateway that rejects requests gets no further
+/// reports; without the decay one high report would keep it rejecting.
 const REPORT_MEMORY: f64 = 0.8;
-/// Weight of one answer in the queueing seen at a server: some answers.
+/// Weight of one response in the queueing time observed at a server.
 const QUEUEING_WEIGHT: f64 = 0.2;
-/// Part of a mean request's work by which queueing is cut: requests differ in work, and a long one is no queue.
+/// Queueing time that is ignored, in mean works of a request: requests differ in work, and a long one does not mean a queue.
 const QUEUEING_NOISE: f64 = 2.0;
-/// Time in which queueing seen loses most of its weight, in shortest latency targets: as queues drain.
+/// Time constant with which observed queueing decays, in shortest latency targets; matches how queues drain.
 const QUEUEING_MEMORY: f64 = 1.5;
-/// Slowing of a request by each other one on its server, as a part of its own work.
+/// Delay of a request by each other request on its server, as a share of its own work.
 pub(crate) const CONTENTION: f64 = 0.45;
-/// Weight of one attempt in the part of those to a zone that fail: a lost or cut zone shows long before each of its servers has
-/// failed here.
+/// Weight of one attempt in a zone's failure ratio. The ratio shows the loss of a zone long before each of its servers has
+/// failed.
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
 
 impl Gateway {
-    /// Expected work of a request on an idle server of the fleet.
+    /// Returns the expected work of a request on an idle server of average speed.
     pub(crate) fn expected_work(&self, class: usize, units: f64) -> Millis {
         let (estimate, class) = (&self.classes[class], &self.settings.classes[class]);
         let initial = class.initial_work.unwrap_or(INITIAL_WORK_RATIO * class.latency_target);
@@ -47,12 +47,13 @@
             / (INITIAL_ANSWERS + estimate.answers)
     }
 
-    /// Requests that other gateways are taken to keep on a server which reports none: as many as this one.
+    /// Returns the assumed number of requests of other gateways on a server without load reports: each is assumed to have as many
+    /// as this gateway.
     pub(crate) fn unreported_requests(&self) -> f64 {
         self.typical_in_flight / self.ready_servers * f64::from(self.settings.gateways - 1)
     }
 
-    /// Requests thought to be on a server.
+    /// Returns the estimated number of requests on a server.
     pub(crate) fn concurrency(&self, server: &ServerRecord, unreported: f64) -> f64 {
         let report_weight =
             (-self.now.millis_since(server.reported_at) / (REPORT_MEMORY * self.shortest_target)).exp();
@@ -60,20 +61,20 @@
         server.in_flight.len() as f64 + others
     }
 
-    /// A server's service time against the fleet's, by answers and time-outs.
+    /// Returns a server's service time relative to the fleet's, from responses and timeouts.
     pub(crate) fn slowness(&self, server: &ServerRecord) -> f64 {
         server.slowness_at(self.now, TIMEOUT_SLOWNESS_MEMORY * self.shortest_target)
     }
 
-    /// Queueing that answers of a server have shown, as far as it is no noise.
-    pub(crate) fn queueing_seen(&self, server: &ServerRecord) -> Millis {
+    /// Returns the queueing time observed in a server's responses, above the noise threshold.
+    pub(crate) fn observed_queueing(&self, server: &ServerRecord) -> Millis {
         let age = self.now.millis_since(server.last_answer_at);
         let seen = server.queueing * (-age / (QUEUEING_MEMORY * self.shortest_target)).exp();
         (seen - QUEUEING_NOISE * self.mean_work).max(0.0)
     }
 
-    /// Learns from an attempt's end.
-    pub(crate) fn learn(
+    /// Updates all estimates with the result of an attempt.
+    pub(crate) fn update_estimates(
         &mut self,
         id: ServerId,
         class: usize,
@@ -88,9 +89,10 @@
         let alone = result.elapsed / (1.0 + CONTENTION * attempt.concurrency);
         let observed = alone / work;
         let expected = server.slowness_at(now, memory);
-        server.learn_queueing(result, work * expected);
-        // The more a server held, the more of the time was waiting, and the less it tells: without this a busy server, its waiting
-        // explained away, would look quick and draw more. Time-outs show slow ones.
+        server.update_queueing(result, work * expected);
+        // The more requests a server held, the more of the elapsed time was queueing, and the less it says about the service
+        // time. With full weight, a busy server would look fast once its queueing is deducted, and attract more load. Timeouts
+        // have full weight, as they show slow servers.
         let weight = match result.outcome {
             Outcome::Ok => 1.0 / (1.0 + attempt.concurrency),
             Outcome::Timeout if observed > expected => 1.0,
@@ -102,13 +104,13 @@
             let step = (weight / estimate.answers).max(WORK_WEIGHT * weight);
             estimate.unit_work += step * (alone / units - estimate.unit_work);
         }
-        server.learn_slowness(now, result.outcome, observed, expected, weight);
-        self.learn_zone_failure(id, result.outcome);
-        self.note_outcome(id, result.outcome, attempt.sent_at);
-        self.note_load(id, result.load);
+        server.update_slowness(now, result.outcome, observed, expected, weight);
+        self.update_zone_failures(id, result.outcome);
+        self.record_outcome(id, result.outcome, attempt.sent_at);
+        self.record_load(id, result.load);
     }
 
-    fn learn_zone_failure(&mut self, id: ServerId, outcome: Outcome) {
+    fn update_zone_failures(&mut self, id: ServerId, outcome: Outcome) {
         if !matches!(outcome, Outcome::Ok | Outcome::ConnectFailed | Outcome::Reset) {
             return;
         }
@@ -120,14 +122,14 @@
         failures.updated_at = self.now;
     }
 
-    /// Takes in a server's report of the requests that it holds.
+    /// Updates the estimated requests of other gateways on a server with its load report.
     ///
-    /// Only a count of them is believed: busy processors are told as a mean over a time that has passed when the report arrives, and
-    /// say nothing of the queue of now. All gateways read the same and leave a server together: by then one told to be busy is idle.
-    /// Reports may also be wrong, or late for any cause. So what is rejected for want of capacity rests on own attempts, as many of
-    /// each other gateway, and the queueing seen in answers. That may do harm where others send far more than this gateway: until
-    /// answers show the queueing, it takes theirs to be as few.
-    pub(crate) fn note_load(&mut self, id: ServerId, load: Load) {
+    /// Only the reported number of requests is used. CPU utilization is an average over a past period and says nothing about the
+    /// current queue; since all gateways see the same value, they would all avoid a server that is idle by then. Reports may also
+    /// be wrong or late. Overload rejections therefore rest on this gateway's own attempts, on the assumption that each other
+    /// gateway has as many, and on the queueing observed in responses. Where other gateways send far more, this underestimates
+    /// their load until responses show the queueing.
+    pub(crate) fn record_load(&mut self, id: ServerId, load: Load) {
         let Some(held) = load.in_flight.or(load.queue) else { return };
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
@@ -138,17 +140,17 @@
 }
 
 impl ServerRecord {
-    /// Learns the queueing that neither own attempts nor reports show: work of others, and work that a server goes on with after
-    /// its attempt was given up. It holds also when all servers slow down at once, and may do harm after a run of unusually long
-    /// requests, for as long as it fades.
-    fn learn_queueing(&mut self, result: &AttemptResult, expected: Millis) {
+    /// Updates the queueing time that neither own attempts nor load reports show: requests of other gateways, and work that a
+    /// server continues after its attempt was abandoned. It also detects that all servers slow down at once. After a run of
+    /// unusually long requests it is too high until it decays.
+    fn update_queueing(&mut self, result: &AttemptResult, expected: Millis) {
         if matches!(result.outcome, Outcome::Ok | Outcome::Timeout) {
             let queueing = result.elapsed - expected;
             self.queueing = (self.queueing + QUEUEING_WEIGHT * (queueing - self.queueing)).max(0.0);
         }
     }
 
-    fn learn_slowness(
+    fn update_slowness(
         &mut self,
         now: Timestamp,
         outcome: Outcome,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway: its state, and the handler of each event.
+//! The gateway's state and its event handlers.
 
 use crate::api::{Action, Event, RequestId, ServerId, ZoneShares};
 use crate::customer_record::CustomerRecord;
@@ -10,42 +10,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Rows of a sketch: four independent hashes make a full collision of two customers negligible.
+/// Rows of a sketch: with four independent hashes a collision of two customers in all rows is negligible.
 const SKETCH_ROWS: usize = 4;
-/// Counters in a row: many times the customers active within one window of one gateway.
+/// Counters in a row: many times the number of customers active at one gateway within a quota window.
 const SKETCH_COLUMNS: usize = 2048;
-/// Time kept before a deadline or a latency target for the way back.
+/// Time reserved before a deadline or a latency target for the response to reach the client.
 pub(crate) const DEADLINE_MARGIN: Millis = 2.0;
-/// The timer of housekeeping.
+/// Token of the housekeeping timer.
 const HOUSEKEEPING_TIMER: u64 = 0;
-/// The timer after which the server list is asked for again.
+/// Token of the timer after which the server list is requested again.
 pub(crate) const LIST_RETRY_TIMER: u64 = 1;
 
-/// What is counted for a plan.
+/// Usage counters of a plan.
 pub(crate) struct PlanUsage {
-    /// Units sent, in two sketches that take turns: together about a window.
+    /// Units sent, in two sketches that rotate each half window: together they cover about one window.
     pub sent: [CountMinSketch; 2],
     pub rotate_at: Timestamp,
     /// Attempts in flight.
     pub in_flight: CountMinSketch,
 }
 
-/// What is learned of a class.
+/// Estimates of a request class, learned from responses.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ClassEstimate {
-    /// Work of one unit on an idle server, by this many answers.
+    /// Work of one unit on an idle server.
     pub unit_work: Millis,
+    /// Weight of the responses that `unit_work` is based on.
     pub answers: f64,
 }
 
-/// The part of the attempts to a zone that fail.
+/// Recent ratio of failed attempts to a zone.
 #[derive(Clone, Copy)]
 pub(crate) struct ZoneFailures {
     pub ratio: f64,
     pub updated_at: Timestamp,
 }
 
-/// A request that may get a hedged attempt, and when. Ordered by time, in whole microseconds.
+/// A request that may get a hedged attempt, ordered by due time in whole microseconds.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PendingHedge {
     pub due_us: u64,
@@ -74,7 +75,7 @@
     pub overload: u32,
 }
 
-/// The decisions of one gateway.
+/// The decision logic of one gateway.
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
@@ -82,29 +83,29 @@
     pub(crate) started_at: Option<Timestamp>,
     pub(crate) zone: Arc<str>,
     pub(crate) servers: BTreeMap<ServerId, ServerRecord>,
-    /// Servers that take requests, one at the least; counted when the list changes, for it is asked often.
+    /// Number of servers that accept requests, at least 1. Cached because it is read for each request; updated with the list.
     pub(crate) ready_servers: f64,
-    /// Failures of late, by zone.
+    /// Recent failures by zone.
     pub(crate) zone_failures: BTreeMap<Arc<str>, ZoneFailures>,
-    /// What others advise on zones.
+    /// Shares of the requests that may go to each zone; zones that are missing are unrestricted.
     pub(crate) zone_shares: Arc<[ZoneShares]>,
     pub(crate) requests: BTreeMap<RequestId, RequestRecord>,
     pub(crate) customers: BTreeMap<Arc<str>, CustomerRecord>,
     pub(crate) plans: Vec<PlanUsage>,
     pub(crate) classes: Vec<ClassEstimate>,
     pub(crate) hedges: BTreeSet<PendingHedge>,
-    /// Retries that may be made now.
+    /// Retries that the budget allows now.
     pub(crate) retry_tokens: f64,
-    /// Mean value for work of a request.
+    /// Mean value of a request per millisecond of work.
     pub(crate) mean_value: f64,
-    /// Own attempts in flight, as found by requests of late.
+    /// Moving average of this gateway's attempts in flight, sampled at each request.
     pub(crate) typical_in_flight: f64,
     /// Mean work of a request on an idle server.
     pub(crate) mean_work: Millis,
-    /// Shortest latency target of all classes: the measure of how quickly queues come and go.
+    /// Shortest latency target of all classes; the time scale on which queues build up and drain.
     pub(crate) shortest_target: Millis,
     pub(crate) next_sweep_at: Timestamp,
-    /// The next tick asked for.
+    /// Time of the next tick that is scheduled.
     pub(crate) next_tick_at: Timestamp,
     pub(crate) rejected: RejectionCounts,
     pub(crate) next_log_at: Timestamp,
@@ -115,10 +116,10 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway without servers. `seed` determines all its random choices.
     ///
     /// # Errors
-    /// If the settings can't be acted on; the error says which.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -161,9 +162,9 @@
         })
     }
 
-    /// Takes in one event and adds what is to be done to `actions`, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        // Buckets must not lose or gain by a clock that steps back.
+        // A clock that steps back must neither fill nor drain token buckets.
         self.now = self.now.max(now);
         self.start(actions);
         match event {
@@ -187,7 +188,7 @@
         self.schedule_tick(HOUSEKEEPING_TIMER, actions);
     }
 
-    /// At the first event: asks for the server list if that does not come by itself.
+    /// Subscribes to the server list at the first event if it is not delivered automatically.
     fn start(&mut self, actions: &mut Vec<Action>) {
         if self.started_at.is_none() {
             self.started_at = Some(self.now);
@@ -202,7 +203,7 @@
         self.count_ready_servers();
     }
 
-    /// Takes in a class; what was learned of one that it replaces still holds.
+    /// Adds or replaces a class. The estimates of a replaced class are kept.
     fn handle_class(&mut self, class: RequestClass) {
         match self.settings.classes.iter_mut().find(|known| known.name == class.name) {
             Some(known) => *known = class,
@@ -219,7 +220,7 @@
         self.retry_tokens = self.retry_tokens.min(budget.burst);
     }
 
-    /// A streamed answer has begun: the attempt belongs to the client.
+    /// Marks a request whose streamed response has begun: it is neither retried, hedged nor cancelled any more.
     fn handle_stream_started(&mut self, request: &RequestId) {
         if let Some(request) = self.requests.get_mut(request) {
             request.is_streaming = true;
--- a/crates/gateway/src/housekeeping.rs
+++ b/crates/gateway/src/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Timers, hedged requests that are due, removal of old records, log lines.
+//! Periodic work: due hedged requests, removal of stale records, log lines.
 
 use crate::api::{Action, RequestId, ServerState};
 use crate::gateway::{Gateway, PendingHedge, RejectionCounts};
@@ -8,13 +8,13 @@
 
 /// Interval of ticks.
 const TICK_INTERVAL: Millis = 20.0;
-/// Shortest time between two log lines.
+/// Minimum time between two log lines.
 const LOG_INTERVAL: Millis = 5_000.0;
-/// Interval in which old records are removed.
+/// Interval at which stale records are removed.
 pub(crate) const SWEEP_INTERVAL: Millis = 1_000.0;
 
 impl Gateway {
-    /// Asks for the first tick at which there is something to do; ticks lie an interval apart.
+    /// Schedules the first tick at which there is work; ticks are aligned to multiples of the tick interval.
     pub(crate) fn schedule_tick(&mut self, token: u64, actions: &mut Vec<Action>) {
         let hedge_at = self.hedges.first().map_or(Timestamp::DISTANT_FUTURE, PendingHedge::due_at);
         let wanted =
@@ -30,8 +30,8 @@
     }
 
     pub(crate) fn handle_tick(&mut self, actions: &mut Vec<Action>) {
-        // An earlier tick, asked for later, may have done all already. Callers round times, so a tick that comes a little early is
-        // the one asked for.
+        // A tick that was rescheduled to an earlier time may have done the work already. Callers round timestamps, so a tick that
+        // is at most half an interval early is the scheduled one.
         if self.now.plus_millis(0.5 * TICK_INTERVAL) < self.next_tick_at {
             return;
         }
@@ -39,7 +39,7 @@
         self.send_due_hedges(actions);
         if self.now >= self.next_sweep_at {
             self.next_sweep_at = self.now.plus_millis(SWEEP_INTERVAL);
-            self.remove_old_records();
+            self.remove_stale_records();
             self.log_rejections(actions);
         }
         if self.settings.allow_health_checks {
@@ -52,14 +52,14 @@
             self.hedges.remove(&due);
             self.hedge(&due.request, actions);
         }
-        // Requests that have ended are no reason for a tick.
+        // Finished requests must not cause a tick.
         let is_over = |id: &RequestId| self.requests.get(id).is_none_or(|request| request.is_closed);
         while self.hedges.first().is_some_and(|hedge| is_over(&hedge.request)) {
             self.hedges.pop_first();
         }
     }
 
-    fn remove_old_records(&mut self) {
+    fn remove_stale_records(&mut self) {
         let (now, plans) = (self.now, &self.settings.plans);
         self.customers.retain(|_, customer| {
             let plan = &plans[customer.plan];
@@ -84,7 +84,7 @@
         self.next_log_at = self.now.plus_millis(LOG_INTERVAL);
         let RejectionCounts { quota, rate_limit, overload } = std::mem::take(&mut self.rejected);
         let text = format!(
-            "rejected {quota} beyond quota, {rate_limit} at a rate limit, {overload} for want of capacity; \
+            "rejected {quota} over quota, {rate_limit} over a rate limit, {overload} for lack of capacity; \
              {} customers on record; {usable} servers in use, {ejected} ejected",
             self.customers.len()
         );
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,18 @@
-//! All decisions of a gateway before a pool of servers: which server gets a request, whether it is retried, and what is rejected.
+//! Decision logic of a gateway in front of a pool of servers: admission, quotas, load balancing, retries and outlier ejection.
 //!
-//! [`Gateway`] is a state machine without I/O: the runtime and the simulator's adapter feed [`Event`]s to it and carry out the
-//! [`Action`]s that come back. It never opens a connection or reads a clock.
+//! [`Gateway`] is a state machine without I/O: the runtime and the simulator's adapter pass [`Event`]s to it and carry out the
+//! [`Action`]s that it returns. It never opens a connection or reads a clock.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `quota` | whether a request is within its customer's quota and rate limit |
-//! | `admission` | whether a request is sent at all (load shedding) |
-//! | `load_balancing` | which server gets an attempt |
-//! | `retry` | retries, hedged requests, and what the client may be told in the end |
-//! | `outlier_ejection` | which servers are left alone, and how they come back |
-//! | `slow_start` | what servers that warm up may be sent |
-//! | `estimators` | work of requests, slowness of servers, requests of other gateways |
-//! | `housekeeping` | timers, removal of old records, log lines |
+//! | `quota` | checks a request against its customer's quota and rate limit |
+//! | `admission` | accepts or rejects a request (load shedding) |
+//! | `load_balancing` | selects the server of an attempt |
+//! | `retry` | retries, hedged requests, and the final answer to the client |
+//! | `outlier_ejection` | ejects failing servers and readmits them |
+//! | `slow_start` | limits the load on servers that are warming up |
+//! | `estimators` | estimates the work of requests, the slowness of servers and the requests of other gateways |
+//! | `housekeeping` | timers, removal of stale records, log lines |
 
 mod admission;
 mod api;
--- a/crates/gateway/src/load_balancing.rs
+++ b/crates/gateway/src/load_balancing.rs
@@ -1,7 +1,8 @@
-//! Load balancing: the server with the least expected cost.
+//! Load balancing: selects the server with the lowest expected cost.
 //!
-//! The cost is the expected wait by own attempts, reports and answers, what the way there costs, and the failures seen in its zone;
-//! a random part keeps gateways that know the same from choosing the same server.
+//! The cost consists of the expected wait, estimated from own attempts, load reports and responses, the cost of the network
+//! distance, and the recent failures in the server's zone. Random jitter keeps gateways with the same estimates from choosing the
+//! same server.
 
 use crate::api::{ServerId, ZoneShares};
 use crate::estimators::CONTENTION;
@@ -13,29 +14,29 @@
 use ivygate_time::{Millis, Timestamp};
 use std::collections::BTreeSet;
 
-/// Random part of a server's cost, so that gateways with the same knowledge do not all choose the same one.
+/// Maximum random increase of a server's cost, so that gateways with the same estimates do not all choose the same server.
 const COST_JITTER: f64 = 0.15;
-/// How many latency targets a crossing of zones at full cost is worth.
+/// Cost of crossing zones at a cross-zone cost of 1, in latency targets.
 const CROSS_ZONE_TARGETS: f64 = 2.0;
-/// Weight of one request in the own attempts that it finds in flight, from which those of other gateways are guessed: of many
-/// gateways each keeps less than one in flight, and the one of the moment is no sign of a crowd.
+/// Weight of one sample in the moving average of own attempts in flight, from which those of other gateways are estimated. With
+/// many gateways each has less than one attempt in flight on average, so the current number says little about the others.
 const IN_FLIGHT_WEIGHT: f64 = 0.05;
-/// A server is taken for no quicker than this, against the fleet.
+/// Lower bound of a server's slowness in the expected wait.
 const MIN_ASSUMED_SLOWNESS: f64 = 0.7;
-/// Most attempts in flight at a server that is used as the last resort.
+/// Maximum number of attempts in flight at a server that is used as a last resort.
 const MAX_LAST_RESORT_IN_FLIGHT: usize = 2;
 
-/// A server that was chosen for an attempt.
+/// The server selected for an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Choice {
     pub server: ServerId,
-    /// The expected time until the answer.
+    /// Expected time until the response.
     pub wait: Millis,
-    /// The part of it that is queueing.
+    /// Expected queueing time, included in `wait`.
     pub queue: Millis,
 }
 
-/// What a look at all servers needs besides them.
+/// Inputs of a server selection that are the same for all servers.
 struct Selection<'a> {
     request: &'a RequestRecord,
     effect: Effect,
@@ -43,35 +44,36 @@
     work: Millis,
     unreported: f64,
     cross_zone_cost: Millis,
-    /// One draw for all zones: a part of the requests stays away from a zone, and not of the looks at its servers.
+    /// Random number that decides which zones the request avoids; drawn once per request, so that a zone's share applies to
+    /// requests and not to each of its servers separately.
     zone_draw: f64,
     at_slow_start_bound: BTreeSet<ServerId>,
 }
 
 impl Selection<'_> {
-    /// Whether the request is to stay away from a zone by the advice on it.
+    /// Returns whether the request should avoid a zone according to its shares.
     fn avoids(&self, shares: &ZoneShares) -> bool {
         let ratio = if self.effect == Effect::Safe { shares.safe } else { shares.other };
         self.zone_draw >= ratio
     }
 }
 
-/// A server that is used where none of the others may be.
+/// The server that is used if no other one is available.
 #[derive(Clone, Copy)]
 struct LastResort {
-    /// When it may be used again, later by a penalty; the earliest is used first.
+    /// End of its ejection plus a penalty; the server with the earliest time is preferred.
     rank: Timestamp,
     choice: Choice,
-    /// Whether it is ejected, or its zone is to be avoided.
+    /// Set if it is ejected or the request avoids its zone.
     is_avoided: bool,
 }
 
 impl Gateway {
-    /// The server with the least expected cost; `None` if no server may be used.
+    /// Returns the server with the lowest expected cost, or `None` if no server may be used.
     pub(crate) fn choose_server(&mut self, request: &RequestRecord) -> Option<Choice> {
         let work = self.expected_work(request.class, request.units);
         self.fill_slow_start_budgets(work);
-        self.note_in_flight();
+        self.update_typical_in_flight();
         let class = &self.settings.classes[request.class];
         let (effect, latency_target) = (class.effect, class.latency_target);
         let selection = Selection {
@@ -87,8 +89,8 @@
         self.least_cost(&selection)
     }
 
-    fn note_in_flight(&mut self) {
-        let servers = self.servers.values().filter(|server| !self.is_zone_left(server));
+    fn update_typical_in_flight(&mut self) {
+        let servers = self.servers.values().filter(|server| !self.is_zone_drained(server));
         let in_flight: usize = servers.map(|server| server.in_flight.len()).sum();
         self.typical_in_flight += IN_FLIGHT_WEIGHT * (in_flight as f64 - self.typical_in_flight);
     }
@@ -96,14 +98,14 @@
     fn least_cost(&mut self, selection: &Selection) -> Option<Choice> {
         let mut best: Option<(f64, Choice)> = None;
         let mut last_resort: Option<LastResort> = None;
-        let mut has_healthy = false;
+        let mut has_healthy_server = false;
         for (id, server) in &self.servers {
             if !self.is_allowed(selection, *id, server) {
                 continue;
             }
             let is_ejected = self.now < server.ejected_until;
             let is_zone_avoided = self.is_zone_avoided(selection, server);
-            has_healthy |= !is_ejected && !server.is_on_probation && !is_zone_avoided;
+            has_healthy_server |= !is_ejected && !server.is_on_probation && !is_zone_avoided;
             if self.exceeds_slow_start_budget(server, selection.work) {
                 continue;
             }
@@ -111,8 +113,8 @@
             let was_tried = selection.request.was_sent_to(*id);
             let is_busy = server.is_on_probation && !server.in_flight.is_empty();
             if is_ejected || is_zone_avoided || is_busy || was_tried {
-                let is_worst = was_tried || is_zone_avoided;
-                let rank = self.last_resort_rank(server, is_worst);
+                let is_penalized = was_tried || is_zone_avoided;
+                let rank = self.last_resort_rank(server, is_penalized);
                 let is_better = last_resort.is_none_or(|known| rank < known.rank);
                 if server.in_flight.len() < MAX_LAST_RESORT_IN_FLIGHT && is_better {
                     let is_avoided = is_ejected || is_zone_avoided;
@@ -129,13 +131,13 @@
                 best = Some((cost, choice));
             }
         }
-        // Ejection never empties the fleet. But while the rest is only warming up or busy, what would be sent to ejected servers is
-        // rejected: it would fail there, slowly, and use up its attempts.
-        let last_resort = last_resort.filter(|last_resort| !last_resort.is_avoided || !has_healthy);
+        // Ejection never empties the fleet. But if healthy servers exist and are only warming up or busy, the request is rejected
+        // rather than sent to an ejected server, where it would most likely time out and use up its attempts.
+        let last_resort = last_resort.filter(|last_resort| !last_resort.is_avoided || !has_healthy_server);
         best.map(|(_, choice)| choice).or(last_resort.map(|last_resort| last_resort.choice))
     }
 
-    /// Whether a server may have the request at all.
+    /// Returns whether a server may get the request at all.
     fn is_allowed(&self, selection: &Selection, id: ServerId, server: &ServerRecord) -> bool {
         let zones = selection.request.zones.as_ref();
         let is_outside = zones.is_some_and(|zones| !zones.contains(&server.zone));
@@ -149,33 +151,33 @@
         self.zone_shares.iter().any(|shares| shares.zone == server.zone && selection.avoids(shares))
     }
 
-    /// The expected time until a server's answer, and the queueing in it.
+    /// Returns the expected time until a server's response and the queueing time in it.
     fn expected_wait(&self, selection: &Selection, id: ServerId, server: &ServerRecord) -> Choice {
         let concurrency = self.concurrency(server, selection.unreported);
         let slowness = self.slowness(server).max(MIN_ASSUMED_SLOWNESS / self.capacity_ratio(server));
-        // A silent server is at least as slow as its silence is long.
+        // A server that has not answered for some time needs at least that long.
         let oldest = server.in_flight.front();
         let silence =
             oldest.map_or(0.0, |oldest| self.now.millis_since(oldest.sent_at.max(server.last_answer_at)));
         let service = selection.work * slowness;
-        let queueing = self.queueing_seen(server);
+        let queueing = self.observed_queueing(server);
         let queue = (self.mean_work * slowness * CONTENTION * concurrency).max(queueing);
         let wait = (service * (1.0 + CONTENTION * concurrency)).max(service + queueing).max(silence);
         Choice { server: id, wait, queue }
     }
 
-    fn last_resort_rank(&self, server: &ServerRecord, is_worst: bool) -> Timestamp {
-        let penalty = if is_worst { MAX_EJECTION_TIME * self.shortest_target } else { 0.0 };
+    fn last_resort_rank(&self, server: &ServerRecord, is_penalized: bool) -> Timestamp {
+        let penalty = if is_penalized { MAX_EJECTION_TIME * self.shortest_target } else { 0.0 };
         server.ejected_until.plus_millis(penalty)
     }
 
-    /// What the way to a server costs, and the failures seen in its zone.
+    /// Returns the cost of a server's network distance and of the recent failures in its zone.
     fn distance(&self, selection: &Selection, server: &ServerRecord) -> Millis {
         let crossing = if server.zone == self.zone { 0.0 } else { selection.cross_zone_cost };
         let none = ZoneFailures { ratio: 0.0, updated_at: self.now };
         let failures = self.zone_failures.get(&server.zone).copied().unwrap_or(none);
         let age = self.now.millis_since(failures.updated_at);
-        let fading = (-age / (MAX_EJECTION_TIME * self.shortest_target)).exp();
-        server.distance_cost + crossing + selection.latency_target * failures.ratio * fading
+        let decay = (-age / (MAX_EJECTION_TIME * self.shortest_target)).exp();
+        server.distance_cost + crossing + selection.latency_target * failures.ratio * decay
     }
 }
--- a/crates/gateway/src/outlier_ejection.rs
+++ b/crates/gateway/src/outlier_ejection.rs
@@ -1,29 +1,30 @@
-//! Outlier ejection: which servers are left alone after failures, and how they come back.
+//! Outlier ejection: takes failing servers out of load balancing and readmits them.
 //!
-//! An ejected server is on probation until it gives a good answer: it gets one request at a time, or health checks where those are
-//! allowed. Ejection never empties the fleet: see the last resort in [`load_balancing`](crate::load_balancing).
+//! An ejected server is on probation until it answers successfully: after its ejection time it gets one request at a time, and
+//! health checks where those are allowed. Ejection never empties the fleet: see the last resort in
+//! [`load_balancing`](crate::load_balancing).
 //!
-//! Attempts in flight at a server that is ejected go on: each ends by its own answer or time-out, may be hedged once it is overdue,
-//! and is retried elsewhere as [`retry`](crate::retry) allows.
+//! Attempts in flight at an ejected server continue: each ends with its own response or timeout, may be hedged once it is
+//! overdue, and is retried elsewhere as [`retry`](crate::retry) allows.
 
 use crate::api::{Action, Load, Outcome, ServerId};
 use crate::gateway::Gateway;
 use crate::server_record::ServerRecord;
 use ivygate_time::{Millis, Timestamp};
 
-/// Failures in a row that eject a server which was answering until now.
+/// Consecutive failures that eject a server that is not on probation.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// First time of an ejection, in shortest latency targets; it doubles with each failure up to the last.
+/// Ejection time after the first failure, in shortest latency targets; it doubles with each further failure up to the maximum.
 const MIN_EJECTION_TIME: f64 = 0.4;
 pub(crate) const MAX_EJECTION_TIME: f64 = 3.0;
-/// Most times that it is doubled.
+/// Maximum number of doublings.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// How long a server that rejected a request is left alone, in shortest latency targets: some services.
-const REJECTION_PAUSE: f64 = 0.12;
+/// Ejection time after a server rejected a request, in shortest latency targets; a few service times.
+const REJECTION_EJECTION_TIME: f64 = 0.12;
 
 impl Gateway {
-    /// Judges a server by an outcome: each kind of symptom ejects it for its own time.
-    pub(crate) fn note_outcome(&mut self, id: ServerId, outcome: Outcome, sent_at: Timestamp) {
+    /// Ejects a server for the time that an outcome calls for, and updates the time of its last response.
+    pub(crate) fn record_outcome(&mut self, id: ServerId, outcome: Outcome, sent_at: Timestamp) {
         let (now, target) = (self.now, self.shortest_target);
         let Some(server) = self.servers.get_mut(&id) else { return };
         let ejection_time = server.ejection_time(outcome, sent_at, target);
@@ -35,13 +36,13 @@
         }
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     pub(crate) fn handle_health_checked(&mut self, id: ServerId, outcome: Outcome, load: Load) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.is_being_checked = false;
-        self.note_outcome(id, outcome, now);
-        self.note_load(id, load);
+        self.record_outcome(id, outcome, now);
+        self.record_load(id, load);
     }
 
     /// Sends health checks to servers on probation whose ejection is over.
@@ -58,7 +59,7 @@
 }
 
 impl ServerRecord {
-    /// How long an outcome ejects this server; 0 for not at all.
+    /// Returns the time for which an outcome ejects this server; 0 for none.
     fn ejection_time(&mut self, outcome: Outcome, sent_at: Timestamp, target: Millis) -> Millis {
         match outcome {
             Outcome::Ok => {
@@ -66,20 +67,20 @@
                 self.is_on_probation = false;
                 0.0
             }
-            Outcome::Rejected => REJECTION_PAUSE * target,
-            // An attempt sent before the last good answer says nothing new.
+            Outcome::Rejected => REJECTION_EJECTION_TIME * target,
+            // An attempt sent before the server's last response is no evidence of its current state.
             Outcome::Timeout | Outcome::Error if sent_at < self.last_answer_at => 0.0,
             Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.ejection_after_failure(outcome, target)
             }
-            // All servers alike send answers that can't be read, and reject what a client got wrong.
+            // Unusable responses depend on the request, not on the server.
             Outcome::Unusable | Outcome::Cancelled | Outcome::NeverSent => 0.0,
         }
     }
 
     fn ejection_after_failure(&mut self, outcome: Outcome, target: Millis) -> Millis {
         self.consecutive_failures += 1;
-        // One connection that breaks is no sign of an end, which breaks all and takes no new one.
+        // A single reset does not show that the server is down: a dead server resets all connections and refuses new ones.
         let is_certain = outcome == Outcome::ConnectFailed || self.is_on_probation;
         if !is_certain && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
             return 0.0;
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -1,9 +1,9 @@
-//! Quotas of customers, by this gateway alone: no other needs to be asked.
+//! Quotas of customers, enforced by each gateway without communication with the others.
 //!
-//! The ordinary path keeps no record: a count-min sketch adds up what this gateway has sent for each customer, and whoever stays
-//! within the gateway's even slice is within the quota. Exceptions get an exact record: a customer that passes its slice (a sudden
-//! burst), and one whose metered use over all gateways is too high (an excess spread under every slice). Of theirs, only a part
-//! passes, which follows the meter.
+//! Most customers need no record: a count-min sketch sums up the units that this gateway has sent for each customer, and a
+//! customer that stays within the gateway's equal share of the quota is within the quota. Two kinds of customers get an exact
+//! record: those that exceed this share (a sudden burst), and those whose metered usage over all gateways is too high although
+//! they stay within the share at each one. Of their requests only a ratio passes, which follows the meter readings.
 
 use crate::api::Arrival;
 use crate::customer_record::{CustomerRecord, MeterReading};
@@ -13,48 +13,50 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Bounds on the even parts of its requests that a gateway is first taken to get: one over the cost of an excess, since rejecting
-/// within the quota costs one. The dearer the error, the less is let through unknown.
-const MIN_OWN_PARTS: f64 = 0.8;
-const MAX_OWN_PARTS: f64 = 1.6;
-/// The pass ratio with which a customer starts where even slices are smaller than a request: what passes before the first reading
-/// is beyond every slice, at each gateway anew. Rejected clients ask others, and get through.
+/// Bounds of the share of a customer's requests that a gateway is first assumed to get, in equal shares. The share is the
+/// reciprocal of the cost of an excess, relative to the cost 1 of a wrong rejection: the more an excess costs, the less passes
+/// unmetered.
+const MIN_INITIAL_OWN_SHARES: f64 = 0.8;
+const MAX_INITIAL_OWN_SHARES: f64 = 1.6;
+/// Initial pass ratio of a customer whose equal share is less than one request. Requests that pass before the first meter reading
+/// exceed the share at each gateway; rejected clients retry at other gateways and pass there.
 const INITIAL_PASS_RATIO: f64 = 0.38;
-/// Least pass ratio: with none passing no reading would come back, and an excess that other gateways send would cut this one's
-/// part to nothing.
+/// Minimum pass ratio: without passing requests no meter reading would return, and an excess sent by other gateways would stop
+/// this gateway's requests altogether.
 const MIN_PASS_RATIO: f64 = 0.05;
-/// Most of a request's fraction that is saved up.
+/// Maximum pass credit that accumulates, in requests.
 const MAX_PASS_CREDIT: f64 = 1.5;
-/// Weight of one reading in the part of a customer's use that is this gateway's: some periods.
+/// Weight of one reading in the estimated share of this gateway in a customer's usage; averages over some periods.
 const OWN_RATIO_WEIGHT: f64 = 0.25;
-/// How long a meter reading is believed: some periods and a late report.
+/// Lifetime of a meter reading: some periods and the reporting delay.
 const READING_LIFETIME: Millis = 6_000.0;
-/// And at the least for as many of this gateway's even units at the full rate.
-const READING_REQUESTS: f64 = 3.0;
-/// Age of a metered period's end when its reading arrives: a usual reporting delay.
+/// Minimum lifetime of a meter reading, in units that this gateway's equal share allows at the full rate.
+const MIN_READING_LIFETIME_UNITS: f64 = 3.0;
+/// Typical delay between the end of a metered period and the arrival of its reading.
 const READING_DELAY: Millis = 800.0;
-/// A changed reading is a new period's only after this part of a period; answers may overtake each other.
+/// Share of a period after which a changed reading counts as one of a new period; earlier changes come from reordered responses.
 const MIN_READING_SPACING: f64 = 0.5;
-/// A customer's own part is never taken for less than this part of an even one.
+/// Minimum of the estimated share of this gateway in a customer's usage, in equal shares.
 const MIN_OWN_RATIO: f64 = 0.5;
-/// Two sketches that take turns every half window hold between a half and a whole one: half a window in milliseconds, for a
-/// bucket of one second's units.
+/// Half of the quota window for a bucket that holds the units of one second. Two sketches that rotate each half window cover
+/// between half a window and a whole one.
 const HALF_WINDOW: Millis = 500.0;
 
-/// How a request stands to its quota.
+/// Result of the quota check of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum QuotaStatus {
     /// Within the quota.
     Within,
     /// Beyond the quota.
     Exceeded,
-    /// Would pass the hard rate limit.
+    /// Beyond the hard rate limit.
     RateLimited,
 }
 
 impl Gateway {
-    /// Units of a customer that this gateway has sent within about a window, and perhaps some of others.
-    fn sent_lately(&mut self, plan: usize, customer: &str) -> f64 {
+    /// Returns the units that this gateway has sent for a customer within about a window; collisions in the sketch may add units
+    /// of other customers.
+    fn recent_units(&mut self, plan: usize, customer: &str) -> f64 {
         let (limits, usage) = (&self.settings.plans[plan], &mut self.plans[plan]);
         let half_window = HALF_WINDOW * limits.burst / limits.rate;
         if self.now >= usage.rotate_at {
@@ -68,20 +70,21 @@
         usage.sent[0].estimate(customer) + usage.sent[1].estimate(customer)
     }
 
-    /// How a request stands to its customer's quota and rate limit.
+    /// Checks a request against its customer's quota and rate limit.
     pub(crate) fn quota_status(&mut self, plan: usize, arrival: &Arrival) -> QuotaStatus {
         let limits = self.settings.plans[plan].clone();
         let gateways = f64::from(arrival.gateways);
         let key = &arrival.customer;
         let mut status = QuotaStatus::Within;
         if limits.max_in_flight > 0
-            && self.plans[plan].in_flight.estimate(key) >= in_flight_slice(&limits, gateways)
+            && self.plans[plan].in_flight.estimate(key) >= in_flight_share(&limits, gateways)
         {
             status = QuotaStatus::Exceeded;
         }
-        let sent = if limits.rate > 0.0 { self.sent_lately(plan, key) } else { 0.0 };
+        let sent = if limits.rate > 0.0 { self.recent_units(plan, key) } else { 0.0 };
         let is_heavy = limits.rate > 0.0 && sent + arrival.units > limits.burst / gateways;
-        // Only heavy customers and those under a rate limit have an exact record: scans must not fill memory.
+        // Only heavy customers and those with a rate limit get an exact record, so that requests with many different customer
+        // names do not fill the memory.
         if is_heavy || limits.limit_rate > 0.0 {
             self.customer_record(plan, key, gateways, sent);
         }
@@ -98,16 +101,17 @@
         status
     }
 
-    /// The exact record of a customer, made if there is none.
+    /// Creates the exact record of a customer if there is none.
     fn customer_record(&mut self, plan: usize, key: &Arc<str>, gateways: f64, sent: f64) {
         let (now, started_at) = (self.now, self.started_at.unwrap_or(self.now));
         let limits = &self.settings.plans[plan];
-        let is_slice_small = limits.burst < gateways;
+        let is_share_below_request = limits.burst < gateways;
         let (pass_ratio, pass_credit) =
-            if is_slice_small { (INITIAL_PASS_RATIO, self.rng.f64()) } else { (1.0, 0.0) };
-        let own_parts = (1.0 / limits.excess_cost).clamp(MIN_OWN_PARTS, MAX_OWN_PARTS);
-        let own_ratio = (own_parts / gateways).min(1.0);
-        // An earlier run of this gateway may have emptied its part just before this one began.
+            if is_share_below_request { (INITIAL_PASS_RATIO, self.rng.f64()) } else { (1.0, 0.0) };
+        let own_shares = (1.0 / limits.excess_cost).clamp(MIN_INITIAL_OWN_SHARES, MAX_INITIAL_OWN_SHARES);
+        let own_ratio = (own_shares / gateways).min(1.0);
+        // Before a restart this gateway may have used up its share of the limit, so the bucket starts empty at the gateway's
+        // start.
         let limit_gain = now.millis_since(started_at) / 1000.0 * limits.limit_rate / gateways;
         self.customers.entry(key.clone()).or_insert_with(|| CustomerRecord {
             plan,
@@ -131,7 +135,7 @@
         });
     }
 
-    /// Counts a request when its first attempt is sent.
+    /// Counts the units of a request when its first attempt is sent.
     pub(crate) fn count_units(&mut self, plan: usize, key: &Arc<str>, units: f64, is_within: bool) {
         self.plans[plan].sent[0].add(key, units);
         if let Some(customer) = self.customers.get_mut(key) {
@@ -144,16 +148,16 @@
         }
     }
 
-    /// A reading of the meter: use over all gateways in the last period, in percent of the rate.
+    /// Handles a meter reading: the usage over all gateways in the last period, in percent of the rate.
     pub(crate) fn handle_meter_reading(&mut self, plan: usize, key: &Arc<str>, gateways: f64, percent: f64) {
         let Some(period) = self.settings.meter_period else { return };
         let limits = self.settings.plans[plan].clone();
         if limits.rate <= 0.0 {
             return;
         }
-        // An excess that is spread under every slice is seen by the meter only.
+        // Only the meter shows an excess that stays within the equal share at each gateway.
         if percent > 100.0 && !self.customers.contains_key(key) {
-            let sent = self.sent_lately(plan, key);
+            let sent = self.recent_units(plan, key);
             self.customer_record(plan, key, gateways, sent);
         }
         let now = self.now;
@@ -164,7 +168,7 @@
 }
 
 impl CustomerRecord {
-    /// How a request of a heavy customer stands to the quota; `status` is how it stands to the attempts in flight.
+    /// Checks a request of a heavy customer against the quota; `status` is the result of the check of attempts in flight.
     fn heavy_status(
         &mut self,
         now: Timestamp,
@@ -173,14 +177,14 @@
         units: f64,
         status: QuotaStatus,
     ) -> QuotaStatus {
-        let told_at = self.reading.map_or(self.created_at, |reading| reading.at);
+        let last_reading_at = self.reading.map_or(self.created_at, |reading| reading.at);
         let is_known = self.reading.is_some() || self.pass_ratio < 1.0;
-        if is_known && now > told_at.plus_millis(reading_lifetime(plan, gateways)) {
+        if is_known && now > last_reading_at.plus_millis(reading_lifetime(plan, gateways)) {
             self.reading = None;
             self.set_pass_ratio(now, 1.0, READING_LIFETIME);
         }
-        // A sudden burst: what this gateway alone sent beyond rate and burst is beyond the quota whatever the others sent. This
-        // acts before the meter says so.
+        // Detects a sudden burst before the meter does: units that this gateway alone sent beyond rate and burst exceed the
+        // quota, whatever the other gateways sent.
         if self.own_bucket < units.min(plan.burst) {
             return QuotaStatus::Exceeded;
         }
@@ -209,7 +213,7 @@
         }
     }
 
-    /// The time that a reading covers; `None` if it is of the same period as the last.
+    /// Returns the time that a reading covers, or `None` if it is of the same period as the last one.
     fn new_period(&self, now: Timestamp, period: Millis, percent: f64) -> Option<Millis> {
         let Some(last) = self.reading else { return Some(period) };
         let age = now.millis_since(last.at);
@@ -228,24 +232,25 @@
     }
 
     fn cut_pass_ratio(&mut self, now: Timestamp, plan: &Plan, period: Millis, percent: f64, is_first: bool) {
-        // A reading is late: it tells of the ratio then in force, and must not cut the next one again.
+        // A reading is delayed: it reflects the pass ratio of its own period, so the new ratio is computed from that one.
         let ratio = self.pass_ratio_at(now.minus_millis(READING_DELAY).minus_millis(period / 2.0));
         let cut = 100.0 / percent.max(1.0);
-        // Gateways that have heard nothing yet pass what this one is told of: it makes up for one more.
-        let is_slice_small = plan.burst < self.gateways;
-        let cut = if is_first && is_slice_small { cut.min(cut * cut) } else { cut };
+        // Gateways without a reading let the same excess pass, so the first reading is applied twice to make up for one of them.
+        let is_share_below_request = plan.burst < self.gateways;
+        let cut = if is_first && is_share_below_request { cut.min(cut * cut) } else { cut };
         self.set_pass_ratio(now, (ratio * cut).clamp(MIN_PASS_RATIO, 1.0), READING_LIFETIME);
     }
 }
 
-/// How long a reading is believed: at the least for the time in which some requests come here of a customer that uses its quota,
-/// since only their answers bring the next one.
+/// Returns the lifetime of a reading: at least the time in which a customer that uses its whole quota sends some requests through
+/// this gateway, since only their responses bring the next reading.
 pub(crate) fn reading_lifetime(plan: &Plan, gateways: f64) -> Millis {
-    let needed = if plan.rate > 0.0 { READING_REQUESTS * 1000.0 * gateways / plan.rate } else { 0.0 };
+    let needed =
+        if plan.rate > 0.0 { MIN_READING_LIFETIME_UNITS * 1000.0 * gateways / plan.rate } else { 0.0 };
     READING_LIFETIME.max(needed)
 }
 
-/// This gateway's part of the attempts that a customer may have in flight, one at the least.
-fn in_flight_slice(plan: &Plan, gateways: f64) -> f64 {
+/// Returns this gateway's equal share of the attempts that a customer may have in flight, at least one.
+fn in_flight_share(plan: &Plan, gateways: f64) -> f64 {
     (f64::from(plan.max_in_flight) / gateways).ceil()
 }
--- a/crates/gateway/src/request_record.rs
+++ b/crates/gateway/src/request_record.rs
@@ -1,17 +1,17 @@
-//! What a gateway knows of a request that it has taken.
+//! Record of an accepted request.
 
 use crate::api::{RequestId, ServerId, Zones};
 use ivygate_time::Timestamp;
 use std::sync::Arc;
 
-/// What is known of an attempt.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     /// No outcome yet.
     InFlight,
-    /// Proven never to have run.
+    /// The request is known not to have run.
     NeverRan,
-    /// It ran, or may have.
+    /// The request ran or may have run.
     MayHaveRun,
 }
 
@@ -21,11 +21,11 @@
     pub server: ServerId,
     pub sent_at: Timestamp,
     pub state: AttemptState,
-    /// Requests thought to be on the server when it was sent.
+    /// Estimated number of other requests on the server when it was sent.
     pub concurrency: f64,
 }
 
-/// A request that this gateway has taken.
+/// A request that this gateway has accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     /// Index of its class.
@@ -33,50 +33,50 @@
     /// Index of its customer's plan.
     pub plan: usize,
     pub customer: Arc<str>,
-    /// Gateways through which the customer's requests may come.
+    /// Number of gateways over which the customer's requests are spread.
     pub gateways: f64,
     pub deadline: Timestamp,
-    /// When an answer stops earning the full value.
+    /// Time from which a response no longer has the full value.
     pub target_at: Timestamp,
     pub units: f64,
-    /// The only zones whose servers may have it.
+    /// Zones whose servers may get it; `None` for all.
     pub zones: Option<Zones>,
     pub max_attempts: u32,
     pub attempts: Vec<Attempt>,
-    /// Has its final answer; only kept for the attempts still in flight.
+    /// The client has its final answer; the record is kept only for the attempts still in flight.
     pub is_closed: bool,
-    /// A streamed answer has begun.
+    /// A streamed response has begun.
     pub is_streaming: bool,
 }
 
 impl RequestRecord {
-    /// Attempts without an outcome.
+    /// Returns the number of attempts without an outcome.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
-    /// Whether every attempt is proven never to have run.
+    /// Returns whether the request is known not to have run in any attempt.
     pub fn never_ran(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NeverRan)
     }
 
-    /// The first attempt that ran or may have, or may yet.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    /// Returns the first attempt in which the request ran, may have run or may still run.
+    pub fn first_possibly_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// Whether another attempt is allowed by their number.
+    /// Returns whether the maximum number of attempts allows another one.
     pub fn has_attempts_left(&self) -> bool {
         (self.attempts.len() as u32) < self.max_attempts
     }
 
-    /// Whether a server has had an attempt of this request.
+    /// Returns whether an attempt was sent to a server.
     pub fn was_sent_to(&self, server: ServerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 }
 
-/// An attempt in flight, as its server's record holds it.
+/// An attempt in flight, as kept in its server's record.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlightAttempt {
     pub request: RequestId,
--- a/crates/gateway/src/retry.rs
+++ b/crates/gateway/src/retry.rs
@@ -1,7 +1,7 @@
-//! Attempts: sending, retries, hedged requests, and what the client is told in the end.
+//! Attempts, retries, hedged requests and the final answer to the client.
 //!
-//! A request whose effect must not be repeated is never sent again once an attempt may have run; a keyed one only to servers that
-//! drop its repeats, for as long as they do.
+//! An unsafe request is never sent again once it may have run. A keyed request is then sent only to servers that drop its
+//! repeats, and only within its key window.
 
 use crate::api::{Action, AttemptResult, RejectReason, RequestId};
 use crate::gateway::{Gateway, PendingHedge, DEADLINE_MARGIN};
@@ -11,45 +11,45 @@
 use crate::settings::{Effect, KeyScope, RetryBudget};
 use ivygate_time::{Millis, Timestamp};
 
-/// An attempt is overdue after this many times its expected wait ...
+/// An attempt is overdue after this multiple of its expected wait ...
 const OVERDUE_FACTOR: f64 = 5.0;
-/// ... but not before this part of what is left of the latency target.
+/// ... but not before this share of the time left until the latency target.
 const MIN_OVERDUE_RATIO: f64 = 0.6;
 
-/// When an attempt is given up, and when another is sent beside it.
+/// Times at which an attempt is abandoned and at which a hedged one is sent.
 struct AttemptPlan {
     give_up_at: Timestamp,
     hedge_at: Option<Timestamp>,
 }
 
 impl Gateway {
-    /// A request was taken: it earns its part of the retry budget.
+    /// Adds the share of an accepted request to the retry budget.
     pub(crate) fn earn_retries(&mut self) {
         let RetryBudget { ratio, burst, .. } = self.settings.retry_budget;
         self.retry_tokens = (self.retry_tokens + ratio).min(burst);
     }
 
-    /// Whether a further attempt may go to a server.
+    /// Returns whether another attempt of a request may go to a server.
     pub(crate) fn may_send_to(&self, request: &RequestRecord, server: &ServerRecord) -> bool {
-        let Some(first) = request.first_that_may_have_run() else { return true };
+        let Some(first) = request.first_possibly_run() else { return true };
         let class = &self.settings.classes[request.class];
         let Effect::Keyed(scope) = class.effect else { return class.effect == Effect::Safe };
-        let Some(home) = self.servers.get(&first.server) else { return false };
+        let Some(first_server) = self.servers.get(&first.server) else { return false };
         let drops_repeats = match scope {
             KeyScope::All => true,
-            KeyScope::Zone => home.zone == server.zone,
-            KeyScope::Cell => home.cell == server.cell,
+            KeyScope::Zone => first_server.zone == server.zone,
+            KeyScope::Cell => first_server.cell == server.cell,
         };
         drops_repeats && self.now < first.sent_at.plus_millis(class.key_window).minus_millis(DEADLINE_MARGIN)
     }
 
-    /// Whether the client may be told that trying again is harmless.
+    /// Returns whether the client may be told that a retry is safe.
     fn may_reject(&self, request: &RequestRecord) -> bool {
         let effect = self.settings.classes[request.class].effect;
         request.never_ran() || matches!(effect, Effect::Safe | Effect::Keyed(KeyScope::All))
     }
 
-    /// When an answer stops earning anything.
+    /// Returns the time from which a response has no value.
     fn useful_until(&self, request: &RequestRecord) -> Timestamp {
         let earns_late = self.settings.classes[request.class].late_value > 0.0;
         let target = if earns_late {
@@ -60,7 +60,7 @@
         request.deadline.min(target)
     }
 
-    /// Sends an attempt to the server that was chosen.
+    /// Sends an attempt to the selected server.
     pub(crate) fn send_attempt(&mut self, id: &RequestId, choice: Choice, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(request) = self.requests.get(id) else { return };
@@ -86,24 +86,24 @@
         actions.push(Action::Send { request: id.clone(), server: choice.server, give_up_at });
     }
 
-    /// Where two attempts may be in flight, a hedged one is sent when the first is overdue. Elsewhere the first is given up then, in
-    /// time for another.
+    /// Plans an attempt. When it is overdue, a hedged attempt is sent if hedging is allowed; otherwise it is abandoned in time
+    /// for a retry.
     fn plan_attempt(&self, request: &RequestRecord, wait: Millis) -> AttemptPlan {
         let class = &self.settings.classes[request.class];
         let end = self.useful_until(request);
         let time_left = request.target_at.millis_since(self.now);
-        let patience = (OVERDUE_FACTOR * wait).max(MIN_OVERDUE_RATIO * time_left);
+        let overdue_after = (OVERDUE_FACTOR * wait).max(MIN_OVERDUE_RATIO * time_left);
         let has_another = (request.attempts.len() as u32 + 1) < request.max_attempts;
-        let may_repeat = class.effect != Effect::Unsafe && has_another && patience + wait < time_left;
+        let may_repeat = class.effect != Effect::Unsafe && has_another && overdue_after + wait < time_left;
         let is_hedged = may_repeat && self.settings.allow_hedging;
-        let overdue_at = self.now.plus_millis(patience);
+        let overdue_at = self.now.plus_millis(overdue_after);
         AttemptPlan {
             give_up_at: if may_repeat && !is_hedged { end.min(overdue_at) } else { end },
             hedge_at: is_hedged.then_some(overdue_at),
         }
     }
 
-    /// An attempt ended: learns from it, and goes on with its request.
+    /// Handles the end of an attempt: updates the estimates and continues the request.
     pub(crate) fn handle_attempt_ended(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&result.request) else { return };
         let Some(attempt) = request.attempts.get_mut(result.attempt as usize) else { return };
@@ -120,15 +120,15 @@
         if let Some(server) = self.servers.get_mut(&attempt.server) {
             server.remove_in_flight(&result.request, result.attempt);
         }
-        self.learn(attempt.server, class, units, &attempt, result);
+        self.update_estimates(attempt.server, class, units, &attempt, result);
         if let Some(percent) = result.metered_percent {
             self.handle_meter_reading(plan, &customer, gateways, percent);
         }
-        self.advance(&result.request, actions);
+        self.continue_request(&result.request, actions);
     }
 
-    /// Goes on with a request after one of its attempts has ended.
-    fn advance(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+    /// Closes, retries or fails a request after one of its attempts has ended.
+    fn continue_request(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.is_closed {
             return self.close(id, actions);
@@ -149,25 +149,25 @@
         self.requests.remove(id);
     }
 
-    /// Retries a request if its attempts, its time and the retry budget allow it; tells whether it did.
+    /// Retries a request if its number of attempts, its remaining time and the retry budget allow it; returns whether it did.
     fn retry(&mut self, id: &RequestId, request: &RequestRecord, actions: &mut Vec<Action>) -> bool {
         let end = self.useful_until(request);
-        let is_free = request.never_ran() && !self.settings.retry_budget.counts_never_run;
-        let has_budget = is_free || self.retry_tokens >= 1.0;
+        let is_uncharged = request.never_ran() && !self.settings.retry_budget.counts_never_run;
+        let has_budget = is_uncharged || self.retry_tokens >= 1.0;
         let has_time = self.now.plus_millis(DEADLINE_MARGIN) < end;
         if !request.has_attempts_left() || request.is_streaming || !has_time || !has_budget {
             return false;
         }
         let choice = self.choose_server(request).filter(|choice| self.now.plus_millis(choice.wait) < end);
         let Some(choice) = choice else { return false };
-        if !is_free {
+        if !is_uncharged {
             self.retry_tokens -= 1.0;
         }
         self.send_attempt(id, choice, actions);
         true
     }
 
-    /// Sends a hedged attempt beside one that is overdue.
+    /// Sends a hedged attempt for a request whose attempt is overdue.
     pub(crate) fn hedge(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let is_waiting = !request.is_closed && !request.is_streaming && request.in_flight() == 1;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Ends a request that has its final answer; attempts still in flight are cancelled where that is allowed.
+    /// Closes a request that has its final answer, and cancels its attempts in flight if cancellation is allowed.
     pub(crate) fn close(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.is_closed = true;
--- a/crates/gateway/src/server_list.rs
+++ b/crates/gateway/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list.
+//! Updates of the server list.
 
 use crate::api::{Action, ListKind, ServerEntry, ServerId, ServerState};
 use crate::gateway::{Gateway, LIST_RETRY_TIMER};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Gateway {
-    /// Takes in entries of the server list.
+    /// Applies an update of the server list.
     pub(crate) fn handle_list(&mut self, kind: ListKind, entries: &[ServerEntry], actions: &mut Vec<Action>) {
         match kind {
             ListKind::Failed => return self.retry_list(actions),
@@ -43,19 +43,19 @@
         server.distance_cost = entry.distance_cost;
         server.slow_start = entry.slow_start;
         if entry.started_at != server.started_at {
-            // A process that has restarted is a new server: nothing learned of the old one holds.
+            // Estimates of the previous process do not apply to a restarted one.
             let in_flight = std::mem::take(&mut server.in_flight);
             *server = ServerRecord { in_flight, ..ServerRecord::new(entry, now) };
         }
     }
 
     pub(crate) fn count_ready_servers(&mut self) {
-        let ready = self.servers.values().filter(|server| server.is_ready() && !self.is_zone_left(server));
+        let ready = self.servers.values().filter(|server| server.is_ready() && !self.is_zone_drained(server));
         self.ready_servers = f64::max(ready.count() as f64, 1.0);
     }
 
-    /// Whether nothing may go to a server's zone: what hangs there is no load elsewhere.
-    pub(crate) fn is_zone_left(&self, server: &ServerRecord) -> bool {
+    /// Returns whether no requests may go to a server's zone. Attempts that hang there are not counted as load.
+    pub(crate) fn is_zone_drained(&self, server: &ServerRecord) -> bool {
         self.zone_shares
             .iter()
             .any(|shares| shares.zone == server.zone && shares.safe.max(shares.other) <= 0.0)
--- a/crates/gateway/src/server_record.rs
+++ b/crates/gateway/src/server_record.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of a server that the list has named.
+//! Record of a server from the server list.
 
 use crate::api::{ServerEntry, ServerState, SlowStartBound};
 use crate::request_record::InFlightAttempt;
@@ -6,49 +6,49 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What is known of a server.
+/// State and estimates of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerRecord {
     pub zone: Arc<str>,
     pub cell: u32,
     pub state: ServerState,
     pub started_at: Option<Timestamp>,
-    /// Own attempts in flight, in order of their sending.
+    /// This gateway's attempts in flight, in the order of sending.
     pub in_flight: VecDeque<InFlightAttempt>,
-    /// Requests of other gateways, by the last reports.
+    /// Requests of other gateways, estimated from load reports.
     pub others_in_flight: f64,
     pub reported_at: Timestamp,
-    /// Its service time against the fleet's, learned from answers.
+    /// Its service time relative to the fleet's, learned from responses.
     pub slowness: f64,
-    /// What time-outs have added to that, and when that was last changed.
+    /// Decaying addition to `slowness` learned from timeouts, as of `slowness_changed_at`.
     pub timeout_slowness: f64,
     pub slowness_changed_at: Timestamp,
-    /// How many answers that rests on.
+    /// Weight of the responses and timeouts that the slowness is based on.
     pub answers: f64,
-    /// Queueing seen in its answers.
+    /// Queueing time observed in its responses.
     pub queueing: Millis,
-    /// When it last gave an answer of any kind.
+    /// Time of its last response of any kind.
     pub last_answer_at: Timestamp,
     pub consecutive_failures: u32,
-    /// Not to be used before, but for want of others.
+    /// End of its ejection; until then it is used only as a last resort.
     pub ejected_until: Timestamp,
-    /// Whether it was ejected and has given no good answer since.
+    /// Set from an ejection until the next successful response.
     pub is_on_probation: bool,
-    /// Whether a health check is under way.
+    /// Set while a health check is in flight.
     pub is_being_checked: bool,
-    /// Work that may still be sent to it while it warms up; `None` before the first look.
+    /// Work that may currently be sent to it while it warms up; `None` before the first fill.
     pub slow_start_budget: Option<Millis>,
     pub budget_filled_at: Timestamp,
-    /// What the way there is taken to cost.
+    /// Cost of the network distance to it.
     pub distance_cost: Millis,
-    /// Bound on requests while it warms up, those that may go now, and since when.
+    /// Limit on its request rate while it warms up, with the state of its token bucket.
     pub slow_start: Option<SlowStartBound>,
     pub slow_start_tokens: f64,
     pub tokens_filled_at: Timestamp,
 }
 
 impl ServerRecord {
-    /// A server of which only the list has told.
+    /// Creates the record of a server without any observations.
     pub fn new(entry: &ServerEntry, now: Timestamp) -> Self {
         Self {
             zone: entry.zone.as_str().into(),
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Whether it takes requests.
+    /// Returns whether it accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state == ServerState::Ready
     }
 
-    /// Whether its slow-start bound lets one more request through; it stores one at most.
+    /// Refills the token bucket of the slow-start bound, which holds one request at most, and returns whether it allows one.
     pub fn passes_slow_start_bound(&mut self, now: Timestamp) -> bool {
         let Some(bound) = self.slow_start.filter(|bound| now < bound.until) else { return true };
         let gain = bound.requests_per_s * now.millis_since(self.tokens_filled_at) / 1000.0;
@@ -91,7 +91,7 @@
         self.slow_start_tokens >= 1.0
     }
 
-    /// Its service time against the fleet's; what time-outs have added fades within `memory`.
+    /// Returns its service time relative to the fleet's. The part learned from timeouts decays with time constant `memory`.
     pub fn slowness_at(&self, now: Timestamp, memory: Millis) -> f64 {
         self.slowness + self.timeout_slowness * (-now.millis_since(self.slowness_changed_at) / memory).exp()
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,86 +1,86 @@
-//! What a gateway is told of its deployment when it starts.
+//! Settings of a gateway and their validation.
 
 use ivygate_time::Millis;
 
 /// The settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Number of gateways before the servers.
+    /// Number of gateways that share the servers.
     pub gateways: u32,
-    /// Number of this gateway, from 0.
+    /// Index of this gateway, from 0.
     pub rank: u32,
     /// Zone of this gateway.
     pub zone: String,
     /// Classes of requests.
     pub classes: Vec<RequestClass>,
-    /// Plans that customers may be on.
+    /// Plans of the customers.
     pub plans: Vec<Plan>,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Whether two attempts of a request may be in flight at once.
+    /// Allows two attempts of a request in flight at once.
     pub allow_hedging: bool,
-    /// Whether servers may be sent health checks.
+    /// Allows health checks of servers.
     pub allow_health_checks: bool,
-    /// Whether a gateway that has nothing in flight sends one request however slow servers are thought to be. Where nobody else
-    /// asks them, what was learned in a bad time would else be believed for good.
+    /// Allows a gateway with nothing in flight to send one request even if it estimates all servers to be too slow. Without such
+    /// trials, a gateway whose servers get no other traffic would never correct an estimate made while they were slow.
     pub allow_trial_requests: bool,
-    /// Whether an attempt may be cancelled.
+    /// Allows attempts to be cancelled.
     pub allow_cancellation: bool,
-    /// Whether changes of the server list come only when asked for.
+    /// Set if changes of the server list are delivered only after a subscription.
     pub subscribe_to_list: bool,
-    /// Longest retry-after that clients heed; `None` where they are not told.
+    /// Longest retry-after that clients honour; `None` to send none.
     pub max_retry_after: Option<Millis>,
-    /// How much may be retried.
+    /// Budget of retries.
     pub retry_budget: RetryBudget,
-    /// Period over which the meter adds up use; `None` without a meter.
+    /// Period over which the meter sums up usage; `None` without a meter.
     pub meter_period: Option<Millis>,
-    /// Cost of each attempt that crosses zones, as a share of a request's value.
+    /// Cost of an attempt that crosses zones, as a share of the request's value.
     pub cross_zone_cost: f64,
-    /// A server that has just started has at least this share of its capacity.
+    /// Share of its capacity that a server has at least when it has just started.
     pub slow_start_capacity: f64,
-    /// And all of it after this time at the latest.
+    /// Time after its start at which a server has its full capacity.
     pub slow_start_duration: Millis,
-    /// A server that warms up fails when sent this many times its present capacity ...
+    /// A server that is warming up fails when it gets this many times its current capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_window: Millis,
 }
 
-/// How much a gateway may retry, for each pool of servers.
+/// Budget of retries of a gateway, for each pool of servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries earned by each request.
     pub ratio: f64,
-    /// Most retries saved up.
+    /// Maximum number of retries that accumulate.
     pub burst: f64,
-    /// Whether a retry counts also where the attempts before it are proven never to have run.
+    /// Charges a retry to the budget even if all earlier attempts are known not to have run.
     pub counts_never_run: bool,
 }
 
 impl RetryBudget {
-    /// What suits a deployment that sets no budget: failing servers do not double the load.
+    /// Default budget: limits the extra load to 15 %, so that failing servers do not double it.
     pub const DEFAULT: Self = Self { ratio: 0.15, burst: 15.0, counts_never_run: false };
 }
 
-/// Whether a request may be run again.
+/// Effect of a request, which determines whether it may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Safe,
-    /// Repeats are dropped by the servers of one group, for a time.
+    /// The request has an idempotency key: servers within the scope drop repeats for a limited time.
     Keyed(KeyScope),
-    /// Must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// Scope of an idempotency key: the servers that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
@@ -89,49 +89,49 @@
 pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// An answer within this time earns the full value.
+    /// Time within which a response has the full value.
     pub latency_target: Millis,
-    /// Time after which a client gives up, over all its tries.
+    /// Time after which a client gives up, including its own retries.
     pub deadline: Millis,
     /// Value of one request.
     pub value: f64,
-    /// Share of the value that an answer after the latency target still earns.
+    /// Share of the value of a response after the latency target.
     pub late_value: f64,
-    /// Whether it may run again.
+    /// Effect of its requests.
     pub effect: Effect,
-    /// Work of a request on an idle server, as far as it is told; a part of the latency target where it is not.
+    /// Initial estimate of the work of a request on an idle server; a share of the latency target if `None`.
     pub initial_work: Option<Millis>,
-    /// How long repeats of a keyed request are dropped, from the first attempt that may have run.
+    /// Time during which repeats of a keyed request are dropped, from the first attempt that may have run.
     pub key_window: Millis,
 }
 
-/// A plan, whose quotas hold for each of its customers over all gateways together.
+/// A plan. Its quotas apply to each customer over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Its name.
     pub name: String,
-    /// Units a second; 0 for no such quota.
+    /// Quota in units per second; 0 for none.
     pub rate: f64,
-    /// Most units that the quota's bucket holds.
+    /// Capacity of the quota's token bucket in units.
     pub burst: f64,
-    /// Most attempts in flight at once; 0 for no such quota.
+    /// Maximum number of attempts in flight; 0 for no limit.
     pub max_in_flight: u32,
-    /// Factor on the value of its requests.
+    /// Factor of the value of its requests.
     pub price: f64,
     /// Share of its value that a request beyond the quota earns.
     pub excess_value: f64,
-    /// Share of its value that sending one beyond the quota costs.
+    /// Share of its value that sending a request beyond the quota costs.
     pub excess_cost: f64,
-    /// Hard rate limit in units a second; 0 for none.
+    /// Hard rate limit in units per second; 0 for none.
     pub limit_rate: f64,
-    /// Most units that the rate limit's bucket holds.
+    /// Capacity of the rate limit's token bucket in units.
     pub limit_burst: f64,
-    /// Units by which the rate limit's bucket may fall below nothing.
+    /// Units by which the rate limit's token bucket may become negative.
     pub limit_slack: f64,
 }
 
 impl Plan {
-    /// A plan without quotas and rate limit.
+    /// Creates a plan without quotas and rate limits.
     pub fn unlimited(name: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -148,62 +148,62 @@
     }
 }
 
-/// Why settings can't be acted on.
+/// Error in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// There are no classes of requests.
-    #[error("classes: none given")]
+    #[error("classes: at least one class is required")]
     NoClasses,
     /// There are no plans.
-    #[error("plans: none given")]
+    #[error("plans: at least one plan is required")]
     NoPlans,
-    /// The gateway's number is outside the number of gateways.
-    #[error("rank: {rank} is outside the {gateways} gateways")]
+    /// The gateway's index is not below the number of gateways.
+    #[error("rank: {rank} must be below the number of gateways, {gateways}")]
     RankOutOfRange {
-        /// The gateway's number.
+        /// The gateway's index.
         rank: u32,
         /// The number of gateways.
         gateways: u32,
     },
-    /// No attempt is allowed.
-    #[error("max_attempts: 0")]
+    /// The maximum number of attempts is 0.
+    #[error("max_attempts: 0 must be at least 1")]
     NoAttempts,
-    /// A figure of a class is negative or missing.
-    #[error("class {class}: a negative or missing figure")]
+    /// A number of a class is negative, not finite or missing.
+    #[error("class {class}: a number is negative, not finite or missing")]
     InvalidClass {
         /// The class.
         class: String,
     },
-    /// A figure of a plan is negative or missing.
-    #[error("plan {plan}: a negative or missing figure")]
+    /// A number of a plan is negative or not finite, or its quota has an empty bucket.
+    #[error("plan {plan}: a number is negative, not finite or missing")]
     InvalidPlan {
         /// The plan.
         plan: String,
     },
-    /// Another figure is negative or missing.
-    #[error("{setting}: {value} cannot be acted on")]
-    InvalidFigure {
+    /// Another number is negative or not finite.
+    #[error("{setting}: {value} must be a finite number of at least 0")]
+    InvalidNumber {
         /// The setting.
         setting: &'static str,
-        /// Its value, as text.
+        /// Its value.
         value: String,
     },
 }
 
-fn is_invalid(figure: f64) -> bool {
-    !figure.is_finite() || figure < 0.0
+fn is_invalid(number: f64) -> bool {
+    !number.is_finite() || number < 0.0
 }
 
 impl RequestClass {
     fn is_valid(&self) -> bool {
-        let figures = [self.latency_target, self.deadline, self.value, self.late_value, self.key_window];
-        self.latency_target != 0.0 && !figures.into_iter().any(is_invalid)
+        let numbers = [self.latency_target, self.deadline, self.value, self.late_value, self.key_window];
+        self.latency_target != 0.0 && !numbers.into_iter().any(is_invalid)
     }
 }
 
 impl Plan {
     fn is_valid(&self) -> bool {
-        let figures = [
+        let numbers = [
             self.rate,
             self.burst,
             self.price,
@@ -214,12 +214,12 @@
             self.limit_slack,
         ];
         let has_empty_bucket = self.rate > 0.0 && self.burst == 0.0;
-        !has_empty_bucket && !figures.into_iter().any(is_invalid)
+        !has_empty_bucket && !numbers.into_iter().any(is_invalid)
     }
 }
 
 impl Settings {
-    /// Checks that the settings can be acted on.
+    /// Validates the settings.
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -239,11 +239,11 @@
         if let Some(plan) = self.plans.iter().find(|plan| !plan.is_valid()) {
             return Err(SettingsError::InvalidPlan { plan: plan.name.clone() });
         }
-        self.check_figures()
+        self.check_numbers()
     }
 
-    fn check_figures(&self) -> Result<(), SettingsError> {
-        let figures = [
+    fn check_numbers(&self) -> Result<(), SettingsError> {
+        let numbers = [
             ("slow_start_capacity", self.slow_start_capacity),
             ("slow_start_duration", self.slow_start_duration),
             ("overload_factor", self.overload_factor),
@@ -252,8 +252,8 @@
             ("meter_period", self.meter_period.unwrap_or(0.0)),
             ("max_retry_after", self.max_retry_after.unwrap_or(0.0)),
         ];
-        match figures.into_iter().find(|(_, value)| is_invalid(*value)) {
-            Some((setting, value)) => Err(SettingsError::InvalidFigure { setting, value: value.to_string() }),
+        match numbers.into_iter().find(|(_, value)| is_invalid(*value)) {
+            Some((setting, value)) => Err(SettingsError::InvalidNumber { setting, value: value.to_string() }),
             None => Ok(()),
         }
     }
--- a/crates/gateway/src/sketch.rs
+++ b/crates/gateway/src/sketch.rs
@@ -1,6 +1,6 @@
-//! A count-min sketch: counts by key in fixed space, never too low while nothing is taken off.
+//! A count-min sketch: counts by key in fixed space that never underestimate as long as nothing is subtracted.
 
-/// Rows of counters, each with its own hash; a key's count is the smallest of its cells.
+/// Approximate counts by key: rows of counters, each with its own hash; the estimate of a key is its smallest counter.
 #[derive(Clone, Debug)]
 pub struct CountMinSketch {
     seeds: Vec<u64>,
@@ -9,17 +9,17 @@
 }
 
 impl CountMinSketch {
-    /// A sketch with one row for each seed, of `columns` counters each.
+    /// Creates a sketch with one row of `columns` counters for each seed.
     ///
     /// # Panics
-    /// If there is no seed or no column.
+    /// Panics if `seeds` is empty or `columns` is 0.
     pub fn new(seeds: Vec<u64>, columns: usize) -> Self {
-        assert!(!seeds.is_empty() && columns > 0, "a sketch needs rows and columns");
+        assert!(!seeds.is_empty() && columns > 0, "a sketch needs at least one row and one column");
         let cells = vec![0.0; seeds.len() * columns];
         Self { seeds, columns, cells }
     }
 
-    /// Adds `amount`, which may be negative to take back what was added, and returns the new estimate.
+    /// Adds `amount` and returns the new estimate. A negative amount undoes an earlier addition.
     pub fn add(&mut self, key: &str, amount: f64) -> f64 {
         let base = fnv1a(key);
         let mut least = f64::INFINITY;
@@ -31,13 +31,13 @@
         least
     }
 
-    /// The count of a key: all that was added for it, and perhaps some of others.
+    /// Returns the estimate of a key: the sum of its amounts, and possibly amounts of colliding keys.
     pub fn estimate(&self, key: &str) -> f64 {
         let base = fnv1a(key);
         (0..self.seeds.len()).map(|row| self.cells[self.cell(row, base)]).fold(f64::INFINITY, f64::min)
     }
 
-    /// Forgets all counts.
+    /// Resets all counters.
     pub fn clear(&mut self) {
         self.cells.fill(0.0);
     }
@@ -51,7 +51,7 @@
     key.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// The finalizer of SplitMix64.
+/// Mixes the bits of a hash with the SplitMix64 finalizer.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/gateway/src/slow_start.rs
+++ b/crates/gateway/src/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: what servers that warm up may be sent.
+//! Slow start: limits the load on servers that are warming up.
 //!
-//! Where the deployment tells how capacity grows, each gateway has a budget of work for each such server, its even part of what
-//! the server takes. Where a rate of requests is told instead, the server's bound holds, see
+//! Where the settings tell how capacity grows, each gateway has a budget of work for each such server: an equal share of the work
+//! that the server can take. Where the server list sets a request rate instead, that rate applies, see
 //! [`SlowStartBound`](crate::SlowStartBound).
 
 use crate::api::ServerId;
@@ -10,13 +10,13 @@
 use ivygate_time::Millis;
 use std::collections::BTreeSet;
 
-/// Part of the work that a server may be sent before it fails which is used: work varies.
+/// Share of the work at which a server fails that the budgets use; the rest allows for requests with more work than estimated.
 const BUDGET_SAFETY: f64 = 0.75;
-/// Part of a window's budget that may be sent at once; the window itself adds one more.
+/// Share of a window's budget that may be sent at once; the budget earned within the window comes on top.
 const BUDGET_BURST: f64 = 0.33;
 
 impl Gateway {
-    /// Present part of a server's capacity, at the least.
+    /// Returns the share of its capacity that a server has at least.
     pub(crate) fn capacity_ratio(&self, server: &ServerRecord) -> f64 {
         let age =
             server.started_at.map_or(f64::INFINITY, |started_at| self.now.millis_since(started_at).max(0.0));
@@ -27,17 +27,17 @@
         initial + (1.0 - initial) * age / self.settings.slow_start_duration
     }
 
-    /// Whether a server warms up and may not be sent this much work now.
+    /// Returns whether a server is warming up and its budget does not cover this work.
     pub(crate) fn exceeds_slow_start_budget(&self, server: &ServerRecord, work: Millis) -> bool {
         self.capacity_ratio(server) < 1.0 && server.slow_start_budget.is_some_and(|budget| budget < work)
     }
 
-    /// Fills the budgets of all servers; each is taken to serve one request at a time, as every server can at least.
+    /// Refills the budgets of all servers. Each is assumed to serve one request at a time, which every server can.
     pub(crate) fn fill_slow_start_budgets(&mut self, work: Millis) {
         for id in self.servers.keys().copied().collect::<Vec<_>>() {
             let rate = self.slow_start_rate(&self.servers[&id]);
             let burst = BUDGET_BURST * rate * self.settings.overload_window;
-            // A budget starts anywhere: gateways that are told of a server together must not all send their first request at once.
+            // Budgets start at a random level, so that gateways that learn of a server together do not all send to it at once.
             let is_new = self.servers[&id].slow_start_budget.is_none();
             let start = if is_new { self.rng.f64() * (burst + work) } else { 0.0 };
             let now = self.now;
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Work that this gateway may send to a server, per millisecond.
+    /// Returns the work per millisecond that this gateway may send to a server.
     fn slow_start_rate(&self, server: &ServerRecord) -> f64 {
         BUDGET_SAFETY * self.settings.overload_factor * self.capacity_ratio(server)
             / f64::from(self.settings.gateways)
     }
 
-    /// The servers whose bound lets no request through now.
+    /// Returns the servers whose slow-start bound allows no request now.
     pub(crate) fn servers_at_slow_start_bound(&mut self) -> BTreeSet<ServerId> {
         let now = self.now;
         let at_bound = |server: &mut ServerRecord| !server.passes_slow_start_bound(now);
@@ -64,8 +64,9 @@
     }
 }
 
-/// A budget that fills to less than a request in a window lapses unless it is used within one: the full budgets of many gateways
-/// would else add up, and be spent at once when traffic gathers.
+/// Caps a budget at `burst`, or, where `burst` is less than one request's work, lets it wrap around once it reaches their sum. A
+/// capped budget could never pay for a request then, and with many gateways, full budgets would add up and be spent at once when
+/// traffic rises.
 fn bounded_budget(budget: Millis, burst: Millis, work: Millis) -> Millis {
     if burst < work {
         budget % (burst + work)
--- a/crates/gateway/src/wire_settings.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -1,10 +1,10 @@
-//! The settings object, as the simulator's wire and a node's configuration both give it.
+//! The JSON form of the settings, used by the simulator's protocol and by a node's configuration file.
 
 use crate::settings::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_time::Millis;
 use serde::Deserialize;
 
-/// The settings object as it is written; [`WireSettings::into_settings`] gives what a gateway acts on.
+/// The settings of a gateway in their JSON form; [`WireSettings::into_settings`] converts them.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireSettings {
@@ -98,36 +98,36 @@
     overload_for_ms: f64,
 }
 
-/// What the settings tell of connections to app servers; a decision needs none of it.
+/// Settings of connections to app servers, for the I/O layer; no decision depends on them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionSettings {
-    /// A connection not established by then has failed; `None` where the settings do not tell.
+    /// Time after which establishing a connection has failed; `None` if not set.
     pub connect_timeout: Option<Millis>,
-    /// App servers close a connection that has stood idle for this long; `None` if they do not tell.
+    /// Idle time after which app servers close a connection; `None` if not set.
     pub keepalive: Option<Millis>,
 }
 
-/// Bounds on what a request may say of itself.
+/// Limits on the values that a client may declare in a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
     /// Number of nodes.
     pub nodes: u32,
-    /// Most units that one request counts; infinite where the settings do not tell.
+    /// Maximum number of units of one request; infinite if not set.
     pub max_units: f64,
-    /// Longest time that a client may say it waits: twice the longest deadline of all classes.
+    /// Maximum time that a client may declare to wait: twice the longest deadline of all classes.
     pub max_wait: Millis,
 }
 
-/// Why a settings object can't be acted on.
+/// Error in the JSON form of the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum WireSettingsError {
-    /// It is no JSON, or a key is missing or malformed.
+    /// The text is not JSON, or a key is missing or malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// It names a way of discovery that does not exist.
+    /// The value of `discovery` is unknown.
     #[error("unknown discovery '{0}'")]
     UnknownDiscovery(String),
-    /// A class has an effect that does not exist, or a key without a scope that does.
+    /// A class has an unknown effect, or a keyed one has an unknown key scope.
     #[error("classes: unknown effect '{effect}' with keyScope '{scope}'")]
     UnknownEffect {
         /// The effect.
@@ -138,26 +138,26 @@
 }
 
 impl WireSettings {
-    /// Reads a settings object.
+    /// Parses the JSON form.
     ///
     /// # Errors
-    /// Names the key that is missing or malformed.
+    /// Returns an error that names the missing or malformed key.
     pub fn parse(text: &str) -> Result<Self, WireSettingsError> {
         Ok(serde_json::from_str(text)?)
     }
 
-    /// The part about connections.
+    /// Returns the settings of connections to app servers.
     pub fn connection_settings(&self) -> ConnectionSettings {
-        let given = |ms: f64| Some(ms).filter(|ms| ms.is_finite() && *ms > 0.0);
+        let positive = |ms: f64| Some(ms).filter(|ms| ms.is_finite() && *ms > 0.0);
         ConnectionSettings {
-            connect_timeout: given(self.allowed.connect_timeout_ms),
-            keepalive: given(self.allowed.keepalive_ms),
+            connect_timeout: positive(self.allowed.connect_timeout_ms),
+            keepalive: positive(self.allowed.keepalive_ms),
         }
     }
 
-    /// What a request may say of itself.
+    /// Returns the limits on values that a client may declare.
     pub fn request_limits(&self) -> RequestLimits {
-        let deadlines = self.classes.iter().map(|c| c.deadline_ms);
+        let deadlines = self.classes.iter().map(|class| class.deadline_ms);
         RequestLimits {
             nodes: self.balancers,
             max_units: if self.domain.units_top > 0.0 { self.domain.units_top } else { f64::INFINITY },
@@ -165,16 +165,16 @@
         }
     }
 
-    /// What a gateway acts on.
+    /// Converts the JSON form to [`Settings`].
     ///
     /// # Errors
-    /// Names the key whose value is unknown.
+    /// Returns an error that names the key whose value is unknown.
     pub fn into_settings(self) -> Result<Settings, WireSettingsError> {
         Ok(Settings {
             gateways: self.balancers,
             rank: self.rank,
             zone: self.az,
-            classes: self.classes.into_iter().map(class).collect::<Result<_, _>>()?,
+            classes: self.classes.into_iter().map(request_class).collect::<Result<_, _>>()?,
             plans: self.contracts.into_iter().map(plan).collect(),
             max_attempts: self.allowed.most_tries,
             allow_hedging: self.allowed.second_copies,
@@ -198,8 +198,8 @@
     }
 }
 
-fn class(c: WireClass) -> Result<RequestClass, WireSettingsError> {
-    let effect = match (c.effect.as_str(), c.key_scope.as_str()) {
+fn request_class(class: WireClass) -> Result<RequestClass, WireSettingsError> {
+    let effect = match (class.effect.as_str(), class.key_scope.as_str()) {
         ("safe", _) => Effect::Safe,
         ("unsafe", _) => Effect::Unsafe,
         ("keyed", "all") => Effect::Keyed(KeyScope::All),
@@ -213,28 +213,28 @@
         }
     };
     Ok(RequestClass {
-        name: c.name,
-        latency_target: c.aim_ms,
-        deadline: c.deadline_ms,
-        value: c.worth,
-        late_value: c.late_worth,
+        name: class.name,
+        latency_target: class.aim_ms,
+        deadline: class.deadline_ms,
+        value: class.worth,
+        late_value: class.late_worth,
         effect,
         initial_work: None,
-        key_window: c.window_ms,
+        key_window: class.window_ms,
     })
 }
 
-fn plan(c: Contract) -> Plan {
+fn plan(contract: Contract) -> Plan {
     Plan {
-        name: c.name,
-        rate: c.refill,
-        burst: c.most_at_once,
-        max_in_flight: c.parallel,
-        price: c.worth_factor,
-        excess_value: c.extra_worth,
-        excess_cost: c.excess_cost,
-        limit_rate: c.cap_rate,
-        limit_burst: c.cap_depth,
-        limit_slack: c.tolerance,
+        name: contract.name,
+        rate: contract.refill,
+        burst: contract.most_at_once,
+        max_in_flight: contract.parallel,
+        price: contract.worth_factor,
+        excess_value: contract.extra_worth,
+        excess_cost: contract.excess_cost,
+        limit_rate: contract.cap_rate,
+        limit_burst: contract.cap_depth,
+        limit_slack: contract.tolerance,
     }
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,5 +1,7 @@
-//! What the module decides over random events, as digests. A change of names or shape leaves them as they are; a change of
-//! what it decides changes them, and gives the new ones in its commit.
+//! Digests of a gateway's decisions on random events. Refactoring must not change them; a commit that changes decisions
+//! updates them and says why.
+//!
+//! The action texts below are share of the digests and keep their spelling.
 
 use fastrand::Rng;
 use fnv::FnvHasher;
@@ -8,45 +10,46 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// One digest a way of setting the module up.
+/// Digests by variant of the settings.
 const DIGESTS: [u64; 4] =
     [0x3a2a_24fe_b50f_2710, 0xc520_ab66_1f65_9314, 0x22a0_7f8a_2f09_054c, 0xd9af_b12d_1636_bfd7];
 const SEEDS: std::ops::Range<u64> = 0..40;
 const EVENTS: usize = 4_000;
 const ZONES: [&str; 3] = ["east", "west", "north"];
 
-fn class(name: &str, effect: Effect, aim: f64) -> RequestClass {
+fn class(name: &str, effect: Effect, latency_target: f64) -> RequestClass {
     RequestClass {
         name: name.into(),
-        latency_target: aim,
-        deadline: 3.0 * aim,
+        latency_target,
+        deadline: 3.0 * latency_target,
         value: 4.0,
-        late_value: if aim > 500.0 { 0.2 } else { 0.0 },
+        late_value: if latency_target > 500.0 { 0.2 } else { 0.0 },
         effect,
-        initial_work: (aim > 1_500.0).then_some(80.0),
+        initial_work: (latency_target > 1_500.0).then_some(80.0),
         key_window: 3_000.0,
     }
 }
 
-fn plan(name: &str, rate: f64, extra_worth: f64, ceiling_rate: f64) -> Plan {
+fn plan(name: &str, rate: f64, excess_value: f64, limit_rate: f64) -> Plan {
     Plan {
         name: name.into(),
         rate,
         burst: 2.0 * rate,
         max_in_flight: if rate > 0.0 { 6 } else { 0 },
         price: 1.0,
-        excess_value: extra_worth,
+        excess_value,
         excess_cost: 0.6,
-        limit_rate: ceiling_rate,
-        limit_burst: 2.0 * ceiling_rate,
+        limit_rate,
+        limit_burst: 2.0 * limit_rate,
         limit_slack: 1.0,
     }
 }
 
-/// With a meter; without one and with budgets; with cold servers and probes; with lists that are asked for.
-fn settings(way: usize) -> Settings {
+/// Settings by variant: 0 has a meter, 1 a counted retry budget and no meter, 2 slow start and health checks, 3 a list
+/// subscription.
+fn settings(variant: usize) -> Settings {
     Settings {
-        gateways: [3, 1, 4, 2][way],
+        gateways: [3, 1, 4, 2][variant],
         rank: 0,
         zone: "east".into(),
         classes: vec![
@@ -61,57 +64,57 @@
             plan("extra", 20.0, 0.9, 0.0),
         ],
         max_attempts: 3,
-        allow_hedging: way != 0,
-        allow_health_checks: way >= 2,
-        allow_trial_requests: way == 1,
-        retry_budget: if way == 1 {
+        allow_hedging: variant != 0,
+        allow_health_checks: variant >= 2,
+        allow_trial_requests: variant == 1,
+        retry_budget: if variant == 1 {
             RetryBudget { ratio: 0.1, burst: 10.0, counts_never_run: true }
         } else {
             RetryBudget::DEFAULT
         },
-        allow_cancellation: way != 3,
-        subscribe_to_list: way == 3,
-        max_retry_after: (way != 2).then_some(1_000.0),
-        meter_period: (way != 1).then_some(1_000.0),
+        allow_cancellation: variant != 3,
+        subscribe_to_list: variant == 3,
+        max_retry_after: (variant != 2).then_some(1_000.0),
+        meter_period: (variant != 1).then_some(1_000.0),
         cross_zone_cost: 0.02,
-        slow_start_capacity: if way == 2 { 0.2 } else { 1.0 },
-        slow_start_duration: if way == 2 { 8_000.0 } else { 0.0 },
+        slow_start_capacity: if variant == 2 { 0.2 } else { 1.0 },
+        slow_start_duration: if variant == 2 { 8_000.0 } else { 0.0 },
         overload_factor: 2.0,
         overload_window: 1_000.0,
     }
 }
 
-/// An attempt without an outcome: its request, number and server, when it was sent, and when it is given up.
-type Out = (RequestId, u32, ServerId, f64, f64);
+/// An attempt without an outcome: its request, index and server, the time it was sent and the time it is abandoned.
+type InFlight = (RequestId, u32, ServerId, f64, f64);
 
-struct Play {
+struct RandomRun {
     rng: Rng,
     gateway: Gateway,
     now: f64,
-    number: u32,
-    out: Vec<Out>,
+    arrivals: u32,
+    in_flight: Vec<InFlight>,
     sends: std::collections::BTreeMap<RequestId, u32>,
     timers: Vec<(f64, u64)>,
-    probes: Vec<ServerId>,
+    health_checks: Vec<ServerId>,
     digest: FnvHasher,
 }
 
-impl Play {
-    fn new(way: usize, seed: u64) -> Self {
+impl RandomRun {
+    fn new(variant: usize, seed: u64) -> Self {
         Self {
             rng: Rng::with_seed(seed),
-            gateway: Gateway::new(settings(way), seed).expect("settings are sound"),
+            gateway: Gateway::new(settings(variant), seed).expect("valid settings"),
             now: 0.0,
-            number: 0,
-            out: Vec::new(),
+            arrivals: 0,
+            in_flight: Vec::new(),
             sends: std::collections::BTreeMap::new(),
             timers: Vec::new(),
-            probes: Vec::new(),
+            health_checks: Vec::new(),
             digest: FnvHasher::default(),
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.gateway.handle(Timestamp::from_millis(self.now), event, &mut actions);
         for action in actions {
@@ -119,7 +122,7 @@
                 Action::Send { request, server, give_up_at } => {
                     let give_up_at = give_up_at.as_millis();
                     let number = self.sends.entry(request.clone()).or_insert(0);
-                    self.out.push((request.clone(), *number, server, self.now, give_up_at));
+                    self.in_flight.push((request.clone(), *number, server, self.now, give_up_at));
                     *number += 1;
                     format!("send {request} {server} {give_up_at:.6}")
                 }
@@ -134,7 +137,7 @@
                 Action::Fail { request } => format!("fail {request}"),
                 Action::Cancel { request, attempt } => format!("cancel {request} {attempt}"),
                 Action::CheckHealth { server } => {
-                    self.probes.push(server);
+                    self.health_checks.push(server);
                     format!("probe {server}")
                 }
                 Action::Timer { token, at } => {
@@ -149,9 +152,9 @@
         }
     }
 
-    fn list(&mut self) {
+    fn update_list(&mut self) {
         let count = self.rng.u32(2..9);
-        let members: Vec<ServerEntry> = (0..count)
+        let entries: Vec<ServerEntry> = (0..count)
             .map(|server| ServerEntry {
                 server,
                 zone: ZONES[server as usize % 3].into(),
@@ -171,12 +174,12 @@
             1..=3 => ListKind::Changes,
             _ => ListKind::Full,
         };
-        self.tell(Event::List { kind, servers: members.into() });
+        self.handle(Event::List { kind, servers: entries.into() });
     }
 
-    fn arrive(&mut self) {
-        self.number += 1;
-        let request: RequestId = format!("r{}", self.number).into();
+    fn send_arrival(&mut self) {
+        self.arrivals += 1;
+        let request: RequestId = format!("r{}", self.arrivals).into();
         let class = ["read", "read", "edit", "file", "pay", "none"][self.rng.usize(..6)];
         let zones = (self.rng.u8(..12) == 0).then(|| Arc::from([Arc::from("east"), Arc::from("north")]));
         let arrival = Arrival {
@@ -190,20 +193,20 @@
             zones,
             max_attempts: (self.rng.u8(..5) == 0).then_some(2),
         };
-        self.tell(Event::Arrival(arrival));
+        self.handle(Event::Arrival(arrival));
     }
 
-    fn load(&mut self) -> Load {
+    fn random_load(&mut self) -> Load {
         let in_flight = (self.rng.u8(..3) == 0).then(|| 8.0 * self.rng.f64());
         Load { in_flight, ..Load::default() }
     }
 
-    fn end_one(&mut self) {
-        if self.out.is_empty() {
+    fn end_attempt(&mut self) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let (request, attempt, server, sent, give_up) =
-            self.out.swap_remove(self.rng.usize(..self.out.len()));
+        let (request, attempt, server, sent, abandoned_at) =
+            self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
         let outcome = match self.rng.u8(..20) {
             0 => Outcome::Error,
             1 => Outcome::Unusable,
@@ -212,73 +215,73 @@
             4 => Outcome::Reset,
             5 => Outcome::Cancelled,
             6 => Outcome::NeverSent,
-            _ if self.now > give_up => Outcome::Timeout,
+            _ if self.now > abandoned_at => Outcome::Timeout,
             _ => Outcome::Ok,
         };
-        let closed = matches!(outcome, Outcome::Ok | Outcome::Unusable);
-        let use_percent = (self.rng.u8(..4) == 0).then(|| 260.0 * self.rng.f64());
-        let load = self.load();
+        let is_final = matches!(outcome, Outcome::Ok | Outcome::Unusable);
+        let metered_percent = (self.rng.u8(..4) == 0).then(|| 260.0 * self.rng.f64());
+        let load = self.random_load();
         let elapsed = self.now - sent;
-        self.tell(Event::AttemptEnded(AttemptResult {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             server,
             outcome,
             elapsed,
-            is_final: closed,
-            metered_percent: use_percent,
+            is_final,
+            metered_percent,
             load,
         }));
     }
 
-    fn other(&mut self) {
+    fn send_other_event(&mut self) {
         match self.rng.u8(..6) {
-            0 => self.list(),
+            0 => self.update_list(),
             1 => {
-                let part = |rng: &mut Rng| [0.0, 0.5, 1.0][rng.usize(..3)];
+                let share = |rng: &mut Rng| [0.0, 0.5, 1.0][rng.usize(..3)];
                 let rng = &mut self.rng;
                 let zones = ZONES.map(|zone| {
-                    let (safe, other) = (part(rng), part(rng));
+                    let (safe, other) = (share(rng), share(rng));
                     ZoneShares { zone: zone.into(), safe, other }
                 });
                 let count = self.rng.usize(..3);
-                self.tell(Event::ZoneShares { zones: zones[..count].into() });
+                self.handle(Event::ZoneShares { zones: zones[..count].into() });
             }
             2 => {
-                let request: RequestId = format!("r{}", self.rng.u32(..self.number.max(1))).into();
-                self.tell(Event::ClientGone { request });
+                let request: RequestId = format!("r{}", self.rng.u32(..self.arrivals.max(1))).into();
+                self.handle(Event::ClientGone { request });
             }
             3 => {
-                let Some((request, attempt, ..)) = self.out.first().cloned() else { return };
-                self.tell(Event::StreamStarted { request, attempt });
+                let Some((request, attempt, ..)) = self.in_flight.first().cloned() else { return };
+                self.handle(Event::StreamStarted { request, attempt });
             }
             4 => {
-                let Some(server) = self.probes.pop() else { return };
+                let Some(server) = self.health_checks.pop() else { return };
                 let outcome = if self.rng.bool() { Outcome::Ok } else { Outcome::ConnectFailed };
-                let load = self.load();
-                self.tell(Event::HealthChecked { server, outcome, load });
+                let load = self.random_load();
+                self.handle(Event::HealthChecked { server, outcome, load });
             }
             _ => {
                 let class = class("read", Effect::Safe, 300.0 + 200.0 * self.rng.f64());
-                self.tell(Event::Class(class));
-                let all = self.rng.bool();
-                self.tell(Event::RetryBudget(RetryBudget { ratio: 0.12, burst: 8.0, counts_never_run: all }));
+                self.handle(Event::Class(class));
+                let counts_never_run = self.rng.bool();
+                self.handle(Event::RetryBudget(RetryBudget { ratio: 0.12, burst: 8.0, counts_never_run }));
             }
         }
     }
 
     fn run(mut self) -> u64 {
-        self.list();
+        self.update_list();
         for _ in 0..EVENTS {
             self.now += 30.0 * self.rng.f64().powi(2);
             while let Some(due) = self.timers.iter().position(|(at, _)| *at <= self.now) {
                 let (_, token) = self.timers.swap_remove(due);
-                self.tell(Event::Timer { token });
+                self.handle(Event::Timer { token });
             }
             match self.rng.u8(..20) {
-                0..=8 => self.arrive(),
-                9..=18 => self.end_one(),
-                _ => self.other(),
+                0..=8 => self.send_arrival(),
+                9..=18 => self.end_attempt(),
+                _ => self.send_other_event(),
             }
         }
         self.digest.finish()
@@ -288,7 +291,9 @@
 #[test]
 fn decisions_keep_their_digests() {
     let found: Vec<u64> = (0..DIGESTS.len())
-        .map(|way| SEEDS.fold(0_u64, |all, seed| all.rotate_left(7) ^ Play::new(way, seed).run()))
+        .map(|variant| {
+            SEEDS.fold(0_u64, |all, seed| all.rotate_left(7) ^ RandomRun::new(variant, seed).run())
+        })
         .collect();
     assert_eq!(found, DIGESTS, "{found:#018x?}");
 }
--- a/crates/gateway/tests/sketch.rs
+++ b/crates/gateway/tests/sketch.rs
@@ -1,9 +1,9 @@
-//! The count-min sketch never counts too low.
+//! The count-min sketch never underestimates.
 
 use ivygate_gateway::CountMinSketch;
 
 #[test]
-fn never_counts_too_low_and_clears() {
+fn never_underestimates_and_clears() {
     let mut sketch = CountMinSketch::new(vec![1, 2, 3], 8);
     for i in 0..100 {
         sketch.add(&format!("k{i}"), f64::from(i));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn is_exact_without_collisions_and_takes_back() {
+fn is_exact_without_collisions_and_subtracts() {
     let mut sketch = CountMinSketch::new(vec![9, 8, 7, 6], 4096);
     assert_eq!(sketch.add("a", 2.0), 2.0);
     sketch.add("b", 5.0);
