--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,14 +1,14 @@
-//! The decisions on the simulator's wire: hosts many gateways, batches of events on standard input, a reply
-//! of actions for each on standard output.
+//! Adapter between gateways and the simulator's line protocol: reads batches of events from standard input and writes the resulting
+//! actions of each batch to standard output.
 //!
-//! Called by the program `ivygate-adapter` only. It must not decide anything, and knows no network.
+//! Used only by the program `ivygate-adapter`. It hosts many gateways, makes no decisions and uses no network.
 
 mod wire;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Serves until standard input ends.
+/// Processes batches until standard input ends.
 pub fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
