--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,13 +1,13 @@
-//! A fleet in one process: the decision modules as they are, before servers, links and clients that are made up, on a
-//! clock that jumps from event to event. One seed decides all.
+//! Simulation of a fleet in one process and in virtual time: the real gateways with simulated servers, network and clients.
+//! The seed determines everything.
 //!
-//! Called by tests and measurements. It must not do I/O, read a clock, or decide anything for a node. What it says is
-//! judged from what servers ran and clients got; when a node left a zone is the one thing that it takes from a node.
+//! Used by tests and benchmarks. The simulation does no I/O, reads no clock and makes no decisions for nodes. Its results are
+//! derived from what servers ran and what clients got; only ejection times are taken from the nodes.
 
 mod node;
 mod scenario;
 mod server;
-mod world;
+mod simulation;
 
 pub use scenario::{Fault, FaultKind, PeerNetwork, Scenario};
-pub use world::{simulate, SimulationResults};
+pub use simulation::{simulate, SimulationResults};
--- a/crates/emulator/src/node.rs
+++ b/crates/emulator/src/node.rs
@@ -1,4 +1,4 @@
-//! A process of the fleet: its decision module, with or without domains in front, and its open requests.
+//! A node of the fleet: its gateway, with or without failure domains, and its open requests.
 
 use crate::scenario::Scenario;
 use ivygate_failure_domains::{ClassProfile, DomainEvent, DomainState, ZoneAwareGateway, ZoneReport};
@@ -6,80 +6,94 @@
 use ivygate_time::{Millis, Timestamp};
 use std::collections::HashMap;
 
-pub enum Decisions {
-    Alone(Box<Gateway>),
-    Guarded(Box<ZoneAwareGateway>),
+/// The gateway of a node.
+pub enum NodeGateway {
+    Plain(Box<Gateway>),
+    ZoneAware(Box<ZoneAwareGateway>),
 }
 
-/// An attempt that has not ended.
+/// An attempt of an open request.
 pub struct Attempt {
     pub server: usize,
     pub sent_at: Millis,
-    pub out: bool,
+    pub in_flight: bool,
 }
 
-/// A request that has no final answer, or attempts out.
-pub struct Open {
+/// A request that has no final answer or has attempts in flight.
+pub struct OpenRequest {
     pub id: RequestId,
     pub class: usize,
-    pub arrived: Millis,
-    pub answered: bool,
+    pub arrived_at: Millis,
+    pub is_answered: bool,
     pub attempts: Vec<Attempt>,
 }
 
+/// A node of the fleet.
 pub struct Node {
     pub zone: usize,
-    decisions: Decisions,
-    pub open: HashMap<u64, Open>,
-    /// Zones left and come back to: when, which, and whether it was left.
-    pub turns: Vec<(Millis, String, bool)>,
+    gateway: NodeGateway,
+    pub open_requests: HashMap<u64, OpenRequest>,
+    /// Ejections and recoveries of zones: time, zone, and whether it was ejected.
+    pub zone_changes: Vec<(Millis, String, bool)>,
 }
 
 impl Node {
+    /// Creates the node with index `number`.
     pub fn new(scenario: &Scenario, number: usize, seed: u64) -> Result<Self, SettingsError> {
         let gateway = Gateway::new(scenario.settings(number), seed)?;
-        let decisions = match &scenario.policy {
-            None => Decisions::Alone(Box::new(gateway)),
+        let gateway = match &scenario.policy {
+            None => NodeGateway::Plain(Box::new(gateway)),
             Some(policy) => {
                 let classes = scenario.classes();
-                let kinds = classes
-                    .iter()
-                    .map(|c| (c.name.as_str().into(), ClassProfile::from((c.effect, c.latency_target))));
-                Decisions::Guarded(Box::new(ZoneAwareGateway::new(gateway, policy.clone(), kinds, seed)))
+                let profiles = classes.iter().map(|class| {
+                    (class.name.as_str().into(), ClassProfile::from((class.effect, class.latency_target)))
+                });
+                NodeGateway::ZoneAware(Box::new(ZoneAwareGateway::new(
+                    gateway,
+                    policy.clone(),
+                    profiles,
+                    seed,
+                )))
             }
         };
-        Ok(Self { zone: number % scenario.zones, decisions, open: HashMap::new(), turns: Vec::new() })
+        Ok(Self {
+            zone: number % scenario.zones,
+            gateway,
+            open_requests: HashMap::new(),
+            zone_changes: Vec::new(),
+        })
     }
 
-    /// What it tells the other processes now, if anything.
-    pub fn word(&mut self) -> Option<Vec<ZoneReport>> {
-        match &mut self.decisions {
-            Decisions::Alone(_) => None,
-            Decisions::Guarded(guarded) => guarded.poll_report(),
+    /// Returns the reports that are due for the other nodes.
+    pub fn poll_report(&mut self) -> Option<Vec<ZoneReport>> {
+        match &mut self.gateway {
+            NodeGateway::Plain(_) => None,
+            NodeGateway::ZoneAware(gateway) => gateway.poll_report(),
         }
     }
 
-    /// Another process tells something.
-    pub fn hear(&mut self, now: Millis, author: usize, reports: &[ZoneReport]) {
-        if let Decisions::Guarded(guarded) = &mut self.decisions {
-            guarded.handle_report(Timestamp::from_millis(now), author as u64, reports);
+    /// Handles the reports of another node.
+    pub fn handle_report(&mut self, now: Millis, sender: usize, reports: &[ZoneReport]) {
+        if let NodeGateway::ZoneAware(gateway) = &mut self.gateway {
+            gateway.handle_report(Timestamp::from_millis(now), sender as u64, reports);
         }
     }
 
+    /// Passes an event to the gateway and returns its actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         let at = Timestamp::from_millis(now);
-        match &mut self.decisions {
-            Decisions::Alone(gateway) => gateway.handle(at, event, &mut actions),
-            Decisions::Guarded(guarded) => {
-                guarded.handle(at, event, &mut actions);
-                while let Some(happening) = guarded.poll_event() {
-                    if let DomainEvent::StateChanged { to, .. } = happening {
+        match &mut self.gateway {
+            NodeGateway::Plain(gateway) => gateway.handle(at, event, &mut actions),
+            NodeGateway::ZoneAware(gateway) => {
+                gateway.handle(at, event, &mut actions);
+                while let Some(event) = gateway.poll_event() {
+                    if let DomainEvent::StateChanged { to, .. } = event {
                         match to.state {
                             DomainState::Ejected | DomainState::Draining => {
-                                self.turns.push((now, to.zone.to_string(), true));
+                                self.zone_changes.push((now, to.zone.to_string(), true));
                             }
-                            DomainState::Healthy => self.turns.push((now, to.zone.to_string(), false)),
+                            DomainState::Healthy => self.zone_changes.push((now, to.zone.to_string(), false)),
                             _ => {}
                         }
                     }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,64 +1,64 @@
-//! What is played.
+//! Scenarios: a fleet, its load and its faults.
 
 use ivygate_failure_domains::EjectionPolicy;
 use ivygate_gateway::{Effect, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_time::Millis;
 
-/// What a zone's servers, or the way to them, do wrong.
+/// Kind of a fault of a zone's servers or of the network to them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Nothing passes, and nobody is told.
+    /// Drops all packets without notice.
     NetworkPartition,
-    /// Nothing passes between that zone and nodes of other zones.
+    /// Drops all packets between the zone and nodes of other zones.
     ZonePartition,
-    /// Answers don't come back.
+    /// Drops all responses.
     ResponseLoss,
-    /// They are dead, refuse connections, and come back cold; nobody is told.
+    /// Servers crash, refuse connections, and restart cold; the server list does not change.
     Crash,
-    /// This part of the answers is lost in a reset.
+    /// Replaces this share of the responses by connection resets.
     Resets(f64),
-    /// This part of the requests is answered at once, with an error.
+    /// Answers this share of the requests immediately with an error.
     Errors(f64),
-    /// They take this many times as long.
+    /// Multiplies service times by this factor.
     Slowdown(f64),
 }
 
-/// A fault of one zone, or of some servers of each zone.
+/// A fault of one zone or of all zones.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When it begins.
+    /// Start time.
     pub at: Millis,
-    /// When it ends.
+    /// End time.
     pub until: Millis,
-    /// The zone, by number; `None` for all.
+    /// Index of the zone; `None` for all zones.
     pub zone: Option<usize>,
-    /// Only for this part of its servers, counted from the first.
+    /// Share of each zone's servers that it affects, counted from the first.
     pub server_ratio: f64,
-    /// Only for nodes whose number, modulo the second figure, is below the first.
+    /// Affects the nodes whose index modulo the second number is less than the first.
     pub nodes: (usize, usize),
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// A fault of a whole zone, for all nodes.
+    /// Creates a fault that affects all servers of a zone and all nodes.
     pub fn in_zone(zone: usize, kind: FaultKind, at: Millis, until: Millis) -> Self {
         Self { at, until, zone: Some(zone), server_ratio: 1.0, nodes: (1, 1), kind }
     }
 }
 
-/// How processes hear each other.
+/// Network over which nodes exchange zone reports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerNetwork {
-    /// How long a packet takes, and up to as long again.
+    /// Minimum delay of a packet; the maximum is twice as long.
     pub delay: Millis,
-    /// Part of the packets that is lost.
+    /// Share of lost packets.
     pub loss: f64,
-    /// The first so many processes say ten times a second that all zones fail.
+    /// Number of nodes, counted from the first, that report all zones as failing ten times per second.
     pub byzantine_nodes: usize,
-    /// From and until when the processes with even numbers and those with odd ones don't hear each other.
+    /// Start and end of a partition between nodes with even and with odd indexes.
     pub partition: (Millis, Millis),
-    /// From and until when nobody hears anything.
+    /// Start and end of an outage in which all packets are lost.
     pub outage: (Millis, Millis),
 }
 
@@ -68,57 +68,59 @@
     }
 }
 
-/// A fleet, its load, and what goes wrong.
+/// A fleet, its load and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Decides all.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Processes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones; processes and servers are dealt to them in turn.
+    /// Number of zones; nodes and servers are assigned to them round-robin.
     pub zones: usize,
-    /// Servers in each.
+    /// Number of servers in each zone.
     pub servers_per_zone: usize,
-    /// Requests that a server works on at once.
+    /// Requests that a server processes concurrently.
     pub workers: usize,
-    /// Requests a second over all processes.
+    /// Requests per second over all nodes.
     pub requests_per_s: f64,
-    /// How long requests come.
+    /// Time during which requests arrive.
     pub duration: Millis,
-    /// Customers.
+    /// Number of customers.
     pub customers: u32,
-    /// What goes wrong.
+    /// Faults during the simulation.
     pub faults: Vec<Fault>,
-    /// How zones are judged; `None` for decision modules alone.
+    /// Policy of failure-domain ejection; `None` for gateways without it.
     pub policy: Option<EjectionPolicy>,
-    /// How processes hear each other, if they do; only where zones are judged.
+    /// Network for zone reports; `None` if nodes exchange none. Requires `policy`.
     pub peer_network: Option<PeerNetwork>,
 }
 
 /// Names of the zones.
-pub(crate) const ZONES: [&str; 4] = ["north", "south", "west", "east"];
+pub(crate) const ZONE_NAMES: [&str; 4] = ["north", "south", "west", "east"];
 
-/// A server that has just started does this part of its work.
-pub(crate) const COLD_FROM: f64 = 0.25;
-/// And all of it after this.
-pub(crate) const WARM: Millis = 6_000.0;
+/// Share of its capacity that a server has when it has just started.
+pub(crate) const SLOW_START_CAPACITY: f64 = 0.25;
+/// Time after its start at which a server has its full capacity.
+pub(crate) const SLOW_START_DURATION: Millis = 6_000.0;
 
-/// Mean work of the classes, and their parts of the load.
-pub(crate) const MIX: [(f64, f64); 3] = [(20.0, 0.6), (30.0, 0.2), (40.0, 0.2)];
+/// Mean work in milliseconds of each class and its share of the requests.
+pub(crate) const CLASS_MIX: [(f64, f64); 3] = [(20.0, 0.6), (30.0, 0.2), (40.0, 0.2)];
 
 impl Scenario {
-    /// Processes of two zones before servers that have twice the capacity that is needed.
-    pub fn new(seed: u64, nodes: usize, rate: f64) -> Self {
-        let (zones, servers) = (2, (nodes / 3).clamp(3, 50));
-        let work: f64 = MIX.iter().map(|(work, part)| work * part).sum();
-        let workers = (2.0 * rate * work / 1000.0 / (zones * servers) as f64).ceil().max(1.0) as usize;
+    /// Creates nodes in two zones and servers with twice the required capacity.
+    pub fn new(seed: u64, nodes: usize, requests_per_s: f64) -> Self {
+        let (zones, servers_per_zone) = (2, (nodes / 3).clamp(3, 50));
+        let work: f64 = CLASS_MIX.iter().map(|(work, share)| work * share).sum();
+        let workers = (2.0 * requests_per_s * work / 1000.0 / (zones * servers_per_zone) as f64)
+            .ceil()
+            .max(1.0) as usize;
         Self {
             seed,
             nodes,
             zones,
-            servers_per_zone: servers,
+            servers_per_zone,
             workers,
-            requests_per_s: rate,
+            requests_per_s,
             duration: 20_000.0,
             customers: 500,
             faults: Vec::new(),
@@ -127,41 +129,41 @@
         }
     }
 
-    /// With zones judged as a whole, as a sidecar's pool has it.
+    /// Enables failure-domain ejection, as in a sidecar's pool.
     #[must_use]
     pub fn with_failure_domains(mut self) -> Self {
         let processes = self.nodes as u32;
         self.policy = Some(EjectionPolicy {
             processes,
-            slow_start_capacity: COLD_FROM,
-            slow_start_duration: WARM,
+            slow_start_capacity: SLOW_START_CAPACITY,
+            slow_start_duration: SLOW_START_DURATION,
             ..EjectionPolicy::default()
         });
         self
     }
 
-    /// With processes that tell each other what they see.
+    /// Enables failure-domain ejection and the exchange of zone reports.
     #[must_use]
-    pub fn with_peer_network(mut self, talk: PeerNetwork) -> Self {
-        self.peer_network = Some(talk);
+    pub fn with_peer_network(mut self, network: PeerNetwork) -> Self {
+        self.peer_network = Some(network);
         self.with_failure_domains()
     }
 
     pub(crate) fn classes(&self) -> Vec<RequestClass> {
-        let class = |name: &str, aim, deadline, effect, worth, work| RequestClass {
+        let class = |name: &str, latency_target, deadline, effect, value, work| RequestClass {
             name: name.into(),
-            latency_target: aim,
+            latency_target,
             deadline,
-            value: worth,
+            value,
             late_value: 0.2,
             effect,
             initial_work: Some(work),
             key_window: 15_000.0,
         };
         vec![
-            class("read", 400.0, 1500.0, Effect::Safe, 1.0, MIX[0].0),
-            class("edit", 600.0, 2000.0, Effect::Keyed(KeyScope::Zone), 2.0, MIX[1].0),
-            class("order", 800.0, 2500.0, Effect::Unsafe, 3.0, MIX[2].0),
+            class("read", 400.0, 1500.0, Effect::Safe, 1.0, CLASS_MIX[0].0),
+            class("edit", 600.0, 2000.0, Effect::Keyed(KeyScope::Zone), 2.0, CLASS_MIX[1].0),
+            class("order", 800.0, 2500.0, Effect::Unsafe, 3.0, CLASS_MIX[2].0),
         ]
     }
 
@@ -169,7 +171,7 @@
         Settings {
             gateways: self.nodes as u32,
             rank: node as u32,
-            zone: ZONES[node % self.zones].into(),
+            zone: ZONE_NAMES[node % self.zones].into(),
             classes: self.classes(),
             plans: vec![Plan::unlimited("plain")],
             max_attempts: 3,
@@ -182,8 +184,8 @@
             max_retry_after: Some(2_000.0),
             meter_period: None,
             cross_zone_cost: 0.02,
-            slow_start_capacity: COLD_FROM,
-            slow_start_duration: WARM,
+            slow_start_capacity: SLOW_START_CAPACITY,
+            slow_start_duration: SLOW_START_DURATION,
             overload_factor: 2.5,
             overload_window: 2_000.0,
         }
