--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start.
 
-use ivygate_gateway::{Bounds, Links, Settings, Setup};
+use ivygate_gateway::{ConnectionSettings, RequestLimits, Settings, WireSettings};
 use ivygate_runtime::Listing;
 use serde::Deserialize;
 use std::fmt;
@@ -21,9 +21,9 @@
     /// What the decisions rest on.
     pub settings: Settings,
     /// What the settings tell of connections.
-    pub links: Links,
+    pub links: ConnectionSettings,
     /// What requests may say of themselves.
-    pub bounds: Bounds,
+    pub bounds: RequestLimits,
 }
 
 /// Why a configuration cannot be used.
@@ -57,7 +57,7 @@
     #[serde(default)]
     limits: Limits,
     known: Option<Listing>,
-    settings: Setup,
+    settings: WireSettings,
 }
 
 #[derive(Deserialize)]
@@ -93,14 +93,14 @@
                 file.limits.sockets
             ));
         }
-        let (links, bounds) = (file.settings.links(), file.settings.bounds());
+        let (links, bounds) = (file.settings.connection_settings(), file.settings.request_limits());
         Ok(Self {
             listen: file.listen,
             discovery: file.discovery,
             seed,
             sockets: file.limits.sockets,
             known: file.known,
-            settings: file.settings.settings().map_err(|e| format!("settings: {e}"))?,
+            settings: file.settings.into_settings().map_err(|e| format!("settings: {e}"))?,
             links,
             bounds,
         })
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -2,7 +2,9 @@
 //! told of it.
 
 use ivygate_config as config;
-use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, Tally};
+use ivygate_failure_domains::{
+    ClassProfile, DomainEvent, DomainState, DomainStatus, EjectionPolicy, ZoneAwareGateway, ZoneReport,
+};
 use ivygate_gateway::{Action, Event, Gateway, Settings};
 use ivygate_runtime::Decisions;
 use ivygate_time::Timestamp;
@@ -14,7 +16,7 @@
 #[derive(Clone)]
 pub struct Zones {
     pool: Rc<str>,
-    guarded: Rc<RefCell<GuardedGateway>>,
+    guarded: Rc<RefCell<ZoneAwareGateway>>,
 }
 
 impl Zones {
@@ -25,9 +27,10 @@
         settings: &Settings,
         gateway: Gateway,
     ) -> Self {
-        let kind = |class: &ivygate_gateway::RequestClass| Kind::from((class.effect, class.latency_target));
+        let kind =
+            |class: &ivygate_gateway::RequestClass| ClassProfile::from((class.effect, class.latency_target));
         let kinds = settings.classes.iter().map(|class| (class.name.as_str().into(), kind(class)));
-        let guarded = GuardedGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
+        let guarded = ZoneAwareGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
         Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
     }
 
@@ -39,25 +42,25 @@
     }
 
     /// Another process tells something of the pool's zones.
-    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
+    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[ZoneReport]) {
         self.guarded.borrow_mut().handle_report(now, author, tallies);
     }
 
     /// What is to be told to the other processes now, if anything.
-    pub fn poll_report(&self) -> Option<Vec<Tally>> {
+    pub fn poll_report(&self) -> Option<Vec<ZoneReport>> {
         self.guarded.borrow_mut().poll_report()
     }
 
     /// What is believed of each zone, one JSON document each; ages in milliseconds.
     pub fn told(&self, now: Timestamp) -> Vec<Value> {
-        let (beliefs, distrusted) = self.guarded.borrow().beliefs();
-        let one = |belief: &Belief| {
+        let (beliefs, distrusted) = self.guarded.borrow().statuses();
+        let one = |belief: &DomainStatus| {
             json!({
-                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
+                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.as_str(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
-                "because": because(belief), "others_good": belief.votes.good, "others_bad": belief.votes.bad,
-                "failed_again": belief.failed_again, "distrusted": distrusted,
+                "because": because(belief), "others_good": belief.votes.healthy, "others_bad": belief.votes.failing,
+                "failed_again": belief.failed_recoveries, "distrusted": distrusted,
             })
         };
         beliefs.iter().map(one).collect()
@@ -74,30 +77,32 @@
     }
 }
 
-fn policy(pool: &config::Pool, domains: &config::Domains) -> Policy {
-    let usual = Policy::default();
-    Policy {
-        automatic: domains.leave,
-        works: domains.works.iter().cloned().collect(),
-        distrust: domains.distrust,
+fn policy(pool: &config::Pool, domains: &config::Domains) -> EjectionPolicy {
+    let usual = EjectionPolicy::default();
+    EjectionPolicy {
+        automatic_ejection: domains.leave,
+        maintenance_zones: domains.works.iter().cloned().collect(),
+        panic_threshold: domains.distrust,
         processes: pool.sidecars,
-        cold_from: pool.cold.map_or(usual.cold_from, |cold| cold.from),
-        warm: pool.cold.map_or(usual.warm, |cold| cold.warm),
+        slow_start_capacity: pool.cold.map_or(usual.slow_start_capacity, |cold| cold.from),
+        slow_start_duration: pool.cold.map_or(usual.slow_start_duration, |cold| cold.warm),
     }
 }
 
 /// What a belief rests on, in words.
-fn because(belief: &Belief) -> String {
-    let found = &belief.because;
-    let own = match found.kind {
-        Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.word()),
+fn because(belief: &DomainStatus) -> String {
+    let found = &belief.cause;
+    let own = match found.main_failure {
+        Some(kind) => {
+            format!("{} of {} signs bad, most of them {}", found.failures, found.observations, kind.as_str())
+        }
         None => "nothing against it".to_owned(),
     };
     let voices = belief.votes;
-    if voices.good + voices.bad == 0 {
+    if voices.healthy + voices.failing == 0 {
         return own;
     }
-    format!("{own}; {} others say it fails, {} that it serves", voices.bad, voices.good)
+    format!("{own}; {} others say it fails, {} that it serves", voices.failing, voices.healthy)
 }
 
 /// One event for each happening, and none for a request.
@@ -107,29 +112,29 @@
         DomainEvent::StateChanged { from, to }
             if *from == DomainState::Suspect || to.state == DomainState::Suspect =>
         {
-            if to.state.judged_bad() {
+            if to.state.is_judged_failing() {
                 tell_turn(pool, *from, to);
             }
         }
         DomainEvent::StateChanged { from, to } => tell_turn(pool, *from, to),
-        DomainEvent::Distrusted(part) => {
+        DomainEvent::PanicModeEntered(part) => {
             tracing::warn!(pool, part, "too much is judged bad to be believed: requests go to all zones");
         }
-        DomainEvent::Trusted => tracing::warn!(pool, "judgements are believed again"),
+        DomainEvent::PanicModeLeft => tracing::warn!(pool, "judgements are believed again"),
         DomainEvent::ProcessPaused(time) => {
             tracing::warn!(pool, for_ms = time.round(), "stood still: what was seen before says nothing now");
         }
     }
 }
 
-fn tell_turn(pool: &str, from: DomainState, to: &Belief) {
+fn tell_turn(pool: &str, from: DomainState, to: &DomainStatus) {
     tracing::warn!(
         pool,
         zone = &*to.zone,
-        from = from.word(),
-        to = to.state.word(),
+        from = from.as_str(),
+        to = to.state.as_str(),
         because = because(to),
-        failed_again = to.failed_again,
+        failed_again = to.failed_recoveries,
         "zone judged anew"
     );
 }
