--- a/crates/cluster/src/contact.rs
+++ b/crates/cluster/src/contact.rs
@@ -13,11 +13,11 @@
 
 /// The last contact with a quorum of the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CoreContact {
+pub struct QuorumContact {
     last: Option<Timestamp>,
 }
 
-impl CoreContact {
+impl QuorumContact {
     /// There was contact so long ago; what is older than what is known changes nothing.
     pub fn record(&mut self, now: Timestamp, age_ms: f64) {
         let contact = now.minus_millis(age_ms.clamp(0.0, NEVER_MS));
--- a/crates/cluster/src/replication.rs
+++ b/crates/cluster/src/replication.rs
@@ -1,7 +1,7 @@
 //! Replication of control state: each process holds a replica, and pulls what is new from a parent. A pull waits at the parent
 //! until there is something new or its time is up.
 
-use crate::contact::{age_when_read_ms, CoreContact};
+use crate::contact::{age_when_read_ms, QuorumContact};
 use crate::parent_selector::{Parent, ParentSelector};
 use ivygate_control_state::{Item, Items, Key, Tables};
 use ivygate_rpc::{ErrorKind, RpcClient, RpcError};
@@ -69,7 +69,7 @@
     changed: Notify,
     incarnation: u64,
     clock: MonotonicClock,
-    contact: Cell<CoreContact>,
+    contact: Cell<QuorumContact>,
 }
 
 impl StateReplica {
--- a/crates/cluster/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -1,6 +1,6 @@
 //! Stories of answers that are read late: contact counts from the question, not from the reading.
 
-use ivygate_cluster::{age_when_read_ms, CoreContact, Parent, ParentSelector, PullResponse};
+use ivygate_cluster::{age_when_read_ms, Parent, ParentSelector, PullResponse, QuorumContact};
 use ivygate_time::Timestamp;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn response_read_after_a_freeze_is_stale() {
-    let mut contact = CoreContact::default();
+    let mut contact = QuorumContact::default();
     // Asked at 1 s, held 600 ms by the parent, whose contact was 200 ms old then; read when 20 s have passed.
     let age =
         age_when_read_ms(Timestamp::from_millis(1_000.0), Timestamp::from_millis(21_000.0), 200.0, 600.0);
@@ -49,7 +49,7 @@
 
 #[test]
 fn newest_contact_is_kept() {
-    let mut contact = CoreContact::default();
+    let mut contact = QuorumContact::default();
     assert!(contact.age_ms(Timestamp::from_millis(5_000.0)) > 80_000_000.0, "it never was in touch");
     contact.record(Timestamp::from_millis(5_000.0), 100.0);
     contact.record(Timestamp::from_millis(5_500.0), 4_000.0);
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,7 +3,7 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ivygate_cluster::{age_when_read_ms, CoreContact, ParentSelector};
+use ivygate_cluster::{age_when_read_ms, ParentSelector, QuorumContact};
 use ivygate_control_state::{Item, Items, Table, Tables};
 use ivygate_time::Timestamp;
 use std::hash::Hasher;
@@ -26,7 +26,7 @@
 struct Parent {
     life: u64,
     items: Items,
-    contact: CoreContact,
+    contact: QuorumContact,
     /// Its ways to the core and to the follower.
     touches: bool,
     reached: bool,
@@ -43,7 +43,7 @@
     let parent = |life| Parent {
         life,
         items: Items::default(),
-        contact: CoreContact::default(),
+        contact: QuorumContact::default(),
         touches: true,
         reached: true,
     };
@@ -51,7 +51,7 @@
     let candidates: Vec<SocketAddr> = (0..PARENTS).map(at).collect();
     let (mut core, mut lives) = (Items::default(), 100);
     let (mut follower, mut copy, mut contact) =
-        (ParentSelector::default(), Items::default(), CoreContact::default());
+        (ParentSelector::default(), Items::default(), QuorumContact::default());
     // Since when each parent is sound and nothing stood still.
     let (mut now, mut sound_since) = (0.0_f64, [0.0_f64; PARENTS]);
     let (mut fresh, mut turns) = (0, 0);
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -274,7 +274,7 @@
                 continue;
             }
             if n < REGISTRIES {
-                // CoreContact with the core brings the news of the duty.
+                // QuorumContact with the core brings the news of the duty.
                 if touching && self.machines[n].cut_until <= now && self.rng.u8(..6) == 0 {
                     self.machines[n].touched = now;
                     self.learn(n);
--- a/crates/registry/tests/partition.rs
+++ b/crates/registry/tests/partition.rs
@@ -1,7 +1,7 @@
 //! A core machine that is cut off from the other core machines for 20 s, as its registry and a proxy that follows it see
 //! that: its store hears no answers, whichever way the cut goes. Times are counted from the cut, and from its end.
 
-use ivygate_cluster::{age_when_read_ms, CoreContact, Node, ParentSelector, Role};
+use ivygate_cluster::{age_when_read_ms, Node, ParentSelector, QuorumContact, Role};
 use ivygate_control_state::Items;
 use ivygate_registry::{HeartbeatRequest, OperatorRequest, PeerStore, Registry, RequestForwarding};
 use ivygate_rpc::ErrorKind;
@@ -40,7 +40,7 @@
 /// Plays the cut. `deaf` where heartbeats don't arrive either; else only what it sends is lost.
 fn play(deaf: bool) {
     let (mut store, mut registry, mut proxy) =
-        (CoreContact::default(), CoreContact::default(), CoreContact::default());
+        (QuorumContact::default(), QuorumContact::default(), QuorumContact::default());
     let (mut book, mut items, mut follower) =
         (Registry::new(ip(1)), Items::default(), ParentSelector::default());
     let parents: [SocketAddr; 2] = [(ip(1), 1).into(), (ip(2), 1).into()];
