--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use contact::{age_when_read_ms, QuorumContact};
 pub use heartbeats::HeartbeatTargets;
-pub use membership::core_members;
+pub use membership::store_members;
 pub use node::{Node, Proximity, Role};
 pub use parent_selector::{Parent, ParentSelector};
 pub use replication::{follow, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
--- a/crates/registry/src/service/node.rs
+++ b/crates/registry/src/service/node.rs
@@ -1,7 +1,7 @@
 //! What the tasks and calls of a registry share.
 
 use crate::registry::Registry;
-use ivygate_cluster::{core_members, Node, PullSource, Role, StateReplica};
+use ivygate_cluster::{store_members, Node, PullSource, Role, StateReplica};
 use ivygate_control_state::Item;
 use ivygate_quota::QuotaAllocator;
 use ivygate_rpc::{BootstrapSettings, RouteMatcher, RpcClient};
@@ -124,7 +124,7 @@
     fn candidates(&self) -> Vec<SocketAddr> {
         let node = &self.0;
         let mut machines = vec![node.settings.ip];
-        for machine in core_members(&node.replica.items()).iter().chain(&node.seeds) {
+        for machine in store_members(&node.replica.items()).iter().chain(&node.seeds) {
             if !machines.contains(machine) {
                 machines.push(*machine);
             }
--- a/crates/registry/src/service/store_calls.rs
+++ b/crates/registry/src/service/store_calls.rs
@@ -4,7 +4,7 @@
 use crate::request_forwarding::{OperatorRequest, PeerStore, RequestForwarding};
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use ivygate_cluster::{core_members, Node, Role};
+use ivygate_cluster::{store_members, Node, Role};
 use ivygate_control_state::Table;
 use ivygate_rpc::{json_response, ErrorKind, RpcError, RpcRequest, RpcResponse};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     fn peer_stores(&self) -> Vec<PeerStore> {
         let (items, last_answers) = (self.replica.items(), self.last_answers.borrow());
         let port = self.settings.ports().store;
-        let others = core_members(&items).into_iter().filter(|machine| *machine != self.settings.ip);
+        let others = store_members(&items).into_iter().filter(|machine| *machine != self.settings.ip);
         let peers = others.map(|machine| {
             let body = items.body(Table::Nodes, &Role::Registry.name_at(machine));
             let node = body.and_then(Node::from_body);
--- a/crates/registry/src/service/ticks.rs
+++ b/crates/registry/src/service/ticks.rs
@@ -1,7 +1,7 @@
 //! The registry's periodic tick: lost nodes, the coordinator role, removal of soft state.
 
 use super::node::RegistryNode;
-use ivygate_cluster::core_members;
+use ivygate_cluster::store_members;
 use ivygate_control_state::Table;
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
         let now = self.now();
         let should_acquire = {
             let items = self.replica.items();
-            self.registry.borrow_mut().should_acquire_role(now, &items, &core_members(&items))
+            self.registry.borrow_mut().should_acquire_role(now, &items, &store_members(&items))
         };
         if should_acquire {
             tokio::task::spawn_local(self.clone().acquire_role(now));
