--- a/crates/cluster/src/contact.rs
+++ b/crates/cluster/src/contact.rs
@@ -7,7 +7,7 @@
 
 /// The age of contact that an answer tells, at the moment at which it is read, in milliseconds: the age told, and all the time
 /// since the request but what the answering process says it held the request for. It is never less than the age told.
-pub fn age_when_read_ms(asked: Timestamp, now: Timestamp, age_ms: f64, held_ms: f64) -> f64 {
+pub fn contact_age_on_receipt_ms(asked: Timestamp, now: Timestamp, age_ms: f64, held_ms: f64) -> f64 {
     age_ms.max(0.0) + (now.millis_since(asked) - held_ms.max(0.0)).max(0.0)
 }
 
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -11,7 +11,7 @@
 mod replication;
 mod ring;
 
-pub use contact::{age_when_read_ms, QuorumContact};
+pub use contact::{contact_age_on_receipt_ms, QuorumContact};
 pub use heartbeats::HeartbeatTargets;
 pub use membership::store_members;
 pub use node::{Node, Proximity, Role};
--- a/crates/cluster/src/replication.rs
+++ b/crates/cluster/src/replication.rs
@@ -1,7 +1,7 @@
 //! Replication of control state: each process holds a replica, and pulls what is new from a parent. A pull waits at the parent
 //! until there is something new or its time is up.
 
-use crate::contact::{age_when_read_ms, QuorumContact};
+use crate::contact::{contact_age_on_receipt_ms, QuorumContact};
 use crate::parent_selector::{Parent, ParentSelector};
 use ivygate_control_state::{Item, Items, Key, Tables};
 use ivygate_rpc::{ErrorKind, RpcClient, RpcError};
@@ -172,7 +172,7 @@
         match pull(&client, &parent, tables).await {
             Ok(response) => {
                 let now = clock.now();
-                let age_ms = age_when_read_ms(asked, now, response.contact_age_ms, response.held_ms);
+                let age_ms = contact_age_on_receipt_ms(asked, now, response.contact_age_ms, response.held_ms);
                 let is_in_contact = selector.handle_answer(
                     now,
                     parent.address,
--- a/crates/cluster/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -1,6 +1,6 @@
 //! Stories of answers that are read late: contact counts from the question, not from the reading.
 
-use ivygate_cluster::{age_when_read_ms, Parent, ParentSelector, PullResponse, QuorumContact};
+use ivygate_cluster::{contact_age_on_receipt_ms, Parent, ParentSelector, PullResponse, QuorumContact};
 use ivygate_time::Timestamp;
 use std::net::SocketAddr;
 
@@ -16,8 +16,12 @@
 fn response_read_after_a_freeze_is_stale() {
     let mut contact = QuorumContact::default();
     // Asked at 1 s, held 600 ms by the parent, whose contact was 200 ms old then; read when 20 s have passed.
-    let age =
-        age_when_read_ms(Timestamp::from_millis(1_000.0), Timestamp::from_millis(21_000.0), 200.0, 600.0);
+    let age = contact_age_on_receipt_ms(
+        Timestamp::from_millis(1_000.0),
+        Timestamp::from_millis(21_000.0),
+        200.0,
+        600.0,
+    );
     contact.record(Timestamp::from_millis(21_000.0), age);
     assert_eq!(contact.age_ms(Timestamp::from_millis(21_000.0)), 19_600.0);
     let mut follower = ParentSelector::default();
@@ -32,19 +36,22 @@
 #[test]
 fn holding_time_does_not_age_a_response() {
     assert_eq!(
-        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 600.0),
+        contact_age_on_receipt_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 600.0),
         120.0
     );
     // Whatever a parent says of holding, nothing is younger than the age that it tells.
     assert_eq!(
-        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 9_000.0),
+        contact_age_on_receipt_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, 9_000.0),
         100.0
     );
     assert_eq!(
-        age_when_read_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, -50.0),
+        contact_age_on_receipt_ms(Timestamp::from_millis(0.0), Timestamp::from_millis(620.0), 100.0, -50.0),
         720.0
     );
-    assert_eq!(age_when_read_ms(Timestamp::from_millis(620.0), Timestamp::from_millis(0.0), -5.0, 0.0), 0.0);
+    assert_eq!(
+        contact_age_on_receipt_ms(Timestamp::from_millis(620.0), Timestamp::from_millis(0.0), -5.0, 0.0),
+        0.0
+    );
 }
 
 #[test]
@@ -61,7 +68,7 @@
     let pulled: PullResponse =
         serde_json::from_str(r#"{"life":7,"change":1,"age":50.0}"#).expect("an answer");
     assert_eq!(
-        age_when_read_ms(
+        contact_age_on_receipt_ms(
             Timestamp::from_millis(0.0),
             Timestamp::from_millis(600.0),
             pulled.contact_age_ms,
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -3,7 +3,7 @@
 
 use fastrand::Rng;
 use fnv::FnvHasher;
-use ivygate_cluster::{age_when_read_ms, ParentSelector, QuorumContact};
+use ivygate_cluster::{contact_age_on_receipt_ms, ParentSelector, QuorumContact};
 use ivygate_control_state::{Item, Items, Table, Tables};
 use ivygate_time::Timestamp;
 use std::hash::Hasher;
@@ -106,8 +106,12 @@
             // The follower may stand still before it reads.
             let frozen = rng.u8(..40) == 0;
             now += held + rng.f64() * 100.0 + if frozen { 20_000.0 } else { 0.0 };
-            let read =
-                age_when_read_ms(Timestamp::from_millis(asked), Timestamp::from_millis(now), age, held);
+            let read = contact_age_on_receipt_ms(
+                Timestamp::from_millis(asked),
+                Timestamp::from_millis(now),
+                age,
+                held,
+            );
             let in_touch = follower.handle_answer(Timestamp::from_millis(now), to, life, change, read);
             contact.record(Timestamp::from_millis(now), read);
             for item in news {
--- a/crates/registry/tests/partition.rs
+++ b/crates/registry/tests/partition.rs
@@ -1,7 +1,7 @@
 //! A core machine that is cut off from the other core machines for 20 s, as its registry and a proxy that follows it see
 //! that: its store hears no answers, whichever way the cut goes. Times are counted from the cut, and from its end.
 
-use ivygate_cluster::{age_when_read_ms, Node, ParentSelector, QuorumContact, Role};
+use ivygate_cluster::{contact_age_on_receipt_ms, Node, ParentSelector, QuorumContact, Role};
 use ivygate_control_state::Items;
 use ivygate_registry::{HeartbeatRequest, OperatorRequest, PeerStore, Registry, RequestForwarding};
 use ivygate_rpc::ErrorKind;
@@ -62,7 +62,7 @@
         if now >= pulled + HOLD {
             registry.record(
                 Timestamp::from_millis(now),
-                age_when_read_ms(
+                contact_age_on_receipt_ms(
                     Timestamp::from_millis(pulled),
                     Timestamp::from_millis(now),
                     store.age_ms(Timestamp::from_millis(now)),
@@ -74,8 +74,12 @@
         if now >= followed + HOLD {
             let to = follower.select(Timestamp::from_millis(now), &parents).expect("there are two").address;
             let age = if to == parents[0] { registry.age_ms(Timestamp::from_millis(now)) } else { 900.0 };
-            let age =
-                age_when_read_ms(Timestamp::from_millis(followed), Timestamp::from_millis(now), age, HOLD);
+            let age = contact_age_on_receipt_ms(
+                Timestamp::from_millis(followed),
+                Timestamp::from_millis(now),
+                age,
+                HOLD,
+            );
             follower.handle_answer(Timestamp::from_millis(now), to, 1, 1, age);
             proxy.record(Timestamp::from_millis(now), age);
             followed = now;
