--- a/crates/cluster/src/heartbeats.rs
+++ b/crates/cluster/src/heartbeats.rs
@@ -38,7 +38,7 @@
     }
 
     /// The heartbeat sent at `asked` was answered. A registry that is out of contact with the store names no registries.
-    pub fn handle_answer(&mut self, asked: Timestamp, registries: Vec<Ipv4Addr>) {
+    pub fn handle_response(&mut self, asked: Timestamp, registries: Vec<Ipv4Addr>) {
         if !registries.is_empty() && self.named_at.is_none_or(|named_at| asked >= named_at) {
             self.named_at = Some(asked);
             self.registries = registries;
--- a/crates/cluster/src/parent_selector.rs
+++ b/crates/cluster/src/parent_selector.rs
@@ -71,7 +71,7 @@
 
     /// An answer has come. `age_ms` is the age of its contact with the store when it is read; tells whether that is young
     /// enough.
-    pub fn handle_answer(
+    pub fn handle_response(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
--- a/crates/cluster/src/replication.rs
+++ b/crates/cluster/src/replication.rs
@@ -173,7 +173,7 @@
             Ok(response) => {
                 let now = clock.now();
                 let age_ms = contact_age_on_receipt_ms(asked, now, response.contact_age_ms, response.held_ms);
-                let is_in_contact = selector.handle_answer(
+                let is_in_contact = selector.handle_response(
                     now,
                     parent.address,
                     response.incarnation,
--- a/crates/cluster/tests/contact.rs
+++ b/crates/cluster/tests/contact.rs
@@ -25,7 +25,7 @@
     contact.record(Timestamp::from_millis(21_000.0), age);
     assert_eq!(contact.age_ms(Timestamp::from_millis(21_000.0)), 19_600.0);
     let mut follower = ParentSelector::default();
-    follower.handle_answer(Timestamp::from_millis(21_000.0), at(1), 7, 40, age);
+    follower.handle_response(Timestamp::from_millis(21_000.0), at(1), 7, 40, age);
     assert_eq!(
         follower.select(Timestamp::from_millis(21_010.0), &[at(1), at(2)]),
         parent(at(2), 0, 0),
--- a/crates/cluster/tests/heartbeats.rs
+++ b/crates/cluster/tests/heartbeats.rs
@@ -17,12 +17,12 @@
 fn heartbeats_go_to_all_registries_while_both_watchers_are_gone() {
     let mut heartbeats = HeartbeatTargets::new(vec![ip(1), ip(2), ip(3)]);
     assert_eq!(heartbeats.targets(Timestamp::from_millis(0.0), &proxy(), 2).len(), 3, "nothing is known yet");
-    heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=6).map(ip).collect());
+    heartbeats.handle_response(Timestamp::from_millis(0.0), (1..=6).map(ip).collect());
     let first = heartbeats.targets(Timestamp::from_millis(100.0), &proxy(), 2);
     assert_eq!(first.len(), 2);
     assert_eq!(heartbeats.targets(Timestamp::from_millis(1_400.0), &proxy(), 2).len(), 6);
     let up: Vec<Ipv4Addr> = (1..=6).map(ip).filter(|ip| !first.contains(ip)).collect();
-    heartbeats.handle_answer(Timestamp::from_millis(1_400.0), up.clone());
+    heartbeats.handle_response(Timestamp::from_millis(1_400.0), up.clone());
     let next = heartbeats.targets(Timestamp::from_millis(1_500.0), &proxy(), 2);
     assert!(next.len() == 2 && next.iter().all(|ip| up.contains(ip)));
 }
@@ -30,14 +30,14 @@
 #[test]
 fn watchers_without_core_contact_name_no_registry() {
     let mut heartbeats = HeartbeatTargets::new(vec![ip(1)]);
-    heartbeats.handle_answer(Timestamp::from_millis(0.0), (1..=4).map(ip).collect());
+    heartbeats.handle_response(Timestamp::from_millis(0.0), (1..=4).map(ip).collect());
     for turn in 1..=3 {
-        heartbeats.handle_answer(Timestamp::from_millis(600.0 * f64::from(turn)), Vec::new());
+        heartbeats.handle_response(Timestamp::from_millis(600.0 * f64::from(turn)), Vec::new());
     }
     assert_eq!(heartbeats.targets(Timestamp::from_millis(1_900.0), &proxy(), 2).len(), 4);
     // An answer that is read late tells of an older time.
-    heartbeats.handle_answer(Timestamp::from_millis(1_800.0), vec![ip(3), ip(4)]);
-    heartbeats.handle_answer(Timestamp::from_millis(600.0), vec![ip(1), ip(2)]);
+    heartbeats.handle_response(Timestamp::from_millis(1_800.0), vec![ip(3), ip(4)]);
+    heartbeats.handle_response(Timestamp::from_millis(600.0), vec![ip(1), ip(2)]);
     assert_eq!(
         heartbeats.targets(Timestamp::from_millis(1_900.0), &proxy(), 2),
         proxy().watchers(&[ip(3), ip(4)], 2)
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -112,7 +112,7 @@
                 age,
                 held,
             );
-            let in_touch = follower.handle_answer(Timestamp::from_millis(now), to, life, change, read);
+            let in_touch = follower.handle_response(Timestamp::from_millis(now), to, life, change, read);
             contact.record(Timestamp::from_millis(now), read);
             for item in news {
                 copy.merge_shared(item);
--- a/crates/cluster/tests/parent_selector.rs
+++ b/crates/cluster/tests/parent_selector.rs
@@ -17,7 +17,7 @@
     let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
     assert_eq!(follower.select(Timestamp::from_millis(0.0), &all), parent(at(1), 0, 0));
-    follower.handle_answer(Timestamp::from_millis(10.0), at(1), 7, 40, 100.0);
+    follower.handle_response(Timestamp::from_millis(10.0), at(1), 7, 40, 100.0);
     assert_eq!(follower.select(Timestamp::from_millis(20.0), &all), parent(at(1), 7, 40));
     assert_eq!(follower.select(Timestamp::from_millis(20.0), &[]), None);
 }
@@ -26,10 +26,10 @@
 fn silent_parent_is_replaced() {
     let mut follower = ParentSelector::default();
     let all = [at(1), at(2)];
-    follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 100.0);
+    follower.handle_response(Timestamp::from_millis(0.0), at(1), 7, 40, 100.0);
     follower.handle_failure(Timestamp::from_millis(10.0), at(1), false);
     assert_eq!(follower.select(Timestamp::from_millis(20.0), &all), parent(at(2), 0, 0));
-    follower.handle_answer(Timestamp::from_millis(30.0), at(2), 8, 3, 100.0);
+    follower.handle_response(Timestamp::from_millis(30.0), at(2), 8, 3, 100.0);
     assert_eq!(
         follower.select(Timestamp::from_millis(2_100.0), &all).map(|next| next.address),
         Some(at(1)),
@@ -46,7 +46,7 @@
 #[test]
 fn parent_without_core_contact_is_replaced() {
     let mut follower = ParentSelector::default();
-    follower.handle_answer(Timestamp::from_millis(0.0), at(1), 7, 40, 9_000.0);
+    follower.handle_response(Timestamp::from_millis(0.0), at(1), 7, 40, 9_000.0);
     assert_eq!(follower.select(Timestamp::from_millis(10.0), &[at(1), at(2)]), parent(at(2), 0, 0));
     follower.handle_failure(Timestamp::from_millis(20.0), at(2), false);
     assert_eq!(
@@ -62,14 +62,14 @@
     let all = [at(1), at(2)];
     for (port, life, change) in [(1, 7, 40), (2, 8, 50)] {
         assert_eq!(follower.select(Timestamp::from_millis(0.0), &all), parent(at(port), 0, 0));
-        assert!(!follower.handle_answer(Timestamp::from_millis(0.0), at(port), life, change, 9_000.0));
+        assert!(!follower.handle_response(Timestamp::from_millis(0.0), at(port), life, change, 9_000.0));
     }
     assert_eq!(
         follower.select(Timestamp::from_millis(10.0), &all),
         parent(at(1), 7, 40),
         "not all of it once more"
     );
-    follower.handle_answer(Timestamp::from_millis(20.0), at(1), 7, 41, 9_000.0);
+    follower.handle_response(Timestamp::from_millis(20.0), at(1), 7, 41, 9_000.0);
     assert_eq!(follower.select(Timestamp::from_millis(30.0), &all), parent(at(2), 8, 50));
 }
 
@@ -82,7 +82,7 @@
     {
         if to == at(1) {
             now += 700.0;
-            follower.handle_answer(Timestamp::from_millis(now), to, 7, 40, 9_000.0);
+            follower.handle_response(Timestamp::from_millis(now), to, 7, 40, 9_000.0);
         } else {
             now += 1_500.0;
             follower.handle_failure(Timestamp::from_millis(now), to, false);
--- a/crates/proxy/src/cluster_client.rs
+++ b/crates/proxy/src/cluster_client.rs
@@ -151,7 +151,7 @@
                     self.version.set(response.version + 1);
                     self.heartbeat_due.notify_one();
                 }
-                self.targets.borrow_mut().handle_answer(asked, response.registries);
+                self.targets.borrow_mut().handle_response(asked, response.registries);
             }
             Err(error) => tracing::debug!(%watcher, %error, "heartbeat not answered"),
         }
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -486,7 +486,7 @@
                     one.beat_at = now;
                     one.book.note_declared_lost(Timestamp::from_millis(now));
                 }
-                one.heartbeats.handle_answer(Timestamp::from_millis(asked), beaten.registries);
+                one.heartbeats.handle_response(Timestamp::from_millis(asked), beaten.registries);
             }
             Message::Told { items, digest } => {
                 let one = &mut self.machines[to];
--- a/crates/registry/tests/partition.rs
+++ b/crates/registry/tests/partition.rs
@@ -80,7 +80,7 @@
                 age,
                 HOLD,
             );
-            follower.handle_answer(Timestamp::from_millis(now), to, 1, 1, age);
+            follower.handle_response(Timestamp::from_millis(now), to, 1, 1, age);
             proxy.record(Timestamp::from_millis(now), age);
             followed = now;
             if to != parents[0] {
