--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::Coordinator;
 use crate::liveness::LivenessTracker;
 use crate::messages::{HeartbeatRequest, HeartbeatResponse};
-use crate::server_list::ListReading;
+use crate::server_list::ServerListFetch;
 use crate::server_sync::server_changes;
 use crate::tombstones::TombstoneTracker;
 use ivygate_cluster::{Node, Role};
@@ -112,7 +112,12 @@
 
     /// The platform's list was read completely; gives the items that change by that. There are none where the role was lost
     /// meanwhile, or where the reading is an old one.
-    pub fn apply_server_list(&mut self, now: Timestamp, items: &Items, reading: ListReading) -> Vec<Item> {
+    pub fn apply_server_list(
+        &mut self,
+        now: Timestamp,
+        items: &Items,
+        reading: ServerListFetch,
+    ) -> Vec<Item> {
         let Some(writes) = self.coordinator.writes() else { return Vec::new() };
         let epoch = self.coordinator.epoch();
         let first_change = reading.first_change();
--- a/crates/registry/src/server_list.rs
+++ b/crates/registry/src/server_list.rs
@@ -57,7 +57,7 @@
 
 /// A reading of the complete list, page by page, under the epoch in which it began.
 #[derive(Clone, Debug)]
-pub struct ListReading {
+pub struct ServerListFetch {
     epoch: u64,
     /// When it began, or the last page came.
     last_step_at: Timestamp,
@@ -68,7 +68,7 @@
     rows: Vec<ServerRow>,
 }
 
-impl ListReading {
+impl ServerListFetch {
     /// A reading that begins now, under an epoch; `last_change` is the last change of the replica.
     pub fn new(now: Timestamp, epoch: u64, last_change: u64) -> Self {
         Self { epoch, last_step_at: now, is_fresh: true, first_change: last_change, rows: Vec::new() }
--- a/crates/registry/src/service/server_list_task.rs
+++ b/crates/registry/src/service/server_list_task.rs
@@ -1,7 +1,7 @@
 //! Readings of the platform's list of servers, while the coordinator role is held here.
 
 use super::node::{RegistryNode, PEER_TIMEOUT};
-use crate::server_list::{ListReading, ServerListPage};
+use crate::server_list::{ServerListFetch, ServerListPage};
 use ivygate_rpc::{ErrorKind, RpcError};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,10 +39,10 @@
         }
     }
 
-    fn start_reading(&self) -> Option<ListReading> {
+    fn start_reading(&self) -> Option<ServerListFetch> {
         let items = self.replica.items();
         let registry = self.registry.borrow();
-        let reading = || ListReading::new(self.now(), registry.epoch(), items.last_change());
+        let reading = || ServerListFetch::new(self.now(), registry.epoch(), items.last_change());
         registry.holds_role(&items).then(reading)
     }
 
@@ -50,8 +50,8 @@
         &self,
         address: SocketAddr,
         pages: &mut usize,
-        mut reading: ListReading,
-    ) -> Result<ListReading, RpcError> {
+        mut reading: ServerListFetch,
+    ) -> Result<ServerListFetch, RpcError> {
         let mut path = LIST_PATH.to_owned();
         for _ in 0..MAX_PAGES {
             *pages += 1;
@@ -65,7 +65,7 @@
         Err(RpcError::new(ErrorKind::TooLarge, "the platform's list has too many pages"))
     }
 
-    fn apply_reading(self: &Rc<Self>, reading: ListReading) {
+    fn apply_reading(self: &Rc<Self>, reading: ServerListFetch) {
         let changes =
             self.registry.borrow_mut().apply_server_list(self.now(), &self.replica.items(), reading);
         self.publish(changes);
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -13,7 +13,8 @@
 use ivygate_cluster::{HeartbeatTargets, Node, Role};
 use ivygate_control_state::{Item, Items, Table, Tables, COORDINATOR_ROLE};
 use ivygate_registry::{
-    HeartbeatRequest, HeartbeatResponse, ListReading, Registry, ServerListPage, ServerRow, WATCHERS_PER_NODE,
+    HeartbeatRequest, HeartbeatResponse, Registry, ServerListFetch, ServerListPage, ServerRow,
+    WATCHERS_PER_NODE,
 };
 use ivygate_time::Timestamp;
 use serde_json::json;
@@ -83,7 +84,7 @@
     touched: f64,
     compare_at: f64,
     read_at: f64,
-    reading: Option<(ListReading, Vec<ServerRow>)>,
+    reading: Option<(ServerListFetch, Vec<ServerRow>)>,
 }
 
 impl Machine {
@@ -399,7 +400,11 @@
         match one.reading.take() {
             None if now >= one.read_at && one.book.holds_role(&one.items) => {
                 one.reading = Some((
-                    ListReading::new(Timestamp::from_millis(now), one.book.epoch(), one.items.last_change()),
+                    ServerListFetch::new(
+                        Timestamp::from_millis(now),
+                        one.book.epoch(),
+                        one.items.last_change(),
+                    ),
                     Vec::new(),
                 ));
             }
@@ -411,7 +416,7 @@
             Some((mut reading, had)) if !cut => {
                 one.read_at = now + 300.0;
                 if self.planted == Planted::StaleRows {
-                    reading = ListReading::new(
+                    reading = ServerListFetch::new(
                         Timestamp::from_millis(now),
                         one.book.epoch(),
                         one.items.last_change(),
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -2,7 +2,9 @@
 
 use ivygate_cluster::{watchers, Node, Role};
 use ivygate_control_state::{Item, Items, Table, COORDINATOR_ROLE};
-use ivygate_registry::{proxy_addresses, HeartbeatRequest, ListReading, Registry, ServerListPage, ServerRow};
+use ivygate_registry::{
+    proxy_addresses, HeartbeatRequest, Registry, ServerListFetch, ServerListPage, ServerRow,
+};
 use ivygate_time::Timestamp;
 use serde_json::json;
 use std::net::Ipv4Addr;
@@ -164,8 +166,8 @@
 }
 
 /// A reading that took no time.
-fn reading(epoch: u64, rows: Vec<ServerRow>) -> ListReading {
-    let mut reading = ListReading::new(Timestamp::from_millis(1_000.0), epoch, u64::MAX);
+fn reading(epoch: u64, rows: Vec<ServerRow>) -> ServerListFetch {
+    let mut reading = ServerListFetch::new(Timestamp::from_millis(1_000.0), epoch, u64::MAX);
     reading.add_page(Timestamp::from_millis(1_000.0), rows);
     reading
 }
@@ -201,11 +203,11 @@
 fn reading_with_a_pause_writes_nothing() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, items) = (holder(1, 1), Items::default());
-    let mut in_page = ListReading::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
+    let mut in_page = ServerListFetch::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
     in_page.add_page(Timestamp::from_millis(1_100.0), rows());
     in_page.add_page(Timestamp::from_millis(21_100.0), Vec::new());
     assert!(book.apply_server_list(Timestamp::from_millis(21_100.0), &items, in_page).is_empty());
-    let mut behind = ListReading::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
+    let mut behind = ServerListFetch::new(Timestamp::from_millis(1_000.0), 1, u64::MAX);
     behind.add_page(Timestamp::from_millis(1_100.0), rows());
     assert!(book.apply_server_list(Timestamp::from_millis(21_100.0), &items, behind.clone()).is_empty());
     assert_eq!(book.apply_server_list(Timestamp::from_millis(1_200.0), &items, behind).len(), 1);
@@ -220,11 +222,11 @@
 fn newer_entry_that_came_during_a_reading_is_kept() {
     let rows = || page(r#"["b","10.9.0.1:80","r1","v1",2,"ready",0,"i-1"]"#).rows();
     let (mut book, mut items) = (holder(2, 2), Items::default());
-    let mut reading = ListReading::new(Timestamp::from_millis(1_000.0), 2, items.last_change());
+    let mut reading = ServerListFetch::new(Timestamp::from_millis(1_000.0), 2, items.last_change());
     reading.add_page(Timestamp::from_millis(1_100.0), rows());
     items.merge(Item::new(Table::Servers, "i-1", 1 << 32 | 7, None));
     assert!(book.apply_server_list(Timestamp::from_millis(1_200.0), &items, reading).is_empty());
-    let mut next = ListReading::new(Timestamp::from_millis(1_500.0), 2, items.last_change());
+    let mut next = ServerListFetch::new(Timestamp::from_millis(1_500.0), 2, items.last_change());
     next.add_page(Timestamp::from_millis(1_600.0), rows());
     assert_eq!(book.apply_server_list(Timestamp::from_millis(1_600.0), &items, next).len(), 1);
 }
