--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -24,6 +24,6 @@
 };
 pub use proxy_directory::proxy_addresses;
 pub use registry::Registry;
-pub use request_forwarding::{ForwardTo, OperatorRequest, PeerStore, RequestForwarding};
+pub use request_forwarding::{ForwardTarget, OperatorRequest, PeerStore, RequestForwarding};
 pub use server_list::{ServerListFetch, ServerListPage, ServerRecord, ServerRow};
 pub use service::run;
--- a/crates/registry/src/request_forwarding.rs
+++ b/crates/registry/src/request_forwarding.rs
@@ -57,7 +57,7 @@
 
 /// The store to forward a call to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ForwardTo {
+pub struct ForwardTarget {
     /// Its address.
     pub address: SocketAddr,
     /// How long its answer is waited for, in milliseconds.
@@ -88,7 +88,7 @@
 
     /// The store that was asked last has answered with an error of this kind, or gave no answer for this reason. Gives the store
     /// to ask next; `None` if the error is the answer.
-    pub fn next_after(&mut self, now: Timestamp, kind: ErrorKind) -> Option<ForwardTo> {
+    pub fn next_after(&mut self, now: Timestamp, kind: ErrorKind) -> Option<ForwardTarget> {
         let wait_ms = (self.begun_at + CALL_TIMEOUT).millis_since(now);
         if !self.may_forward(kind) || wait_ms < MIN_TIME_LEFT_MS || self.forwards >= MAX_FORWARDS {
             return None;
@@ -100,7 +100,7 @@
             return None;
         }
         self.forwards += 1;
-        Some(ForwardTo { address: peer.address, wait_ms })
+        Some(ForwardTarget { address: peer.address, wait_ms })
     }
 
     fn may_forward(&self, kind: ErrorKind) -> bool {
--- a/crates/registry/tests/request_forwarding.rs
+++ b/crates/registry/tests/request_forwarding.rs
@@ -1,6 +1,6 @@
 //! Stories of an operator's call that the own machine's store can't carry out.
 
-use ivygate_registry::{ForwardTo, OperatorRequest, PeerStore, RequestForwarding};
+use ivygate_registry::{ForwardTarget, OperatorRequest, PeerStore, RequestForwarding};
 use ivygate_rpc::ErrorKind;
 use ivygate_time::Timestamp;
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
     ([10, 0, 0, last], 1).into()
 }
 
-fn forward(address: SocketAddr, wait_ms: f64) -> Option<ForwardTo> {
-    Some(ForwardTo { address, wait_ms })
+fn forward(address: SocketAddr, wait_ms: f64) -> Option<ForwardTarget> {
+    Some(ForwardTarget { address, wait_ms })
 }
 
 fn other(last: u8, near: bool, answered: Option<f64>) -> PeerStore {
@@ -112,7 +112,7 @@
             RequestForwarding::new(Timestamp::from_millis(now), ORDERS[rng.usize(..3)], others());
         now += 400.0 * rng.f64();
         let mut asked = Vec::new();
-        while let Some(ForwardTo { address: to, wait_ms: wait }) =
+        while let Some(ForwardTarget { address: to, wait_ms: wait }) =
             errand.next_after(Timestamp::from_millis(now), kinds[rng.usize(..5)])
         {
             assert!(!asked.contains(&to) && now + wait <= 1_900.0 + 1e-6);
