--- a/crates/registry/src/request_forwarding.rs
+++ b/crates/registry/src/request_forwarding.rs
@@ -88,7 +88,7 @@
 
     /// The store that was asked last has answered with an error of this kind, or gave no answer for this reason. Gives the store
     /// to ask next; `None` if the error is the answer.
-    pub fn next_after(&mut self, now: Timestamp, kind: ErrorKind) -> Option<ForwardTarget> {
+    pub fn next_target(&mut self, now: Timestamp, kind: ErrorKind) -> Option<ForwardTarget> {
         let wait_ms = (self.begun_at + CALL_TIMEOUT).millis_since(now);
         if !self.may_forward(kind) || wait_ms < MIN_TIME_LEFT_MS || self.forwards >= MAX_FORWARDS {
             return None;
--- a/crates/registry/src/service/store_calls.rs
+++ b/crates/registry/src/service/store_calls.rs
@@ -57,7 +57,7 @@
         loop {
             let answer = self.client.call(to, method.clone(), &path, body.clone(), wait).await;
             let StoreAnswer { response, error } = StoreAnswer::from_call(answer);
-            let next = error.and_then(|kind| forwarding.next_after(self.now(), kind));
+            let next = error.and_then(|kind| forwarding.next_target(self.now(), kind));
             let Some(next) = next else { return response };
             tracing::debug!(store = %to, next = %next.address, ?error, "call forwarded to another store");
             to = next.address;
--- a/crates/registry/tests/partition.rs
+++ b/crates/registry/tests/partition.rs
@@ -141,16 +141,16 @@
         OperatorRequest::Update,
         others(Timestamp::from_millis(CUT - 100.0)),
     );
-    let next = early.clone().next_after(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::NoQuorum);
+    let next = early.clone().next_target(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::NoQuorum);
     assert!(next.is_some_and(|next| next.wait_ms <= 600.0));
     let late = RequestForwarding::new(
         Timestamp::from_millis(CUT + 3_000.0),
         OperatorRequest::Update,
         others(Timestamp::from_millis(CUT - 100.0)),
     );
-    assert_eq!(late.clone().next_after(Timestamp::from_millis(CUT + 3_300.0), ErrorKind::NoQuorum), None);
+    assert_eq!(late.clone().next_target(Timestamp::from_millis(CUT + 3_300.0), ErrorKind::NoQuorum), None);
     assert_eq!(
-        early.clone().next_after(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::Timeout),
+        early.clone().next_target(Timestamp::from_millis(CUT + 1_300.0), ErrorKind::Timeout),
         None,
         "what may have been taken is not asked again"
     );
--- a/crates/registry/tests/request_forwarding.rs
+++ b/crates/registry/tests/request_forwarding.rs
@@ -34,15 +34,15 @@
     for order in ORDERS {
         let mut errand = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others());
         assert_eq!(
-            errand.next_after(Timestamp::from_millis(10_005.0), ErrorKind::NotReady),
+            errand.next_target(Timestamp::from_millis(10_005.0), ErrorKind::NotReady),
             forward(at(4), 895.0)
         );
         assert_eq!(
-            errand.next_after(Timestamp::from_millis(10_105.0), ErrorKind::NotReady),
+            errand.next_target(Timestamp::from_millis(10_105.0), ErrorKind::NotReady),
             forward(at(3), 795.0)
         );
         assert_eq!(
-            errand.next_after(Timestamp::from_millis(10_205.0), ErrorKind::NotReady),
+            errand.next_target(Timestamp::from_millis(10_205.0), ErrorKind::NotReady),
             None,
             "two are enough"
         );
@@ -54,7 +54,7 @@
     for kind in [ErrorKind::NoQuorum, ErrorKind::Disk, ErrorKind::Unreachable] {
         for order in ORDERS {
             let next = RequestForwarding::new(Timestamp::from_millis(10_000.0), order, others())
-                .next_after(Timestamp::from_millis(10_300.0), kind);
+                .next_target(Timestamp::from_millis(10_300.0), kind);
             assert_eq!(next.is_some(), order != OperatorRequest::Drain, "{order:?} after {kind:?}");
         }
     }
@@ -74,7 +74,7 @@
         for order in ORDERS {
             assert_eq!(
                 RequestForwarding::new(Timestamp::from_millis(0.0), order, others())
-                    .next_after(Timestamp::from_millis(10.0), kind),
+                    .next_target(Timestamp::from_millis(10.0), kind),
                 None,
                 "{order:?} after {kind:?}"
             );
@@ -87,12 +87,12 @@
     let cut = vec![other(2, true, Some(5_000.0)), other(3, false, Some(7_000.0))];
     assert_eq!(
         RequestForwarding::new(Timestamp::from_millis(10_000.0), OperatorRequest::Update, cut.clone())
-            .next_after(Timestamp::from_millis(10_300.0), ErrorKind::NoQuorum),
+            .next_target(Timestamp::from_millis(10_300.0), ErrorKind::NoQuorum),
         None
     );
     // One whose own store is down knows no more than that: it tries.
     assert!(RequestForwarding::new(Timestamp::from_millis(10_000.0), OperatorRequest::Update, cut)
-        .next_after(Timestamp::from_millis(10_001.0), ErrorKind::Unreachable)
+        .next_target(Timestamp::from_millis(10_001.0), ErrorKind::Unreachable)
         .is_some());
 }
 
@@ -113,7 +113,7 @@
         now += 400.0 * rng.f64();
         let mut asked = Vec::new();
         while let Some(ForwardTarget { address: to, wait_ms: wait }) =
-            errand.next_after(Timestamp::from_millis(now), kinds[rng.usize(..5)])
+            errand.next_target(Timestamp::from_millis(now), kinds[rng.usize(..5)])
         {
             assert!(!asked.contains(&to) && now + wait <= 1_900.0 + 1e-6);
             asked.push(to);
