--- a/crates/registry/src/request_forwarding.rs
+++ b/crates/registry/src/request_forwarding.rs
@@ -46,12 +46,12 @@
     /// Whether it is in the same region.
     pub is_same_region: bool,
     /// When its machine last answered this one.
-    pub last_answer_at: Option<Timestamp>,
+    pub last_response_at: Option<Timestamp>,
 }
 
 impl PeerStore {
     fn is_reachable(&self, now: Timestamp) -> bool {
-        self.last_answer_at.is_some_and(|last| now <= last + REACHABLE_TIMEOUT)
+        self.last_response_at.is_some_and(|last| now <= last + REACHABLE_TIMEOUT)
     }
 }
 
@@ -80,7 +80,7 @@
         peers.sort_by(|a, b| {
             let is_reachable = a.is_reachable(now).cmp(&b.is_reachable(now));
             let is_same_region = a.is_same_region.cmp(&b.is_same_region);
-            let last_answer = |peer: &PeerStore| peer.last_answer_at.unwrap_or(Timestamp::DISTANT_PAST);
+            let last_answer = |peer: &PeerStore| peer.last_response_at.unwrap_or(Timestamp::DISTANT_PAST);
             is_reachable.then(is_same_region).then(last_answer(a).total_cmp(&last_answer(b)))
         });
         Self { request, begun_at: now, peers, forwards: 0 }
--- a/crates/registry/src/service/store_calls.rs
+++ b/crates/registry/src/service/store_calls.rs
@@ -42,7 +42,7 @@
             PeerStore {
                 address: SocketAddr::from((machine, port)),
                 is_same_region: node.is_some_and(|node| node.region == self.settings.region),
-                last_answer_at: last_answers.get(&machine).copied(),
+                last_response_at: last_answers.get(&machine).copied(),
             }
         });
         peers.collect()
--- a/crates/registry/tests/partition.rs
+++ b/crates/registry/tests/partition.rs
@@ -133,7 +133,7 @@
 #[test]
 fn partitioned_machine_rejects_operators_at_once() {
     let others = |answered| {
-        vec![PeerStore { address: (ip(2), 1).into(), is_same_region: true, last_answer_at: Some(answered) }]
+        vec![PeerStore { address: (ip(2), 1).into(), is_same_region: true, last_response_at: Some(answered) }]
     };
     // For two seconds from the cut another may be tried, within the operator's second; from then on the no stands.
     let early = RequestForwarding::new(
--- a/crates/registry/tests/request_forwarding.rs
+++ b/crates/registry/tests/request_forwarding.rs
@@ -16,8 +16,8 @@
 }
 
 fn other(last: u8, near: bool, answered: Option<f64>) -> PeerStore {
-    let last_answer_at = answered.map(Timestamp::from_millis);
-    PeerStore { address: at(last), is_same_region: near, last_answer_at }
+    let last_response_at = answered.map(Timestamp::from_millis);
+    PeerStore { address: at(last), is_same_region: near, last_response_at }
 }
 
 fn others() -> Vec<PeerStore> {
