--- a/crates/registry/src/liveness.rs
+++ b/crates/registry/src/liveness.rs
@@ -71,7 +71,7 @@
 
     /// Others have declared this registry lost, or know an earlier incarnation of it: whoever heard that sends heartbeats to
     /// others until it is back.
-    pub fn note_declared_lost(&mut self, now: Timestamp) {
+    pub fn record_declared_lost(&mut self, now: Timestamp) {
         for last in self.last_heard.values_mut() {
             *last = now + WATCH_HANDOVER_TIME;
         }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -80,8 +80,8 @@
     }
 
     /// Others have declared this registry lost, or know an earlier incarnation of it.
-    pub fn note_declared_lost(&mut self, now: Timestamp) {
-        self.liveness.note_declared_lost(now);
+    pub fn record_declared_lost(&mut self, now: Timestamp) {
+        self.liveness.record_declared_lost(now);
     }
 
     /// Whether to ask for the coordinator role now. `core` names the members of the store.
--- a/crates/registry/src/service/heartbeats.rs
+++ b/crates/registry/src/service/heartbeats.rs
@@ -51,7 +51,7 @@
     pub fn exceed_version(&self, version: u64) {
         if version > self.version.get() {
             self.version.set(version.saturating_add(1));
-            self.registry.borrow_mut().note_declared_lost(self.now());
+            self.registry.borrow_mut().record_declared_lost(self.now());
         }
     }
 
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -327,7 +327,7 @@
         if own > one.version {
             one.version = own + 1;
             one.beat_at = now;
-            one.book.note_declared_lost(Timestamp::from_millis(now));
+            one.book.record_declared_lost(Timestamp::from_millis(now));
         }
         if now < one.beat_at {
             return;
@@ -489,7 +489,7 @@
                 if beaten.version > one.version {
                     one.version = beaten.version + 1;
                     one.beat_at = now;
-                    one.book.note_declared_lost(Timestamp::from_millis(now));
+                    one.book.record_declared_lost(Timestamp::from_millis(now));
                 }
                 one.heartbeats.handle_response(Timestamp::from_millis(asked), beaten.registries);
             }
