--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -131,8 +131,8 @@
     }
 
     /// The keys of soft state that was removed so long ago that it may be purged.
-    pub fn purgeable(&mut self, now: Timestamp, items: &Items) -> Vec<Key> {
-        self.tombstones.purgeable(now, items)
+    pub fn purgeable_keys(&mut self, now: Timestamp, items: &Items) -> Vec<Key> {
+        self.tombstones.purgeable_keys(now, items)
     }
 
     /// What to merge of an item that another registry sends.
--- a/crates/registry/src/service/ticks.rs
+++ b/crates/registry/src/service/ticks.rs
@@ -30,17 +30,17 @@
     /// Declares nodes lost, and purges what was removed long ago.
     fn update_soft_state(self: &Rc<Self>) {
         let now = self.now();
-        let (lost, purgeable) = {
+        let (lost, purgeable_keys) = {
             let items = self.replica.items();
             let mut registry = self.registry.borrow_mut();
-            (registry.tick(now, self.replica.contact_age_ms(), &items), registry.purgeable(now, &items))
+            (registry.tick(now, self.replica.contact_age_ms(), &items), registry.purgeable_keys(now, &items))
         };
         for item in &lost {
             tracing::info!(node = item.key.name, "node lost");
         }
         self.publish(lost);
-        if !purgeable.is_empty() {
-            self.replica.purge(&purgeable);
+        if !purgeable_keys.is_empty() {
+            self.replica.purge(&purgeable_keys);
         }
     }
 
--- a/crates/registry/src/tombstones.rs
+++ b/crates/registry/src/tombstones.rs
@@ -45,14 +45,14 @@
     }
 
     /// The keys of items that were removed so long ago that they may be purged.
-    pub fn purgeable(&mut self, now: Timestamp, items: &Items) -> Vec<Key> {
+    pub fn purgeable_keys(&mut self, now: Timestamp, items: &Items) -> Vec<Key> {
         if now < self.last_purge_at + PURGE_INTERVAL {
             return Vec::new();
         }
         self.last_purge_at = now;
         let seen_before = std::mem::take(&mut self.first_seen);
         self.purged.retain(|_, purged| now < purged.at + PURGED_RETENTION);
-        let mut purgeable = Vec::new();
+        let mut purgeable_keys = Vec::new();
         for item in items.all(Tables::SOFT).filter(|item| is_removed(item)) {
             let since = seen_before.get(&item.key).copied().unwrap_or(now);
             if now <= since + TOMBSTONE_RETENTION {
@@ -62,9 +62,9 @@
             if self.purged.len() < MAX_PURGED {
                 self.purged.insert(item.key.clone(), PurgedItem { last: item.clone(), at: now });
             }
-            purgeable.push(item.key.clone());
+            purgeable_keys.push(item.key.clone());
         }
-        purgeable
+        purgeable_keys
     }
 
     /// What to merge of an item that another registry sends: the item itself, unless it was purged here. Then nothing, or,
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -372,7 +372,7 @@
             }
         }
         let one = &mut self.machines[n];
-        let over = one.book.purgeable(Timestamp::from_millis(now), &one.items);
+        let over = one.book.purgeable_keys(Timestamp::from_millis(now), &one.items);
         one.items.purge(&over);
         let group: Vec<Ipv4Addr> = (0..REGISTRIES).map(ip).collect();
         let wants = one.book.should_acquire_role(Timestamp::from_millis(now), &one.items, &group);
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -339,12 +339,12 @@
     let old = Item::new(Table::Servers, "i-1", 1 << 32, Some(json!({})));
     items.merge(Item::new(Table::Servers, "i-1", 1 << 32 | 1, None));
     items.merge(Node { lost: true, ..node(9, Role::Proxy, "r1") }.to_item(3));
-    assert!(book.purgeable(Timestamp::from_millis(0.0), &items).is_empty());
+    assert!(book.purgeable_keys(Timestamp::from_millis(0.0), &items).is_empty());
     assert!(
-        book.purgeable(Timestamp::from_millis(600_000.0), &items).is_empty(),
+        book.purgeable_keys(Timestamp::from_millis(600_000.0), &items).is_empty(),
         "one that is away for so long hears it yet"
     );
-    let over = book.purgeable(Timestamp::from_millis(901_000.0), &items);
+    let over = book.purgeable_keys(Timestamp::from_millis(901_000.0), &items);
     assert_eq!(over.len(), 2);
     let last = items.get(Table::Servers, "i-1").cloned();
     items.purge(&over);
