--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -56,8 +56,8 @@
             return Ok(());
         }
         let now = self.clock.now();
-        let is_thin = self.leased.borrow().is_thin(now, &resolved.name, burst);
-        if is_thin {
+        let has_small_bucket = self.leased.borrow().has_small_bucket(now, &resolved.name, burst);
+        if has_small_bucket {
             if let Some(result) = self.acquire_borrowed(now, &resolved.name).await {
                 return result;
             }
--- a/crates/quota/src/leased_quota.rs
+++ b/crates/quota/src/leased_quota.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether a tenant's bucket here holds so few requests that chance alone would reject many.
-    pub fn is_thin(&self, now: Timestamp, tenant: &str, burst: f64) -> bool {
+    pub fn has_small_bucket(&self, now: Timestamp, tenant: &str, burst: f64) -> bool {
         self.bucket_size(self.share(now, tenant), burst) < THIN_BUCKET
     }
 
