--- a/crates/quota/src/leased_quota.rs
+++ b/crates/quota/src/leased_quota.rs
@@ -5,7 +5,7 @@
 //! record with a token bucket that fills at the proxy's share, and its demand is reported to the allocator.
 
 use crate::messages::{QuotaGrant, TenantGrant, TenantUsage, UsageReport};
-use crate::{BURST_SLACK, EXPIRED_LEASE_RATIO, LEASE_DURATION};
+use crate::{BURST_SLACK_REQUESTS, EXPIRED_LEASE_RATIO, LEASE_DURATION};
 use ivygate_gateway::CountMinSketch;
 use ivygate_time::{millis, Timestamp};
 use std::collections::BTreeMap;
@@ -145,7 +145,7 @@
 
     /// The most that a tenant's bucket holds here.
     fn bucket_size(&self, share: f64, burst: f64) -> f64 {
-        share * burst + BURST_SLACK / self.proxies
+        share * burst + BURST_SLACK_REQUESTS / self.proxies
     }
 
     /// Whether a tenant's bucket here holds so few requests that chance alone would reject many.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -24,7 +24,7 @@
 pub const MAX_TOTAL_SHARE: f64 = 1.1;
 /// Requests that all proxies together may store besides their shares of the burst: some less than the rule allows beyond rate
 /// and burst in any window.
-pub const BURST_SLACK: f64 = 15.0;
+pub const BURST_SLACK_REQUESTS: f64 = 15.0;
 /// The part of the total that is split evenly for tenants that nobody has asked for.
 pub const IDLE_TENANT_RATIO: f64 = 0.6;
 /// The part of the total that is split evenly also for those that are asked for, so that none starts from nothing.
