--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -16,5 +16,5 @@
 pub use membership::store_members;
 pub use node::{Node, Proximity, Role};
 pub use parent_selector::{Parent, ParentSelector};
-pub use replication::{follow, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
+pub use replication::{run_replication, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
 pub use ring::{ring_position, watchers};
--- a/crates/cluster/src/replication.rs
+++ b/crates/cluster/src/replication.rs
@@ -155,7 +155,7 @@
 }
 
 /// Pulls control state into a replica for as long as the process runs.
-pub async fn follow<S: PullSource>(
+pub async fn run_replication<S: PullSource>(
     replica: Rc<StateReplica>,
     client: RpcClient,
     source: Rc<S>,
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -6,7 +6,7 @@
 use crate::quota::ProxyQuota;
 use crate::upstream_pools::UpstreamPools;
 use hyper::StatusCode;
-use ivygate_cluster::follow;
+use ivygate_cluster::run_replication;
 use ivygate_control_state::Tables;
 use ivygate_quota::LeasedQuota;
 use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcClient, RpcError, RpcResponse, RpcServer};
@@ -116,7 +116,7 @@
     tracing::info!(address = %http, "proxy started");
     // Ended with the process.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(follow(cluster.replica.clone(), client, cluster.clone(), Tables::all()));
+    tasks.spawn_local(run_replication(cluster.replica.clone(), client, cluster.clone(), Tables::all()));
     tasks.spawn_local(cluster.clone().send_heartbeats());
     tasks.spawn_local(cluster.clone().report_usage(leased));
     let clients = Clients::new(Rc::new(ClientFront::new(proxy.clone())), client_limits(connections.clients));
--- a/crates/registry/src/service/mod.rs
+++ b/crates/registry/src/service/mod.rs
@@ -11,7 +11,7 @@
 mod store_calls;
 mod ticks;
 
-use ivygate_cluster::follow;
+use ivygate_cluster::run_replication;
 use ivygate_control_state::Tables;
 use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcError};
 use node::{RegistryNode, StoreSource};
@@ -42,7 +42,7 @@
     // Ended with the process.
     let mut tasks = JoinSet::new();
     let source = Rc::new(StoreSource(node.clone()));
-    tasks.spawn_local(follow(node.replica.clone(), node.client.clone(), source, Tables::DURABLE));
+    tasks.spawn_local(run_replication(node.replica.clone(), node.client.clone(), source, Tables::DURABLE));
     tasks.spawn_local(node.clone().send_heartbeats());
     tasks.spawn_local(node.clone().compare_replicas());
     tasks.spawn_local(node.clone().read_server_list());
