--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,8 +1,8 @@
-//! The allocator: grants shares so that they never add up to more than the total, whoever is out of contact.
+//! The quota allocator, which grants shares whose sum never exceeds the total, even while proxies are out of contact.
 //!
-//! A share that was granted counts until the proxy says that it uses a later grant, or its lease has expired. An allocator that
-//! takes over knows nothing of what the one before granted: until every proxy that may have had a grant has confirmed one of
-//! its own, it takes everything that the proxies heard of did not have before for being in use by the others.
+//! A granted share counts as in use until the proxy reports a later grant or its lease expires. A new allocator does not know
+//! the grants of its predecessor. Until every proxy that may hold such a grant has confirmed one from the new allocator, the
+//! part of the quota that the reporting proxies did not hold before counts as in use by the other proxies.
 
 use crate::messages::{QuotaGrant, TenantGrant, UsageReport};
 use crate::proxy_record::{CountedUsage, InheritedShares, ProxyRecord, ShareRecord, UnconfirmedIncarnation};
@@ -11,72 +11,72 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A tenant that nobody has asked for in this time is an idle one again.
+/// Time without requests after which a tenant is idle.
 const IDLE_TENANT_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// Interval in which sums are made anew: only then do expired leases show in them.
+/// Interval at which sums are recomputed. Expired leases are taken into account only then.
 const RECOUNT_INTERVAL: Duration = Duration::from_millis(300);
-/// A proxy that an earlier allocator may have granted shares to, that is not known to be up and has not reported here in this
-/// time, is taken for dead.
+/// Time after the allocator's start at which an unconfirmed proxy that is not known to be up is considered dead, so that shares
+/// from an earlier allocator no longer count for it.
 const DEAD_PROXY_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// A proxy that is not known any more and has not reported in this time is forgotten.
+/// Time since its last report after which the record of a proxy that has left the cluster is dropped.
 const FORGET_PROXY_TIMEOUT: Duration = Duration::from_millis(120_000);
-/// Shares are rounded down to so many parts of the quota.
+/// Number of steps in the whole quota; shares are rounded down to a multiple of one step.
 const SHARE_STEPS: f64 = 1e4;
-/// Stands for a number of proxies that is not known.
+/// Proxy count announced in a grant while the number of proxies is unknown.
 const UNKNOWN_PROXIES: u32 = u32::MAX;
 
-/// What all proxies together are asked for of a tenant, and may be using.
+/// Demand and usage of one tenant, summed over all proxies.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantSum {
     demand: f64,
     in_use: f64,
-    /// What the proxies that were heard had from an earlier allocator.
+    /// Shares that the confirmed proxies held from an earlier allocator.
     inherited: f64,
 }
 
-/// What one report is answered by.
+/// Inputs for the grant that answers one usage report.
 struct Allocation<'a> {
     now: Timestamp,
-    /// When it was last known that no later allocator grants anything.
-    sure: Timestamp,
+    /// Last time at which the absence of a later allocator was confirmed by contact with the store.
+    contact_at: Timestamp,
     from: &'a str,
     report: &'a UsageReport,
-    /// How many proxies there may be.
+    /// Upper bound on the number of proxies.
     proxies: f64,
-    /// Whether a proxy that has not confirmed a grant may be using anything that the others did not have.
-    is_inherited: bool,
+    /// Whether an unconfirmed proxy may still use shares from an earlier allocator.
+    has_inherited_shares: bool,
     /// Whether the reporting proxy's lease had expired.
     had_expired: bool,
-    /// What proxies that are known and have not reported may be using.
-    strangers: f64,
+    /// Share that known proxies without a report may be using together.
+    unreported_share: f64,
 }
 
 /// Grants shares of tenants' quotas to proxies.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     epoch: u64,
-    since: Timestamp,
+    started_at: Timestamp,
     last_grant: u64,
     proxies: BTreeMap<String, ProxyRecord>,
-    /// Proxies that an earlier allocator may have granted shares to and that have not confirmed a grant here; `None` before the
+    /// Proxies that may hold shares from an earlier allocator and have not confirmed a grant from this one; `None` before the
     /// first report.
     unconfirmed: Option<BTreeSet<String>>,
-    /// Whether there may be proxies that it does not know of yet.
+    /// Whether there may be proxies that this allocator does not know yet.
     is_discovering: bool,
-    /// When each tenant was last asked for anywhere.
+    /// Time of the last reported demand for each tenant at any proxy.
     last_demand: BTreeMap<String, Timestamp>,
-    /// Kept between reports: a report costs its own shares, not those of all proxies.
+    /// Sums by tenant, cached so that the cost of a report does not grow with the number of proxies.
     sums: BTreeMap<String, TenantSum>,
-    /// When all sums were last made anew.
+    /// Time at which all sums were last recomputed.
     recounted_at: Timestamp,
 }
 
 impl QuotaAllocator {
-    /// An allocator that takes over now, under this epoch, and knows nothing of what was granted before.
+    /// Creates an allocator that takes over at `now` under `epoch`, without knowledge of earlier grants.
     pub fn new(now: Timestamp, epoch: u64) -> Self {
         Self {
             epoch,
-            since: now,
+            started_at: now,
             last_grant: 0,
             proxies: BTreeMap::new(),
             unconfirmed: None,
@@ -87,68 +87,83 @@
         }
     }
 
-    /// Its epoch.
+    /// Returns the epoch under which this allocator grants shares.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether there may be proxies that it does not know of yet. Nobody then gets more than it had, and those that report
-    /// confirm meanwhile what they have.
+    /// Sets whether there may be proxies that this allocator does not know yet.
+    ///
+    /// During discovery no proxy's share is raised above what it held before; reporting proxies confirm their current shares.
     pub fn set_discovering(&mut self, is_discovering: bool) {
         self.is_discovering = is_discovering;
     }
 
-    /// Handles a proxy's report. `known` names all proxies that there may be, and whether each is thought to be up;
-    /// `contact_age_ms` tells how long ago it was sure that no later allocator grants anything; `rate` tells a tenant's rate.
-    /// There is no grant for a proxy that has heard of a later allocator.
+    /// Handles a proxy's usage report and returns its grant, or `None` if the proxy has a grant from a later allocator.
+    ///
+    /// `known_proxies` maps the name of every possible proxy to whether it is considered up. `contact_age_ms` is the time since
+    /// the absence of a later allocator was last confirmed, in milliseconds. `rate` returns a tenant's rate limit in requests
+    /// per second.
     pub fn handle_report(
         &mut self,
         now: Timestamp,
         contact_age_ms: f64,
         from: &str,
         report: &UsageReport,
-        known: &BTreeMap<String, bool>,
+        known_proxies: &BTreeMap<String, bool>,
         rate: impl Fn(&str) -> f64,
     ) -> Option<QuotaGrant> {
-        let sure = now.minus_millis(contact_age_ms.max(0.0));
+        let contact_at = now.minus_millis(contact_age_ms.max(0.0));
         if report.epoch > self.epoch {
             return None;
         }
-        self.forget_old_proxies(now, from, report, known);
-        let mut unconfirmed = self.unconfirmed_proxies(known);
+        self.forget_old_proxies(now, from, report, known_proxies);
+        let mut unconfirmed = self.unconfirmed_proxies(known_proxies);
         let may_inherit = unconfirmed.contains(from);
-        let since = self.since;
-        unconfirmed
-            .retain(|name| known.get(name).is_some_and(|is_up| *is_up || now < since + DEAD_PROXY_TIMEOUT));
-        let proxies = known.len().max(self.proxies.len()).max(1) as f64;
-        let had_expired = self.proxies.get(from).is_some_and(|proxy| proxy.is_expired(sure));
+        let started_at = self.started_at;
+        unconfirmed.retain(|name| {
+            known_proxies.get(name).is_some_and(|is_up| *is_up || now < started_at + DEAD_PROXY_TIMEOUT)
+        });
+        let proxies = known_proxies.len().max(self.proxies.len()).max(1) as f64;
+        let had_expired = self.proxies.get(from).is_some_and(|proxy| proxy.is_expired(contact_at));
         if self.is_other_incarnation(from, report) {
             self.unconfirmed = Some(unconfirmed);
-            return Some(self.probe(from, report, proxies));
+            return Some(self.grant_reported_shares(from, report, proxies));
         }
         if self.record_report(now, from, report, may_inherit) {
             unconfirmed.remove(from);
         }
-        let is_inherited = !unconfirmed.is_empty() || self.is_discovering;
+        let has_inherited_shares = !unconfirmed.is_empty() || self.is_discovering;
         self.unconfirmed = Some(unconfirmed);
-        let strangers = known.keys().filter(|name| !self.proxies.contains_key(*name)).count() as f64;
-        let strangers = strangers * MAX_TOTAL_SHARE / proxies * EXPIRED_LEASE_RATIO;
-        let allocation =
-            Allocation { now, sure, from, report, proxies, is_inherited, had_expired, strangers };
+        let unreported_share =
+            known_proxies.keys().filter(|name| !self.proxies.contains_key(*name)).count() as f64;
+        let unreported_share = unreported_share * MAX_TOTAL_SHARE / proxies * EXPIRED_LEASE_RATIO;
+        let allocation = Allocation {
+            now,
+            contact_at,
+            from,
+            report,
+            proxies,
+            has_inherited_shares,
+            had_expired,
+            unreported_share,
+        };
         Some(self.allocate(&allocation, rate))
     }
 
+    /// Drops the records of proxies that left the cluster long ago, and has all sums recomputed if the set of records changes.
+    /// Drops the records of proxies that left the cluster long ago, and has all sums recomputed if the set of records changes.
     fn forget_old_proxies(
         &mut self,
         now: Timestamp,
         from: &str,
         report: &UsageReport,
-        known: &BTreeMap<String, bool>,
+        known_proxies: &BTreeMap<String, bool>,
     ) {
         let count = self.proxies.len();
         self.proxies.retain(|name, proxy| {
             let is_recent = proxy.last_report_at.is_some_and(|last| now < last + FORGET_PROXY_TIMEOUT);
-            known.contains_key(name) || is_recent
+            known_proxies.contains_key(name) || is_recent
         });
         let is_same = self.proxies.get(from).is_some_and(|proxy| proxy.incarnation == report.incarnation);
         if !is_same || self.proxies.len() != count {
@@ -156,9 +171,9 @@
         }
     }
 
-    /// The proxies that an earlier allocator may have granted shares to. Before the first epoch there was none.
-    fn unconfirmed_proxies(&self, known: &BTreeMap<String, bool>) -> BTreeSet<String> {
-        let all = || if self.epoch > 1 { known.keys().cloned().collect() } else { BTreeSet::new() };
+    /// Returns the proxies that may hold shares from an earlier allocator. There is none before the first epoch.
+    fn unconfirmed_proxies(&self, known_proxies: &BTreeMap<String, bool>) -> BTreeSet<String> {
+        let all = || if self.epoch > 1 { known_proxies.keys().cloned().collect() } else { BTreeSet::new() };
         let mut unconfirmed = self.unconfirmed.clone().unwrap_or_else(all);
         if self.is_discovering {
             let is_confirmed = |name: &String| self.proxies.get(name).is_some_and(|proxy| proxy.is_confirmed);
@@ -167,7 +182,8 @@
         unconfirmed
     }
 
-    /// Whether a report is of another incarnation than the one known, and does not say that it uses what that was answered.
+    /// Returns whether a report comes from an incarnation that is neither the recorded one nor confirmed by its use of the
+    /// grant sent to it.
     fn is_other_incarnation(&self, from: &str, report: &UsageReport) -> bool {
         let Some(proxy) = self.proxies.get(from) else { return false };
         let reported =
@@ -176,8 +192,9 @@
         proxy.incarnation != report.incarnation && !is_confirmed
     }
 
-    /// Answers another incarnation with what it has, which is counted beside what the incarnation known has.
-    fn probe(&mut self, from: &str, report: &UsageReport, proxies: f64) -> QuotaGrant {
+    /// Grants an unconfirmed incarnation the shares that it reports. They count in addition to those of the recorded
+    /// incarnation until it is known which of the two is running.
+    fn grant_reported_shares(&mut self, from: &str, report: &UsageReport, proxies: f64) -> QuotaGrant {
         self.last_grant += 1;
         if let Some(proxy) = self.proxies.get_mut(from) {
             proxy.unconfirmed = Some(UnconfirmedIncarnation {
@@ -201,14 +218,14 @@
         QuotaGrant {
             epoch: self.epoch,
             number: self.last_grant,
-            proxies: self.told_proxies(proxies),
+            proxies: self.announced_proxies(proxies),
             default_share: report.default_share,
             tenants: report.tenants.iter().map(|(name, usage)| (name.clone(), unchanged(usage))).collect(),
         }
     }
 
-    /// How many proxies a grant tells that there are. What all may store besides their shares is split over all of them.
-    fn told_proxies(&self, proxies: f64) -> u32 {
+    /// Returns the proxy count announced in a grant. Proxies divide the burst slack by it.
+    fn announced_proxies(&self, proxies: f64) -> u32 {
         if self.is_discovering {
             UNKNOWN_PROXIES
         } else {
@@ -216,12 +233,13 @@
         }
     }
 
-    /// Takes in a report; `may_inherit` where an earlier allocator may have granted what the proxy uses. Tells whether it is
-    /// confirmed that the proxy lives.
+    /// Records a report and returns whether the proxy's current incarnation is confirmed. `may_inherit` tells that the reported
+    /// shares may come from an earlier allocator.
     fn record_report(&mut self, now: Timestamp, from: &str, report: &UsageReport, may_inherit: bool) -> bool {
         let known = self.proxies.get(from);
         if known.is_none_or(|proxy| proxy.incarnation != report.incarnation) {
-            // Another incarnation of it has ended, and with it what that used; or an earlier allocator granted this.
+            // The previous incarnation has ended and its shares are free, or the reported shares come from an earlier
+            // allocator.
             let inherited =
                 known.filter(|proxy| proxy.is_confirmed).and_then(|proxy| proxy.inherited.clone());
             let inherited = inherited.or_else(|| may_inherit.then(|| InheritedShares::from_report(report)));
@@ -241,9 +259,11 @@
         proxy.is_confirmed
     }
 
+    /// Computes and records the grant for a report.
+    /// Computes and records the grant for a report.
     fn allocate(&mut self, allocation: &Allocation, rate: impl Fn(&str) -> f64) -> QuotaGrant {
         let default_share = self.default_share(allocation);
-        self.note_demand(allocation);
+        self.record_demand(allocation);
         let tenants: Vec<String> = self.last_demand.keys().cloned().collect();
         let mut grants = BTreeMap::new();
         for tenant in tenants {
@@ -255,30 +275,31 @@
         QuotaGrant {
             epoch: self.epoch,
             number: self.last_grant,
-            proxies: self.told_proxies(allocation.proxies),
+            proxies: self.announced_proxies(allocation.proxies),
             default_share,
             tenants: grants,
         }
     }
 
-    /// The share of idle tenants. What all proxies pass of those may not add up to more than the total either.
+    /// Returns the share of idle tenants. The default shares of all proxies may not exceed the total either.
     fn default_share(&self, allocation: &Allocation) -> f64 {
         let others = self.proxies.iter().filter(|(name, _)| *name != allocation.from);
         let others: f64 = others.map(|(_, proxy)| proxy.default.max_in_use()).sum();
         (MAX_TOTAL_SHARE * IDLE_TENANT_RATIO / allocation.proxies).min((MAX_TOTAL_SHARE - others).max(0.0))
     }
 
-    /// Notes which tenants are asked for, and drops the sums of those that are idle again or due to be made anew.
-    fn note_demand(&mut self, allocation: &Allocation) {
+    /// Records which tenants have demand, and drops the sums of tenants that became idle or are due for recomputation.
+    fn record_demand(&mut self, allocation: &Allocation) {
         let now = allocation.now;
         for (name, usage) in &allocation.report.tenants {
-            // An earlier allocator may have granted much of a tenant to others: that must not be forgotten with it.
-            if usage.demand_per_s > 0.0 || now < self.since + IDLE_TENANT_TIMEOUT {
+            // Until the first timeout after the start, tenants without demand are kept too: other proxies may hold large
+            // shares of them from an earlier allocator.
+            if usage.demand_per_s > 0.0 || now < self.started_at + IDLE_TENANT_TIMEOUT {
                 self.last_demand.insert(name.clone(), now);
             }
         }
         self.last_demand.retain(|_, last| now < *last + IDLE_TENANT_TIMEOUT);
-        // What proxies do with an idle tenant is not counted in its sum.
+        // Usage of idle tenants is not tracked in the sums.
         self.sums.retain(|name, _| self.last_demand.contains_key(name));
         if now > self.recounted_at + RECOUNT_INTERVAL {
             self.sums.clear();
@@ -286,7 +307,7 @@
         }
     }
 
-    /// The reporting proxy's share of a tenant: by its part of the demand, as far as it is surely free.
+    /// Computes the reporting proxy's share of a tenant from its part of the demand, limited to what is certainly free.
     fn tenant_grant(&mut self, allocation: &Allocation, tenant: &str, rate: f64) -> TenantGrant {
         let sum = self.sum(allocation, tenant);
         let own = self.own_record(allocation.from, tenant);
@@ -294,13 +315,13 @@
         let even = EVEN_SPLIT_RATIO / allocation.proxies;
         let wanted = MAX_TOTAL_SHARE * (even + (1.0 - EVEN_SPLIT_RATIO) * demand_ratio);
         let others = (sum.in_use - own.max_in_use()).max(0.0);
-        let unknown = if allocation.is_inherited {
+        let unknown = if allocation.has_inherited_shares {
             (MAX_TOTAL_SHARE - sum.inherited).max(0.0)
         } else {
-            allocation.strangers
+            allocation.unreported_share
         };
-        // What it had from an earlier allocator is in use by nobody else.
-        let kept = if allocation.is_inherited && !allocation.had_expired {
+        // No other proxy uses the shares that this one holds from an earlier allocator.
+        let kept = if allocation.has_inherited_shares && !allocation.had_expired {
             own.granted.min(allocation.report.share(tenant)).min(MAX_TOTAL_SHARE - others)
         } else {
             0.0
@@ -317,7 +338,7 @@
         self.proxies.get(from).map(|proxy| proxy.share(tenant).clone()).unwrap_or_default()
     }
 
-    /// What all proxies are asked for of a tenant and may be using, with what the reporting one says now.
+    /// Returns a tenant's sum over all proxies, updated with the current report.
     fn sum(&mut self, allocation: &Allocation, tenant: &str) -> TenantSum {
         let from = allocation.from;
         let record = self.proxies.get(from).and_then(|proxy| proxy.tenants.get(tenant));
@@ -342,11 +363,11 @@
         sum
     }
 
-    /// Adds up a tenant's usage over all proxies.
+    /// Recomputes a tenant's sum from the records of all proxies.
     fn recount(&mut self, allocation: &Allocation, tenant: &str) -> TenantSum {
         let mut sum = TenantSum::default();
         for proxy in self.proxies.values_mut() {
-            let in_use = proxy.in_use(allocation.sure, tenant);
+            let in_use = proxy.in_use(allocation.contact_at, tenant);
             let demand =
                 if proxy.has_current_demand(allocation.now) { proxy.share(tenant).demand } else { 0.0 };
             sum.demand += demand;
@@ -359,7 +380,7 @@
         sum
     }
 
-    /// Records a grant at its proxy, and in the sums; gives the default share of the grant.
+    /// Records a grant for its proxy and in the sums, and returns the grant's default share.
     fn record_grant(
         &mut self,
         allocation: &Allocation,
@@ -367,8 +388,11 @@
         grants: &BTreeMap<String, TenantGrant>,
     ) -> f64 {
         let Some(proxy) = self.proxies.get_mut(allocation.from) else { return default_share };
-        let default_share =
-            if allocation.is_inherited { default_share.min(proxy.default.granted) } else { default_share };
+        let default_share = if allocation.has_inherited_shares {
+            default_share.min(proxy.default.granted)
+        } else {
+            default_share
+        };
         proxy.grant_number = self.last_grant;
         let mut tenants = BTreeMap::new();
         for (name, grant) in grants {
@@ -380,7 +404,7 @@
             }
             tenants.insert(name.clone(), record);
         }
-        // A tenant that is not listed any more falls back to the default share.
+        // A tenant that is no longer listed falls back to the default share.
         let is_any_dropped = proxy.tenants.keys().any(|name| !tenants.contains_key(name));
         let previous = if is_any_dropped {
             let most = proxy.tenants.values().map(ShareRecord::max_in_use);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,8 +1,8 @@
-//! Tenants' quotas over all proxies: a share of each is leased to every proxy, so that all together pass no more than the
-//! tenant's rate limit.
+//! Distributed rate limiting: each proxy leases a share of every tenant's quota, so that all proxies together admit no more
+//! than the tenant's rate limit.
 //!
-//! [`QuotaAllocator`] deals out the shares; it runs in the registry that holds the coordinator role. [`LeasedQuota`] uses those
-//! of one proxy. Neither does I/O or reads a clock; each has the clock of its own process.
+//! [`QuotaAllocator`] grants the shares and runs in the registry that holds the coordinator role. [`LeasedQuota`] admits
+//! requests from the shares of one proxy. Neither performs I/O or reads a clock; the caller passes the time of its own process.
 
 mod allocator;
 mod leased_quota;
@@ -15,17 +15,17 @@
 
 use std::time::Duration;
 
-/// How long a grant holds, from when the proxy asked for it, by the proxy's clock.
+/// Validity of a grant, counted from the proxy's request for it by the proxy's clock.
 pub const LEASE_DURATION: Duration = Duration::from_millis(4_000);
-/// The part of its shares that a proxy goes on using when its lease has expired: clients that reach only it are served some,
-/// and the allocator counts as much for it until it hears of it again.
+/// Fraction of its shares that a proxy keeps using after its lease has expired, so that clients that reach only this proxy are
+/// still served. The allocator counts the same fraction as in use until the proxy reports again.
 pub const EXPIRED_LEASE_RATIO: f64 = 0.5;
-/// What all shares of a tenant's quota may add up to: the rule allows a tenth beyond rate and burst.
+/// Maximum sum of all shares of a tenant's quota. The quota rule allows a tenth above rate and burst.
 pub const MAX_TOTAL_SHARE: f64 = 1.1;
-/// Requests that all proxies together may store besides their shares of the burst: some less than the rule allows beyond rate
-/// and burst in any window.
+/// Requests that the buckets of all proxies may hold in addition to their shares of the burst. This is below what the
+/// quota rule allows above rate and burst in any window.
 pub const BURST_SLACK_REQUESTS: f64 = 15.0;
-/// The part of the total that is split evenly for tenants that nobody has asked for.
+/// Fraction of the total that is split evenly between proxies for tenants without demand.
 pub const IDLE_TENANT_RATIO: f64 = 0.6;
-/// The part of the total that is split evenly also for those that are asked for, so that none starts from nothing.
+/// Fraction of the total that is split evenly between proxies for tenants with demand, so that no proxy starts from zero.
 pub const EVEN_SPLIT_RATIO: f64 = 0.2;
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,18 +1,19 @@
-//! What proxies and the allocator say to each other. The spelling on the wire is that of the first release: tenants' entries are
-//! lists, and incarnations are called `life`.
+//! Messages between proxies and the quota allocator.
+//!
+//! The wire format is that of the first release: entries of tenants are arrays, and the incarnation is named `life`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a proxy reports of one tenant.
+/// Usage of one tenant's quota as reported by a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64, f64)", into = "(f64, f64, f64)")]
 pub struct TenantUsage {
-    /// Requests asked for, a second.
+    /// Requests received per second.
     pub demand_per_s: f64,
-    /// Requests that passed, a second.
+    /// Requests admitted per second.
     pub passed_per_s: f64,
-    /// The share in use.
+    /// Share in use.
     pub share: f64,
 }
 
@@ -28,38 +29,38 @@
     }
 }
 
-/// A proxy's report, which also asks for a grant.
+/// Usage report of a proxy, which also requests a grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Differs between runs of the proxy.
+    /// Incarnation of the proxy, which differs between its runs.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The epoch of the last grant that it uses; 0 for none.
+    /// Epoch of the grant in use; 0 for none.
     #[serde(default)]
     pub epoch: u64,
-    /// The number of that grant in its epoch; 0 for none.
+    /// Number of that grant within its epoch; 0 for none.
     pub number: u64,
-    /// The share in use of every tenant that is not listed.
+    /// Share in use for every tenant that is not listed.
     #[serde(rename = "other")]
     pub default_share: f64,
-    /// By tenant.
+    /// Usage by tenant name.
     pub tenants: BTreeMap<String, TenantUsage>,
 }
 
 impl UsageReport {
-    /// The share in use of a tenant.
+    /// Returns the share in use for a tenant.
     pub fn share(&self, tenant: &str) -> f64 {
         self.tenants.get(tenant).map_or(self.default_share, |usage| usage.share)
     }
 }
 
-/// What a proxy may use of one tenant's quota.
+/// Grant of one tenant's quota to a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct TenantGrant {
-    /// The share.
+    /// Granted share.
     pub share: f64,
-    /// What all proxies are asked for, in percent of the tenant's rate.
+    /// Demand at all proxies, in percent of the tenant's rate.
     pub demand_percent: f64,
 }
 
@@ -75,18 +76,18 @@
     }
 }
 
-/// What a proxy may use until its lease expires.
+/// Shares that a proxy may use until its lease expires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// The allocator's epoch, its fencing token: a grant below any epoch that the proxy has heard of counts for nothing.
+    /// Epoch of the allocator, used as a fencing token: a proxy ignores grants with an epoch below the highest it has seen.
     pub epoch: u64,
-    /// Counts up within an epoch.
+    /// Number of the grant, which increases within an epoch.
     pub number: u64,
-    /// How many proxies there may be.
+    /// Upper bound on the number of proxies.
     pub proxies: u32,
-    /// The share of every tenant that is not listed.
+    /// Share of every tenant that is not listed.
     #[serde(rename = "other")]
     pub default_share: f64,
-    /// By tenant.
+    /// Grants by tenant name.
     pub tenants: BTreeMap<String, TenantGrant>,
 }
--- a/crates/quota/src/proxy_record.rs
+++ b/crates/quota/src/proxy_record.rs
@@ -1,4 +1,4 @@
-//! What the allocator knows of one proxy: the shares that it may be using.
+//! The allocator's record of one proxy, with the shares that the proxy may be using.
 
 use crate::messages::UsageReport;
 use crate::{EXPIRED_LEASE_RATIO, LEASE_DURATION};
@@ -6,42 +6,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What clocks of two machines may differ by over a lease, and the way of a message.
+/// Allowance for clock drift between two machines over one lease, and for message delay.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What a tenant's sums hold of one proxy.
+/// Contribution of one proxy to the cached sum of a tenant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CountedUsage {
     pub demand: f64,
     pub in_use: f64,
 }
 
-/// A share of one tenant's quota, at one proxy.
+/// Share of one tenant's quota at one proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShareRecord {
-    /// The share of the last grant.
+    /// Share in the last grant.
     pub granted: f64,
-    /// What the proxy may still use until it says that it uses a later grant.
+    /// Share that the proxy may keep using until it confirms the last grant.
     pub previous: f64,
-    /// Requests asked for, a second.
+    /// Requests received per second.
     pub demand: f64,
-    /// What the tenant's sums hold of this; `None` if they hold nothing of it by itself.
+    /// Contribution of this record to the tenant's sum; `None` if the record is not counted in it.
     pub counted: Option<CountedUsage>,
 }
 
 impl ShareRecord {
-    /// A share that the proxy had before it was first heard.
+    /// Creates the record of a share that the proxy held before its first report here.
     pub fn reported(share: f64) -> Self {
         Self { granted: share, previous: share, ..Self::default() }
     }
 
-    /// The most that the proxy may be using.
+    /// Returns the largest share that the proxy may be using.
     pub fn max_in_use(&self) -> f64 {
         self.granted.max(self.previous)
     }
 }
 
-/// What a proxy used when it was first heard: an earlier allocator granted it that.
+/// Shares that a proxy held from an earlier allocator at its first report.
 #[derive(Clone, Debug)]
 pub(crate) struct InheritedShares {
     tenants: BTreeMap<String, f64>,
@@ -49,7 +49,7 @@
 }
 
 impl InheritedShares {
-    /// What a report says to be in use.
+    /// Takes the shares that a report states as in use.
     pub fn from_report(report: &UsageReport) -> Self {
         let tenants = report.tenants.iter().map(|(name, usage)| (name.clone(), usage.share)).collect();
         Self { tenants, default_share: report.default_share }
@@ -59,7 +59,8 @@
         self.tenants.get(tenant).copied().unwrap_or(self.default_share)
     }
 
-    /// Takes the lesser of what is known and what a report says: of two reports, the one read first may be the older.
+    /// Lowers each share to the one in a report if that is smaller. Reports may arrive out of order, so neither is known to be
+    /// the newer one.
     fn lower_to(&mut self, report: &UsageReport) {
         for name in report.tenants.keys() {
             self.tenants.entry(name.clone()).or_insert(self.default_share);
@@ -71,44 +72,47 @@
     }
 }
 
-/// Another incarnation of a proxy that has reported, and the grant that it was answered with. It is the one that lives now only
-/// if it says that it uses that grant: else its report had been under way since before the incarnation known.
+/// Incarnation of a proxy that differs from the recorded one, with the grant sent to it.
+///
+/// It replaces the recorded incarnation only when it reports that grant as in use. Otherwise its report may be a delayed one
+/// from before the recorded incarnation started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UnconfirmedIncarnation {
     pub incarnation: u64,
     pub grant_number: u64,
 }
 
-/// What is known of one proxy.
+/// Record of one proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProxyRecord {
     pub incarnation: u64,
     pub unconfirmed: Option<UnconfirmedIncarnation>,
     pub last_report_at: Option<Timestamp>,
-    /// The number of its last grant.
+    /// Number of the last grant sent to it.
     pub grant_number: u64,
+    /// Shares from an earlier allocator, if it may hold any.
     pub inherited: Option<InheritedShares>,
-    /// Whether it has said that it uses a grant of this allocator. Before that, its report may have been one of an incarnation
-    /// that ended long ago.
+    /// Whether it has confirmed a grant from this allocator. Before that, its reports may be delayed ones from an incarnation
+    /// that has ended.
     pub is_confirmed: bool,
-    /// Its share of every tenant that has no record.
+    /// Share of every tenant without its own record.
     pub default: ShareRecord,
     pub tenants: BTreeMap<String, ShareRecord>,
 }
 
 impl ProxyRecord {
-    /// A proxy's share of a tenant.
+    /// Returns the record of the proxy's share of a tenant.
     pub fn share(&self, tenant: &str) -> &ShareRecord {
         self.tenants.get(tenant).unwrap_or(&self.default)
     }
 
-    /// What it had of a tenant from an earlier allocator, once it is confirmed to live.
+    /// Returns the share of a tenant from an earlier allocator; 0 until the proxy's incarnation is confirmed.
     pub fn inherited_share(&self, tenant: &str) -> f64 {
         let inherited = self.inherited.as_ref().filter(|_| self.is_confirmed);
         inherited.map_or(0.0, |inherited| inherited.share(tenant))
     }
 
-    /// Takes in what it reports of its demand, and which grant it uses.
+    /// Records the demand in a report, and confirms the last grant if the report states it as in use.
     pub fn record_report(&mut self, now: Timestamp, epoch: u64, report: &UsageReport) {
         self.last_report_at = Some(now);
         if !self.is_confirmed {
@@ -127,7 +131,7 @@
         }
     }
 
-    /// It uses the last grant: what it had before is free.
+    /// Marks the last grant as in use, which frees the earlier shares.
     fn confirm_grant(&mut self) {
         self.is_confirmed = true;
         self.default.previous = self.default.granted;
@@ -136,21 +140,23 @@
         }
     }
 
-    /// Whether its lease has expired, by what was known at `sure`.
-    pub fn is_expired(&self, sure: Timestamp) -> bool {
-        self.last_report_at.is_some_and(|last| sure > last + LEASE_DURATION + LEASE_MARGIN)
+    /// Returns whether the lease had expired by `contact_at`, the time of the last contact with the store.
+    pub fn is_expired(&self, contact_at: Timestamp) -> bool {
+        self.last_report_at.is_some_and(|last| contact_at > last + LEASE_DURATION + LEASE_MARGIN)
     }
 
-    /// Whether its report is so young that its demand counts.
+    /// Returns whether the last report is recent enough for its demand to count.
     pub fn has_current_demand(&self, now: Timestamp) -> bool {
         self.last_report_at.is_some_and(|last| now <= last + LEASE_DURATION)
     }
 
-    /// What it may be using of a tenant now. `sure` is when it was last known that no other allocator grants anything: a proxy
-    /// whose lease expired after that may have had it renewed by another.
-    pub fn in_use(&self, sure: Timestamp, tenant: &str) -> f64 {
+    /// Returns the share of a tenant that the proxy may be using.
+    ///
+    /// `contact_at` is the last time at which the absence of a later allocator was confirmed. A lease that expired after that
+    /// may have been renewed by a later allocator, so it counts as valid.
+    pub fn in_use(&self, contact_at: Timestamp, tenant: &str) -> f64 {
         let most = self.share(tenant).max_in_use();
-        if self.is_expired(sure) {
+        if self.is_expired(contact_at) {
             most * EXPIRED_LEASE_RATIO
         } else {
             most
