--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,7 +1,7 @@
-//! The side that calls: kept connections, one call at a time on each, every wait with an end.
+//! RPC client with pooled connections, one call at a time per connection, and a timeout for every call.
 //!
-//! A call is not sent again once a byte of it may have left. Each has an id that its response must bring back, so that a
-//! response to another call reaches nobody (`docs/design/resending.md`).
+//! A call is never resent once a byte of it may have been sent. Each call carries an ID that its response must return, so that
+//! a response to another call is never delivered to the caller (`docs/design/resending.md`).
 
 use crate::connection::{connect, Connection};
 use crate::error::{ErrorKind, RpcError};
@@ -19,13 +19,13 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// The id of a call, which its response brings back. No two calls of a process have the same.
+/// Header with the ID of a call, which the response returns. IDs are unique among the calls of one client.
 pub(crate) const CALL_ID: HeaderName = HeaderName::from_static("call-id");
-/// An idle connection is kept this long.
+/// Time for which an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most idle connections to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
-/// Most addresses with idle connections.
+/// Number of addresses with idle connections above which addresses without a fresh one are dropped.
 const MAX_IDLE_ADDRESSES: usize = 256;
 
 struct IdleConnection {
@@ -39,15 +39,15 @@
     }
 }
 
-/// The head of a response, and the connection on which it came.
+/// Response whose body is still to be read, with the connection it arrives on.
 struct Exchange {
     connection: Connection,
-    /// Whether the connection has carried another call before.
+    /// Whether the connection has carried an earlier call.
     is_reused: bool,
     response: Response<Incoming>,
 }
 
-/// Calls other processes. Clones share their connections.
+/// Client for calls to other processes. Clones share one connection pool.
 #[derive(Clone, Default)]
 pub struct RpcClient {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
@@ -59,53 +59,57 @@
 }
 
 impl RpcClient {
-    /// Sends a body as JSON, and reads the response as JSON.
+    /// Sends a POST request with a JSON body and parses the response as JSON.
     ///
     /// # Errors
-    /// The error that the other side told, or that it can't be reached, or did not answer in time.
+    /// Returns the error reported by the server, `Unreachable` if there is no valid response, `Timeout` if there is none in
+    /// time, or `Malformed` if a body is not valid JSON of its type.
     pub async fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         to: SocketAddr,
         path: &str,
         body: &Q,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<A, RpcError> {
         let body = serde_json::to_vec(body).map_err(|error| RpcError::malformed(&error))?;
-        let (status, body) = self.call(to, Method::POST, path, body.into(), wait).await?;
+        let (status, body) = self.call(to, Method::POST, path, body.into(), call_timeout).await?;
         parse_response(to, status, &body)
     }
 
-    /// Gets a path, and reads the response as JSON.
+    /// Sends a GET request and parses the response as JSON.
     ///
     /// # Errors
-    /// As for [`Self::post`].
+    /// Returns the same errors as [`Self::post`].
     pub async fn get<A: DeserializeOwned>(
         &self,
         to: SocketAddr,
         path: &str,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<A, RpcError> {
-        let (status, body) = self.call(to, Method::GET, path, Bytes::new(), wait).await?;
+        let (status, body) = self.call(to, Method::GET, path, Bytes::new(), call_timeout).await?;
         parse_response(to, status, &body)
     }
 
-    /// Makes one call; gives the status and body of the response as they came.
+    /// Makes one call and returns the status and body of the response unparsed.
     ///
     /// # Errors
-    /// If there was no complete response in time, or one that is not known to be this call's. The call may have run then.
+    /// Fails if there is no complete response in time, or one that is not known to belong to this call. The call may have been
+    /// executed in that case.
     pub async fn call(
         &self,
         to: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
-        wait: Duration,
+        call_timeout: Duration,
     ) -> Result<(u16, Bytes), RpcError> {
         let started = Instant::now();
-        match timeout(wait, self.exchange(to, method, path, body)).await {
-            // A response that was there while this process was paused is long out of date.
-            Ok(result) if started.elapsed() < wait => result,
-            Ok(_) | Err(_) => Err(RpcError::new(ErrorKind::Timeout, format!("{to} gave no answer in time"))),
+        match timeout(call_timeout, self.exchange(to, method, path, body)).await {
+            // A response that arrived while this process was paused may be out of date.
+            Ok(result) if started.elapsed() < call_timeout => result,
+            Ok(_) | Err(_) => {
+                Err(RpcError::new(ErrorKind::Timeout, format!("{to}: no response before the timeout")))
+            }
         }
     }
 
@@ -126,12 +130,12 @@
             .body(Full::new(body))
             .map_err(|error| RpcError::new(ErrorKind::Malformed, error.to_string()))?;
         let exchange = self.send(to, request).await?;
-        let knows_call_ids = check_call_id(to, &exchange, &call_id)?;
+        let supports_call_ids = check_call_id(to, &exchange, &call_id)?;
         let Exchange { connection, response, .. } = exchange;
-        // A response that was cut short may look complete. That of a process which knows no call ids is a JSON object,
-        // which can't.
-        if knows_call_ids && !has_framed_body(&response) {
-            return Err(unreachable(to, "the answer does not tell its length"));
+        // Without framing, a truncated response may look complete. Processes without call ID support respond with a JSON
+        // object, whose truncation is detected by the parser.
+        if supports_call_ids && !has_framed_body(&response) {
+            return Err(unreachable(to, "the response body has neither a length nor chunked encoding"));
         }
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), crate::MAX_BODY_BYTES)
@@ -139,7 +143,7 @@
             .await
             .map_err(|error| unreachable(to, error))?
             .to_bytes();
-        if knows_call_ids {
+        if supports_call_ids {
             self.keep_idle(to, connection);
         }
         Ok((status, body))
@@ -150,8 +154,8 @@
         HeaderValue::from(self.last_call.get())
     }
 
-    /// Sends a request on a kept connection or a new one. Where a kept one ends before a byte of the request was written,
-    /// another is taken: that sends nothing twice.
+    /// Sends a request on an idle connection or a new one. If an idle connection closes before a byte of the request has been
+    /// written, the request is sent on another connection, which cannot send it twice.
     async fn send(&self, to: SocketAddr, mut request: Request<Full<Bytes>>) -> Result<Exchange, RpcError> {
         loop {
             let (mut connection, is_reused) = match self.take_idle(to) {
@@ -192,18 +196,18 @@
     }
 }
 
-/// Checks that a response is this call's; tells whether the other side knows call ids.
+/// Checks that a response belongs to the call, and returns whether the server supports call IDs.
 fn check_call_id(to: SocketAddr, exchange: &Exchange, call_id: &HeaderValue) -> Result<bool, RpcError> {
     match exchange.response.headers().get(CALL_ID) {
         Some(returned) if returned == call_id => Ok(true),
-        // A process that knows no call ids. There was no other call on this connection, nor will there be.
+        // The server does not support call IDs. The connection carries no other call before or after this one.
         None if !exchange.is_reused => Ok(false),
-        // A response to an earlier call, sent late or twice.
-        Some(_) | None => Err(unreachable(to, "the answer belongs to another call")),
+        // The response belongs to an earlier call and was sent late or twice.
+        Some(_) | None => Err(unreachable(to, "the response belongs to another call")),
     }
 }
 
-/// Whether the end of a response's body is told by its length or by chunks, and not just by the connection's end.
+/// Returns whether the end of the response body is marked by a length or chunked encoding rather than by the connection's end.
 fn has_framed_body(response: &Response<Incoming>) -> bool {
     response.body().size_hint().exact().is_some() || response.headers().contains_key(TRANSFER_ENCODING)
 }
@@ -214,5 +218,7 @@
             .map_err(|error| RpcError::new(ErrorKind::Malformed, format!("{from}: {error}")));
     }
     let error = serde_json::from_slice(body);
-    Err(error.unwrap_or_else(|_| RpcError::new(ErrorKind::Unreachable, format!("{from} answered {status}"))))
+    Err(error.unwrap_or_else(|_| {
+        RpcError::new(ErrorKind::Unreachable, format!("{from} responded with status {status}"))
+    }))
 }
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to another process, which its caller can look at while it is idle.
+//! Client connection to another process whose socket can be inspected while it is idle.
 
 use crate::error::{ErrorKind, RpcError};
 use bytes::Bytes;
@@ -16,19 +16,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A connection not established by then never will be: the other machine has no power or is cut off.
+/// Time after which a connection attempt is given up. A machine that has not accepted by then is down or partitioned.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// A connection as its caller holds it.
+/// Connection to another process.
 pub(crate) struct Connection {
-    /// Sends one request at a time.
+    /// Sender for one request at a time.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Its socket, for as long as it is open.
+    /// Socket of the connection, while it is open.
     socket: Weak<TcpStream>,
 }
 
 impl Connection {
-    /// Whether another call may be written: the other side has neither closed it nor sent what nobody asked for.
+    /// Returns whether another call may be sent: the server has neither closed the connection nor sent unsolicited data.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready() && self.socket.upgrade().is_some_and(|socket| !has_news(&socket))
     }
@@ -37,28 +37,28 @@
 /// Connects to an address.
 ///
 /// # Errors
-/// `Timeout` or `Unreachable`.
+/// Returns `Timeout` if the connection is not established in time, or `Unreachable` if it fails.
 pub(crate) async fn connect(to: SocketAddr) -> Result<Connection, RpcError> {
     let unreachable = |cause: String| RpcError::new(ErrorKind::Unreachable, format!("{to}: {cause}"));
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
-    let connected =
-        connected.map_err(|_| RpcError::new(ErrorKind::Timeout, format!("{to}: no connection in time")))?;
+    let connected = connected
+        .map_err(|_| RpcError::new(ErrorKind::Timeout, format!("{to}: connection attempt timed out")))?;
     let stream = connected.map_err(|error| unreachable(error.to_string()))?;
-    // A hint: where the system refuses it, the connection serves all the same.
+    // Disabling Nagle's algorithm is an optimization; the connection works without it.
     let _ = stream.set_nodelay(true);
     let stream = Rc::new(stream);
     let socket = Rc::downgrade(&stream);
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(SharedStream(stream)))
         .await
         .map_err(|error| unreachable(error.to_string()))?;
-    // How it ends shows in the response.
+    // A failure of the connection is reported through the response.
     tokio::task::spawn_local(async move {
         let _ = connection.await;
     });
     Ok(Connection { sender, socket })
 }
 
-/// A stream that its caller can look at while the connection has it. Dropping it closes it.
+/// TCP stream that can be inspected while a connection uses it. Dropping the connection closes it.
 struct SharedStream(Rc<TcpStream>);
 
 impl AsyncRead for SharedStream {
@@ -70,7 +70,7 @@
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                // Readiness was out of date, and is known to be so now.
+                // The readiness was stale; `try_read` has cleared it.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
             }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,115 +1,115 @@
-//! The closed list of error kinds, and the answer to each.
+//! Error kinds shared by all processes, with the HTTP status of each.
 
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Every kind of error that a process tells another, or an operator.
+/// Kind of an error that a process reports to another process or to an operator.
 ///
-/// The words on the wire are those of the first release.
+/// The names on the wire are those of the first release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// The request can't be read.
+    /// The message cannot be parsed.
     Malformed,
-    /// The configuration breaks a rule.
+    /// The request or the configuration violates a rule.
     Invalid,
-    /// There is nothing of that name.
+    /// The requested object or path does not exist.
     #[serde(rename = "unknown")]
     NotFound,
-    /// The method is not for that path.
+    /// The path does not support the method.
     #[serde(rename = "method")]
     MethodNotAllowed,
-    /// Another content was acknowledged under the same version.
+    /// Different content was acknowledged under the same version.
     Conflict,
-    /// What was acknowledged under a version is not remembered any more, so neither yes nor no may be said.
+    /// The content acknowledged under the version is no longer known, so the request can be neither confirmed nor rejected.
     #[serde(rename = "forgotten")]
     VersionForgotten,
-    /// The request is larger than allowed.
+    /// The message exceeds a size limit.
     TooLarge,
-    /// This process can't answer yet: it has begun nothing, and another may be asked.
+    /// The process cannot handle the request yet. It has started nothing, so the request may be sent to another process.
     #[serde(rename = "unready")]
     NotReady,
-    /// No quorum of the configuration store can be reached.
+    /// No quorum of the configuration store is reachable.
     #[serde(rename = "no_majority")]
     NoQuorum,
-    /// Another process can't be reached.
+    /// Another process is unreachable.
     Unreachable,
-    /// There was no answer in time.
+    /// There was no response in time.
     #[serde(rename = "late")]
     Timeout,
     /// The disk failed.
     Disk,
-    /// A setting can't be acted on.
+    /// A setting is invalid or cannot be applied.
     #[serde(rename = "setting")]
     Configuration,
 }
 
-/// How an error is answered.
-struct ErrorAnswer {
+/// Properties of an error kind.
+struct KindProperties {
     kind: ErrorKind,
     status: StatusCode,
-    /// Whether the same request may succeed elsewhere or later.
+    /// Whether the same request may succeed at another process or later.
     is_retryable: bool,
 }
 
-const fn answer(kind: ErrorKind, status: StatusCode, is_retryable: bool) -> ErrorAnswer {
-    ErrorAnswer { kind, status, is_retryable }
+const fn properties(kind: ErrorKind, status: StatusCode, is_retryable: bool) -> KindProperties {
+    KindProperties { kind, status, is_retryable }
 }
 
-/// One row a kind.
-const ANSWERS: [ErrorAnswer; 13] = [
-    answer(ErrorKind::Malformed, StatusCode::BAD_REQUEST, false),
-    answer(ErrorKind::Invalid, StatusCode::BAD_REQUEST, false),
-    answer(ErrorKind::NotFound, StatusCode::NOT_FOUND, false),
-    answer(ErrorKind::MethodNotAllowed, StatusCode::METHOD_NOT_ALLOWED, false),
-    answer(ErrorKind::Conflict, StatusCode::CONFLICT, false),
-    answer(ErrorKind::VersionForgotten, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::TooLarge, StatusCode::PAYLOAD_TOO_LARGE, false),
-    answer(ErrorKind::NotReady, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::NoQuorum, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::Unreachable, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::Timeout, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::Disk, StatusCode::SERVICE_UNAVAILABLE, true),
-    answer(ErrorKind::Configuration, StatusCode::INTERNAL_SERVER_ERROR, false),
+/// Properties of every error kind.
+const KINDS: [KindProperties; 13] = [
+    properties(ErrorKind::Malformed, StatusCode::BAD_REQUEST, false),
+    properties(ErrorKind::Invalid, StatusCode::BAD_REQUEST, false),
+    properties(ErrorKind::NotFound, StatusCode::NOT_FOUND, false),
+    properties(ErrorKind::MethodNotAllowed, StatusCode::METHOD_NOT_ALLOWED, false),
+    properties(ErrorKind::Conflict, StatusCode::CONFLICT, false),
+    properties(ErrorKind::VersionForgotten, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::TooLarge, StatusCode::PAYLOAD_TOO_LARGE, false),
+    properties(ErrorKind::NotReady, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::NoQuorum, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::Unreachable, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::Timeout, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::Disk, StatusCode::SERVICE_UNAVAILABLE, true),
+    properties(ErrorKind::Configuration, StatusCode::INTERNAL_SERVER_ERROR, false),
 ];
 
 impl ErrorKind {
-    /// All kinds.
+    /// Returns all kinds.
     pub fn all() -> impl Iterator<Item = Self> {
-        ANSWERS.iter().map(|answer| answer.kind)
+        KINDS.iter().map(|properties| properties.kind)
     }
 
-    /// The status that answers it.
+    /// Returns the HTTP status of a response with this error.
     pub fn status(self) -> StatusCode {
-        let answer = ANSWERS.iter().find(|answer| answer.kind == self);
-        answer.map_or(StatusCode::INTERNAL_SERVER_ERROR, |answer| answer.status)
+        let properties = KINDS.iter().find(|properties| properties.kind == self);
+        properties.map_or(StatusCode::INTERNAL_SERVER_ERROR, |properties| properties.status)
     }
 
-    /// Whether the same request may succeed elsewhere or later.
+    /// Returns whether the same request may succeed at another process or later.
     pub fn is_retryable(self) -> bool {
-        ANSWERS.iter().any(|answer| answer.kind == self && answer.is_retryable)
+        KINDS.iter().any(|properties| properties.kind == self && properties.is_retryable)
     }
 }
 
-/// An error as it is told to another process or an operator.
+/// Error reported to another process or to an operator.
 ///
-/// Inside a process, parts have error types of their own; they are turned into this one at the edge.
+/// Components have their own error types, which are converted to this one at the process boundary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RpcError {
-    /// Its kind.
+    /// Kind of the error.
     pub kind: ErrorKind,
-    /// What is wrong, and where, for people.
+    /// Human-readable description of the error and its location.
     pub detail: String,
 }
 
 impl RpcError {
-    /// An error of a kind.
+    /// Creates an error.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self { kind, detail: detail.into() }
     }
 
-    /// A request that can't be read as JSON of its type.
+    /// Creates the error for a message that is not valid JSON of its type.
     pub fn malformed(error: &serde_json::Error) -> Self {
         Self::new(ErrorKind::Malformed, error.to_string())
     }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,7 +1,8 @@
-//! Calls between the processes of the system: HTTP/1.1 with JSON, settings, errors and logging.
+//! Remote procedure calls between the processes of the system over HTTP/1.1 with JSON, and the settings, errors and logging
+//! that all processes share.
 //!
-//! Each call is one request and one response, and every wait has an end. A call is never sent again here once a byte of it
-//! may have left. This crate carries calls; it never decides anything.
+//! A call is one request and one response with a timeout. The client never resends a call once a byte of it may have been sent.
+//! This crate transports calls and makes no decisions about their content.
 
 mod client;
 mod connection;
--- a/crates/rpc/src/logging.rs
+++ b/crates/rpc/src/logging.rs
@@ -1,12 +1,12 @@
-//! Log lines: the event in the words of the field, with structured fields, to standard error.
+//! Logging of events with structured fields to standard error.
 
 use tracing::Level;
 
-/// Starts logging for this process; with `verbose`, also details.
+/// Initializes logging for this process. `verbose` adds the debug level.
 ///
-/// A line names its level, the module, the event and its fields, as
-/// `INFO ivygate_registry::tasks: node lost node="proxy@10.0.0.9"`. It has no time of day, which may step: whoever collects
-/// the lines adds it.
+/// A line consists of level, module, event and fields, for example
+/// `INFO ivygate_registry::service::ticks: node lost node="proxy@10.0.0.9"`. It has no timestamp, because the wall clock may
+/// step; the log collector adds one.
 pub fn init_logging(verbose: bool) {
     let max_level = if verbose { Level::DEBUG } else { Level::INFO };
     let subscriber = tracing_subscriber::fmt()
@@ -15,6 +15,6 @@
         .with_ansi(false)
         .without_time()
         .finish();
-    // A second start in one process, as tests make, keeps the first.
+    // Tests may initialize logging several times in one process; the first subscriber stays in place.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
--- a/crates/rpc/src/program.rs
+++ b/crates/rpc/src/program.rs
@@ -1,16 +1,16 @@
-//! How each program of the system starts: settings, one thread, and the error that ends it.
+//! Entry point shared by the programs of the system.
 
 use crate::error::{ErrorKind, RpcError};
 use crate::settings::BootstrapSettings;
 use std::future::Future;
 
-/// The exit code for settings that can't be acted on.
+/// Exit code for invalid settings.
 const EXIT_BAD_SETTINGS: i32 = 2;
 
-/// Reads the settings and runs a program by them on one thread. Settings that can't be acted on end the process with 2.
+/// Loads the settings and runs a program on a single-threaded runtime. Invalid settings end the process with exit code 2.
 ///
 /// # Errors
-/// What the program ended with.
+/// Returns the error of the program, or an error if the runtime cannot be created.
 pub fn run_program<F: Future<Output = Result<(), RpcError>>>(
     program: impl FnOnce(BootstrapSettings) -> F,
 ) -> miette::Result<()> {
--- a/crates/rpc/src/route_matcher.rs
+++ b/crates/rpc/src/route_matcher.rs
@@ -1,8 +1,8 @@
-//! Which endpoint a method and a path stand for.
+//! Matching of a request's method and path to an endpoint.
 
 use crate::error::{ErrorKind, RpcError};
 
-/// One node of a tree of routes.
+/// Node in a tree of routes.
 ///
 /// ```
 /// use ivygate_rpc::RouteMatcher::{self, Endpoint, Parameter, Segment};
@@ -12,36 +12,36 @@
 /// assert_eq!((found.endpoint, found.parameters), (1, vec!["zone-a"]));
 /// ```
 pub enum RouteMatcher<E> {
-    /// This segment, and what may follow it.
+    /// Literal path segment, with the nodes that may follow it.
     Segment(&'static str, Vec<RouteMatcher<E>>),
-    /// Any segment, which becomes a parameter, and what may follow it.
+    /// Arbitrary path segment, captured as a parameter, with the nodes that may follow it.
     Parameter(Vec<RouteMatcher<E>>),
-    /// The end of the path, with this method.
+    /// End of the path for a method.
     Endpoint(&'static str, E),
 }
 
-/// An endpoint that was found.
+/// Endpoint that matches a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RouteMatch<'a, E> {
-    /// The endpoint.
+    /// Matching endpoint.
     pub endpoint: E,
-    /// The path's parameters, in order.
+    /// Parameters captured from the path, in order.
     pub parameters: Vec<&'a str>,
 }
 
-/// A search in progress.
+/// State of a search.
 struct Search<'a, 'm> {
     method: &'m str,
     parameters: Vec<&'a str>,
-    /// Whether the path was found, with another method.
+    /// Whether the path was found with another method.
     found_other_method: bool,
 }
 
 impl<E: Copy> RouteMatcher<E> {
-    /// Finds an endpoint among the roots of a tree.
+    /// Finds the endpoint for a method and path among the root nodes of a tree.
     ///
     /// # Errors
-    /// `NotFound` where no path fits, `MethodNotAllowed` where only the method does not.
+    /// Returns `NotFound` if no path matches, or `MethodNotAllowed` if the path matches only with other methods.
     pub fn find<'a>(roots: &[Self], method: &str, path: &'a str) -> Result<RouteMatch<'a, E>, RpcError> {
         let path = path.strip_prefix('/').unwrap_or(path);
         let segments: Vec<&str> = if path.is_empty() { Vec::new() } else { path.split('/').collect() };
@@ -50,9 +50,12 @@
             return Ok(RouteMatch { endpoint, parameters: search.parameters });
         }
         if search.found_other_method {
-            return Err(RpcError::new(ErrorKind::MethodNotAllowed, format!("{method} is not for /{path}")));
+            return Err(RpcError::new(
+                ErrorKind::MethodNotAllowed,
+                format!("method {method} is not allowed for /{path}"),
+            ));
         }
-        Err(RpcError::new(ErrorKind::NotFound, format!("there is no /{path}")))
+        Err(RpcError::new(ErrorKind::NotFound, format!("no endpoint at /{path}")))
     }
 
     fn descend<'a>(nodes: &[Self], segments: &[&'a str], search: &mut Search<'a, '_>) -> Option<E> {
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that is called: one listener, each request read completely within bounds, one response in JSON.
+//! RPC server: reads each request completely within limits and responds in JSON.
 
 use crate::client::CALL_ID;
 use crate::error::{ErrorKind, RpcError};
@@ -16,50 +16,50 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Largest body of a request: a configuration of tens of thousands of tenants.
+/// Maximum size of a message body in bytes, sufficient for a configuration with tens of thousands of tenants.
 pub const MAX_BODY_BYTES: usize = 32 << 20;
-/// Most connections of one listener.
+/// Maximum number of connections per listener.
 const MAX_CONNECTIONS: usize = 1500;
-/// A request has this many times the time that one of a client has, to come in completely.
+/// Factor by which the time to receive a complete request exceeds the one for client requests.
 const REQUEST_TIMEOUT_FACTOR: u32 = 4;
 
-/// A request that has come in completely.
+/// Completely received request.
 pub struct RpcRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: String,
-    /// Its path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Its query, empty if there is none.
+    /// Query string; empty if there is none.
     pub query: String,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
-    /// Who sent it.
+    /// Address of the sender.
     pub peer: SocketAddr,
 }
 
 impl RpcRequest {
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
-    /// `Malformed`, with the place.
+    /// Returns `Malformed` with the position of the error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, RpcError> {
         serde_json::from_slice(&self.body).map_err(|error| RpcError::malformed(&error))
     }
 }
 
-/// The response to a request: a status and a body, JSON unless it is empty.
+/// Response to a request. The body is JSON unless it is empty.
 #[derive(Debug)]
 pub struct RpcResponse {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// What responds to requests.
+/// Function that handles requests.
 pub type Handler = Rc<dyn Fn(RpcRequest) -> Pin<Box<dyn Future<Output = RpcResponse>>>>;
 
-/// The response for a result: the value, or the error with its status.
+/// Creates the response for a result: the value as JSON, or the error with its status.
 pub fn json_response<T: Serialize>(result: Result<T, RpcError>) -> RpcResponse {
     let (status, body) = match &result {
         Ok(value) => (StatusCode::OK, serde_json::to_vec(value)),
@@ -67,12 +67,12 @@
     };
     match body {
         Ok(body) => RpcResponse { status, body },
-        // Only a map whose keys are no text can't be written; none is made here.
+        // Serialization fails only for maps with non-string keys, which no message contains.
         Err(_) => RpcResponse { status: StatusCode::INTERNAL_SERVER_ERROR, body: Vec::new() },
     }
 }
 
-/// How long a request has to come in completely.
+/// Returns the time allowed to receive a complete request.
 fn request_timeout() -> Duration {
     WHOLE_REQUEST.saturating_mul(REQUEST_TIMEOUT_FACTOR)
 }
@@ -89,19 +89,22 @@
         let (head, body) = request.into_parts();
         let time_left = request_timeout().saturating_sub(begun.elapsed());
         let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-            Err(_) => {
-                json_response::<()>(Err(RpcError::new(ErrorKind::Timeout, "the body did not come in time")))
-            }
+            Err(_) => json_response::<()>(Err(RpcError::new(
+                ErrorKind::Timeout,
+                "the request body was not received in time",
+            ))),
             Ok(Err(error)) => match error.downcast::<hyper::Error>() {
                 Ok(error) => return Err(*error),
-                Err(_) => {
-                    json_response::<()>(Err(RpcError::new(ErrorKind::TooLarge, "the body is too large")))
-                }
+                Err(_) => json_response::<()>(Err(RpcError::new(
+                    ErrorKind::TooLarge,
+                    "the request body is too large",
+                ))),
             },
             Ok(Ok(body)) => {
                 turn.open();
-                // The request may have waited while this process was paused or a link was cut, and may have been given to
-                // another since. The connection is looked at once more: where the caller has left, this future is dropped.
+                // The request may have waited while this process was paused or the network was partitioned, and the caller may
+                // have sent it to another process since. Yielding lets the connection be polled again, which drops this future
+                // if the caller has closed it.
                 tokio::task::yield_now().await;
                 let request = RpcRequest {
                     method: head.method.as_str().to_owned(),
@@ -123,23 +126,23 @@
     }
 }
 
-/// A listener at work.
+/// Running RPC server.
 pub struct RpcServer {
     clients: Rc<Clients<RpcFront>>,
     accepting: tokio::task::JoinHandle<()>,
 }
 
 impl RpcServer {
-    /// Takes no more connections, and waits until the requests under way are answered.
+    /// Stops accepting connections and waits until the requests in progress are answered.
     pub async fn shut_down(self) {
         self.clients.wind_up(self.accepting).await;
     }
 }
 
-/// Answers requests at an address from now on.
+/// Starts a server for requests at an address.
 ///
 /// # Errors
-/// If the address can't be listened on.
+/// Returns `Configuration` if the process cannot listen on the address.
 pub fn serve(address: SocketAddr, handler: Handler) -> Result<RpcServer, RpcError> {
     let listener = listen(address).map_err(|error| {
         RpcError::new(ErrorKind::Configuration, format!("cannot listen on {address}: {error}"))
--- a/crates/rpc/src/settings.rs
+++ b/crates/rpc/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that a process of the system is started with. All errors in it are named at once.
+//! Settings file with which a process of the system is started. All validation errors are reported together.
 
 use crate::error::{ErrorKind, RpcError};
 use serde::Deserialize;
@@ -7,58 +7,58 @@
 use std::path::PathBuf;
 use validator::{Validate, ValidationError};
 
-/// The variable that names the settings file.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "IVYGATE_CONFIG";
 
-/// The settings of one process. Times are seconds.
+/// Settings of one process. Times are in seconds.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct BootstrapSettings {
-    /// The machine's name.
+    /// Host name of the machine.
     #[validate(length(min = 1, max = 200))]
     pub hostname: String,
-    /// The machine's own address.
+    /// Address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// Zone of the machine.
     #[validate(length(min = 1, max = 200))]
     pub az: String,
-    /// Its region.
+    /// Region of the machine.
     pub region: String,
-    /// The region of each zone.
+    /// Region by zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where this process serves the outside.
+    /// Addresses that serve clients and operators.
     #[serde(default)]
     pub listen: ListenAddresses,
-    /// First and last port for calls between nodes.
+    /// First and last port for calls between nodes. At least three ports are required, one for each program.
     #[validate(custom(function = "has_three_ports"))]
     pub port_range: (u16, u16),
-    /// Addresses at which operators call, of some machines.
+    /// Operator endpoints of some machines, used to join the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the system is started for the first time.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether this machine is one of those of which only a few may fail at once.
+    /// Whether this machine belongs to the group of which only a few may fail at once.
     #[serde(default)]
     pub voting: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// Where it may keep files.
+    /// Directory for persistent files.
     pub datadir: Option<PathBuf>,
-    /// How much may fail at once.
+    /// Number of simultaneous failures to tolerate.
     #[serde(default)]
     pub survive: FailureTolerance,
-    /// Figures of the rules, as `name=value`.
+    /// Bounds of the operating rules, as `name=value`.
     #[serde(default)]
     pub bounds: Vec<RuleBound>,
-    /// The platform's list of servers.
+    /// Access to the platform's server list.
     #[validate(nested)]
     pub cloud: Option<ServerListSettings>,
 }
 
-/// One figure of the rules, as `name=value`.
+/// Bound of an operating rule, as `name=value`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "String")]
 pub struct RuleBound {
@@ -70,36 +70,39 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
-        let (name, value) = text.split_once('=').ok_or_else(|| format!("bound '{text}' lacks '='"))?;
+        let (name, value) =
+            text.split_once('=').ok_or_else(|| format!("bound '{text}' is not of the form name=value"))?;
         let value = match value.trim() {
             "true" => 1.0,
             "false" => 0.0,
-            figure => figure.parse().map_err(|_| format!("bound '{name}': '{figure}' is no figure"))?,
+            number => number
+                .parse()
+                .map_err(|_| format!("bound '{name}': '{number}' is not a number, true or false"))?,
         };
         Ok(Self { name: name.trim().to_owned(), value })
     }
 }
 
-/// Addresses for what a process serves.
+/// Addresses on which a process listens for calls from outside the system.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct ListenAddresses {
-    /// Clients' requests.
+    /// Address for client requests.
     pub http: Option<SocketAddr>,
-    /// Whether it is ready.
+    /// Address of the readiness endpoint.
     pub readyz: Option<SocketAddr>,
-    /// Operators' calls.
+    /// Address for operator calls.
     pub ctl: Option<SocketAddr>,
-    /// Clients that ask where to go.
+    /// Address of the proxy directory for clients.
     pub dir: Option<SocketAddr>,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ResourceLimits {
-    /// Memory in MB.
+    /// Memory in megabytes.
     pub mem_mb: u64,
-    /// Descriptors.
+    /// Number of file descriptors.
     pub nofile: u64,
 }
 
@@ -109,41 +112,41 @@
     }
 }
 
-/// How many failures at once every rule survives.
+/// Number of simultaneous failures under which every operating rule still holds.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct FailureTolerance {
-    /// Machines.
+    /// Failed machines.
     pub nodes: u32,
-    /// Zones.
+    /// Failed zones.
     pub zones: u32,
-    /// Regions.
+    /// Failed regions.
     pub regions: u32,
 }
 
-/// How the platform's list of servers is read.
+/// Settings for reading the platform's server list.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct ServerListSettings {
-    /// Its address.
+    /// Address of the list service.
     pub address: SocketAddr,
-    /// Calls a second that it takes, of all nodes together.
+    /// Rate of calls per second that it accepts from all nodes together.
     #[validate(range(min = 0.1, max = 100_000.0))]
     pub rate_per_s: f64,
-    /// How far it runs behind, in seconds.
+    /// Maximum delay with which the list reflects changes, in seconds.
     #[serde(default)]
     #[validate(range(min = 0.0, max = 600.0))]
     pub max_lag_s: f64,
 }
 
-/// Ports of the three programs on a machine.
+/// Ports of the three programs on a machine for calls between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServicePorts {
-    /// The proxy.
+    /// Port of the proxy.
     pub proxy: u16,
-    /// The registry.
+    /// Port of the registry.
     pub registry: u16,
-    /// The store.
+    /// Port of the configuration store.
     pub store: u16,
 }
 
@@ -155,43 +158,46 @@
 }
 
 impl BootstrapSettings {
-    /// Reads the file that the environment names.
+    /// Loads the settings from the file given by the environment.
     ///
     /// # Errors
-    /// With the file's name, and each error with its field.
+    /// Returns `Configuration` with the path of the file, and every validation error with its field.
     pub fn load() -> Result<Self, RpcError> {
         let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| {
-            RpcError::new(ErrorKind::Configuration, format!("{SETTINGS_VARIABLE} names no settings file"))
+            RpcError::new(
+                ErrorKind::Configuration,
+                format!("{SETTINGS_VARIABLE} must contain the path of the settings file"),
+            )
         })?;
         let text = std::fs::read_to_string(&path)
-            .map_err(|e| RpcError::new(ErrorKind::Configuration, format!("{path}: {e}")))?;
+            .map_err(|error| RpcError::new(ErrorKind::Configuration, format!("{path}: {error}")))?;
         Self::parse(&text)
             .map_err(|error| RpcError::new(ErrorKind::Configuration, format!("{path}: {}", error.detail)))
     }
 
-    /// Reads settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
-    /// With each error and its field.
+    /// Returns `Configuration` with every validation error and its field.
     pub fn parse(text: &str) -> Result<Self, RpcError> {
-        let invalid = |what: String| RpcError::new(ErrorKind::Configuration, what);
+        let invalid = |detail: String| RpcError::new(ErrorKind::Configuration, detail);
         let settings: Self = serde_json::from_str(text).map_err(|error| invalid(error.to_string()))?;
         settings.validate().map_err(|error| invalid(error.to_string().replace('\n', "; ")))?;
         Ok(settings)
     }
 
-    /// A figure of the rules, or the default where it is not given.
+    /// Returns a bound of an operating rule, or `default` if it is not set.
     pub fn bound(&self, name: &str, default: f64) -> f64 {
         self.bounds.iter().find(|bound| bound.name == name).map_or(default, |bound| bound.value)
     }
 
-    /// The ports by which the programs on any machine are called by others of the system.
+    /// Returns the ports of the programs for calls between nodes, which are the same on every machine.
     pub fn ports(&self) -> ServicePorts {
         let first = self.port_range.0;
         ServicePorts { proxy: first, registry: first + 1, store: first + 2 }
     }
 
-    /// The machines that the seeds name, in order, once each.
+    /// Returns the machines of the seed addresses in order, without duplicates.
     pub fn seed_machines(&self) -> Vec<Ipv4Addr> {
         let mut machines: Vec<Ipv4Addr> = Vec::new();
         for seed in &self.seeds {
@@ -204,7 +210,7 @@
         machines
     }
 
-    /// The region of a zone; the zone's own name where it is not told.
+    /// Returns the region of a zone, or the name of the zone itself if its region is not configured.
     pub fn region_of<'a>(&'a self, zone: &'a str) -> &'a str {
         self.zones.get(zone).map_or(zone, String::as_str)
     }
--- a/crates/rpc/tests/error_answers.rs
+++ b/crates/rpc/tests/error_answers.rs
@@ -1,8 +1,8 @@
-//! Every kind of error: its word, the status and body that answer it, and whether the call may do better later.
+//! Wire name, status, response body and retryability of every error kind.
 
 use ivygate_rpc::{json_response, ErrorKind, RpcError};
 
-/// The kind, its word, its status, and whether the same call may do better elsewhere or later.
+/// Every kind with its wire name, its status, and whether it is retryable.
 const KINDS: [(ErrorKind, &str, u16, bool); 13] = [
     (ErrorKind::Malformed, "malformed", 400, false),
     (ErrorKind::Invalid, "invalid", 400, false),
@@ -20,27 +20,29 @@
 ];
 
 #[test]
-fn answers_of_errors_keep_status_and_body() {
-    for (kind, word, status, passing) in KINDS {
-        let answer = json_response::<()>(Err(RpcError::new(kind, "why \"this\"")));
-        assert_eq!(answer.status.as_u16(), status, "{word}");
-        let body = format!(r#"{{"kind":"{word}","detail":"why \"this\""}}"#);
-        assert_eq!(String::from_utf8(answer.body).expect("it is text"), body);
-        assert_eq!(kind.is_retryable(), passing, "{word}");
-        let read: RpcError = serde_json::from_str(&body).expect("it is understood");
-        assert_eq!((read.kind, read.detail.as_str()), (kind, "why \"this\""));
+fn error_responses_keep_status_and_body() {
+    for (kind, name, status, is_retryable) in KINDS {
+        let response = json_response::<()>(Err(RpcError::new(kind, "why \"this\"")));
+        assert_eq!(response.status.as_u16(), status, "{name}");
+        let body = format!(r#"{{"kind":"{name}","detail":"why \"this\""}}"#);
+        assert_eq!(String::from_utf8(response.body).expect("body is UTF-8"), body);
+        assert_eq!(kind.is_retryable(), is_retryable, "{name}");
+        let parsed: RpcError = serde_json::from_str(&body).expect("error parses");
+        assert_eq!((parsed.kind, parsed.detail.as_str()), (kind, "why \"this\""));
     }
 }
 
 #[test]
-fn answers_without_an_error_are_their_value() {
-    let answer = json_response(Ok(17_u64));
-    assert_eq!((answer.status.as_u16(), answer.body.as_slice()), (200, &b"17"[..]));
+fn success_responses_contain_the_value() {
+    let response = json_response(Ok(17_u64));
+    assert_eq!((response.status.as_u16(), response.body.as_slice()), (200, &b"17"[..]));
     assert_eq!(json_response(Ok(())).body, b"null");
 }
 
 #[test]
-fn an_answer_that_says_that_nothing_came_into_force_is_never_given_for_what_may_pass_later() {
+fn retryable_errors_and_only_those_have_a_status_above_500() {
+    // A 4xx status tells the caller that the request has had and will have no effect, so no error that a retry may resolve has
+    // one.
     for kind in ErrorKind::all() {
         let status = kind.status().as_u16();
         assert_eq!(kind.is_retryable(), status > 500, "{kind:?}");
--- a/crates/rpc/tests/route_matcher.rs
+++ b/crates/rpc/tests/route_matcher.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a method and a path stand for.
+//! Matching of a request's method and path to an endpoint.
 
 use ivygate_rpc::RouteMatcher::{Endpoint, Parameter, Segment};
 use ivygate_rpc::{ErrorKind, RouteMatch, RouteMatcher};
--- a/crates/rpc/tests/settings.rs
+++ b/crates/rpc/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what is read, and that all errors in it are named at once.
+//! Settings file: parsed values and reporting of all errors together.
 
 use ivygate_rpc::{BootstrapSettings, ServicePorts};
 
@@ -8,7 +8,7 @@
 
 #[test]
 fn reads_settings_and_ignores_unknown_fields() {
-    let settings = BootstrapSettings::parse(VALID).expect("it is valid");
+    let settings = BootstrapSettings::parse(VALID).expect("settings are valid");
     assert_eq!(
         (settings.bound("drainS", 9.0), settings.bound("strictRevoke", 1.0), settings.bound("else", 7.0)),
         (4.0, 0.0, 7.0)
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn names_every_error_at_once() {
+fn reports_all_errors_together() {
     let invalid = VALID.replace("7755", "7741").replace("\"edge-1\"", "\"\"").replace("54.0", "0");
-    let error = BootstrapSettings::parse(&invalid).expect_err("it is not valid");
+    let error = BootstrapSettings::parse(&invalid).expect_err("settings are invalid");
     for field in ["port_range", "hostname", "rate_per_s"] {
         assert!(error.detail.contains(field), "{field}: {}", error.detail);
     }
