--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -52,13 +52,13 @@
     /// Address for client requests; `None` if it serves no clients.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub http: Option<SocketAddr>,
-    /// Whether it is ready to serve.
+    /// `true` if it is ready to serve.
     #[serde(default)]
     pub ready: bool,
-    /// Whether it is shutting down.
+    /// `true` if it is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// Whether its watchers have declared it lost.
+    /// `true` if its watchers have declared it lost.
     #[serde(default)]
     pub lost: bool,
 }
--- a/crates/cluster/tests/model.rs
+++ b/crates/cluster/tests/model.rs
@@ -29,8 +29,9 @@
     incarnation: u64,
     items: Items,
     contact: QuorumContact,
-    /// Whether it reaches the store, and whether the pulling process reaches it.
+    /// `true` while it reaches the store.
     has_store_contact: bool,
+    /// `true` while the pulling process reaches it.
     is_reachable: bool,
 }
 
--- a/crates/proxy/src/routing_snapshot.rs
+++ b/crates/proxy/src/routing_snapshot.rs
@@ -41,7 +41,7 @@
     /// Routes by host, the longest prefix first.
     routes: HashMap<String, Vec<Rc<ResolvedRoute>>>,
     tenants_by_key: HashMap<String, Rc<ResolvedTenant>>,
-    /// Whether any tenants are configured.
+    /// `true` if any tenants are configured.
     pub has_tenants: bool,
     /// Configuration of this version.
     pub config: Config,
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -43,9 +43,9 @@
     report: &'a UsageReport,
     /// Upper bound on the number of proxies.
     proxies: f64,
-    /// Whether an unconfirmed proxy may still use shares from an earlier allocator.
+    /// `true` if an unconfirmed proxy may still use shares from an earlier allocator.
     has_inherited_shares: bool,
-    /// Whether the reporting proxy's lease had expired.
+    /// `true` if the reporting proxy's lease had expired.
     had_expired: bool,
     /// Share that known proxies without a report may be using together.
     unreported_share: f64,
@@ -61,7 +61,7 @@
     /// Proxies that may hold shares from an earlier allocator and have not confirmed a grant from this one; `None` before the
     /// first report.
     unconfirmed: Option<BTreeSet<String>>,
-    /// Whether there may be proxies that this allocator does not know yet.
+    /// `true` while there may be proxies that this allocator does not know yet.
     is_discovering: bool,
     /// Time of the last reported demand for each tenant at any proxy.
     last_demand: BTreeMap<String, Timestamp>,
@@ -151,7 +151,6 @@
         Some(self.allocate(&allocation, rate))
     }
 
-    /// Drops the records of proxies that left the cluster long ago, and has all sums recomputed if the set of records changes.
     /// Drops the records of proxies that left the cluster long ago, and has all sums recomputed if the set of records changes.
     fn forget_old_proxies(
         &mut self,
@@ -259,7 +258,6 @@
         proxy.is_confirmed
     }
 
-    /// Computes and records the grant for a report.
     /// Computes and records the grant for a report.
     fn allocate(&mut self, allocation: &Allocation, rate: impl Fn(&str) -> f64) -> QuotaGrant {
         let default_share = self.default_share(allocation);
--- a/crates/quota/src/proxy_record.rs
+++ b/crates/quota/src/proxy_record.rs
@@ -92,8 +92,8 @@
     pub grant_number: u64,
     /// Shares from an earlier allocator, if it may hold any.
     pub inherited: Option<InheritedShares>,
-    /// Whether it has confirmed a grant from this allocator. Before that, its reports may be delayed ones from an incarnation
-    /// that has ended.
+    /// `true` once it has confirmed a grant from this allocator. Before that, its reports may be delayed ones from an
+    /// incarnation that has ended.
     pub is_confirmed: bool,
     /// Share of every tenant without its own record.
     pub default: ShareRecord,
--- a/crates/registry/src/request_forwarding.rs
+++ b/crates/registry/src/request_forwarding.rs
@@ -43,7 +43,7 @@
 pub struct PeerStore {
     /// Address of the store.
     pub address: SocketAddr,
-    /// Whether it is in the region of this machine.
+    /// `true` if it is in the region of this machine.
     pub is_same_region: bool,
     /// Time of the last request from this machine to which its machine responded.
     pub last_response_at: Option<Timestamp>,
--- a/crates/registry/src/server_list.rs
+++ b/crates/registry/src/server_list.rs
@@ -62,7 +62,7 @@
     epoch: u64,
     /// Time of the start or of the last received page.
     last_step_at: Timestamp,
-    /// Whether no step has exceeded [`MAX_STEP_TIME`].
+    /// `true` while no step has exceeded [`MAX_STEP_TIME`].
     is_fresh: bool,
     /// Last change of the replica at the start of the fetch. Later changes may be newer than the fetched rows.
     change_at_start: u64,
@@ -110,7 +110,7 @@
     pub zone: String,
     /// Number of requests that it handles concurrently.
     pub capacity: f64,
-    /// Whether the server is draining.
+    /// `true` if the server is draining.
     pub draining: bool,
     /// Duration of its slow start in seconds, from when it was first listed; 0 after the slow start.
     #[serde(rename = "cold_s")]
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -42,7 +42,7 @@
 /// Response whose body is still to be read, with the connection it arrives on.
 struct Exchange {
     connection: Connection,
-    /// Whether the connection has carried an earlier call.
+    /// `true` if the connection has carried an earlier call.
     is_reused: bool,
     response: Response<Incoming>,
 }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -49,7 +49,7 @@
 struct KindProperties {
     kind: ErrorKind,
     status: StatusCode,
-    /// Whether the same request may succeed at another process or later.
+    /// `true` if the same request may succeed at another process or later.
     is_retryable: bool,
 }
 
--- a/crates/rpc/src/route_matcher.rs
+++ b/crates/rpc/src/route_matcher.rs
@@ -33,7 +33,7 @@
 struct Search<'a, 'm> {
     method: &'m str,
     parameters: Vec<&'a str>,
-    /// Whether the path was found with another method.
+    /// `true` if the path was found with another method.
     found_other_method: bool,
 }
 
--- a/crates/rpc/src/settings.rs
+++ b/crates/rpc/src/settings.rs
@@ -36,10 +36,10 @@
     /// Operator endpoints of some machines, used to join the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the system is started for the first time.
+    /// `true` if the system is started for the first time.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether this machine belongs to the group of which only a few may fail at once.
+    /// `true` if this machine belongs to the group of which only a few may fail at once.
     #[serde(default)]
     pub voting: bool,
     /// Resource limits of the process.
