--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -18,20 +18,20 @@
 /// Memory budget of request bodies, which counts the bytes of all bodies held.
 #[derive(Clone, Default)]
 pub(crate) struct BodyBudget {
-    held: Rc<Cell<usize>>,
+    used_bytes: Rc<Cell<usize>>,
 }
 
 /// Body that counts toward the budget until it is dropped.
 pub(crate) struct HeldBody {
     /// Content of the body.
     pub bytes: Bytes,
-    held: Rc<Cell<usize>>,
+    used_bytes: Rc<Cell<usize>>,
     size: usize,
 }
 
 impl Drop for HeldBody {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - self.size);
+        self.used_bytes.set(self.used_bytes.get() - self.size);
     }
 }
 
@@ -39,12 +39,17 @@
     /// Counts a body toward the budget.
     fn hold(&self, bytes: Bytes) -> HeldBody {
         let size = bytes.len();
-        self.held.set(self.held.get() + size);
-        HeldBody { bytes, held: self.held.clone(), size }
+        self.used_bytes.set(self.used_bytes.get() + size);
+        HeldBody { bytes, used_bytes: self.used_bytes.clone(), size }
     }
 
     /// Reads a body completely, so that a request with a truncated body never reaches a server.
-    pub async fn read(&self, body: Incoming, max_bytes: u64, begun: Instant) -> Result<HeldBody, Rejection> {
+    pub async fn read(
+        &self,
+        body: Incoming,
+        max_bytes: u64,
+        started_at: Instant,
+    ) -> Result<HeldBody, Rejection> {
         if body.is_end_stream() {
             return Ok(self.hold(Bytes::new()));
         }
@@ -53,12 +58,12 @@
         if min_bytes > max_bytes {
             return Err(too_large());
         }
-        let max_bytes = (max_bytes as usize).min(MAX_HELD_BYTES.saturating_sub(self.held.get()));
+        let max_bytes = (max_bytes as usize).min(MAX_HELD_BYTES.saturating_sub(self.used_bytes.get()));
         if min_bytes as usize > max_bytes {
             return Err(Rejection::unavailable("too many bodies are held", RETRY_SOON_MS));
         }
-        let time_left = BODY_TIMEOUT.saturating_sub(begun.elapsed());
-        match timeout(time_left, Limited::new(body, max_bytes).collect()).await {
+        let remaining_time = BODY_TIMEOUT.saturating_sub(started_at.elapsed());
+        match timeout(remaining_time, Limited::new(body, max_bytes).collect()).await {
             Err(_) => Err(Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
             Ok(Ok(body)) => Ok(self.hold(body.to_bytes())),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -89,12 +89,12 @@
     async fn handle(
         &self,
         request: Request<Incoming>,
-        begun: Instant,
+        started_at: Instant,
         on_complete: impl FnOnce(),
     ) -> Result<Response<Full<Bytes>>, Rejection> {
         let now = self.proxy.now();
         let (parts, body) = request.into_parts();
-        let body = self.bodies.read(body, self.proxy.max_body_bytes(), begun).await?;
+        let body = self.bodies.read(body, self.proxy.max_body_bytes(), started_at).await?;
         on_complete();
         let snapshot = self.proxy.snapshot();
         let request = ParsedRequest::parse(&snapshot, &parts)?;
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -21,7 +21,7 @@
 /// Name of the only plan of a pool. Quotas are enforced per tenant over all services, not per plan.
 pub(crate) const PLAN: &str = "all";
 /// Maximum size of a server's response, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Cost of the distance to another zone of the region, in milliseconds.
 const OTHER_ZONE_COST_MS: Millis = 15.0;
 /// Cost of the distance to another region, in milliseconds.
@@ -180,7 +180,7 @@
         };
         let seal = Seal {
             echo: server_protocol::ATTEMPT_ID,
-            most: MAX_ANSWER_BYTES,
+            most: MAX_RESPONSE_BYTES,
             judge: server_protocol::outcome_of,
         };
         let driver = Driver::new(gateway, self.clock, Upstream::new(limits, Reading::Sealed(seal)));
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -235,18 +235,18 @@
     /// Records a report and returns whether the proxy's current incarnation is confirmed. `may_inherit` tells that the reported
     /// shares may come from an earlier allocator.
     fn record_report(&mut self, now: Timestamp, from: &str, report: &UsageReport, may_inherit: bool) -> bool {
-        let known = self.proxies.get(from);
-        if known.is_none_or(|proxy| proxy.incarnation != report.incarnation) {
+        let known_record = self.proxies.get(from);
+        if known_record.is_none_or(|proxy| proxy.incarnation != report.incarnation) {
             // The previous incarnation has ended and its shares are free, or the reported shares come from an earlier
             // allocator.
             let inherited =
-                known.filter(|proxy| proxy.is_confirmed).and_then(|proxy| proxy.inherited.clone());
+                known_record.filter(|proxy| proxy.is_confirmed).and_then(|proxy| proxy.inherited.clone());
             let inherited = inherited.or_else(|| may_inherit.then(|| InheritedShares::from_report(report)));
             let reported = |usage: &crate::TenantUsage| ShareRecord::reported(usage.share);
             let record = ProxyRecord {
                 incarnation: report.incarnation,
                 inherited,
-                is_confirmed: known.is_some(),
+                is_confirmed: known_record.is_some(),
                 default: ShareRecord::reported(report.default_share),
                 tenants: report.tenants.iter().map(|(name, usage)| (name.clone(), reported(usage))).collect(),
                 ..ProxyRecord::default()
@@ -282,8 +282,9 @@
     /// Returns the share of idle tenants. The default shares of all proxies may not exceed the total either.
     fn default_share(&self, allocation: &Allocation) -> f64 {
         let others = self.proxies.iter().filter(|(name, _)| *name != allocation.from);
-        let others: f64 = others.map(|(_, proxy)| proxy.default.max_in_use()).sum();
-        (MAX_TOTAL_SHARE * IDLE_TENANT_RATIO / allocation.proxies).min((MAX_TOTAL_SHARE - others).max(0.0))
+        let other_shares: f64 = others.map(|(_, proxy)| proxy.default.max_in_use()).sum();
+        (MAX_TOTAL_SHARE * IDLE_TENANT_RATIO / allocation.proxies)
+            .min((MAX_TOTAL_SHARE - other_shares).max(0.0))
     }
 
     /// Records which tenants have demand, and drops the sums of tenants that became idle or are due for recomputation.
@@ -311,20 +312,21 @@
         let own = self.own_record(allocation.from, tenant);
         let demand_ratio = if sum.demand > 0.0 { own.demand / sum.demand } else { 1.0 / allocation.proxies };
         let even = EVEN_SPLIT_RATIO / allocation.proxies;
-        let wanted = MAX_TOTAL_SHARE * (even + (1.0 - EVEN_SPLIT_RATIO) * demand_ratio);
-        let others = (sum.in_use - own.max_in_use()).max(0.0);
-        let unknown = if allocation.has_inherited_shares {
+        let target_share = MAX_TOTAL_SHARE * (even + (1.0 - EVEN_SPLIT_RATIO) * demand_ratio);
+        let other_shares = (sum.in_use - own.max_in_use()).max(0.0);
+        let unknown_share = if allocation.has_inherited_shares {
             (MAX_TOTAL_SHARE - sum.inherited).max(0.0)
         } else {
             allocation.unreported_share
         };
         // No other proxy uses the shares that this one holds from an earlier allocator.
-        let kept = if allocation.has_inherited_shares && !allocation.had_expired {
-            own.granted.min(allocation.report.share(tenant)).min(MAX_TOTAL_SHARE - others)
+        let retained_share = if allocation.has_inherited_shares && !allocation.had_expired {
+            own.granted.min(allocation.report.share(tenant)).min(MAX_TOTAL_SHARE - other_shares)
         } else {
             0.0
         };
-        let share = wanted.min((MAX_TOTAL_SHARE - others - unknown).max(kept).max(0.0));
+        let share =
+            target_share.min((MAX_TOTAL_SHARE - other_shares - unknown_share).max(retained_share).max(0.0));
         let demand_percent = 100.0 * sum.demand / rate.max(1e-9);
         TenantGrant {
             share: (share * SHARE_STEPS).floor() / SHARE_STEPS,
@@ -394,8 +396,8 @@
         proxy.grant_number = self.last_grant;
         let mut tenants = BTreeMap::new();
         for (name, grant) in grants {
-            let known = proxy.share(name).clone();
-            let mut record = ShareRecord { granted: grant.share, previous: known.max_in_use(), ..known };
+            let current = proxy.share(name).clone();
+            let mut record = ShareRecord { granted: grant.share, previous: current.max_in_use(), ..current };
             if let (Some(sum), Some(counted)) = (self.sums.get_mut(name), record.counted) {
                 sum.in_use += record.max_in_use() - counted.in_use;
                 record.counted = Some(CountedUsage { in_use: record.max_in_use(), ..counted });
@@ -405,8 +407,8 @@
         // A tenant that is no longer listed falls back to the default share.
         let is_any_dropped = proxy.tenants.keys().any(|name| !tenants.contains_key(name));
         let previous = if is_any_dropped {
-            let most = proxy.tenants.values().map(ShareRecord::max_in_use);
-            most.fold(proxy.default.max_in_use(), f64::max)
+            let max_shares = proxy.tenants.values().map(ShareRecord::max_in_use);
+            max_shares.fold(proxy.default.max_in_use(), f64::max)
         } else {
             proxy.default.max_in_use()
         };
--- a/crates/quota/src/proxy_record.rs
+++ b/crates/quota/src/proxy_record.rs
@@ -155,11 +155,11 @@
     /// `contact_at` is the last time at which the absence of a later allocator was confirmed. A lease that expired after that
     /// may have been renewed by a later allocator, so it counts as valid.
     pub fn in_use(&self, contact_at: Timestamp, tenant: &str) -> f64 {
-        let most = self.share(tenant).max_in_use();
+        let max_share = self.share(tenant).max_in_use();
         if self.is_expired(contact_at) {
-            most * EXPIRED_LEASE_RATIO
+            max_share * EXPIRED_LEASE_RATIO
         } else {
-            most
+            max_share
         }
     }
 }
--- a/crates/registry/src/cli/diff.rs
+++ b/crates/registry/src/cli/diff.rs
@@ -12,7 +12,7 @@
 }
 
 fn change(items: &Items, item: &Item) -> String {
-    let current = items.get(item.key.table, &item.key.name).map(|held| held.version);
+    let current = items.get(item.key.table, &item.key.name).map(|current| current.version);
     match (check_version(items, item), current, item.body.is_some()) {
         (VersionCheck::Newer, None, true) => "new".to_owned(),
         (VersionCheck::Newer, None, false) => "removes an item that does not exist".to_owned(),
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -50,12 +50,12 @@
         let (newer, version) = match items.get(Table::Nodes, &entry.key.name) {
             // Other replicas may still hold the purged version, so the node must move above it.
             None if purged_version >= entry.version => (None, purged_version),
-            Some(known) if known.version > entry.version => (None, known.version),
-            Some(known) if known.version == entry.version && known.body == entry.body => {
-                (None, known.version)
+            Some(current) if current.version > entry.version => (None, current.version),
+            Some(current) if current.version == entry.version && current.body == entry.body => {
+                (None, current.version)
             }
             // Another incarnation of the node used this version for different content, so the node must move above it.
-            Some(known) if known.version == entry.version => (None, known.version + 1),
+            Some(current) if current.version == entry.version => (None, current.version + 1),
             _ => {
                 let version = entry.version;
                 (Some(entry), version)
--- a/crates/registry/src/server_list.rs
+++ b/crates/registry/src/server_list.rs
@@ -132,14 +132,14 @@
 
 impl ServerRow {
     /// Converts the row to a server record. The countdown of a slow start does not change the record with every fetch.
-    pub fn to_record(&self, known: Option<&ServerRecord>) -> ServerRecord {
+    pub fn to_record(&self, previous: Option<&ServerRecord>) -> ServerRecord {
         ServerRecord {
             backend: self.backend.clone(),
             address: self.address,
             zone: self.az.clone(),
             capacity: self.capacity,
             draining: self.state != READY_STATE,
-            slow_start_s: self.slow_start_s(known.map_or(0.0, |known| known.slow_start_s)),
+            slow_start_s: self.slow_start_s(previous.map_or(0.0, |previous| previous.slow_start_s)),
         }
     }
 
--- a/crates/registry/src/service/anti_entropy.rs
+++ b/crates/registry/src/service/anti_entropy.rs
@@ -18,49 +18,49 @@
     pub async fn compare_replicas(self: Rc<Self>) {
         loop {
             sleep(COMPARE_INTERVAL.mul_f64(0.8 + 0.4 * fastrand::f64())).await;
-            if let Some(other) = fastrand::choice(self.other_registries()) {
-                self.compare_with(other).await;
+            if let Some(peer) = fastrand::choice(self.other_registries()) {
+                self.compare_with(peer).await;
             }
         }
     }
 
-    async fn compare_with(&self, other: Ipv4Addr) {
+    async fn compare_with(&self, peer: Ipv4Addr) {
         let digest = Some(self.replica.items().digest(Tables::SOFT));
         let sent_at = self.now();
         let request = AntiEntropyRequest { items: Vec::new(), digest };
-        let Ok(received) = self.exchange(other, &request).await else { return };
-        self.record_response(other, sent_at);
+        let Ok(received) = self.exchange(peer, &request).await else { return };
+        self.record_response(peer, sent_at);
         if received.is_empty() {
             return;
         }
         let missing = self.missing_from(&received);
         self.merge_received(received);
-        self.send_items(other, missing).await;
+        self.send_items(peer, missing).await;
     }
 
     /// Sends items to another registry. Items that do not arrive are found missing at the next comparison.
-    pub async fn send_items(&self, other: Ipv4Addr, items: Vec<Arc<Item>>) {
+    pub async fn send_items(&self, peer: Ipv4Addr, items: Vec<Arc<Item>>) {
         let request = AntiEntropyRequest { items, digest: None };
-        if let Err(error) = self.exchange(other, &request).await {
-            tracing::debug!(peer = %other, %error, "items not sent");
+        if let Err(error) = self.exchange(peer, &request).await {
+            tracing::debug!(%peer, %error, "items not sent");
         }
     }
 
     async fn exchange(
         &self,
-        other: Ipv4Addr,
+        peer: Ipv4Addr,
         request: &AntiEntropyRequest,
     ) -> Result<Vec<Arc<Item>>, RpcError> {
-        self.client.post(self.registry_at(other), ANTI_ENTROPY_PATH, request, PEER_TIMEOUT).await
+        self.client.post(self.registry_at(peer), ANTI_ENTROPY_PATH, request, PEER_TIMEOUT).await
     }
 
     /// Returns the items of this replica that are missing from another one, which holds `items`.
     fn missing_from(&self, items: &[Arc<Item>]) -> Vec<Arc<Item>> {
-        let mut other = Items::default();
+        let mut peer_items = Items::default();
         for item in items {
-            other.merge_shared(item.clone());
+            peer_items.merge_shared(item.clone());
         }
-        self.replica.items().missing_from(&other, Tables::SOFT)
+        self.replica.items().missing_from(&peer_items, Tables::SOFT)
     }
 
     /// Merges soft state received from another registry. If it holds an outdated version of an item purged here, the last
--- a/crates/registry/src/service/node.rs
+++ b/crates/registry/src/service/node.rs
@@ -109,10 +109,10 @@
         if items.is_empty() {
             return;
         }
-        for other in self.other_registries() {
+        for peer in self.other_registries() {
             let (node, items) = (self.clone(), items.clone());
             // Items that do not arrive are found missing by anti-entropy.
-            tokio::task::spawn_local(async move { node.send_items(other, items).await });
+            tokio::task::spawn_local(async move { node.send_items(peer, items).await });
         }
     }
 }
--- a/crates/registry/src/service/quota.rs
+++ b/crates/registry/src/service/quota.rs
@@ -46,10 +46,17 @@
         // During discovery it is not known which proxies hold shares from an earlier epoch.
         let is_discovering = epoch > FIRST_EPOCH && now < Timestamp::from_millis(DISCOVERY_PERIOD_MS);
         allocator.set_discovering(is_discovering);
-        let known = Node::all(&items, Role::Proxy).iter().map(|node| (node.name(), !node.lost)).collect();
+        let known_proxies =
+            Node::all(&items, Role::Proxy).iter().map(|node| (node.name(), !node.lost)).collect();
         let rate = |tenant: &str| tenant_rate(&items, tenant);
-        let grant =
-            allocator.handle_report(now, contact_age_ms, &request.from, &request.report, &known, rate);
+        let grant = allocator.handle_report(
+            now,
+            contact_age_ms,
+            &request.from,
+            &request.report,
+            &known_proxies,
+            rate,
+        );
         grant.ok_or_else(not_ready)
     }
 }
