--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,7 +1,7 @@
-//! How the processes of the system know each other: replication of control state to every node, the choice of whom to pull
-//! from, heartbeats, and the hash ring of watchers.
+//! Cluster communication shared by the three programs: replication of control state to every node, selection of the parent to
+//! pull from, heartbeat targets, and the hash ring that assigns watchers to nodes.
 //!
-//! Called by the three programs. It carries control state and never decides what it means.
+//! This crate transports control state and does not interpret it.
 
 mod contact;
 mod heartbeats;
@@ -11,10 +11,10 @@
 mod replication;
 mod ring;
 
-pub use contact::{age_when_read_ms, CoreContact};
+pub use contact::{contact_age_on_receipt_ms, QuorumContact};
 pub use heartbeats::HeartbeatTargets;
-pub use membership::core_members;
+pub use membership::store_members;
 pub use node::{Node, Proximity, Role};
 pub use parent_selector::{Parent, ParentSelector};
-pub use replication::{follow, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
+pub use replication::{run_replication, PullRequest, PullResponse, PullSource, StateReplica, PULL_PATH};
 pub use ring::{ring_position, watchers};
--- a/crates/registry/src/service/ticks.rs
+++ b/crates/registry/src/service/ticks.rs
@@ -1,7 +1,7 @@
-//! The registry's periodic tick: lost nodes, the coordinator role, removal of soft state.
+//! Periodic tick of the registry: lost nodes, the coordinator role, and the removal of soft state.
 
 use super::node::RegistryNode;
-use ivygate_cluster::core_members;
+use ivygate_cluster::store_members;
 use ivygate_control_state::Table;
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl RegistryNode {
-    /// Ticks until the registry is shutting down: others turn to other watchers then, so what it does not hear is no sign, and
-    /// no role is its any more.
+    /// Ticks until the registry shuts down. From then on nodes send their heartbeats to other watchers, so missing ones do not
+    /// count, and the registry must not acquire the role.
     pub async fn tick(self: Rc<Self>) {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -27,20 +27,20 @@
         }
     }
 
-    /// Declares nodes lost, and purges what was removed long ago.
+    /// Declares nodes lost and purges items that were removed long ago.
     fn update_soft_state(self: &Rc<Self>) {
         let now = self.now();
-        let (lost, purgeable) = {
+        let (lost, purgeable_keys) = {
             let items = self.replica.items();
             let mut registry = self.registry.borrow_mut();
-            (registry.tick(now, self.replica.contact_age_ms(), &items), registry.purgeable(now, &items))
+            (registry.tick(now, self.replica.contact_age_ms(), &items), registry.purgeable_keys(now, &items))
         };
         for item in &lost {
             tracing::info!(node = item.key.name, "node lost");
         }
         self.publish(lost);
-        if !purgeable.is_empty() {
-            self.replica.purge(&purgeable);
+        if !purgeable_keys.is_empty() {
+            self.replica.purge(&purgeable_keys);
         }
     }
 
@@ -48,7 +48,7 @@
         let now = self.now();
         let should_acquire = {
             let items = self.replica.items();
-            self.registry.borrow_mut().should_acquire_role(now, &items, &core_members(&items))
+            self.registry.borrow_mut().should_acquire_role(now, &items, &store_members(&items))
         };
         if should_acquire {
             tokio::task::spawn_local(self.clone().acquire_role(now));
