--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// Largest file that is read.
-pub const FILE_MOST: u64 = 16 << 20;
+pub const MAX_FILE_BYTES: u64 = 16 << 20;
 /// How often a file that changes while it is read is read anew.
 const TRIES: usize = 3;
 
@@ -47,14 +47,18 @@
     let fail = |why: String| Unreadable { name: path.display().to_string(), why };
     if path == Path::new("-") {
         let mut bytes = Vec::new();
-        io::stdin().lock().take(FILE_MOST + 1).read_to_end(&mut bytes).map_err(|e| fail(e.to_string()))?;
-        return if bytes.len() as u64 > FILE_MOST { Err(fail(too_large())) } else { Ok(bytes) };
+        io::stdin()
+            .lock()
+            .take(MAX_FILE_BYTES + 1)
+            .read_to_end(&mut bytes)
+            .map_err(|e| fail(e.to_string()))?;
+        return if bytes.len() as u64 > MAX_FILE_BYTES { Err(fail(too_large())) } else { Ok(bytes) };
     }
     plain(path).map_err(fail)
 }
 
 fn too_large() -> String {
-    format!("it has more than {} MiB", FILE_MOST >> 20)
+    format!("it has more than {} MiB", MAX_FILE_BYTES >> 20)
 }
 
 fn plain(path: &Path) -> Result<Vec<u8>, String> {
@@ -64,11 +68,11 @@
         if !before.is_file() {
             return Err("it is no plain file".to_owned());
         }
-        if before.len() > FILE_MOST {
+        if before.len() > MAX_FILE_BYTES {
             return Err(too_large());
         }
         let mut bytes = Vec::with_capacity(before.len() as usize);
-        (&file).take(FILE_MOST + 1).read_to_end(&mut bytes).map_err(|error| error.to_string())?;
+        (&file).take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|error| error.to_string())?;
         let after = file.metadata().map_err(|error| error.to_string())?;
         // One that is being written in place would else be taken in half: it may parse all the same.
         if same(&before, &after) && bytes.len() as u64 == after.len() {
--- a/crates/files/tests/disk.rs
+++ b/crates/files/tests/disk.rs
@@ -121,7 +121,7 @@
 fn a_file_beyond_the_bound_is_not_read() {
     let folder = Folder::new(&[("main.conf", "include large;")]);
     let large = fs::File::create(folder.0.join("large")).unwrap();
-    large.set_len(ivygate_files::FILE_MOST + 1).unwrap();
+    large.set_len(ivygate_files::MAX_FILE_BYTES + 1).unwrap();
     assert!(folder.found()[0].contains("more than 16 MiB"), "{:?}", folder.found());
 }
 
