--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -15,26 +15,26 @@
 
 /// Why a file cannot be read.
 #[derive(Debug)]
-pub struct Unreadable {
+pub struct ReadError {
     /// Its name.
     pub name: String,
     /// Why, in words.
     pub why: String,
 }
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "cannot read {}: {}", self.name, self.why)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for ReadError {}
 
 /// Reads and checks a configuration with all that it includes; `-` is standard input.
 ///
 /// # Errors
 /// If the first file cannot be read; what is wrong with others is a finding at their include.
-pub fn load(path: &Path) -> Result<Loaded, Unreadable> {
+pub fn load(path: &Path) -> Result<Loaded, ReadError> {
     let bytes = read(path)?;
     Ok(load_with(&path.display().to_string(), &bytes, &Disk))
 }
@@ -43,8 +43,8 @@
 ///
 /// # Errors
 /// If it cannot be read, is no plain file, is too large, or does not stay the same while it is read.
-pub fn read(path: &Path) -> Result<Vec<u8>, Unreadable> {
-    let fail = |why: String| Unreadable { name: path.display().to_string(), why };
+pub fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
+    let fail = |why: String| ReadError { name: path.display().to_string(), why };
     if path == Path::new("-") {
         let mut bytes = Vec::new();
         io::stdin()
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -6,7 +6,7 @@
 use crate::site::Site;
 use crate::talk::{keys, Talk};
 use ivygate_config::{Listener, Model, Severity};
-use ivygate_files::Unreadable;
+use ivygate_files::ReadError;
 use ivygate_journal::JournalError;
 use ivygate_runtime::{listen, millis, ClientLimits, Clients, Clock};
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub enum StartError {
     /// The configuration's file can't be read.
-    Unreadable(Unreadable),
+    Unreadable(ReadError),
     /// A file can't be written.
     Unwritable(String, std::io::Error),
     /// It can't be used; the report says where and why.
