--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -19,12 +19,12 @@
     /// Its name.
     pub path: String,
     /// Why, in words.
-    pub why: String,
+    pub reason: String,
 }
 
 impl std::fmt::Display for ReadError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "cannot read {}: {}", self.path, self.why)
+        write!(f, "cannot read {}: {}", self.path, self.reason)
     }
 }
 
@@ -44,7 +44,7 @@
 /// # Errors
 /// If it cannot be read, is no plain file, is too large, or does not stay the same while it is read.
 pub fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
-    let fail = |why: String| ReadError { path: path.display().to_string(), why };
+    let fail = |why: String| ReadError { path: path.display().to_string(), reason: why };
     if path == Path::new("-") {
         let mut bytes = Vec::new();
         io::stdin()
