--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -36,7 +36,7 @@
 /// If the first file cannot be read; what is wrong with others is a finding at their include.
 pub fn load(path: &Path) -> Result<Loaded, ReadError> {
     let bytes = read(path)?;
-    Ok(load_with(&path.display().to_string(), &bytes, &Disk))
+    Ok(load_with(&path.display().to_string(), &bytes, &DiskLoader))
 }
 
 /// One file's bytes; `-` is standard input.
@@ -101,9 +101,9 @@
 }
 
 /// The files of this machine.
-pub struct Disk;
+pub struct DiskLoader;
 
-impl Loader for Disk {
+impl Loader for DiskLoader {
     fn find(&self, from: &str, pattern: &str) -> Result<Vec<String>, String> {
         let base = Path::new(from).parent().unwrap_or(Path::new(""));
         let path = base.join(pattern);
