--- a/crates/peer-gossip/src/lib.rs
+++ b/crates/peer-gossip/src/lib.rs
@@ -8,4 +8,4 @@
 mod packet;
 
 pub use members::{Dropped, Group, Member};
-pub use packet::{Key, KeyError, PACKET_MOST};
+pub use packet::{Key, KeyError, MAX_PACKET_BYTES};
--- a/crates/peer-gossip/src/packet.rs
+++ b/crates/peer-gossip/src/packet.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 
 /// Longest packet: it passes any network in one piece.
-pub const PACKET_MOST: usize = 1_200;
+pub const MAX_PACKET_BYTES: usize = 1_200;
 const MAGIC: &[u8; 4] = b"IVG1";
 const HEAD: usize = 4 + 8 + 8 + 8 + 1;
 const CODE: usize = 16;
@@ -59,7 +59,7 @@
 
 /// Writes a packet; words that find no room are left out, the last first.
 pub(crate) fn seal(packet: &Packet, key: &Key) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(PACKET_MOST);
+    let mut bytes = Vec::with_capacity(MAX_PACKET_BYTES);
     bytes.extend(MAGIC);
     for number in [packet.sender, packet.number, packet.sent_at] {
         bytes.extend(number.to_be_bytes());
@@ -68,7 +68,7 @@
     bytes.push(0);
     let mut count: u8 = 0;
     for (pool, tally) in &packet.words {
-        let room = PACKET_MOST - CODE - bytes.len();
+        let room = MAX_PACKET_BYTES - CODE - bytes.len();
         let (Ok(pool_length), Ok(zone_length)) = (u8::try_from(pool.len()), u8::try_from(tally.zone.len()))
         else {
             continue;
@@ -92,7 +92,7 @@
 
 /// Reads a packet that one of the keys vouches for.
 pub(crate) fn open(bytes: &[u8], keys: &[Key]) -> Result<Packet, Unreadable> {
-    if bytes.len() < HEAD + CODE || bytes.len() > PACKET_MOST || !bytes.starts_with(MAGIC) {
+    if bytes.len() < HEAD + CODE || bytes.len() > MAX_PACKET_BYTES || !bytes.starts_with(MAGIC) {
         return Err(Unreadable::Malformed);
     }
     let (said, code) = bytes.split_at(bytes.len() - CODE);
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -1,7 +1,7 @@
 //! Packets that are forged, replayed, broken, late, or too many.
 
 use ivygate_failure_domains::Tally;
-use ivygate_peer_gossip::{Dropped, Group, Key, PACKET_MOST};
+use ivygate_peer_gossip::{Dropped, Group, Key, MAX_PACKET_BYTES};
 
 fn key(text: &str) -> Key {
     Key::new(text.as_bytes()).expect("long enough")
@@ -54,7 +54,7 @@
 fn no_packet_is_too_long_and_each_changed_bit_is_seen() {
     let mut a = group(1, &[OLD]);
     let long = a.seal(1.0, words(500)).expect("a key");
-    assert!(long.len() <= PACKET_MOST);
+    assert!(long.len() <= MAX_PACKET_BYTES);
     let (_, told) = group(2, &[OLD]).handle_packet(1.0, &long).expect("sound");
     assert!(told.len() > 40 && told[..] == words(500)[..told.len()]);
     let packet = a.seal(1.0, words(2)).expect("a key");
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -3,7 +3,7 @@
 use crate::front::Shared;
 use ivygate_config as config;
 use ivygate_failure_domains::Tally;
-use ivygate_peer_gossip::{Group, Key, PACKET_MOST};
+use ivygate_peer_gossip::{Group, Key, MAX_PACKET_BYTES};
 use ivygate_runtime::Clock;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -66,7 +66,7 @@
     pub async fn run(self: Rc<Self>, shared: Rc<Shared>) {
         let mut look = tokio::time::interval(LOOK);
         look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut packet = [0; PACKET_MOST + 1];
+        let mut packet = [0; MAX_PACKET_BYTES + 1];
         loop {
             tokio::select! {
                 _ = look.tick() => {}
