--- a/crates/peer-gossip/src/lib.rs
+++ b/crates/peer-gossip/src/lib.rs
@@ -7,5 +7,5 @@
 mod members;
 mod packet;
 
-pub use members::{Dropped, Group, Member};
+pub use members::{DropReason, Group, Member};
 pub use packet::{Key, KeyError, MAX_PACKET_BYTES};
--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -16,7 +16,7 @@
 
 /// Why a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// It is none.
     Malformed,
     /// No key vouches for it.
@@ -33,16 +33,16 @@
     Crowd,
 }
 
-impl Dropped {
+impl DropReason {
     /// All reasons, with their names.
-    pub const ALL: [(Dropped, &'static str); 7] = [
-        (Dropped::Malformed, "malformed"),
-        (Dropped::Forged, "forged"),
-        (Dropped::Own, "own"),
-        (Dropped::Old, "old"),
-        (Dropped::Replayed, "replayed"),
-        (Dropped::Flood, "flood"),
-        (Dropped::Crowd, "crowd"),
+    pub const ALL: [(DropReason, &'static str); 7] = [
+        (DropReason::Malformed, "malformed"),
+        (DropReason::Forged, "forged"),
+        (DropReason::Own, "own"),
+        (DropReason::Old, "old"),
+        (DropReason::Replayed, "replayed"),
+        (DropReason::Flood, "flood"),
+        (DropReason::Crowd, "crowd"),
     ];
 }
 
@@ -69,13 +69,13 @@
     number: u64,
     keys: Vec<Key>,
     members: HashMap<u64, Heard>,
-    dropped: [u64; Dropped::ALL.len()],
+    dropped: [u64; DropReason::ALL.len()],
 }
 
 impl Group {
     /// One that has heard nobody. `own` is drawn at random; the first key is written with, all are believed.
     pub fn new(own: u64, keys: Vec<Key>) -> Self {
-        Self { own, number: 0, keys, members: HashMap::new(), dropped: [0; Dropped::ALL.len()] }
+        Self { own, number: 0, keys, members: HashMap::new(), dropped: [0; DropReason::ALL.len()] }
     }
 
     /// Other keys, as while they are being changed.
@@ -94,7 +94,11 @@
     ///
     /// # Errors
     /// Says why it is dropped, and counts that.
-    pub fn handle_packet(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), Dropped> {
+    pub fn handle_packet(
+        &mut self,
+        now: f64,
+        bytes: &[u8],
+    ) -> Result<(u64, Vec<(String, Tally)>), DropReason> {
         let taken = self.take(now, bytes);
         if let Err(dropped) = taken {
             self.dropped[dropped as usize] += 1;
@@ -102,37 +106,37 @@
         taken
     }
 
-    fn take(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), Dropped> {
+    fn take(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), DropReason> {
         let packet = open(bytes, &self.keys).map_err(|unreadable| match unreadable {
-            Unreadable::Malformed => Dropped::Malformed,
-            Unreadable::Forged => Dropped::Forged,
+            Unreadable::Malformed => DropReason::Malformed,
+            Unreadable::Forged => DropReason::Forged,
         })?;
         if packet.sender == self.own {
-            return Err(Dropped::Own);
+            return Err(DropReason::Own);
         }
         if (now - packet.sent_at as f64).abs() > APART {
-            return Err(Dropped::Old);
+            return Err(DropReason::Old);
         }
         if !self.members.contains_key(&packet.sender) {
             if self.members.len() >= MEMBERS {
                 self.members.retain(|_, heard| heard.member.heard_at > now - FORGOTTEN);
             }
             if self.members.len() >= MEMBERS {
-                return Err(Dropped::Crowd);
+                return Err(DropReason::Crowd);
             }
         }
         let member = Member { name: packet.sender, heard_at: now, packets: 0 };
         let new = || Heard { member, number: 0, store: BURST };
         let heard = self.members.entry(packet.sender).or_insert_with(new);
         if packet.number <= heard.number {
-            return Err(Dropped::Replayed);
+            return Err(DropReason::Replayed);
         }
         let gone = (now - heard.member.heard_at).max(0.0);
         heard.store = (heard.store + gone * RATE / 1000.0).min(BURST);
         heard.member.heard_at = now;
         heard.number = packet.number;
         if heard.store < 1.0 {
-            return Err(Dropped::Flood);
+            return Err(DropReason::Flood);
         }
         heard.store -= 1.0;
         heard.member.packets += 1;
@@ -149,6 +153,6 @@
 
     /// How many packets were dropped, by reason.
     pub fn dropped(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        Dropped::ALL.iter().map(|(reason, name)| (*name, self.dropped[*reason as usize]))
+        DropReason::ALL.iter().map(|(reason, name)| (*name, self.dropped[*reason as usize]))
     }
 }
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -1,7 +1,7 @@
 //! Packets that are forged, replayed, broken, late, or too many.
 
 use ivygate_failure_domains::Tally;
-use ivygate_peer_gossip::{Dropped, Group, Key, MAX_PACKET_BYTES};
+use ivygate_peer_gossip::{DropReason, Group, Key, MAX_PACKET_BYTES};
 
 fn key(text: &str) -> Key {
     Key::new(text.as_bytes()).expect("long enough")
@@ -25,11 +25,11 @@
     let (mut a, mut b) = (group(1, &[OLD]), group(2, &[OLD]));
     let packet = a.seal(5_000.0, words(2)).expect("a key");
     assert_eq!(b.handle_packet(5_001.0, &packet), Ok((1, words(2))));
-    assert_eq!(b.handle_packet(5_002.0, &packet), Err(Dropped::Replayed));
-    assert_eq!(a.handle_packet(5_002.0, &packet), Err(Dropped::Own));
-    assert_eq!(group(3, &[NEW]).handle_packet(5_001.0, &packet), Err(Dropped::Forged));
-    assert_eq!(group(3, &[]).handle_packet(5_001.0, &packet), Err(Dropped::Forged));
-    assert_eq!(group(3, &[OLD]).handle_packet(86_405_000.0, &packet), Err(Dropped::Old), "yesterday's");
+    assert_eq!(b.handle_packet(5_002.0, &packet), Err(DropReason::Replayed));
+    assert_eq!(a.handle_packet(5_002.0, &packet), Err(DropReason::Own));
+    assert_eq!(group(3, &[NEW]).handle_packet(5_001.0, &packet), Err(DropReason::Forged));
+    assert_eq!(group(3, &[]).handle_packet(5_001.0, &packet), Err(DropReason::Forged));
+    assert_eq!(group(3, &[OLD]).handle_packet(86_405_000.0, &packet), Err(DropReason::Old), "yesterday's");
     assert!(group(3, &[OLD]).handle_packet(9_000.0, &packet).is_ok(), "clocks may stand some seconds apart");
     assert_eq!(b.members(5_002.0).iter().map(|m| (m.name, m.packets)).collect::<Vec<_>>(), [(1, 1)]);
     assert!(b.members(60_000.0).is_empty());
@@ -47,7 +47,7 @@
     new.set_keys(vec![key(NEW)]);
     let packet = both.seal(1.0, words(1)).expect("a key");
     assert!(new.handle_packet(1.0, &packet).is_ok());
-    assert_eq!(old.handle_packet(1.0, &packet), Err(Dropped::Forged));
+    assert_eq!(old.handle_packet(1.0, &packet), Err(DropReason::Forged));
 }
 
 #[test]
@@ -86,6 +86,6 @@
     let mut say =
         |member: u64, now| b.handle_packet(now, &group(member, &[OLD]).seal(now, words(1)).expect("a key"));
     assert!((10..1_010).filter(|member| say(*member, 1.0).is_ok()).count() == 512);
-    assert_eq!(say(5_000, 2.0), Err(Dropped::Crowd));
+    assert_eq!(say(5_000, 2.0), Err(DropReason::Crowd));
     assert!(say(5_000, 20_000.0).is_ok(), "those of old are forgotten");
 }
