--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -24,7 +24,7 @@
     /// It is this process's own, as a peer's address may be.
     Own,
     /// It was sent too long ago, or by a clock that stands apart.
-    Old,
+    Stale,
     /// Its number was heard before, or a later one.
     Replayed,
     /// The member says more than it may.
@@ -39,7 +39,7 @@
         (DropReason::Malformed, "malformed"),
         (DropReason::Forged, "forged"),
         (DropReason::Own, "own"),
-        (DropReason::Old, "old"),
+        (DropReason::Stale, "old"),
         (DropReason::Replayed, "replayed"),
         (DropReason::Flood, "flood"),
         (DropReason::Crowd, "crowd"),
@@ -115,7 +115,7 @@
             return Err(DropReason::Own);
         }
         if (now - packet.sent_at as f64).abs() > APART {
-            return Err(DropReason::Old);
+            return Err(DropReason::Stale);
         }
         if !self.members.contains_key(&packet.sender) {
             if self.members.len() >= MEMBERS {
