--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -28,7 +28,7 @@
     /// Its number was heard before, or a later one.
     Replayed,
     /// The member says more than it may.
-    Flood,
+    RateLimited,
     /// There are as many members as may be.
     Crowd,
 }
@@ -41,7 +41,7 @@
         (DropReason::Own, "own"),
         (DropReason::Stale, "old"),
         (DropReason::Replayed, "replayed"),
-        (DropReason::Flood, "flood"),
+        (DropReason::RateLimited, "flood"),
         (DropReason::Crowd, "crowd"),
     ];
 }
@@ -136,7 +136,7 @@
         heard.member.heard_at = now;
         heard.number = packet.number;
         if heard.store < 1.0 {
-            return Err(DropReason::Flood);
+            return Err(DropReason::RateLimited);
         }
         heard.store -= 1.0;
         heard.member.packets += 1;
