--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -30,7 +30,7 @@
     /// The member says more than it may.
     RateLimited,
     /// There are as many members as may be.
-    Crowd,
+    TooManyMembers,
 }
 
 impl DropReason {
@@ -42,7 +42,7 @@
         (DropReason::Stale, "old"),
         (DropReason::Replayed, "replayed"),
         (DropReason::RateLimited, "flood"),
-        (DropReason::Crowd, "crowd"),
+        (DropReason::TooManyMembers, "crowd"),
     ];
 }
 
@@ -122,7 +122,7 @@
                 self.members.retain(|_, heard| heard.member.heard_at > now - FORGOTTEN);
             }
             if self.members.len() >= MEMBERS {
-                return Err(DropReason::Crowd);
+                return Err(DropReason::TooManyMembers);
             }
         }
         let member = Member { name: packet.sender, heard_at: now, packets: 0 };
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -86,6 +86,6 @@
     let mut say =
         |member: u64, now| b.handle_packet(now, &group(member, &[OLD]).seal(now, words(1)).expect("a key"));
     assert!((10..1_010).filter(|member| say(*member, 1.0).is_ok()).count() == 512);
-    assert_eq!(say(5_000, 2.0), Err(DropReason::Crowd));
+    assert_eq!(say(5_000, 2.0), Err(DropReason::TooManyMembers));
     assert!(say(5_000, 20_000.0).is_ok(), "those of old are forgotten");
 }
