--- a/crates/peer-gossip/src/lib.rs
+++ b/crates/peer-gossip/src/lib.rs
@@ -7,5 +7,5 @@
 mod members;
 mod packet;
 
-pub use members::{DropReason, Group, Member};
+pub use members::{DropReason, Member, PeerGroup};
 pub use packet::{Key, KeyError, MAX_PACKET_BYTES};
--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -64,7 +64,7 @@
 }
 
 /// This process in its group. Times are Unix milliseconds.
-pub struct Group {
+pub struct PeerGroup {
     own: u64,
     number: u64,
     keys: Vec<Key>,
@@ -72,7 +72,7 @@
     dropped: [u64; DropReason::ALL.len()],
 }
 
-impl Group {
+impl PeerGroup {
     /// One that has heard nobody. `own` is drawn at random; the first key is written with, all are believed.
     pub fn new(own: u64, keys: Vec<Key>) -> Self {
         Self { own, number: 0, keys, members: HashMap::new(), dropped: [0; DropReason::ALL.len()] }
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -1,14 +1,14 @@
 //! Packets that are forged, replayed, broken, late, or too many.
 
 use ivygate_failure_domains::Tally;
-use ivygate_peer_gossip::{DropReason, Group, Key, MAX_PACKET_BYTES};
+use ivygate_peer_gossip::{DropReason, Key, PeerGroup, MAX_PACKET_BYTES};
 
 fn key(text: &str) -> Key {
     Key::new(text.as_bytes()).expect("long enough")
 }
 
-fn group(own: u64, keys: &[&str]) -> Group {
-    Group::new(own, keys.iter().map(|text| key(text)).collect())
+fn group(own: u64, keys: &[&str]) -> PeerGroup {
+    PeerGroup::new(own, keys.iter().map(|text| key(text)).collect())
 }
 
 const OLD: &str = "an old key that was long in use";
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -3,7 +3,7 @@
 use crate::front::Shared;
 use ivygate_config as config;
 use ivygate_failure_domains::Tally;
-use ivygate_peer_gossip::{Group, Key, MAX_PACKET_BYTES};
+use ivygate_peer_gossip::{Key, PeerGroup, MAX_PACKET_BYTES};
 use ivygate_runtime::Clock;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
 /// This process among those that tell each other.
 pub struct Talk {
     socket: UdpSocket,
-    group: RefCell<Group>,
+    group: RefCell<PeerGroup>,
     peers: RefCell<Vec<SocketAddr>>,
     /// Packets that could not be sent.
     unsent: Cell<u64>,
@@ -49,7 +49,7 @@
         socket.set_nonblocking(true)?;
         Ok(Rc::new(Self {
             socket: UdpSocket::from_std(socket)?,
-            group: RefCell::new(Group::new(fastrand::u64(..), keys)),
+            group: RefCell::new(PeerGroup::new(fastrand::u64(..), keys)),
             peers: RefCell::new(group.peers.clone()),
             unsent: Cell::new(0),
             clock,
