--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -84,7 +84,7 @@
     }
 
     /// A packet that tells this; `None` without a key.
-    pub fn seal(&mut self, now: f64, words: Vec<(String, Tally)>) -> Option<Vec<u8>> {
+    pub fn encode_packet(&mut self, now: f64, words: Vec<(String, Tally)>) -> Option<Vec<u8>> {
         self.number += 1;
         let packet = Packet { sender: self.own, number: self.number, sent_at: now.max(0.0) as u64, words };
         self.keys.first().map(|key| seal(&packet, key))
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -23,7 +23,7 @@
 #[test]
 fn what_is_told_is_heard_once_and_only_with_a_key() {
     let (mut a, mut b) = (group(1, &[OLD]), group(2, &[OLD]));
-    let packet = a.seal(5_000.0, words(2)).expect("a key");
+    let packet = a.encode_packet(5_000.0, words(2)).expect("a key");
     assert_eq!(b.handle_packet(5_001.0, &packet), Ok((1, words(2))));
     assert_eq!(b.handle_packet(5_002.0, &packet), Err(DropReason::Replayed));
     assert_eq!(a.handle_packet(5_002.0, &packet), Err(DropReason::Own));
@@ -41,11 +41,11 @@
 fn keys_can_be_changed_one_process_after_the_other() {
     let (mut old, mut both, mut new) = (group(1, &[OLD]), group(2, &[NEW, OLD]), group(3, &[OLD, NEW]));
     for (from, to) in [(&mut old, &mut both), (&mut new, &mut group(4, &[NEW, OLD]))] {
-        let packet = from.seal(1.0, words(1)).expect("a key");
+        let packet = from.encode_packet(1.0, words(1)).expect("a key");
         assert!(to.handle_packet(1.0, &packet).is_ok());
     }
     new.set_keys(vec![key(NEW)]);
-    let packet = both.seal(1.0, words(1)).expect("a key");
+    let packet = both.encode_packet(1.0, words(1)).expect("a key");
     assert!(new.handle_packet(1.0, &packet).is_ok());
     assert_eq!(old.handle_packet(1.0, &packet), Err(DropReason::Forged));
 }
@@ -53,11 +53,11 @@
 #[test]
 fn no_packet_is_too_long_and_each_changed_bit_is_seen() {
     let mut a = group(1, &[OLD]);
-    let long = a.seal(1.0, words(500)).expect("a key");
+    let long = a.encode_packet(1.0, words(500)).expect("a key");
     assert!(long.len() <= MAX_PACKET_BYTES);
     let (_, told) = group(2, &[OLD]).handle_packet(1.0, &long).expect("sound");
     assert!(told.len() > 40 && told[..] == words(500)[..told.len()]);
-    let packet = a.seal(1.0, words(2)).expect("a key");
+    let packet = a.encode_packet(1.0, words(2)).expect("a key");
     for bit in 0..8 * packet.len() {
         let mut changed = packet.clone();
         changed[bit / 8] ^= 1 << (bit % 8);
@@ -77,14 +77,15 @@
 #[test]
 fn one_member_cannot_flood_and_members_are_bounded() {
     let (mut loud, mut b) = (group(1, &[OLD]), group(2, &[OLD]));
-    let mut say = |now: f64| b.handle_packet(now, &loud.seal(now, words(1)).expect("a key")).is_ok();
+    let mut say = |now: f64| b.handle_packet(now, &loud.encode_packet(now, words(1)).expect("a key")).is_ok();
     let at_once = (0..1_000).filter(|_| say(1_000.0)).count();
     assert!((90..=110).contains(&at_once), "{at_once}");
     let in_a_second = (0..1_000).filter(|n| say(1_000.0 + f64::from(*n))).count();
     assert!((80..=120).contains(&in_a_second), "{in_a_second}");
     let mut b = group(2, &[OLD]);
-    let mut say =
-        |member: u64, now| b.handle_packet(now, &group(member, &[OLD]).seal(now, words(1)).expect("a key"));
+    let mut say = |member: u64, now| {
+        b.handle_packet(now, &group(member, &[OLD]).encode_packet(now, words(1)).expect("a key"))
+    };
     assert!((10..1_010).filter(|member| say(*member, 1.0).is_ok()).count() == 512);
     assert_eq!(say(5_000, 2.0), Err(DropReason::TooManyMembers));
     assert!(say(5_000, 20_000.0).is_ok(), "those of old are forgotten");
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -119,7 +119,9 @@
         if !due {
             return;
         }
-        let Some(packet) = self.group.borrow_mut().seal(self.clock.now().as_millis(), words) else { return };
+        let Some(packet) = self.group.borrow_mut().encode_packet(self.clock.now().as_millis(), words) else {
+            return;
+        };
         for peer in self.peers.borrow().iter() {
             // What one peer or the system does not take is told anew within a second.
             if self.socket.try_send_to(&packet, *peer).is_err() {
