--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -152,7 +152,7 @@
     }
 
     /// How many packets were dropped, by reason.
-    pub fn dropped(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    pub fn drop_counts(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         DropReason::ALL.iter().map(|(reason, name)| (*name, self.dropped[*reason as usize]))
     }
 }
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -141,7 +141,7 @@
             })
         };
         let mut told: Vec<Value> = group.members(now).iter().map(member).collect();
-        let dropped: BTreeMap<&str, u64> = group.dropped().collect();
+        let dropped: BTreeMap<&str, u64> = group.drop_counts().collect();
         told.push(
             json!({ "peers": self.peers.borrow().len(), "unsent": self.unsent.get(), "dropped": dropped }),
         );
