--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
     /// Its name: drawn anew at each start of a process.
-    pub name: u64,
+    pub id: u64,
     /// When it was last heard, on the caller's clock.
     pub heard_at: f64,
     /// Packets taken from it.
@@ -125,7 +125,7 @@
                 return Err(DropReason::TooManyMembers);
             }
         }
-        let member = Member { name: packet.sender, heard_at: now, packets: 0 };
+        let member = Member { id: packet.sender, heard_at: now, packets: 0 };
         let new = || Heard { member, number: 0, store: BURST };
         let heard = self.members.entry(packet.sender).or_insert_with(new);
         if packet.number <= heard.number {
@@ -147,7 +147,7 @@
     pub fn members(&self, now: f64) -> Vec<Member> {
         let late = self.members.values().map(|heard| heard.member);
         let mut late: Vec<Member> = late.filter(|member| member.heard_at > now - FORGOTTEN).collect();
-        late.sort_by(|a, b| b.heard_at.total_cmp(&a.heard_at).then(a.name.cmp(&b.name)));
+        late.sort_by(|a, b| b.heard_at.total_cmp(&a.heard_at).then(a.id.cmp(&b.id)));
         late
     }
 
--- a/crates/peer-gossip/tests/packets.rs
+++ b/crates/peer-gossip/tests/packets.rs
@@ -31,7 +31,7 @@
     assert_eq!(group(3, &[]).handle_packet(5_001.0, &packet), Err(DropReason::Forged));
     assert_eq!(group(3, &[OLD]).handle_packet(86_405_000.0, &packet), Err(DropReason::Stale), "yesterday's");
     assert!(group(3, &[OLD]).handle_packet(9_000.0, &packet).is_ok(), "clocks may stand some seconds apart");
-    assert_eq!(b.members(5_002.0).iter().map(|m| (m.name, m.packets)).collect::<Vec<_>>(), [(1, 1)]);
+    assert_eq!(b.members(5_002.0).iter().map(|m| (m.id, m.packets)).collect::<Vec<_>>(), [(1, 1)]);
     assert!(b.members(60_000.0).is_empty());
     assert_eq!(b.drop_counts().find(|(name, _)| *name == "replayed"), Some(("replayed", 1)));
     assert!(Key::new(b"  too short  ").is_err());
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -136,7 +136,7 @@
         let group = self.group.borrow();
         let member = |member: &ivygate_peer_gossip::Member| {
             json!({
-                "member": format!("{:016x}", member.name), "heard_ms_ago": (now - member.heard_at).round(),
+                "member": format!("{:016x}", member.id), "heard_ms_ago": (now - member.heard_at).round(),
                 "packets": member.packets,
             })
         };
