--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// If there are too many.
-pub fn regions(tables: &[&Table], mut visit: impl FnMut(Request)) -> Result<(), TooMany> {
+pub fn visit_equivalence_classes(tables: &[&Table], mut visit: impl FnMut(Request)) -> Result<(), TooMany> {
     let methods = methods(tables);
     let fresh = fresh(tables);
     let children: Vec<Vec<Vec<u32>>> = tables.iter().map(|t| t.children_of()).collect();
@@ -194,7 +194,7 @@
     /// Routes that no request reaches, and those that take what they claim.
     pub fn unreachable(&self) -> Vec<(usize, Vec<usize>)> {
         let mut reached = vec![false; self.claims().len()];
-        let all = regions(&[self], |request| {
+        let all = visit_equivalence_classes(&[self], |request| {
             if let Found::Route(number, _) = self.find(request.host, request.path, request.method) {
                 reached[number] = true;
             }
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -96,7 +96,7 @@
         let pair = |host: &str, path: &str, method: &str| {
             format!("{:?} {:?}", taken(&old, host, path, method), taken(&new, host, path, method))
         };
-        regions(&[&old, &new], |r| {
+        visit_equivalence_classes(&[&old, &new], |r| {
             pairs.insert(pair(r.host, r.path, r.method));
         })
         .unwrap();
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -4,7 +4,7 @@
     At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
     Statement,
 };
-use ivygate_routing::{regions, Found, Table, TooMany};
+use ivygate_routing::{visit_equivalence_classes, Found, Table, TooMany};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -215,7 +215,7 @@
         let (old_targets, new_targets) = (targets(old), targets(new));
         // For each pair of routes that differ, the shortest request, and how many regions.
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
-        regions(&[&before, &after], |request| {
+        visit_equivalence_classes(&[&before, &after], |request| {
             let number = |table: &Table| match table.find(request.host, request.path, request.method) {
                 Found::Route(number, _) => Some(number),
                 Found::OtherMethods(_) | Found::Nothing => None,
