--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -17,7 +17,7 @@
 
 /// A request that stands for its region.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'a> {
+pub struct SampleRequest<'a> {
     /// Its host.
     pub host: &'a str,
     /// Its path.
@@ -30,7 +30,10 @@
 ///
 /// # Errors
 /// If there are too many.
-pub fn visit_equivalence_classes(tables: &[&Table], mut visit: impl FnMut(Request)) -> Result<(), TooMany> {
+pub fn visit_equivalence_classes(
+    tables: &[&Table],
+    mut visit: impl FnMut(SampleRequest),
+) -> Result<(), TooMany> {
     let methods = methods(tables);
     let fresh = fresh(tables);
     let children: Vec<Vec<Vec<u32>>> = tables.iter().map(|t| t.children_of()).collect();
@@ -117,7 +120,7 @@
     left: usize,
 }
 
-impl<F: FnMut(Request)> Walk<'_, F> {
+impl<F: FnMut(SampleRequest)> Walk<'_, F> {
     fn below(
         &mut self,
         host: &str,
@@ -184,7 +187,7 @@
     fn show(&mut self, host: &str, path: &str) -> Result<(), TooMany> {
         for method in self.methods {
             self.left = self.left.checked_sub(1).ok_or(TooMany)?;
-            (self.visit)(Request { host, path, method });
+            (self.visit)(SampleRequest { host, path, method });
         }
         Ok(())
     }
