--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -8,7 +8,7 @@
 mod table;
 mod target;
 
-pub use regions::{visit_equivalence_classes, SampleRequest, TooMany};
+pub use regions::{visit_equivalence_classes, SampleRequest, TooManyClasses};
 pub use table::{
     BuildError, Claim, Conflict, Found, Host, Methods, Overlap, PathClaim, PatternError, Reason, Segment,
     Table,
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -13,7 +13,7 @@
 
 /// There are more regions than are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooMany;
+pub struct TooManyClasses;
 
 /// A request that stands for its region.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
 pub fn visit_equivalence_classes(
     tables: &[&Table],
     mut visit: impl FnMut(SampleRequest),
-) -> Result<(), TooMany> {
+) -> Result<(), TooManyClasses> {
     let methods = methods(tables);
     let fresh = fresh(tables);
     let children: Vec<Vec<Vec<u32>>> = tables.iter().map(|t| t.children_of()).collect();
@@ -127,7 +127,7 @@
         path: &mut String,
         active: Vec<At>,
         any_host: bool,
-    ) -> Result<(), TooMany> {
+    ) -> Result<(), TooManyClasses> {
         let length = path.len();
         if length > 0 {
             self.show(host, path)?;
@@ -184,9 +184,9 @@
         })
     }
 
-    fn show(&mut self, host: &str, path: &str) -> Result<(), TooMany> {
+    fn show(&mut self, host: &str, path: &str) -> Result<(), TooManyClasses> {
         for method in self.methods {
-            self.left = self.left.checked_sub(1).ok_or(TooMany)?;
+            self.left = self.left.checked_sub(1).ok_or(TooManyClasses)?;
             (self.visit)(SampleRequest { host, path, method });
         }
         Ok(())
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -4,7 +4,7 @@
     At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
     Statement,
 };
-use ivygate_routing::{visit_equivalence_classes, Found, Table, TooMany};
+use ivygate_routing::{visit_equivalence_classes, Found, Table, TooManyClasses};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If their routes have too many regions to be decided on.
-pub fn compare(old: &Loaded, new: &Loaded) -> Result<Vec<Difference>, TooMany> {
+pub fn compare(old: &Loaded, new: &Loaded) -> Result<Vec<Difference>, TooManyClasses> {
     let (Some(before), Some(after)) = (&old.model, &new.model) else { return Ok(Vec::new()) };
     let (old, new) = (Text::new(old), Text::new(new));
     let mut found = Comparison { old, new, all: Vec::new() };
@@ -198,7 +198,7 @@
         pairs
     }
 
-    fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooMany> {
+    fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooManyClasses> {
         let table = |model: &Model| Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         // Both were checked, so both build.
         let (Ok(before), Ok(after)) = (table(old), table(new)) else { return Ok(()) };
