--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Claim, Found, Host, Methods, PathClaim, Table};
+use ivygate_routing::{Claim, Found, Host, Methods, PathClaim, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -14,7 +14,7 @@
     for count in [10, 1_000, 100_000] {
         let claims = claims(count);
         let start = Instant::now();
-        let table = Table::build(claims).map_err(io::Error::other)?;
+        let table = RouteTable::build(claims).map_err(io::Error::other)?;
         let built = start.elapsed().as_secs_f64() * 1e3;
         let times = [3, 12].map(|parts| look_up(&table, count, parts));
         let memory = table.memory() as f64 / count as f64;
@@ -39,7 +39,7 @@
 }
 
 /// Nanoseconds of a look-up of paths with so many segments.
-fn look_up(table: &Table, count: usize, parts: usize) -> f64 {
+fn look_up(table: &RouteTable, count: usize, parts: usize) -> f64 {
     let mut rng = fastrand::Rng::with_seed(5);
     let asked: Vec<_> = (0..10_000)
         .map(|_| {
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -6,7 +6,7 @@
 use crate::fields::{head_span, says_meant, Fields};
 use crate::model::*;
 use crate::syntax::Statement;
-use ivygate_routing::{Methods, Table};
+use ivygate_routing::{Methods, RouteTable};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -73,7 +73,7 @@
 
 fn tables(fields: &Fields, model: &Model) {
     let claims = model.routes.iter().map(|r| r.claim.clone()).collect();
-    let table = match Table::build(claims) {
+    let table = match RouteTable::build(claims) {
         Ok(table) => table,
         Err(error) => {
             for conflict in error.conflicts {
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{Found, Methods, Reason, Table, Target};
+use ivygate_routing::{Found, Methods, Reason, RouteTable, Target};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
         Err(code) => return code,
     };
     let Some(model) = &loaded.model else { return ExitCode::from(MISUSED) };
-    let Ok(table) = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
+    let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
         return ExitCode::from(MISUSED);
     };
     let place = |route: &Route| loaded.sources.place(route.at.0).to_string();
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -5,7 +5,7 @@
 //! request for each reachable set of nodes, with each of the named segments, one that no claim names, and an
 //! empty one behind it, stands for all. Nothing is sampled: two tables are equal if they agree on these.
 
-use crate::table::{Found, Host, Methods, Table};
+use crate::table::{Found, Host, Methods, RouteTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most requests that are looked at.
@@ -31,7 +31,7 @@
 /// # Errors
 /// If there are too many.
 pub fn visit_equivalence_classes(
-    tables: &[&Table],
+    tables: &[&RouteTable],
     mut visit: impl FnMut(SampleRequest),
 ) -> Result<(), TooManyClasses> {
     let methods = methods(tables);
@@ -61,7 +61,7 @@
 }
 
 /// A method of each group that all lists name together, and one that none names.
-fn methods(tables: &[&Table]) -> Vec<String> {
+fn methods(tables: &[&RouteTable]) -> Vec<String> {
     let lists: BTreeSet<Vec<&str>> = tables
         .iter()
         .flat_map(|t| t.claims())
@@ -86,7 +86,7 @@
 }
 
 /// A segment, and a label of hosts, that no claim names.
-fn fresh(tables: &[&Table]) -> String {
+fn fresh(tables: &[&RouteTable]) -> String {
     let mut fresh = "other".to_owned();
     let named = |text: &str| {
         let hosts = |host: &Host| match host {
@@ -112,7 +112,7 @@
 }
 
 struct Walk<'a, F> {
-    tables: &'a [&'a Table],
+    tables: &'a [&'a RouteTable],
     children: &'a [Vec<Vec<u32>>],
     methods: &'a [String],
     fresh: &'a str,
@@ -193,7 +193,7 @@
     }
 }
 
-impl Table {
+impl RouteTable {
     /// Routes that no request reaches, and those that take what they claim.
     pub fn unreachable(&self) -> Vec<(usize, Vec<usize>)> {
         let mut reached = vec![false; self.claims().len()];
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -17,8 +17,8 @@
     Claim { host: Host::parse(host).unwrap(), path: path.unwrap(), methods }
 }
 
-fn table(claims: &[(&str, &str, &str)]) -> Table {
-    Table::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).unwrap()
+fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
+    RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).unwrap()
 }
 
 fn unreachable(claims: &[(&str, &str, &str)]) -> Vec<(usize, Vec<usize>)> {
@@ -57,7 +57,7 @@
 }
 
 /// A table at random, of few names so that its claims meet.
-fn random(rng: &mut fastrand::Rng) -> Table {
+fn random(rng: &mut fastrand::Rng) -> RouteTable {
     let mut claims = Vec::new();
     for _ in 0..rng.usize(1..8) {
         let host = ["*", "*.x", "a.x", "b.a.x", "h"][rng.usize(..5)];
@@ -71,15 +71,15 @@
         }
         path += if path.is_empty() || (kind != "pattern" && rng.u8(..4) == 0) { "/" } else { "" };
         claims.push(claim(host, &format!("{kind} {path}"), ["", "GET", "GET POST", "POST"][rng.usize(..4)]));
-        if Table::build(claims.clone()).is_err() {
+        if RouteTable::build(claims.clone()).is_err() {
             claims.pop();
         }
     }
-    Table::build(claims).unwrap()
+    RouteTable::build(claims).unwrap()
 }
 
 /// The claim that takes a request, whatever its number.
-fn taken<'a>(table: &'a Table, host: &str, path: &str, method: &str) -> Option<&'a Claim> {
+fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a Claim> {
     match table.find(host, path, method) {
         Found::Route(number, _) => Some(&table.claims()[number]),
         _ => None,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -313,7 +313,7 @@
 ///
 /// All nodes of all hosts stand in one array, and one hash table finds a node's child by its segment, so that
 /// a look-up costs a probe for each segment however many routes there are.
-pub struct Table {
+pub struct RouteTable {
     claims: Vec<Claim>,
     exact: HashMap<String, u32>,
     suffix: HashMap<String, u32>,
@@ -327,7 +327,7 @@
     roots: Vec<u32>,
 }
 
-impl Table {
+impl RouteTable {
     /// Puts claims in; a route's number is its place among them.
     ///
     /// # Errors
@@ -620,7 +620,7 @@
 
 /// One look-up under way.
 struct Search<'a> {
-    table: &'a Table,
+    table: &'a RouteTable,
     path: &'a str,
     method: &'a str,
     but: Option<u32>,
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -16,11 +16,11 @@
     Claim { host: Host::parse(host).expect("a host"), path: path.expect("a path"), methods }
 }
 
-fn table(claims: &[(&str, &str, &str)]) -> Table {
-    Table::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).expect("no conflict")
+fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
+    RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).expect("no conflict")
 }
 
-fn route(table: &Table, host: &str, path: &str, method: &str) -> Option<usize> {
+fn route(table: &RouteTable, host: &str, path: &str, method: &str) -> Option<usize> {
     match table.find(host, path, method) {
         Found::Route(number, _) => Some(number),
         _ => None,
@@ -110,7 +110,7 @@
 #[test]
 fn equal_claims_are_refused_with_both_numbers() {
     let build = |claims: &[(&str, &str, &str)]| {
-        Table::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).map_err(|e| e.conflicts)
+        RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).map_err(|e| e.conflicts)
     };
     let pair = |first, second| Err(vec![Conflict { first, second }]);
     assert_eq!(build(&[("*", "prefix /a", ""), ("*", "prefix /a", "")]).map(|_| ()), pair(0, 1));
@@ -210,11 +210,11 @@
             let new = claim(hosts[rng.usize(..hosts.len())], &format!("{kind} {path}"), methods);
             let mut with = claims.clone();
             with.push(new);
-            if Table::build(with.clone()).is_ok() {
+            if RouteTable::build(with.clone()).is_ok() {
                 claims = with;
             }
         }
-        let table = Table::build(claims.clone()).expect("no conflict");
+        let table = RouteTable::build(claims.clone()).expect("no conflict");
         for _ in 0..60 {
             let mut path: String =
                 (0..rng.usize(1..5)).map(|_| format!("/{}", parts[rng.usize(..3)])).collect();
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderName;
 use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
 use ivygate_forward_auth::folded;
-use ivygate_routing::{Found, Table};
+use ivygate_routing::{Found, RouteTable};
 use ivygate_runtime::Clock;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 pub struct Site {
     /// How customers, plans and deadlines are read.
     pub identity: Identity,
-    table: Table,
+    table: RouteTable,
     routes: Vec<Route>,
     plans: Vec<Arc<str>>,
     /// The class of each route, as the configuration names it.
@@ -130,7 +130,7 @@
     /// # Errors
     /// If a decision module cannot act on its settings, or routes contradict each other.
     pub fn new(model: &Model, before: Option<&Site>, clock: Clock) -> Result<Self, String> {
-        let table = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
         let mut pools = HashMap::new();
         for (number, pool) in model.pools.iter().enumerate() {
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -4,7 +4,7 @@
     At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
     Statement,
 };
-use ivygate_routing::{visit_equivalence_classes, Found, Table, TooManyClasses};
+use ivygate_routing::{visit_equivalence_classes, Found, RouteTable, TooManyClasses};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -199,7 +199,7 @@
     }
 
     fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooManyClasses> {
-        let table = |model: &Model| Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table = |model: &Model| RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         // Both were checked, so both build.
         let (Ok(before), Ok(after)) = (table(old), table(new)) else { return Ok(()) };
         let target = |model: &Model, route: Option<usize>| {
@@ -216,7 +216,7 @@
         // For each pair of routes that differ, the shortest request, and how many regions.
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
         visit_equivalence_classes(&[&before, &after], |request| {
-            let number = |table: &Table| match table.find(request.host, request.path, request.method) {
+            let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
                 Found::Route(number, _) => Some(number),
                 Found::OtherMethods(_) | Found::Nothing => None,
             };
