--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Claim, Found, Host, Methods, PathClaim, RouteTable};
+use ivygate_routing::{Found, Host, Methods, PathClaim, RouteMatch, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -24,7 +24,7 @@
 }
 
 /// A third each of exact paths, prefixes and patterns, over a hundred hosts.
-fn claims(count: usize) -> Vec<Claim> {
+fn claims(count: usize) -> Vec<RouteMatch> {
     let claim = |n: usize| {
         let text = format!("/service-{}/resource-{n}", n % 50);
         let path = match n % 3 {
@@ -33,7 +33,7 @@
             _ => PathClaim::pattern(&format!("{text}/*/edit")),
         };
         let host = Host::parse(&format!("h{}.example.org", n % 100));
-        Some(Claim { host: host.ok()?, path: path.ok()?, methods: Methods::Any })
+        Some(RouteMatch { host: host.ok()?, path: path.ok()?, methods: Methods::Any })
     };
     (0..count).filter_map(claim).collect()
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{Claim, Host, Methods, PathClaim, Target};
+use ivygate_routing::{Host, Methods, PathClaim, RouteMatch, Target};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -938,7 +938,7 @@
         if let (Some(host), Some(path), Some(methods), Some(class), Some(pool)) =
             (host, path, methods, class, pool)
         {
-            let claim = Claim { host, path, methods };
+            let claim = RouteMatch { host, path, methods };
             routes.push(Route { name: name.text.clone(), claim, class, pool, repeat, sign_in, at });
         }
     }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -4,7 +4,7 @@
 
 use crate::diagnostic::Span;
 use ipnet::IpNet;
-use ivygate_routing::Claim;
+use ivygate_routing::RouteMatch;
 use std::net::SocketAddr;
 
 /// Where something stands in the file. Does not count when configurations are compared.
@@ -437,7 +437,7 @@
     /// Its name.
     pub name: String,
     /// The requests that it takes.
-    pub claim: Claim,
+    pub claim: RouteMatch,
     /// The class of those requests, by its number.
     pub class: usize,
     /// The pool that they go to, by its number.
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `regions` that need its private state.
 
 use super::*;
-use crate::table::{Claim, PathClaim};
+use crate::table::{PathClaim, RouteMatch};
 
-fn claim(host: &str, path: &str, methods: &str) -> Claim {
+fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, path) = path.split_once(' ').unwrap();
     let path = match kind {
         "exact" => PathClaim::exact(path),
@@ -14,7 +14,7 @@
         "" => Methods::Any,
         names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
     };
-    Claim { host: Host::parse(host).unwrap(), path: path.unwrap(), methods }
+    RouteMatch { host: Host::parse(host).unwrap(), path: path.unwrap(), methods }
 }
 
 fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
@@ -79,7 +79,7 @@
 }
 
 /// The claim that takes a request, whatever its number.
-fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a Claim> {
+fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a RouteMatch> {
     match table.find(host, path, method) {
         Found::Route(number, _) => Some(&table.claims()[number]),
         _ => None,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -226,7 +226,7 @@
 
 /// What a route claims: the requests that match all three.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Claim {
+pub struct RouteMatch {
     /// Hosts.
     pub host: Host,
     /// Paths.
@@ -314,7 +314,7 @@
 /// All nodes of all hosts stand in one array, and one hash table finds a node's child by its segment, so that
 /// a look-up costs a probe for each segment however many routes there are.
 pub struct RouteTable {
-    claims: Vec<Claim>,
+    claims: Vec<RouteMatch>,
     exact: HashMap<String, u32>,
     suffix: HashMap<String, u32>,
     any: Option<u32>,
@@ -332,7 +332,7 @@
     ///
     /// # Errors
     /// If two claim the same requests at equal rank.
-    pub fn build(claims: Vec<Claim>) -> Result<Self, BuildError> {
+    pub fn build(claims: Vec<RouteMatch>) -> Result<Self, BuildError> {
         let mut table = Self {
             claims: Vec::new(),
             exact: HashMap::new(),
@@ -362,11 +362,11 @@
     }
 
     /// What each route claims, by its number.
-    pub fn claims(&self) -> &[Claim] {
+    pub fn claims(&self) -> &[RouteMatch] {
         &self.claims
     }
 
-    fn insert(&mut self, number: u32, claim: &Claim, claims: &[Claim]) -> Option<u32> {
+    fn insert(&mut self, number: u32, claim: &RouteMatch, claims: &[RouteMatch]) -> Option<u32> {
         let root = self.root(&claim.host);
         let mut node = self.roots[root as usize];
         let ends = match &claim.path {
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -2,7 +2,7 @@
 
 use ivygate_routing::*;
 
-fn claim(host: &str, path: &str, methods: &str) -> Claim {
+fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, text) = path.split_once(' ').expect("a kind and a path");
     let path = match kind {
         "exact" => PathClaim::exact(text),
@@ -13,7 +13,7 @@
         "" => Methods::Any,
         names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
     };
-    Claim { host: Host::parse(host).expect("a host"), path: path.expect("a path"), methods }
+    RouteMatch { host: Host::parse(host).expect("a host"), path: path.expect("a path"), methods }
 }
 
 fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
@@ -148,9 +148,9 @@
 }
 
 /// What the order says, spelled out route by route.
-fn by_hand(claims: &[Claim], host: &str, path: &str, method: &str) -> Option<usize> {
+fn by_hand(claims: &[RouteMatch], host: &str, path: &str, method: &str) -> Option<usize> {
     let segments: Vec<&str> = path[1..].split('/').collect();
-    let rank = |number: usize, claim: &Claim| {
+    let rank = |number: usize, claim: &RouteMatch| {
         let host = match &claim.host {
             Host::Exact(h) if h == host => (2, 0),
             Host::Suffix(s) if host.ends_with(&format!(".{s}")) => (1, s.len()),
@@ -192,7 +192,7 @@
     let hosts = ["*", "a.org", "*.org", "*.a.org", "b.a.org"];
     let parts = ["a", "b", "c"];
     for _ in 0..400 {
-        let mut claims: Vec<Claim> = Vec::new();
+        let mut claims: Vec<RouteMatch> = Vec::new();
         for _ in 0..rng.usize(1..14) {
             let kind = ["exact", "prefix", "pattern"][rng.usize(..3)];
             let mut path: String = (0..rng.usize(1..4))
