--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Found, Host, Methods, PathClaim, RouteMatch, RouteTable};
+use ivygate_routing::{Found, Host, Methods, PathMatch, RouteMatch, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -28,9 +28,9 @@
     let claim = |n: usize| {
         let text = format!("/service-{}/resource-{n}", n % 50);
         let path = match n % 3 {
-            0 => PathClaim::exact(&text),
-            1 => PathClaim::prefix(&text),
-            _ => PathClaim::pattern(&format!("{text}/*/edit")),
+            0 => PathMatch::exact(&text),
+            1 => PathMatch::prefix(&text),
+            _ => PathMatch::pattern(&format!("{text}/*/edit")),
         };
         let host = Host::parse(&format!("h{}.example.org", n % 100));
         Some(RouteMatch { host: host.ok()?, path: path.ok()?, methods: Methods::Any })
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{Host, Methods, PathClaim, RouteMatch, Target};
+use ivygate_routing::{Host, Methods, PathMatch, RouteMatch, Target};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -964,9 +964,9 @@
     told
 }
 
-fn path(inner: &Fields) -> Option<PathClaim> {
+fn path(inner: &Fields) -> Option<PathMatch> {
     let Some(statement) = inner.one("path") else {
-        return PathClaim::prefix("/").ok();
+        return PathMatch::prefix("/").ok();
     };
     let words = inner.words(statement, 2, 2)?;
     let text = &words[1].text;
@@ -978,9 +978,9 @@
         return None;
     }
     let claim = match words[0].text.as_str() {
-        "exact" => PathClaim::exact(text),
-        "prefix" => PathClaim::prefix(text),
-        "pattern" => PathClaim::pattern(text),
+        "exact" => PathMatch::exact(text),
+        "prefix" => PathMatch::prefix(text),
+        "pattern" => PathMatch::pattern(text),
         other => {
             let error = Diagnostic::error(
                 "IV0051",
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of `regions` that need its private state.
 
 use super::*;
-use crate::table::{PathClaim, RouteMatch};
+use crate::table::{PathMatch, RouteMatch};
 
 fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, path) = path.split_once(' ').unwrap();
     let path = match kind {
-        "exact" => PathClaim::exact(path),
-        "prefix" => PathClaim::prefix(path),
-        _ => PathClaim::pattern(path),
+        "exact" => PathMatch::exact(path),
+        "prefix" => PathMatch::prefix(path),
+        _ => PathMatch::pattern(path),
     };
     let methods = match methods {
         "" => Methods::Any,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -52,7 +52,7 @@
 
 /// The paths that a route claims.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum PathClaim {
+pub enum PathMatch {
     /// This one, in normal form.
     Exact(String),
     /// This one and what lies below it, by whole segments; with a final slash only what lies below.
@@ -100,13 +100,13 @@
 
 impl std::error::Error for PatternError {}
 
-impl PathClaim {
+impl PathMatch {
     /// An exact path.
     ///
     /// # Errors
     /// If it is malformed or not in normal form.
     pub fn exact(path: &str) -> Result<Self, PatternError> {
-        normal(path).map(PathClaim::Exact)
+        normal(path).map(PathMatch::Exact)
     }
 
     /// A prefix.
@@ -114,7 +114,7 @@
     /// # Errors
     /// If it is malformed or not in normal form.
     pub fn prefix(path: &str) -> Result<Self, PatternError> {
-        normal(path).map(PathClaim::Prefix)
+        normal(path).map(PathMatch::Prefix)
     }
 
     /// A pattern such as `/trails/*/edits` or `/maps/*/**`.
@@ -150,16 +150,16 @@
         if !literal.is_empty() {
             normal(&literal)?;
         }
-        Ok(PathClaim::Pattern(segments, tail))
+        Ok(PathMatch::Pattern(segments, tail))
     }
 
     /// A path that it claims and that hardly any other claim names.
     fn sample(&self) -> String {
         const UNLIKELY: &str = "~~";
         match self {
-            PathClaim::Exact(path) => path.clone(),
-            PathClaim::Prefix(path) => format!("{}/{UNLIKELY}", path.strip_suffix('/').unwrap_or(path)),
-            PathClaim::Pattern(segments, tail) => {
+            PathMatch::Exact(path) => path.clone(),
+            PathMatch::Prefix(path) => format!("{}/{UNLIKELY}", path.strip_suffix('/').unwrap_or(path)),
+            PathMatch::Pattern(segments, tail) => {
                 let mut path = String::new();
                 for segment in segments {
                     path.push('/');
@@ -178,12 +178,12 @@
     }
 }
 
-impl fmt::Display for PathClaim {
+impl fmt::Display for PathMatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PathClaim::Exact(path) => write!(f, "exact {path}"),
-            PathClaim::Prefix(path) => write!(f, "prefix {path}"),
-            PathClaim::Pattern(segments, tail) => {
+            PathMatch::Exact(path) => write!(f, "exact {path}"),
+            PathMatch::Prefix(path) => write!(f, "prefix {path}"),
+            PathMatch::Pattern(segments, tail) => {
                 f.write_str("pattern ")?;
                 for segment in segments {
                     match segment {
@@ -230,7 +230,7 @@
     /// Hosts.
     pub host: Host,
     /// Paths.
-    pub path: PathClaim,
+    pub path: PathMatch,
     /// Methods.
     pub methods: Methods,
 }
@@ -370,13 +370,13 @@
         let root = self.root(&claim.host);
         let mut node = self.roots[root as usize];
         let ends = match &claim.path {
-            PathClaim::Exact(path) => {
+            PathMatch::Exact(path) => {
                 for segment in path[1..].split('/') {
                     node = self.child_or_new(node, segment);
                 }
                 &mut self.ends_of(node).exact
             }
-            PathClaim::Prefix(path) => {
+            PathMatch::Prefix(path) => {
                 let inner = path.strip_suffix('/').unwrap_or(path);
                 for segment in inner.split('/').skip(1) {
                     node = self.child_or_new(node, segment);
@@ -388,7 +388,7 @@
                     &mut ends.prefix
                 }
             }
-            PathClaim::Pattern(segments, tail) => {
+            PathMatch::Pattern(segments, tail) => {
                 self.patterned[root as usize] = true;
                 for segment in segments {
                     node = match segment {
@@ -413,7 +413,7 @@
         let clash = ends.iter().find(clashes).copied();
         ends.push(number);
         // Named methods first, but patterns by the file's order alone.
-        if !matches!(claim.path, PathClaim::Pattern(..)) {
+        if !matches!(claim.path, PathMatch::Pattern(..)) {
             ends.sort_by_key(|n| (claims[*n as usize].methods == Methods::Any, *n));
         }
         clash
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -5,9 +5,9 @@
 fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, text) = path.split_once(' ').expect("a kind and a path");
     let path = match kind {
-        "exact" => PathClaim::exact(text),
-        "prefix" => PathClaim::prefix(text),
-        _ => PathClaim::pattern(text),
+        "exact" => PathMatch::exact(text),
+        "prefix" => PathMatch::prefix(text),
+        _ => PathMatch::pattern(text),
     };
     let methods = match methods {
         "" => Methods::Any,
@@ -138,12 +138,12 @@
 
 #[test]
 fn claims_that_nothing_could_match_are_malformed() {
-    assert_eq!(PathClaim::prefix("/a//b"), Err(PatternError::NotNormal("/a/b".into())));
-    assert_eq!(PathClaim::exact("/%41"), Err(PatternError::NotNormal("/A".into())));
-    assert_eq!(PathClaim::pattern("/a*/b"), Err(PatternError::PartOfSegment("a*".into())));
-    assert_eq!(PathClaim::pattern("/**/b"), Err(PatternError::TailNotLast));
-    assert!(PathClaim::exact("a").is_err() && PathClaim::pattern("a/*").is_err());
-    assert!(PathClaim::pattern("/**").is_ok());
+    assert_eq!(PathMatch::prefix("/a//b"), Err(PatternError::NotNormal("/a/b".into())));
+    assert_eq!(PathMatch::exact("/%41"), Err(PatternError::NotNormal("/A".into())));
+    assert_eq!(PathMatch::pattern("/a*/b"), Err(PatternError::PartOfSegment("a*".into())));
+    assert_eq!(PathMatch::pattern("/**/b"), Err(PatternError::TailNotLast));
+    assert!(PathMatch::exact("a").is_err() && PathMatch::pattern("a/*").is_err());
+    assert!(PathMatch::pattern("/**").is_ok());
     assert!(Host::parse("*.").is_err() && Host::parse("a.*.b").is_err() && Host::parse("").is_err());
 }
 
@@ -158,10 +158,10 @@
             _ => return None,
         };
         let path = match &claim.path {
-            PathClaim::Exact(p) if p == path => (2, 0, 0),
-            PathClaim::Prefix(p) if p.ends_with('/') && path.starts_with(p.as_str()) => (1, p.len(), 0),
-            PathClaim::Prefix(p) if path == p || path.starts_with(&format!("{p}/")) => (1, p.len(), 0),
-            PathClaim::Pattern(wanted, tail) => {
+            PathMatch::Exact(p) if p == path => (2, 0, 0),
+            PathMatch::Prefix(p) if p.ends_with('/') && path.starts_with(p.as_str()) => (1, p.len(), 0),
+            PathMatch::Prefix(p) if path == p || path.starts_with(&format!("{p}/")) => (1, p.len(), 0),
+            PathMatch::Pattern(wanted, tail) => {
                 let enough =
                     if *tail { segments.len() > wanted.len() } else { segments.len() == wanted.len() };
                 let fits = wanted.iter().zip(&segments).all(|(w, s)| match w {
