--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Found, Host, Methods, PathMatch, RouteMatch, RouteTable};
+use ivygate_routing::{Found, HostMatch, Methods, PathMatch, RouteMatch, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -32,7 +32,7 @@
             1 => PathMatch::prefix(&text),
             _ => PathMatch::pattern(&format!("{text}/*/edit")),
         };
-        let host = Host::parse(&format!("h{}.example.org", n % 100));
+        let host = HostMatch::parse(&format!("h{}.example.org", n % 100));
         Some(RouteMatch { host: host.ok()?, path: path.ok()?, methods: Methods::Any })
     };
     (0..count).filter_map(claim).collect()
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{Host, Methods, PathMatch, RouteMatch, Target};
+use ivygate_routing::{HostMatch, Methods, PathMatch, RouteMatch, Target};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -906,8 +906,8 @@
         let Some(name) = named(fields, "route", statement, &mut seen) else { continue };
         let inner = fields.inner("route", statement);
         let host = match inner.word("host") {
-            None => Some(Host::Any),
-            Some(word) => Host::parse(&word.text)
+            None => Some(HostMatch::Any),
+            Some(word) => HostMatch::parse(&word.text)
                 .map_err(|error| {
                     let error = Diagnostic::error("IV0050", format!("{error}"), word.span, "here");
                     inner.note(
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -5,7 +5,7 @@
 //! request for each reachable set of nodes, with each of the named segments, one that no claim names, and an
 //! empty one behind it, stands for all. Nothing is sampled: two tables are equal if they agree on these.
 
-use crate::table::{Found, Host, Methods, RouteTable};
+use crate::table::{Found, HostMatch, Methods, RouteTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most requests that are looked at.
@@ -42,9 +42,9 @@
     let mut hosts: BTreeSet<String> = BTreeSet::new();
     for claim in tables.iter().flat_map(|t| t.claims()) {
         match &claim.host {
-            Host::Exact(host) => hosts.insert(host.clone()),
-            Host::Suffix(suffix) => hosts.insert(format!("{fresh}.{suffix}")),
-            Host::Any => false,
+            HostMatch::Exact(host) => hosts.insert(host.clone()),
+            HostMatch::Suffix(suffix) => hosts.insert(format!("{fresh}.{suffix}")),
+            HostMatch::Any => false,
         };
     }
     hosts.insert(fresh.clone());
@@ -89,9 +89,9 @@
 fn fresh(tables: &[&RouteTable]) -> String {
     let mut fresh = "other".to_owned();
     let named = |text: &str| {
-        let hosts = |host: &Host| match host {
-            Host::Exact(host) | Host::Suffix(host) => host.split('.').any(|label| label == text),
-            Host::Any => false,
+        let hosts = |host: &HostMatch| match host {
+            HostMatch::Exact(host) | HostMatch::Suffix(host) => host.split('.').any(|label| label == text),
+            HostMatch::Any => false,
         };
         tables.iter().any(|t| t.has_segment(text) || t.claims().iter().any(|claim| hosts(&claim.host)))
     };
@@ -176,7 +176,7 @@
     fn settled(&self, host: &str, path: &str) -> bool {
         self.methods.iter().all(|method| {
             let mut own = self.tables.iter().map(|table| match table.find(host, path, method) {
-                Found::Route(number, _) => table.claims()[number].host != Host::Any,
+                Found::Route(number, _) => table.claims()[number].host != HostMatch::Any,
                 _ => false,
             });
             let first = own.next();
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -14,7 +14,7 @@
         "" => Methods::Any,
         names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
     };
-    RouteMatch { host: Host::parse(host).unwrap(), path: path.unwrap(), methods }
+    RouteMatch { host: HostMatch::parse(host).unwrap(), path: path.unwrap(), methods }
 }
 
 fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -8,7 +8,7 @@
 
 /// The hosts that a route claims.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Host {
+pub enum HostMatch {
     /// This one.
     Exact(String),
     /// All that end in a dot and this, at any depth; not this itself.
@@ -17,35 +17,35 @@
     Any,
 }
 
-impl Host {
+impl HostMatch {
     /// Reads `name`, `*.name` or `*`.
     ///
     /// # Errors
     /// If the name is malformed.
     pub fn parse(text: &str) -> Result<Self, TargetError> {
         match text.strip_prefix("*.") {
-            _ if text == "*" => Ok(Host::Any),
-            Some(suffix) => host_of(suffix).map(Host::Suffix),
-            None => host_of(text).map(Host::Exact),
+            _ if text == "*" => Ok(HostMatch::Any),
+            Some(suffix) => host_of(suffix).map(HostMatch::Suffix),
+            None => host_of(text).map(HostMatch::Exact),
         }
     }
 
     /// A host that it claims and that hardly any other claim names.
     fn sample(&self) -> String {
         match self {
-            Host::Exact(host) => host.clone(),
-            Host::Suffix(suffix) => format!("~~.{suffix}"),
-            Host::Any => "~~".to_owned(),
+            HostMatch::Exact(host) => host.clone(),
+            HostMatch::Suffix(suffix) => format!("~~.{suffix}"),
+            HostMatch::Any => "~~".to_owned(),
         }
     }
 }
 
-impl fmt::Display for Host {
+impl fmt::Display for HostMatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Host::Exact(host) => f.write_str(host),
-            Host::Suffix(suffix) => write!(f, "*.{suffix}"),
-            Host::Any => f.write_str("*"),
+            HostMatch::Exact(host) => f.write_str(host),
+            HostMatch::Suffix(suffix) => write!(f, "*.{suffix}"),
+            HostMatch::Any => f.write_str("*"),
         }
     }
 }
@@ -228,7 +228,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RouteMatch {
     /// Hosts.
-    pub host: Host,
+    pub host: HostMatch,
     /// Paths.
     pub path: PathMatch,
     /// Methods.
@@ -419,11 +419,11 @@
         clash
     }
 
-    fn root(&mut self, host: &Host) -> u32 {
+    fn root(&mut self, host: &HostMatch) -> u32 {
         let known = match host {
-            Host::Exact(host) => self.exact.get(host).copied(),
-            Host::Suffix(suffix) => self.suffix.get(suffix).copied(),
-            Host::Any => self.any,
+            HostMatch::Exact(host) => self.exact.get(host).copied(),
+            HostMatch::Suffix(suffix) => self.suffix.get(suffix).copied(),
+            HostMatch::Any => self.any,
         };
         if let Some(root) = known {
             return root;
@@ -433,9 +433,9 @@
         self.roots.push(self.nodes.len() as u32 - 1);
         self.patterned.push(false);
         match host {
-            Host::Exact(host) => drop(self.exact.insert(host.clone(), root)),
-            Host::Suffix(suffix) => drop(self.suffix.insert(suffix.clone(), root)),
-            Host::Any => self.any = Some(root),
+            HostMatch::Exact(host) => drop(self.exact.insert(host.clone(), root)),
+            HostMatch::Suffix(suffix) => drop(self.suffix.insert(suffix.clone(), root)),
+            HostMatch::Any => self.any = Some(root),
         }
         root
     }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -13,7 +13,7 @@
         "" => Methods::Any,
         names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
     };
-    RouteMatch { host: Host::parse(host).expect("a host"), path: path.expect("a path"), methods }
+    RouteMatch { host: HostMatch::parse(host).expect("a host"), path: path.expect("a path"), methods }
 }
 
 fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
@@ -144,7 +144,11 @@
     assert_eq!(PathMatch::pattern("/**/b"), Err(PatternError::TailNotLast));
     assert!(PathMatch::exact("a").is_err() && PathMatch::pattern("a/*").is_err());
     assert!(PathMatch::pattern("/**").is_ok());
-    assert!(Host::parse("*.").is_err() && Host::parse("a.*.b").is_err() && Host::parse("").is_err());
+    assert!(
+        HostMatch::parse("*.").is_err()
+            && HostMatch::parse("a.*.b").is_err()
+            && HostMatch::parse("").is_err()
+    );
 }
 
 /// What the order says, spelled out route by route.
@@ -152,9 +156,9 @@
     let segments: Vec<&str> = path[1..].split('/').collect();
     let rank = |number: usize, claim: &RouteMatch| {
         let host = match &claim.host {
-            Host::Exact(h) if h == host => (2, 0),
-            Host::Suffix(s) if host.ends_with(&format!(".{s}")) => (1, s.len()),
-            Host::Any => (0, 0),
+            HostMatch::Exact(h) if h == host => (2, 0),
+            HostMatch::Suffix(s) if host.ends_with(&format!(".{s}")) => (1, s.len()),
+            HostMatch::Any => (0, 0),
             _ => return None,
         };
         let path = match &claim.path {
