--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Found, HostMatch, Methods, PathMatch, RouteMatch, RouteTable};
+use ivygate_routing::{Found, HostMatch, MethodMatch, PathMatch, RouteMatch, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -33,7 +33,7 @@
             _ => PathMatch::pattern(&format!("{text}/*/edit")),
         };
         let host = HostMatch::parse(&format!("h{}.example.org", n % 100));
-        Some(RouteMatch { host: host.ok()?, path: path.ok()?, methods: Methods::Any })
+        Some(RouteMatch { host: host.ok()?, path: path.ok()?, methods: MethodMatch::Any })
     };
     (0..count).filter_map(claim).collect()
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{HostMatch, Methods, PathMatch, RouteMatch, Target};
+use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RouteMatch, Target};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -1000,13 +1000,13 @@
         .ok()
 }
 
-fn methods(inner: &Fields, class: Option<&Class>) -> Option<Methods> {
+fn methods(inner: &Fields, class: Option<&Class>) -> Option<MethodMatch> {
     let safe = class.is_some_and(|c| c.effect == Effect::Safe);
     let Some(statement) = inner.one("methods") else {
         return Some(if safe {
-            Methods::Named(SAFE_METHODS.map(str::to_owned).to_vec())
+            MethodMatch::Named(SAFE_METHODS.map(str::to_owned).to_vec())
         } else {
-            Methods::Any
+            MethodMatch::Any
         });
     };
     let words = inner.words(statement, 1, 64)?;
@@ -1032,5 +1032,5 @@
             names.push(word.text.clone());
         }
     }
-    Some(Methods::Named(names))
+    Some(MethodMatch::Named(names))
 }
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -6,7 +6,7 @@
 use crate::fields::{head_span, says_meant, Fields};
 use crate::model::*;
 use crate::syntax::Statement;
-use ivygate_routing::{Methods, RouteTable};
+use ivygate_routing::{MethodMatch, RouteTable};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
@@ -102,7 +102,7 @@
         fields.note(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
     }
     for route in &model.routes {
-        if matches!(&route.claim.methods, Methods::Named(names) if names.iter().all(|m| m == "CONNECT")) {
+        if matches!(&route.claim.methods, MethodMatch::Named(names) if names.iter().all(|m| m == "CONNECT")) {
             let at = place(fields, "route", &route.name, "methods", route.at);
             let error =
                 Diagnostic::error("IV0082", "CONNECT is answered 501 before any route", at, "never matches");
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -49,8 +49,8 @@
 #[test]
 fn a_safe_class_takes_only_methods_that_change_nothing_unless_told() {
     let named = |text: &str| match &model(text).routes[0].claim.methods {
-        ivygate_routing::Methods::Any => vec!["any".to_owned()],
-        ivygate_routing::Methods::Named(names) => names.clone(),
+        ivygate_routing::MethodMatch::Any => vec!["any".to_owned()],
+        ivygate_routing::MethodMatch::Named(names) => names.clone(),
     };
     assert_eq!(named(GOOD), ["GET", "HEAD", "OPTIONS"]);
     assert_eq!(named(&GOOD.replace("route all { class read;", "route all { class order;")), ["any"]);
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{Found, Methods, Reason, RouteTable, Target};
+use ivygate_routing::{Found, MethodMatch, Reason, RouteTable, Target};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -72,8 +72,8 @@
 
 fn line(model: &Model, route: &Route, place: &str) -> String {
     let methods = match &route.claim.methods {
-        Methods::Any => "any method".to_owned(),
-        Methods::Named(names) => names.join(" "),
+        MethodMatch::Any => "any method".to_owned(),
+        MethodMatch::Named(names) => names.join(" "),
     };
     let (class, pool) = (&model.classes[route.class].name, &model.pools[route.pool].name);
     let (host, path) = (&route.claim.host, &route.claim.path);
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -5,7 +5,7 @@
 //! request for each reachable set of nodes, with each of the named segments, one that no claim names, and an
 //! empty one behind it, stands for all. Nothing is sampled: two tables are equal if they agree on these.
 
-use crate::table::{Found, HostMatch, Methods, RouteTable};
+use crate::table::{Found, HostMatch, MethodMatch, RouteTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most requests that are looked at.
@@ -66,8 +66,8 @@
         .iter()
         .flat_map(|t| t.claims())
         .filter_map(|claim| match &claim.methods {
-            Methods::Any => None,
-            Methods::Named(names) => Some(names.iter().map(String::as_str).collect()),
+            MethodMatch::Any => None,
+            MethodMatch::Named(names) => Some(names.iter().map(String::as_str).collect()),
         })
         .collect();
     let mut groups: BTreeMap<Vec<usize>, &str> = BTreeMap::new();
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -11,8 +11,8 @@
         _ => PathMatch::pattern(path),
     };
     let methods = match methods {
-        "" => Methods::Any,
-        names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
+        "" => MethodMatch::Any,
+        names => MethodMatch::Named(names.split(' ').map(str::to_owned).collect()),
     };
     RouteMatch { host: HostMatch::parse(host).unwrap(), path: path.unwrap(), methods }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -208,18 +208,18 @@
 
 /// The methods that a route claims.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Methods {
+pub enum MethodMatch {
     /// Every one.
     Any,
     /// These.
     Named(Vec<String>),
 }
 
-impl Methods {
+impl MethodMatch {
     fn has(&self, method: &str) -> bool {
         match self {
-            Methods::Any => true,
-            Methods::Named(names) => names.iter().any(|name| name == method),
+            MethodMatch::Any => true,
+            MethodMatch::Named(names) => names.iter().any(|name| name == method),
         }
     }
 }
@@ -232,7 +232,7 @@
     /// Paths.
     pub path: PathMatch,
     /// Methods.
-    pub methods: Methods,
+    pub methods: MethodMatch,
 }
 
 /// Two routes that claim the same requests at equal rank, by their numbers.
@@ -405,8 +405,8 @@
             }
         };
         let clashes = |other: &&u32| match (&claims[**other as usize].methods, &claim.methods) {
-            (Methods::Any, Methods::Any) => true,
-            (Methods::Named(a), Methods::Named(b)) => a.iter().any(|m| b.contains(m)),
+            (MethodMatch::Any, MethodMatch::Any) => true,
+            (MethodMatch::Named(a), MethodMatch::Named(b)) => a.iter().any(|m| b.contains(m)),
             // A named method goes before any.
             _ => false,
         };
@@ -414,7 +414,7 @@
         ends.push(number);
         // Named methods first, but patterns by the file's order alone.
         if !matches!(claim.path, PathMatch::Pattern(..)) {
-            ends.sort_by_key(|n| (claims[*n as usize].methods == Methods::Any, *n));
+            ends.sort_by_key(|n| (claims[*n as usize].methods == MethodMatch::Any, *n));
         }
         clash
     }
@@ -531,8 +531,8 @@
             let host = claim.host.sample();
             let path = claim.path.sample();
             let names = match &claim.methods {
-                Methods::Any => vec!["~~".to_owned()],
-                Methods::Named(names) => names.clone(),
+                MethodMatch::Any => vec!["~~".to_owned()],
+                MethodMatch::Named(names) => names.clone(),
             };
             let mut told = Vec::new();
             for method in &names {
@@ -593,8 +593,8 @@
         let claim = &self.claims[number];
         let host = claim.host.sample();
         let names = match &claim.methods {
-            Methods::Any => vec!["~~".to_owned()],
-            Methods::Named(names) => names.clone(),
+            MethodMatch::Any => vec!["~~".to_owned()],
+            MethodMatch::Named(names) => names.clone(),
         };
         let mut takers = Vec::new();
         for method in names {
@@ -709,8 +709,8 @@
             }
             match &self.table.claims[*number as usize].methods {
                 methods if methods.has(self.method) => return Some(*number),
-                Methods::Named(names) => self.others.extend(names.iter().cloned()),
-                Methods::Any => {}
+                MethodMatch::Named(names) => self.others.extend(names.iter().cloned()),
+                MethodMatch::Any => {}
             }
         }
         None
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -10,8 +10,8 @@
         _ => PathMatch::pattern(text),
     };
     let methods = match methods {
-        "" => Methods::Any,
-        names => Methods::Named(names.split(' ').map(str::to_owned).collect()),
+        "" => MethodMatch::Any,
+        names => MethodMatch::Named(names.split(' ').map(str::to_owned).collect()),
     };
     RouteMatch { host: HostMatch::parse(host).expect("a host"), path: path.expect("a path"), methods }
 }
@@ -180,9 +180,9 @@
             _ => return None,
         };
         let named = match &claim.methods {
-            Methods::Any => 0,
-            Methods::Named(names) if names.iter().any(|n| n == method) => 1,
-            Methods::Named(_) => return None,
+            MethodMatch::Any => 0,
+            MethodMatch::Named(names) if names.iter().any(|n| n == method) => 1,
+            MethodMatch::Named(_) => return None,
         };
         Some((host, path, named))
     };
