--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -40,7 +40,7 @@
     let mut walk =
         Walk { tables, children: &children, methods: &methods, fresh: &fresh, visit: &mut visit, left: MOST };
     let mut hosts: BTreeSet<String> = BTreeSet::new();
-    for claim in tables.iter().flat_map(|t| t.claims()) {
+    for claim in tables.iter().flat_map(|t| t.route_matches()) {
         match &claim.host {
             HostMatch::Exact(host) => hosts.insert(host.clone()),
             HostMatch::Suffix(suffix) => hosts.insert(format!("{fresh}.{suffix}")),
@@ -64,7 +64,7 @@
 fn methods(tables: &[&RouteTable]) -> Vec<String> {
     let lists: BTreeSet<Vec<&str>> = tables
         .iter()
-        .flat_map(|t| t.claims())
+        .flat_map(|t| t.route_matches())
         .filter_map(|claim| match &claim.methods {
             MethodMatch::Any => None,
             MethodMatch::Named(names) => Some(names.iter().map(String::as_str).collect()),
@@ -93,7 +93,7 @@
             HostMatch::Exact(host) | HostMatch::Suffix(host) => host.split('.').any(|label| label == text),
             HostMatch::Any => false,
         };
-        tables.iter().any(|t| t.has_segment(text) || t.claims().iter().any(|claim| hosts(&claim.host)))
+        tables.iter().any(|t| t.has_segment(text) || t.route_matches().iter().any(|claim| hosts(&claim.host)))
     };
     while named(&fresh) {
         fresh.push('-');
@@ -176,7 +176,7 @@
     fn settled(&self, host: &str, path: &str) -> bool {
         self.methods.iter().all(|method| {
             let mut own = self.tables.iter().map(|table| match table.find(host, path, method) {
-                Found::Route(number, _) => table.claims()[number].host != HostMatch::Any,
+                Found::Route(number, _) => table.route_matches()[number].host != HostMatch::Any,
                 _ => false,
             });
             let first = own.next();
@@ -196,7 +196,7 @@
 impl RouteTable {
     /// Routes that no request reaches, and those that take what they claim.
     pub fn unreachable(&self) -> Vec<(usize, Vec<usize>)> {
-        let mut reached = vec![false; self.claims().len()];
+        let mut reached = vec![false; self.route_matches().len()];
         let all = visit_equivalence_classes(&[self], |request| {
             if let Found::Route(number, _) = self.find(request.host, request.path, request.method) {
                 reached[number] = true;
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -81,7 +81,7 @@
 /// The claim that takes a request, whatever its number.
 fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a RouteMatch> {
     match table.find(host, path, method) {
-        Found::Route(number, _) => Some(&table.claims()[number]),
+        Found::Route(number, _) => Some(&table.route_matches()[number]),
         _ => None,
     }
 }
@@ -112,8 +112,8 @@
             assert!(
                 pairs.contains(&seen),
                 "{method} {host}{path}: {seen}\n{:?}\n{:?}",
-                old.claims(),
-                new.claims()
+                old.route_matches(),
+                new.route_matches()
             );
             differences += 1;
         }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -362,7 +362,7 @@
     }
 
     /// What each route claims, by its number.
-    pub fn claims(&self) -> &[RouteMatch] {
+    pub fn route_matches(&self) -> &[RouteMatch] {
         &self.claims
     }
 
