--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -17,7 +17,7 @@
         let table = RouteTable::build(claims).map_err(io::Error::other)?;
         let built = start.elapsed().as_secs_f64() * 1e3;
         let times = [3, 12].map(|parts| look_up(&table, count, parts));
-        let memory = table.memory() as f64 / count as f64;
+        let memory = table.memory_bytes() as f64 / count as f64;
         println!("{count:>8} {built:>10.2} {:>12.0} {:>12.0} {memory:>14.0}", times[0], times[1]);
     }
     Ok(())
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -608,7 +608,7 @@
     }
 
     /// Bytes that the table holds, without those of the claims.
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let lists = |e: &Ends| [&e.exact, &e.prefix, &e.below, &e.pattern, &e.tail].map(Vec::capacity);
         self.nodes.capacity() * size_of::<Node>()
             + self.nodes.iter().map(|n| n.segment.len()).sum::<usize>()
