--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Segment {
     /// This one.
-    Is(String),
+    Literal(String),
     /// Any one that is not empty.
     Any,
 }
@@ -136,14 +136,14 @@
                 "*" => Segment::Any,
                 "**" => return Err(PatternError::TailNotLast),
                 _ if segment.contains('*') => return Err(PatternError::PartOfSegment(segment.to_owned())),
-                _ => Segment::Is(segment.to_owned()),
+                _ => Segment::Literal(segment.to_owned()),
             });
         }
         // What is left without the wildcards must be normal, or nothing could ever match it.
         let literal: String = segments
             .iter()
             .map(|s| match s {
-                Segment::Is(text) => format!("/{text}"),
+                Segment::Literal(text) => format!("/{text}"),
                 Segment::Any => "/x".to_owned(),
             })
             .collect();
@@ -164,7 +164,7 @@
                 for segment in segments {
                     path.push('/');
                     path.push_str(match segment {
-                        Segment::Is(text) => text,
+                        Segment::Literal(text) => text,
                         Segment::Any => UNLIKELY,
                     });
                 }
@@ -187,7 +187,7 @@
                 f.write_str("pattern ")?;
                 for segment in segments {
                     match segment {
-                        Segment::Is(text) => write!(f, "/{text}")?,
+                        Segment::Literal(text) => write!(f, "/{text}")?,
                         Segment::Any => f.write_str("/*")?,
                     }
                 }
@@ -392,7 +392,7 @@
                 self.patterned[root as usize] = true;
                 for segment in segments {
                     node = match segment {
-                        Segment::Is(text) => self.child_or_new(node, text),
+                        Segment::Literal(text) => self.child_or_new(node, text),
                         Segment::Any => self.any_child(node),
                     };
                 }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -169,7 +169,7 @@
                 let enough =
                     if *tail { segments.len() > wanted.len() } else { segments.len() == wanted.len() };
                 let fits = wanted.iter().zip(&segments).all(|(w, s)| match w {
-                    Segment::Is(text) => text == s,
+                    Segment::Literal(text) => text == s,
                     Segment::Any => !s.is_empty(),
                 });
                 if !enough || !fits {
