--- a/crates/bench/src/routes.rs
+++ b/crates/bench/src/routes.rs
@@ -1,6 +1,6 @@
 //! The route table: time of a look-up and memory, by the number of routes.
 
-use ivygate_routing::{Found, HostMatch, MethodMatch, PathMatch, RouteMatch, RouteTable};
+use ivygate_routing::{HostMatch, LookupResult, MethodMatch, PathMatch, RouteMatch, RouteTable};
 use std::hint::black_box;
 use std::io;
 use std::time::Instant;
@@ -59,7 +59,7 @@
         let found = asked
             .iter()
             .filter(|(host, path)| {
-                matches!(table.find(black_box(host), black_box(path), "GET"), Found::Route(..))
+                matches!(table.find(black_box(host), black_box(path), "GET"), LookupResult::Route(..))
             })
             .count();
         let each = start.elapsed().as_nanos() as f64 / asked.len() as f64;
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{Found, MethodMatch, Reason, RouteTable, Target};
+use ivygate_routing::{LookupResult, MethodMatch, Reason, RouteTable, Target};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -43,7 +43,7 @@
             let host = target.host.clone().unwrap_or_default();
             println!("{method} {host}{}", target.path_and_query());
             match table.find(&host, &target.path, method) {
-                Found::Route(number, reason) => {
+                LookupResult::Route(number, reason) => {
                     let route = &model.routes[number];
                     let why = match reason {
                         Reason::Exact => "its path is this one exactly",
@@ -57,11 +57,11 @@
                     );
                     ExitCode::SUCCESS
                 }
-                Found::OtherMethods(methods) => {
+                LookupResult::OtherMethods(methods) => {
                     println!("405: routes claim this path for {} only", methods.join(", "));
                     ExitCode::FAILURE
                 }
-                Found::Nothing => {
+                LookupResult::Nothing => {
                     println!("404: no route claims this host and path");
                     ExitCode::FAILURE
                 }
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -5,7 +5,7 @@
 //! request for each reachable set of nodes, with each of the named segments, one that no claim names, and an
 //! empty one behind it, stands for all. Nothing is sampled: two tables are equal if they agree on these.
 
-use crate::table::{Found, HostMatch, MethodMatch, RouteTable};
+use crate::table::{HostMatch, LookupResult, MethodMatch, RouteTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most requests that are looked at.
@@ -176,7 +176,7 @@
     fn settled(&self, host: &str, path: &str) -> bool {
         self.methods.iter().all(|method| {
             let mut own = self.tables.iter().map(|table| match table.find(host, path, method) {
-                Found::Route(number, _) => table.route_matches()[number].host != HostMatch::Any,
+                LookupResult::Route(number, _) => table.route_matches()[number].host != HostMatch::Any,
                 _ => false,
             });
             let first = own.next();
@@ -198,7 +198,7 @@
     pub fn unreachable(&self) -> Vec<(usize, Vec<usize>)> {
         let mut reached = vec![false; self.route_matches().len()];
         let all = visit_equivalence_classes(&[self], |request| {
-            if let Found::Route(number, _) = self.find(request.host, request.path, request.method) {
+            if let LookupResult::Route(number, _) = self.find(request.host, request.path, request.method) {
                 reached[number] = true;
             }
         });
--- a/crates/routing/src/regions/tests.rs
+++ b/crates/routing/src/regions/tests.rs
@@ -81,7 +81,7 @@
 /// The claim that takes a request, whatever its number.
 fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a RouteMatch> {
     match table.find(host, path, method) {
-        Found::Route(number, _) => Some(&table.route_matches()[number]),
+        LookupResult::Route(number, _) => Some(&table.route_matches()[number]),
         _ => None,
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -281,7 +281,7 @@
 
 /// What a look-up found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum LookupResult {
     /// The route with this number.
     Route(usize, Reason),
     /// Routes claim the path, but none this method; these are the methods.
@@ -496,11 +496,11 @@
     ///
     /// Of the routes that claim it, one with the exact host goes before the longest suffix before any host;
     /// then the exact path before the longest prefix before the first pattern; then a named method before any.
-    pub fn find(&self, host: &str, path: &str, method: &str) -> Found {
+    pub fn find(&self, host: &str, path: &str, method: &str) -> LookupResult {
         self.find_but(host, path, method, None)
     }
 
-    fn find_but(&self, host: &str, path: &str, method: &str, but: Option<u32>) -> Found {
+    fn find_but(&self, host: &str, path: &str, method: &str, but: Option<u32>) -> LookupResult {
         let mut others = Vec::new();
         let mut search = Search { table: self, path, method, but, others: &mut others };
         let mut found = self.exact.get(host).and_then(|root| search.below(*root));
@@ -513,12 +513,12 @@
         }
         found = found.or_else(|| self.any.and_then(|root| search.below(root)));
         match found {
-            Some((number, reason)) => Found::Route(number as usize, reason),
-            None if others.is_empty() => Found::Nothing,
+            Some((number, reason)) => LookupResult::Route(number as usize, reason),
+            None if others.is_empty() => LookupResult::Nothing,
             None => {
                 others.sort();
                 others.dedup();
-                Found::OtherMethods(others)
+                LookupResult::OtherMethods(others)
             }
         }
     }
@@ -537,9 +537,11 @@
             let mut told = Vec::new();
             for method in &names {
                 let overlap = match self.find(&host, &path, method) {
-                    Found::Route(taker, _) if taker != number => Overlap { taken_by: taker, also: number },
+                    LookupResult::Route(taker, _) if taker != number => {
+                        Overlap { taken_by: taker, also: number }
+                    }
                     _ => match self.find_but(&host, &path, method, Some(number as u32)) {
-                        Found::Route(other, _) => Overlap { taken_by: number, also: other },
+                        LookupResult::Route(other, _) => Overlap { taken_by: number, also: other },
                         _ => continue,
                     },
                 };
@@ -598,7 +600,7 @@
         };
         let mut takers = Vec::new();
         for method in names {
-            if let Found::Route(taker, _) = self.find(&host, &claim.path.sample(), &method) {
+            if let LookupResult::Route(taker, _) = self.find(&host, &claim.path.sample(), &method) {
                 if taker != number && !takers.contains(&taker) {
                     takers.push(taker);
                 }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -22,7 +22,7 @@
 
 fn route(table: &RouteTable, host: &str, path: &str, method: &str) -> Option<usize> {
     match table.find(host, path, method) {
-        Found::Route(number, _) => Some(number),
+        LookupResult::Route(number, _) => Some(number),
         _ => None,
     }
 }
@@ -96,8 +96,8 @@
     assert_eq!(route(&t, "h", "/e/1", "POST"), Some(2));
     assert_eq!(route(&t, "h", "/e/1", "PUT"), Some(3));
     let others = ["GET", "HEAD", "POST"].map(str::to_owned).to_vec();
-    assert_eq!(t.find("h", "/o", "PUT"), Found::OtherMethods(others));
-    assert_eq!(t.find("h", "/x", "PUT"), Found::Nothing);
+    assert_eq!(t.find("h", "/o", "PUT"), LookupResult::OtherMethods(others));
+    assert_eq!(t.find("h", "/x", "PUT"), LookupResult::Nothing);
 }
 
 #[test]
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderName;
 use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
 use ivygate_forward_auth::folded;
-use ivygate_routing::{Found, RouteTable};
+use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_runtime::Clock;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -238,9 +238,9 @@
     /// With the methods that the path is claimed for, none if it is not claimed at all.
     pub fn route(&self, host: &str, path: &str, method: &str) -> Result<&Route, Vec<String>> {
         match self.table.find(host, path, method) {
-            Found::Route(number, _) => Ok(&self.routes[number]),
-            Found::OtherMethods(methods) => Err(methods),
-            Found::Nothing => Err(Vec::new()),
+            LookupResult::Route(number, _) => Ok(&self.routes[number]),
+            LookupResult::OtherMethods(methods) => Err(methods),
+            LookupResult::Nothing => Err(Vec::new()),
         }
     }
 
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -4,7 +4,7 @@
     At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
     Statement,
 };
-use ivygate_routing::{visit_equivalence_classes, Found, RouteTable, TooManyClasses};
+use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -217,8 +217,8 @@
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
         visit_equivalence_classes(&[&before, &after], |request| {
             let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
-                Found::Route(number, _) => Some(number),
-                Found::OtherMethods(_) | Found::Nothing => None,
+                LookupResult::Route(number, _) => Some(number),
+                LookupResult::OtherMethods(_) | LookupResult::Nothing => None,
             };
             let (a, b) = (number(&before), number(&after));
             let (from, to) =
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -1,7 +1,7 @@
 //! What is written for an application passes check and layout, and does what was asked for.
 
 use ivygate_config::{load, Effect, Model, Severity};
-use ivygate_routing::{Found, RouteTable};
+use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_tool::{format, from_openapi, generate, Description, Route, Wish};
 
 fn written(app: &Description) -> (String, Model) {
@@ -26,7 +26,7 @@
 fn effect(model: &Model, method: &str, path: &str) -> Option<Effect> {
     let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()).unwrap();
     match table.find("h", path, method) {
-        Found::Route(number, _) => Some(model.classes[model.routes[number].class].effect),
+        LookupResult::Route(number, _) => Some(model.classes[model.routes[number].class].effect),
         _ => None,
     }
 }
