--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -57,7 +57,7 @@
                     );
                     ExitCode::SUCCESS
                 }
-                LookupResult::OtherMethods(methods) => {
+                LookupResult::MethodNotAllowed(methods) => {
                     println!("405: routes claim this path for {} only", methods.join(", "));
                     ExitCode::FAILURE
                 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -285,7 +285,7 @@
     /// The route with this number.
     Route(usize, Reason),
     /// Routes claim the path, but none this method; these are the methods.
-    OtherMethods(Vec<String>),
+    MethodNotAllowed(Vec<String>),
     /// No route claims host and path.
     Nothing,
 }
@@ -518,7 +518,7 @@
             None => {
                 others.sort();
                 others.dedup();
-                LookupResult::OtherMethods(others)
+                LookupResult::MethodNotAllowed(others)
             }
         }
     }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -239,7 +239,7 @@
     pub fn route(&self, host: &str, path: &str, method: &str) -> Result<&Route, Vec<String>> {
         match self.table.find(host, path, method) {
             LookupResult::Route(number, _) => Ok(&self.routes[number]),
-            LookupResult::OtherMethods(methods) => Err(methods),
+            LookupResult::MethodNotAllowed(methods) => Err(methods),
             LookupResult::Nothing => Err(Vec::new()),
         }
     }
