--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -61,7 +61,7 @@
                     println!("405: routes claim this path for {} only", methods.join(", "));
                     ExitCode::FAILURE
                 }
-                LookupResult::Nothing => {
+                LookupResult::NotFound => {
                     println!("404: no route claims this host and path");
                     ExitCode::FAILURE
                 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -287,7 +287,7 @@
     /// Routes claim the path, but none this method; these are the methods.
     MethodNotAllowed(Vec<String>),
     /// No route claims host and path.
-    Nothing,
+    NotFound,
 }
 
 /// What ends at a node.
@@ -514,7 +514,7 @@
         found = found.or_else(|| self.any.and_then(|root| search.below(root)));
         match found {
             Some((number, reason)) => LookupResult::Route(number as usize, reason),
-            None if others.is_empty() => LookupResult::Nothing,
+            None if others.is_empty() => LookupResult::NotFound,
             None => {
                 others.sort();
                 others.dedup();
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -97,7 +97,7 @@
     assert_eq!(route(&t, "h", "/e/1", "PUT"), Some(3));
     let others = ["GET", "HEAD", "POST"].map(str::to_owned).to_vec();
     assert_eq!(t.find("h", "/o", "PUT"), LookupResult::MethodNotAllowed(others));
-    assert_eq!(t.find("h", "/x", "PUT"), LookupResult::Nothing);
+    assert_eq!(t.find("h", "/x", "PUT"), LookupResult::NotFound);
 }
 
 #[test]
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -240,7 +240,7 @@
         match self.table.find(host, path, method) {
             LookupResult::Route(number, _) => Ok(&self.routes[number]),
             LookupResult::MethodNotAllowed(methods) => Err(methods),
-            LookupResult::Nothing => Err(Vec::new()),
+            LookupResult::NotFound => Err(Vec::new()),
         }
     }
 
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -218,7 +218,7 @@
         visit_equivalence_classes(&[&before, &after], |request| {
             let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
                 LookupResult::Route(number, _) => Some(number),
-                LookupResult::MethodNotAllowed(_) | LookupResult::Nothing => None,
+                LookupResult::MethodNotAllowed(_) | LookupResult::NotFound => None,
             };
             let (a, b) = (number(&before), number(&after));
             let (from, to) =
