--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{LookupResult, MethodMatch, Reason, RouteTable, Target};
+use ivygate_routing::{LookupResult, MatchKind, MethodMatch, RouteTable, Target};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -46,9 +46,9 @@
                 LookupResult::Route(number, reason) => {
                     let route = &model.routes[number];
                     let why = match reason {
-                        Reason::Exact => "its path is this one exactly",
-                        Reason::Prefix => "its prefix is the longest",
-                        Reason::Pattern => "its pattern is the first that matches",
+                        MatchKind::Exact => "its path is this one exactly",
+                        MatchKind::Prefix => "its prefix is the longest",
+                        MatchKind::Pattern => "its pattern is the first that matches",
                     };
                     println!(
                         "{}\ntaken since {why}; its host is {}",
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use regions::{visit_equivalence_classes, SampleRequest, TooManyClasses};
 pub use table::{
-    BuildError, Conflict, HostMatch, LookupResult, MethodMatch, Overlap, PathMatch, PatternError, Reason,
+    BuildError, Conflict, HostMatch, LookupResult, MatchKind, MethodMatch, Overlap, PathMatch, PatternError,
     RouteMatch, RouteTable, Segment,
 };
 pub use target::{host_of, normal_path, Target, TargetError};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -270,7 +270,7 @@
 
 /// By what a route was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum MatchKind {
     /// Its exact path.
     Exact,
     /// The longest prefix.
@@ -283,7 +283,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
     /// The route with this number.
-    Route(usize, Reason),
+    Route(usize, MatchKind),
     /// Routes claim the path, but none this method; these are the methods.
     MethodNotAllowed(Vec<String>),
     /// No route claims host and path.
@@ -631,7 +631,7 @@
 }
 
 impl Search<'_> {
-    fn below(&mut self, root: u32) -> Option<(u32, Reason)> {
+    fn below(&mut self, root: u32) -> Option<(u32, MatchKind)> {
         let table = self.table;
         let start = table.roots[root as usize];
         let segments = || self.path[1..].split('/');
@@ -655,7 +655,7 @@
                 None => {
                     let exact = ends.map_or(&[][..], |e| &e.exact);
                     if let Some(number) = self.choose(exact) {
-                        return Some((number, Reason::Exact));
+                        return Some((number, MatchKind::Exact));
                     }
                     break;
                 }
@@ -663,7 +663,7 @@
         }
         while let Some(ends) = met.pop() {
             if let Some(number) = self.choose(ends) {
-                return Some((number, Reason::Prefix));
+                return Some((number, MatchKind::Prefix));
             }
         }
         if !table.patterned[root as usize] {
@@ -672,7 +672,7 @@
         let segments: Vec<&str> = self.path[1..].split('/').collect();
         let mut best = None;
         self.patterns(start, &segments, &mut best);
-        best.map(|number| (number, Reason::Pattern))
+        best.map(|number| (number, MatchKind::Pattern))
     }
 
     /// The first pattern in the file's order below a node. Each segment has two ways at the most, the literal
