--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -263,7 +263,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
     /// The route that takes them.
-    pub taken_by: usize,
+    pub winner: usize,
     /// The route that would take them else.
     pub also: usize,
 }
@@ -538,10 +538,10 @@
             for method in &names {
                 let overlap = match self.find(&host, &path, method) {
                     LookupResult::Route(taker, _) if taker != number => {
-                        Overlap { taken_by: taker, also: number }
+                        Overlap { winner: taker, also: number }
                     }
                     _ => match self.find_but(&host, &path, method, Some(number as u32)) {
-                        LookupResult::Route(other, _) => Overlap { taken_by: number, also: other },
+                        LookupResult::Route(other, _) => Overlap { winner: number, also: other },
                         _ => continue,
                     },
                 };
