--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -27,7 +27,7 @@
                 println!("\nclaimed by two routes, and taken by the first of each pair:");
             }
             for overlap in overlaps {
-                let (first, second) = (&model.routes[overlap.winner], &model.routes[overlap.also]);
+                let (first, second) = (&model.routes[overlap.winner], &model.routes[overlap.shadowed]);
                 println!("  {} ({}) before {} ({})", first.name, place(first), second.name, place(second));
             }
             ExitCode::SUCCESS
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -265,7 +265,7 @@
     /// The route that takes them.
     pub winner: usize,
     /// The route that would take them else.
-    pub also: usize,
+    pub shadowed: usize,
 }
 
 /// By what a route was found.
@@ -538,10 +538,10 @@
             for method in &names {
                 let overlap = match self.find(&host, &path, method) {
                     LookupResult::Route(taker, _) if taker != number => {
-                        Overlap { winner: taker, also: number }
+                        Overlap { winner: taker, shadowed: number }
                     }
                     _ => match self.find_but(&host, &path, method, Some(number as u32)) {
-                        LookupResult::Route(other, _) => Overlap { winner: number, also: other },
+                        LookupResult::Route(other, _) => Overlap { winner: number, shadowed: other },
                         _ => continue,
                     },
                 };
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -131,7 +131,7 @@
         ("*", "pattern /x/*", ""),
         ("*", "prefix /tiles", ""),
     ]);
-    let pairs: Vec<_> = t.overlaps().iter().map(|o| (o.winner, o.also)).collect();
+    let pairs: Vec<_> = t.overlaps().iter().map(|o| (o.winner, o.shadowed)).collect();
     // The pattern is never reached: the prefix `/` takes all.
     assert_eq!(pairs, [(1, 3), (0, 2), (3, 0)]);
 }
