--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -76,7 +76,7 @@
     /// The path itself is malformed.
     Path(TargetError),
     /// It is not in normal form; this is.
-    NotNormal(String),
+    NotNormalized(String),
     /// `*` is mixed with other characters in a segment.
     PartOfSegment(String),
     /// `**` stands before the end.
@@ -87,7 +87,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PatternError::Path(error) => error.fmt(f),
-            PatternError::NotNormal(normal) => {
+            PatternError::NotNormalized(normal) => {
                 write!(f, "requests are matched in normal form, as `{normal}`")
             }
             PatternError::PartOfSegment(segment) => {
@@ -202,7 +202,7 @@
     if normal == path {
         Ok(normal)
     } else {
-        Err(PatternError::NotNormal(normal))
+        Err(PatternError::NotNormalized(normal))
     }
 }
 
