--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -78,7 +78,7 @@
     /// It is not in normal form; this is.
     NotNormalized(String),
     /// `*` is mixed with other characters in a segment.
-    PartOfSegment(String),
+    PartialWildcard(String),
     /// `**` stands before the end.
     TailNotLast,
 }
@@ -90,7 +90,7 @@
             PatternError::NotNormalized(normal) => {
                 write!(f, "requests are matched in normal form, as `{normal}`")
             }
-            PatternError::PartOfSegment(segment) => {
+            PatternError::PartialWildcard(segment) => {
                 write!(f, "`*` stands for a whole segment, and cannot be a part of `{segment}`")
             }
             PatternError::TailNotLast => f.write_str("`**` can only stand at the end"),
@@ -135,7 +135,7 @@
             segments.push(match segment {
                 "*" => Segment::Any,
                 "**" => return Err(PatternError::TailNotLast),
-                _ if segment.contains('*') => return Err(PatternError::PartOfSegment(segment.to_owned())),
+                _ if segment.contains('*') => return Err(PatternError::PartialWildcard(segment.to_owned())),
                 _ => Segment::Literal(segment.to_owned()),
             });
         }
