--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -80,7 +80,7 @@
     /// `*` is mixed with other characters in a segment.
     PartialWildcard(String),
     /// `**` stands before the end.
-    TailNotLast,
+    TailWildcardNotLast,
 }
 
 impl fmt::Display for PatternError {
@@ -93,7 +93,7 @@
             PatternError::PartialWildcard(segment) => {
                 write!(f, "`*` stands for a whole segment, and cannot be a part of `{segment}`")
             }
-            PatternError::TailNotLast => f.write_str("`**` can only stand at the end"),
+            PatternError::TailWildcardNotLast => f.write_str("`**` can only stand at the end"),
         }
     }
 }
@@ -134,7 +134,7 @@
         for segment in body.split('/').skip(1) {
             segments.push(match segment {
                 "*" => Segment::Any,
-                "**" => return Err(PatternError::TailNotLast),
+                "**" => return Err(PatternError::TailWildcardNotLast),
                 _ if segment.contains('*') => return Err(PatternError::PartialWildcard(segment.to_owned())),
                 _ => Segment::Literal(segment.to_owned()),
             });
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -141,7 +141,7 @@
     assert_eq!(PathMatch::prefix("/a//b"), Err(PatternError::NotNormalized("/a/b".into())));
     assert_eq!(PathMatch::exact("/%41"), Err(PatternError::NotNormalized("/A".into())));
     assert_eq!(PathMatch::pattern("/a*/b"), Err(PatternError::PartialWildcard("a*".into())));
-    assert_eq!(PathMatch::pattern("/**/b"), Err(PatternError::TailNotLast));
+    assert_eq!(PathMatch::pattern("/**/b"), Err(PatternError::TailWildcardNotLast));
     assert!(PathMatch::exact("a").is_err() && PathMatch::pattern("a/*").is_err());
     assert!(PathMatch::pattern("/**").is_ok());
     assert!(
