--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RouteMatch, Target};
+use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RequestTarget, RouteMatch};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -889,7 +889,7 @@
 
 /// A path to ask for, in normal form.
 fn plain_path(fields: &Fields, word: &Word) -> Option<String> {
-    match Target::parse(&word.text) {
+    match RequestTarget::parse(&word.text) {
         Ok(target) if word.text.starts_with('/') => Some(target.path_and_query()),
         _ => {
             let error = Diagnostic::error("IV0052", "this is no path", word.span, "here");
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{LookupResult, MatchKind, MethodMatch, RouteTable, Target};
+use ivygate_routing::{LookupResult, MatchKind, MethodMatch, RequestTarget, RouteTable};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -33,7 +33,7 @@
             ExitCode::SUCCESS
         }
         Some((method, url)) => {
-            let target = match Target::parse(url) {
+            let target = match RequestTarget::parse(url) {
                 Ok(target) => target,
                 Err(error) => {
                     println!("400: {error}");
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -44,7 +44,7 @@
 
 /// A target, taken apart and normal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct RequestTarget {
     /// The host that an absolute target names, normal.
     pub host: Option<String>,
     /// The normal path; begins with `/`.
@@ -53,7 +53,7 @@
     pub query: Option<String>,
 }
 
-impl Target {
+impl RequestTarget {
     /// Reads a request's target: `/path?query` or `http://host/path?query`.
     ///
     /// # Errors
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -63,13 +63,13 @@
 
 #[test]
 fn absolute_targets_name_their_host() {
-    let target = Target::parse("http://Tiles.Example.org:8080/a/../b?x=//").unwrap();
+    let target = RequestTarget::parse("http://Tiles.Example.org:8080/a/../b?x=//").unwrap();
     assert_eq!((target.host.as_deref(), target.path.as_str()), (Some("tiles.example.org"), "/b"));
     assert_eq!(target.path_and_query(), "/b?x=//");
-    assert_eq!(Target::parse("http://h?x").unwrap().path_and_query(), "/?x");
-    assert_eq!(Target::parse("HTTP://h").unwrap().path, "/");
+    assert_eq!(RequestTarget::parse("http://h?x").unwrap().path_and_query(), "/?x");
+    assert_eq!(RequestTarget::parse("HTTP://h").unwrap().path, "/");
     for bad in ["*", "h:80", "https://h/", "ftp://h/", "http://", "http://u@h/", "", "/a#b", "/a?b#c"] {
-        assert!(Target::parse(bad).is_err(), "{bad}");
+        assert!(RequestTarget::parse(bad).is_err(), "{bad}");
     }
 }
 
--- a/crates/sidecar/src/asker.rs
+++ b/crates/sidecar/src/asker.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::HeaderMap;
 use hyper::Method;
-use ivygate_routing::{host_of, Target};
+use ivygate_routing::{host_of, RequestTarget};
 use ivygate_runtime::one;
 
 /// A request that somebody else has and asks about.
@@ -14,7 +14,7 @@
     /// Its method, if that is told.
     pub method: Option<Method>,
     /// Its target, in normal form.
-    pub target: Target,
+    pub target: RequestTarget,
     /// Its host.
     pub host: String,
 }
@@ -27,7 +27,8 @@
     let uri = agreed(headers, "x-forwarded-uri", "x-original-uri")?;
     // How the client came says nothing of where its request goes.
     let url = one(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
-    let parse = |text: &str| Target::parse(text).map_err(|error| format!("what is asked about: {error}"));
+    let parse =
+        |text: &str| RequestTarget::parse(text).map_err(|error| format!("what is asked about: {error}"));
     let (target, named) = match (uri, url) {
         (None, None) => {
             return Err("what is asked about is not told: X-Forwarded-Uri or X-Original-URI is missing".into())
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -19,7 +19,7 @@
 use ivygate_forward_auth::{folded, share, Admissions};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_journal::{Order, State};
-use ivygate_routing::{host_of, Target};
+use ivygate_routing::{host_of, RequestTarget};
 use ivygate_runtime::{
     millis, one, Answer, Ask, Asked, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
 };
@@ -479,7 +479,7 @@
 }
 
 /// The normal target and host of a request.
-pub fn destination(parts: &Parts) -> Result<(Target, String), Words> {
+pub fn destination(parts: &Parts) -> Result<(RequestTarget, String), Words> {
     if parts.method == Method::CONNECT {
         return Err(Words::new(StatusCode::NOT_IMPLEMENTED, "CONNECT is not offered").closing());
     }
@@ -492,8 +492,8 @@
         return Err(Words::new(StatusCode::EXPECTATION_FAILED, text).closing());
     }
     let target = match parts.uri.path_and_query() {
-        Some(path) if parts.uri.authority().is_none() => Target::parse(path.as_str()),
-        _ => Target::parse(&parts.uri.to_string()),
+        Some(path) if parts.uri.authority().is_none() => RequestTarget::parse(path.as_str()),
+        _ => RequestTarget::parse(&parts.uri.to_string()),
     };
     let target = target.map_err(|error| bad(error.to_string()))?;
     let mut hosts = parts.headers.get_all(header::HOST).iter();
@@ -515,7 +515,12 @@
     Ok((target, host))
 }
 
-fn route<'a>(site: &'a Site, host: &str, target: &Target, method: &Method) -> Result<&'a Route, Words> {
+fn route<'a>(
+    site: &'a Site,
+    host: &str,
+    target: &RequestTarget,
+    method: &Method,
+) -> Result<&'a Route, Words> {
     site.route(host, &target.path, method.as_str()).map_err(|others| {
         if others.is_empty() {
             return Words::new(StatusCode::NOT_FOUND, "no route takes this host and path");
