--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -13,4 +13,4 @@
     BuildError, Conflict, HostMatch, LookupResult, MatchKind, MethodMatch, Overlap, PathMatch, PatternError,
     RouteMatch, RouteTable, Segment,
 };
-pub use target::{host_of, normal_path, RequestTarget, TargetError};
+pub use target::{normal_path, normalize_host, RequestTarget, TargetError};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,6 +1,6 @@
 //! The route table: claims put in once, requests looked up at a cost that grows with their path only.
 
-use crate::target::{host_of, normal_path, TargetError};
+use crate::target::{normal_path, normalize_host, TargetError};
 use hashbrown::HashTable;
 use std::collections::HashMap;
 use std::fmt;
@@ -25,8 +25,8 @@
     pub fn parse(text: &str) -> Result<Self, TargetError> {
         match text.strip_prefix("*.") {
             _ if text == "*" => Ok(HostMatch::Any),
-            Some(suffix) => host_of(suffix).map(HostMatch::Suffix),
-            None => host_of(text).map(HostMatch::Exact),
+            Some(suffix) => normalize_host(suffix).map(HostMatch::Suffix),
+            None => normalize_host(text).map(HostMatch::Exact),
         }
     }
 
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -69,7 +69,7 @@
             }
             let rest = &target[7..];
             let end = rest.find(['/', '?']).unwrap_or(rest.len());
-            (Some(host_of(&rest[..end])?), &rest[end..])
+            (Some(normalize_host(&rest[..end])?), &rest[end..])
         };
         let (path, query) = match rest.split_once('?') {
             Some((path, query)) => (path, Some(query)),
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// If it is no host name, IPv4 address or bracketed IPv6 address with an optional port.
-pub fn host_of(authority: &str) -> Result<String, TargetError> {
+pub fn normalize_host(authority: &str) -> Result<String, TargetError> {
     let (host, port) = if let Some(rest) = authority.strip_prefix('[') {
         let (inner, after) = rest.split_once(']').ok_or(TargetError::Host)?;
         if inner.parse::<std::net::Ipv6Addr>().is_err() {
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -83,10 +83,10 @@
         ("[::1]:80", "[::1]"),
         ("10.0.0.1:9", "10.0.0.1"),
     ] {
-        assert_eq!(host_of(given).as_deref(), Ok(wanted), "{given}");
+        assert_eq!(normalize_host(given).as_deref(), Ok(wanted), "{given}");
     }
     for bad in ["", ".", "a..b", "a b", "a/b", "a:x", "a:99999", "a:1:2", "[::1", "[x]", "u@h", "a%41", "a,b"]
     {
-        assert_eq!(host_of(bad), Err(TargetError::Host), "{bad}");
+        assert_eq!(normalize_host(bad), Err(TargetError::Host), "{bad}");
     }
 }
--- a/crates/sidecar/src/asker.rs
+++ b/crates/sidecar/src/asker.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::HeaderMap;
 use hyper::Method;
-use ivygate_routing::{host_of, RequestTarget};
+use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::one;
 
 /// A request that somebody else has and asks about.
@@ -56,7 +56,7 @@
     };
     let told = match one(headers, "x-forwarded-host")? {
         None => None,
-        Some(text) => Some(host_of(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
+        Some(text) => Some(normalize_host(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
     };
     let host = match (told, named) {
         (Some(told), Some(named)) if told != named => {
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -19,7 +19,7 @@
 use ivygate_forward_auth::{folded, share, Admissions};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_journal::{Order, State};
-use ivygate_routing::{host_of, RequestTarget};
+use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
     millis, one, Answer, Ask, Asked, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
 };
@@ -501,7 +501,7 @@
         (Some(_), Some(_)) => return Err(bad("Host is given twice")),
         (Some(host), None) => {
             let text = host.to_str().map_err(|_| bad("the host is malformed"))?;
-            Some(host_of(text).map_err(|error| bad(error.to_string()))?)
+            Some(normalize_host(text).map_err(|error| bad(error.to_string()))?)
         }
         (None, _) if parts.version == Version::HTTP_10 => None,
         (None, _) => return Err(bad("Host is missing")),
