--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -13,4 +13,4 @@
     BuildError, Conflict, HostMatch, LookupResult, MatchKind, MethodMatch, Overlap, PathMatch, PatternError,
     RouteMatch, RouteTable, Segment,
 };
-pub use target::{normal_path, normalize_host, RequestTarget, TargetError};
+pub use target::{normalize_host, normalize_path, RequestTarget, TargetError};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,6 +1,6 @@
 //! The route table: claims put in once, requests looked up at a cost that grows with their path only.
 
-use crate::target::{normal_path, normalize_host, TargetError};
+use crate::target::{normalize_host, normalize_path, TargetError};
 use hashbrown::HashTable;
 use std::collections::HashMap;
 use std::fmt;
@@ -198,7 +198,7 @@
 }
 
 fn normal(path: &str) -> Result<String, PatternError> {
-    let normal = normal_path(path).map_err(PatternError::Path)?;
+    let normal = normalize_path(path).map_err(PatternError::Path)?;
     if normal == path {
         Ok(normal)
     } else {
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -78,7 +78,7 @@
         if query.is_some_and(|q| q.bytes().any(|b| b <= b' ' || b == 0x7f || b == b'#')) {
             return Err(TargetError::Byte);
         }
-        let path = normal_path(if path.is_empty() { "/" } else { path })?;
+        let path = normalize_path(if path.is_empty() { "/" } else { path })?;
         Ok(Self { host, path, query: query.map(str::to_owned) })
     }
 
@@ -137,7 +137,7 @@
 ///
 /// # Errors
 /// If the path is malformed, or a server might see other segments in it than are seen here.
-pub fn normal_path(path: &str) -> Result<String, TargetError> {
+pub fn normalize_path(path: &str) -> Result<String, TargetError> {
     if path.len() > PATH_MOST {
         return Err(TargetError::TooLong);
     }
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -40,10 +40,10 @@
         ("a", Err(TargetError::Form)),
     ];
     for (path, wanted) in cases {
-        assert_eq!(normal_path(path).as_deref(), wanted.as_ref().map(|p| *p), "{path}");
+        assert_eq!(normalize_path(path).as_deref(), wanted.as_ref().map(|p| *p), "{path}");
     }
-    assert_eq!(normal_path(&format!("/{}", "a".repeat(PATH_MOST))), Err(TargetError::TooLong));
-    assert_eq!(normal_path(&"/a".repeat(SEGMENTS_MOST + 1)), Err(TargetError::TooLong));
+    assert_eq!(normalize_path(&format!("/{}", "a".repeat(PATH_MOST))), Err(TargetError::TooLong));
+    assert_eq!(normalize_path(&"/a".repeat(SEGMENTS_MOST + 1)), Err(TargetError::TooLong));
 }
 
 #[test]
@@ -54,8 +54,8 @@
         let path: String = (0..rng.usize(1..8))
             .map(|_| ["/", ""][rng.usize(..2)].to_owned() + parts[rng.usize(..parts.len())])
             .collect();
-        if let Ok(normal) = normal_path(&path) {
-            assert_eq!(normal_path(&normal).as_deref(), Ok(normal.as_str()), "{path}");
+        if let Ok(normal) = normalize_path(&path) {
+            assert_eq!(normalize_path(&normal).as_deref(), Ok(normal.as_str()), "{path}");
             assert!(!normal.split('/').any(|s| s == "." || s == ".."), "{path} -> {normal}");
         }
     }
