--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -128,7 +128,7 @@
         };
         let rooted = body.starts_with('/') || (tail && body.is_empty());
         if !rooted {
-            return Err(PatternError::Path(TargetError::Form));
+            return Err(PatternError::Path(TargetError::InvalidForm));
         }
         let mut segments = Vec::new();
         for segment in body.split('/').skip(1) {
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
     /// Neither `/…` nor `http://host/…`.
-    Form,
+    InvalidForm,
     /// A `%` without two hexadecimal digits, or one that hides a control character.
     Escape,
     /// A control character, a space, a backslash, `#` or another byte that has no place in a path.
@@ -24,7 +24,7 @@
 impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            TargetError::Form => "the target is neither a path nor an http:// address",
+            TargetError::InvalidForm => "the target is neither a path nor an http:// address",
             TargetError::Escape => "the path has a malformed percent escape",
             TargetError::Byte => "the path has a character that must be escaped",
             TargetError::AboveRoot => "the path leads above the root",
@@ -63,9 +63,9 @@
             (None, target)
         } else {
             // The scheme's case does not matter; https never comes in the clear.
-            let scheme = target.get(..7).ok_or(TargetError::Form)?;
+            let scheme = target.get(..7).ok_or(TargetError::InvalidForm)?;
             if !scheme.eq_ignore_ascii_case("http://") {
-                return Err(TargetError::Form);
+                return Err(TargetError::InvalidForm);
             }
             let rest = &target[7..];
             let end = rest.find(['/', '?']).unwrap_or(rest.len());
@@ -143,7 +143,7 @@
     }
     let bytes = path.as_bytes();
     if bytes.first() != Some(&b'/') {
-        return Err(TargetError::Form);
+        return Err(TargetError::InvalidForm);
     }
     if is_plainly_normal(bytes) {
         return Ok(path.to_owned());
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -37,7 +37,7 @@
         ("/a\\b", Err(TargetError::Byte)),
         ("/a b", Err(TargetError::Byte)),
         ("/é", Err(TargetError::Byte)),
-        ("a", Err(TargetError::Form)),
+        ("a", Err(TargetError::InvalidForm)),
     ];
     for (path, wanted) in cases {
         assert_eq!(normalize_path(path).as_deref(), wanted.as_ref().map(|p| *p), "{path}");
