--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -8,7 +8,7 @@
     /// Neither `/…` nor `http://host/…`.
     InvalidForm,
     /// A `%` without two hexadecimal digits, or one that hides a control character.
-    Escape,
+    InvalidEscape,
     /// A control character, a space, a backslash, `#` or another byte that has no place in a path.
     Byte,
     /// `..` above the root.
@@ -25,7 +25,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             TargetError::InvalidForm => "the target is neither a path nor an http:// address",
-            TargetError::Escape => "the path has a malformed percent escape",
+            TargetError::InvalidEscape => "the path has a malformed percent escape",
             TargetError::Byte => "the path has a character that must be escaped",
             TargetError::AboveRoot => "the path leads above the root",
             TargetError::HiddenDots => "the path hides a dot segment",
@@ -207,9 +207,10 @@
         if b == b'%' {
             let digits = raw.get(at + 1..at + 3).and_then(|d| std::str::from_utf8(d).ok());
             let digits = digits.filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
-            let value = digits.and_then(|d| u8::from_str_radix(d, 16).ok()).ok_or(TargetError::Escape)?;
+            let value =
+                digits.and_then(|d| u8::from_str_radix(d, 16).ok()).ok_or(TargetError::InvalidEscape)?;
             if value < 0x20 || value == 0x7f {
-                return Err(TargetError::Escape);
+                return Err(TargetError::InvalidEscape);
             }
             divides |= matches!(value, b'/' | b'\\');
             if unreserved(value) {
