--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -10,7 +10,7 @@
     /// A `%` without two hexadecimal digits, or one that hides a control character.
     InvalidEscape,
     /// A control character, a space, a backslash, `#` or another byte that has no place in a path.
-    Byte,
+    InvalidByte,
     /// `..` above the root.
     AboveRoot,
     /// A dot segment that a server might see although it is none here: `..;x`, `..%2F`, `..%5C`.
@@ -26,7 +26,7 @@
         f.write_str(match self {
             TargetError::InvalidForm => "the target is neither a path nor an http:// address",
             TargetError::InvalidEscape => "the path has a malformed percent escape",
-            TargetError::Byte => "the path has a character that must be escaped",
+            TargetError::InvalidByte => "the path has a character that must be escaped",
             TargetError::AboveRoot => "the path leads above the root",
             TargetError::HiddenDots => "the path hides a dot segment",
             TargetError::TooLong => "the path is too long or too deep",
@@ -76,7 +76,7 @@
             None => (rest, None),
         };
         if query.is_some_and(|q| q.bytes().any(|b| b <= b' ' || b == 0x7f || b == b'#')) {
-            return Err(TargetError::Byte);
+            return Err(TargetError::InvalidByte);
         }
         let path = normalize_path(if path.is_empty() { "/" } else { path })?;
         Ok(Self { host, path, query: query.map(str::to_owned) })
@@ -222,7 +222,7 @@
             continue;
         }
         if !unreserved(b) && !plain(b) {
-            return Err(TargetError::Byte);
+            return Err(TargetError::InvalidByte);
         }
         segment.push(char::from(b));
         at += 1;
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -34,9 +34,9 @@
         ("/%", Err(TargetError::InvalidEscape)),
         ("/%+1", Err(TargetError::InvalidEscape)),
         ("/%00", Err(TargetError::InvalidEscape)),
-        ("/a\\b", Err(TargetError::Byte)),
-        ("/a b", Err(TargetError::Byte)),
-        ("/é", Err(TargetError::Byte)),
+        ("/a\\b", Err(TargetError::InvalidByte)),
+        ("/a b", Err(TargetError::InvalidByte)),
+        ("/é", Err(TargetError::InvalidByte)),
         ("a", Err(TargetError::InvalidForm)),
     ];
     for (path, wanted) in cases {
