--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -14,7 +14,7 @@
     /// `..` above the root.
     AboveRoot,
     /// A dot segment that a server might see although it is none here: `..;x`, `..%2F`, `..%5C`.
-    HiddenDots,
+    HiddenDotSegment,
     /// Longer than 8 KiB without its query, or deeper than 256 segments.
     TooLong,
     /// A host with characters that no host has, or a port that is none.
@@ -28,7 +28,7 @@
             TargetError::InvalidEscape => "the path has a malformed percent escape",
             TargetError::InvalidByte => "the path has a character that must be escaped",
             TargetError::AboveRoot => "the path leads above the root",
-            TargetError::HiddenDots => "the path hides a dot segment",
+            TargetError::HiddenDotSegment => "the path hides a dot segment",
             TargetError::TooLong => "the path is too long or too deep",
             TargetError::Host => "the host is malformed",
         })
@@ -235,7 +235,7 @@
         dots(head) && (parameters || divides)
     });
     if hidden {
-        return Err(TargetError::HiddenDots);
+        return Err(TargetError::HiddenDotSegment);
     }
     Ok(segment)
 }
