--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -18,7 +18,7 @@
     /// Longer than 8 KiB without its query, or deeper than 256 segments.
     TooLong,
     /// A host with characters that no host has, or a port that is none.
-    Host,
+    InvalidHost,
 }
 
 impl fmt::Display for TargetError {
@@ -30,7 +30,7 @@
             TargetError::AboveRoot => "the path leads above the root",
             TargetError::HiddenDotSegment => "the path hides a dot segment",
             TargetError::TooLong => "the path is too long or too deep",
-            TargetError::Host => "the host is malformed",
+            TargetError::InvalidHost => "the host is malformed",
         })
     }
 }
@@ -97,9 +97,9 @@
 /// If it is no host name, IPv4 address or bracketed IPv6 address with an optional port.
 pub fn normalize_host(authority: &str) -> Result<String, TargetError> {
     let (host, port) = if let Some(rest) = authority.strip_prefix('[') {
-        let (inner, after) = rest.split_once(']').ok_or(TargetError::Host)?;
+        let (inner, after) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
         if inner.parse::<std::net::Ipv6Addr>().is_err() {
-            return Err(TargetError::Host);
+            return Err(TargetError::InvalidHost);
         }
         (format!("[{}]", inner.to_ascii_lowercase()), after)
     } else {
@@ -111,14 +111,14 @@
         let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_');
         let labels = host.split('.').all(|label| !label.is_empty() && label.len() <= 63);
         if host.len() > 253 || !labels || !host.bytes().all(fits) {
-            return Err(TargetError::Host);
+            return Err(TargetError::InvalidHost);
         }
         (host, port)
     };
     let number = port.strip_prefix(':');
     let good = |n: &str| n.is_empty() || (n.bytes().all(|b| b.is_ascii_digit()) && n.parse::<u16>().is_ok());
     if !(port.is_empty() || number.is_some_and(good)) {
-        return Err(TargetError::Host);
+        return Err(TargetError::InvalidHost);
     }
     Ok(host)
 }
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -87,6 +87,6 @@
     }
     for bad in ["", ".", "a..b", "a b", "a/b", "a:x", "a:99999", "a:1:2", "[::1", "[x]", "u@h", "a%41", "a,b"]
     {
-        assert_eq!(normalize_host(bad), Err(TargetError::Host), "{bad}");
+        assert_eq!(normalize_host(bad), Err(TargetError::InvalidHost), "{bad}");
     }
 }
