--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, Answer, Ask, Asked, Driver, Front, Leaving, Message, Payload,
-    BODY_MOST, WHOLE_REQUEST,
+    end_to_end, millis, retry_after_value, Answer, Asked, ClientRequest, Driver, Front, Leaving, Message,
+    Payload, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -66,7 +66,7 @@
     }
 
     /// The answer to a request, or `None` if one of its id is open.
-    async fn ask(&self, ask: Ask) -> Option<Response<Full<Bytes>>> {
+    async fn ask(&self, ask: ClientRequest) -> Option<Response<Full<Bytes>>> {
         let id = ask.head.id.clone();
         let answer = self.driver.arrive(ask)?;
         // hyper drops this future when the client closes its connection.
@@ -96,7 +96,7 @@
     }
 
     /// Reads a whole request, the first byte of which came at `begun`.
-    async fn read(&self, request: Request<Incoming>, begun: Instant) -> Result<Ask, Unfit> {
+    async fn read(&self, request: Request<Incoming>, begun: Instant) -> Result<ClientRequest, Unfit> {
         let now = self.driver.now();
         let (parts, body) = request.into_parts();
         // Guards against a second request hidden in a body. hyper drops `Content-Length` where there is a
@@ -118,7 +118,7 @@
             body: Rc::new(Payload::whole(body)),
             tells: Some(tell_deadline),
         };
-        Ok(Ask { deadline: now.plus_millis(head.wait), head, message })
+        Ok(ClientRequest { deadline: now.plus_millis(head.wait), head, message })
     }
 }
 
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -12,7 +12,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
-use ivygate_runtime::{Answer, Ask, Asked, Driver, Front, Head, Leaving, Message, Payload};
+use ivygate_runtime::{Answer, Asked, ClientRequest, Driver, Front, Head, Leaving, Message, Payload};
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -140,7 +140,7 @@
             body: Rc::new(Payload::whole(body.bytes.clone())),
             tells: Some(set_attempt_headers),
         };
-        let ask = Ask { head, deadline: now.plus_millis(request.wait_ms), message };
+        let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), message };
         let Some(answer) = target.driver.arrive(ask) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    Answer, Ask, Clock, Driver, Head, Listing, Message, Payload, Reading, Seal, Target, TargetState,
-    Upstream, UpstreamLimits,
+    Answer, ClientRequest, Clock, Driver, Head, Listing, Message, Payload, Reading, Seal, Target,
+    TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -122,7 +122,7 @@
         body: Rc::new(Payload::whole(Bytes::from_static(b"body"))),
         tells: None,
     };
-    let answer = driver.arrive(Ask { head, deadline: driver.now().plus_millis(wait), message });
+    let answer = driver.arrive(ClientRequest { head, deadline: driver.now().plus_millis(wait), message });
     answer.expect("no other has its id").await.expect("it is answered")
 }
 
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,7 +21,7 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Answer, Ask, Asked, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
+    millis, one, Answer, Asked, ClientRequest, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -346,7 +346,7 @@
                 )),
             };
             let deadline = wait + if payload.is_streamed() { route.upload } else { 0.0 };
-            let ask = Ask {
+            let ask = ClientRequest {
                 head: Head {
                     id: id.clone(),
                     once: class.1,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Response, StatusCode, Uri};
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
-use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
+use ivygate_runtime::{millis, Answer, ClientRequest, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -221,7 +221,7 @@
     let Some(_place) = sign_in.pool.place() else {
         return (Answer::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
     };
-    let ask = Ask {
+    let ask = ClientRequest {
         head: Head {
             id: question.id.clone(),
             class: sign_in.class.clone(),
