--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -118,7 +118,7 @@
             body: Rc::new(Payload::whole(body)),
             tells: Some(tell_deadline),
         };
-        Ok(ClientRequest { deadline: now.plus_millis(head.wait), head, message })
+        Ok(ClientRequest { deadline: now.plus_millis(head.wait), head, outgoing: message })
     }
 }
 
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -140,7 +140,7 @@
             body: Rc::new(Payload::whole(body.bytes.clone())),
             tells: Some(set_attempt_headers),
         };
-        let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), message };
+        let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
         let Some(answer) = target.driver.arrive(ask) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -74,7 +74,7 @@
     /// When the client gives up.
     pub deadline: Timestamp,
     /// What goes on to an app server, unchanged.
-    pub message: Message,
+    pub outgoing: Message,
 }
 
 /// A request as it goes on to an app server.
@@ -302,7 +302,7 @@
             self.set_timer(&mut state, ask.deadline - LAST_ANSWER_MARGIN, Timer::Guard(head.id.clone()));
         let deadline = ask.deadline - DECISION_MARGIN;
         let open = Open {
-            message: Rc::new(ask.message),
+            message: Rc::new(ask.outgoing),
             once: head.once,
             deadline,
             answer: Some(answer),
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -122,7 +122,8 @@
         body: Rc::new(Payload::whole(Bytes::from_static(b"body"))),
         tells: None,
     };
-    let answer = driver.arrive(ClientRequest { head, deadline: driver.now().plus_millis(wait), message });
+    let answer =
+        driver.arrive(ClientRequest { head, deadline: driver.now().plus_millis(wait), outgoing: message });
     answer.expect("no other has its id").await.expect("it is answered")
 }
 
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -360,7 +360,7 @@
                     wait: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
-                message: Message { method, uri, headers, body: Rc::new(payload), tells: None },
+                outgoing: Message { method, uri, headers, body: Rc::new(payload), tells: None },
             };
             let driver = route.pool.driver.clone();
             let Some(answer) = driver.arrive(ask) else {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -235,7 +235,7 @@
             tries: None,
         },
         deadline: sign_in.pool.driver.now().plus_millis(time),
-        message: Message {
+        outgoing: Message {
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
             headers: headers(settings, question),
