--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, Answer, Asked, ClientRequest, Driver, Front, Leaving, Message,
-    Payload, BODY_MOST, WHOLE_REQUEST,
+    end_to_end, millis, retry_after_value, Answer, Asked, ClientRequest, Driver, Front, Leaving,
+    OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -111,7 +111,7 @@
         }
         let body =
             if body.is_end_stream() { Bytes::new() } else { read_body(body, head.wait, begun).await? };
-        let message = Message {
+        let message = OutgoingRequest {
             method: parts.method,
             uri: parts.uri,
             headers: end_to_end(parts.headers, |_| false),
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -12,7 +12,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
-use ivygate_runtime::{Answer, Asked, ClientRequest, Driver, Front, Head, Leaving, Message, Payload};
+use ivygate_runtime::{Answer, Asked, ClientRequest, Driver, Front, Head, Leaving, OutgoingRequest, Payload};
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -133,7 +133,7 @@
     ) -> Result<Answer, Rejection> {
         let head = request_head(request);
         let id = head.id.clone();
-        let message = Message {
+        let message = OutgoingRequest {
             headers: forwarded_headers(&parts.headers, request.tenant.as_deref()),
             method: parts.method,
             uri: parts.uri,
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -74,11 +74,11 @@
     /// When the client gives up.
     pub deadline: Timestamp,
     /// What goes on to an app server, unchanged.
-    pub outgoing: Message,
+    pub outgoing: OutgoingRequest,
 }
 
 /// A request as it goes on to an app server.
-pub struct Message {
+pub struct OutgoingRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -94,7 +94,7 @@
 /// Adds to a request's headers what depends on the attempt: the time left for it and the server's name on the list.
 pub type Tells = fn(&mut HeaderMap, Millis, &str);
 
-impl Message {
+impl OutgoingRequest {
     fn request(&self, left: Millis, server: &str, sent: &Rc<Sent>) -> Request<Outgoing> {
         let mut request = Request::new(self.body.outgoing(sent));
         *request.method_mut() = self.method.clone();
@@ -163,7 +163,7 @@
 
 /// A request that has arrived, until its answer is given and all its attempts have ended.
 struct Open {
-    message: Rc<Message>,
+    message: Rc<OutgoingRequest>,
     /// It must not be sent again once it has been.
     once: bool,
     deadline: Timestamp,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    Answer, ClientRequest, Clock, Driver, Head, Listing, Message, Payload, Reading, Seal, Target,
+    Answer, ClientRequest, Clock, Driver, Head, Listing, OutgoingRequest, Payload, Reading, Seal, Target,
     TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
@@ -115,7 +115,7 @@
         zones: None,
         tries: Some(5),
     };
-    let message = Message {
+    let message = OutgoingRequest {
         method: Method::POST,
         uri: "/a/b".parse().expect("a path"),
         headers,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,7 +21,7 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Answer, Asked, ClientRequest, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
+    millis, one, Answer, Asked, ClientRequest, Flaw, Front, Head, Leaving, OutgoingRequest, Payload, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -360,7 +360,7 @@
                     wait: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
-                outgoing: Message { method, uri, headers, body: Rc::new(payload), tells: None },
+                outgoing: OutgoingRequest { method, uri, headers, body: Rc::new(payload), tells: None },
             };
             let driver = route.pool.driver.clone();
             let Some(answer) = driver.arrive(ask) else {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Response, StatusCode, Uri};
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
-use ivygate_runtime::{millis, Answer, ClientRequest, Head, Leaving, Message, Payload, Streamed};
+use ivygate_runtime::{millis, Answer, ClientRequest, Head, Leaving, OutgoingRequest, Payload, Streamed};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -235,7 +235,7 @@
             tries: None,
         },
         deadline: sign_in.pool.driver.now().plus_millis(time),
-        outgoing: Message {
+        outgoing: OutgoingRequest {
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
             headers: headers(settings, question),
