--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -88,11 +88,11 @@
     /// Its body.
     pub body: Rc<Payload>,
     /// What a server is told besides, just before the first byte is written.
-    pub tells: Option<Tells>,
+    pub tells: Option<SetAttemptHeaders>,
 }
 
 /// Adds to a request's headers what depends on the attempt: the time left for it and the server's name on the list.
-pub type Tells = fn(&mut HeaderMap, Millis, &str);
+pub type SetAttemptHeaders = fn(&mut HeaderMap, Millis, &str);
 
 impl OutgoingRequest {
     fn request(&self, left: Millis, server: &str, sent: &Rc<Sent>) -> Request<Outgoing> {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,7 +18,8 @@
 pub use clients::{listen, Asked, ClientLimits, Clients, Front, Turn, WHOLE_REQUEST};
 pub use clock::{millis, Clock};
 pub use driver::{
-    Admission, Answer, ClientRequest, Decisions, Driver, Head, Leaving, Ledger, OutgoingRequest, Tells,
+    Admission, Answer, ClientRequest, Decisions, Driver, Head, Leaving, Ledger, OutgoingRequest,
+    SetAttemptHeaders,
 };
 pub use framing::Flaw;
 pub use headers::{end_to_end, one, retry_after_value, without_hop_by_hop};
