--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -116,7 +116,7 @@
             uri: parts.uri,
             headers: end_to_end(parts.headers, |_| false),
             body: Rc::new(Payload::whole(body)),
-            tells: Some(tell_deadline),
+            set_attempt_headers: Some(tell_deadline),
         };
         Ok(ClientRequest { deadline: now.plus_millis(head.wait), head, outgoing: message })
     }
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -138,7 +138,7 @@
             method: parts.method,
             uri: parts.uri,
             body: Rc::new(Payload::whole(body.bytes.clone())),
-            tells: Some(set_attempt_headers),
+            set_attempt_headers: Some(set_attempt_headers),
         };
         let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
         let Some(answer) = target.driver.arrive(ask) else {
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -88,7 +88,7 @@
     /// Its body.
     pub body: Rc<Payload>,
     /// What a server is told besides, just before the first byte is written.
-    pub tells: Option<SetAttemptHeaders>,
+    pub set_attempt_headers: Option<SetAttemptHeaders>,
 }
 
 /// Adds to a request's headers what depends on the attempt: the time left for it and the server's name on the list.
@@ -100,7 +100,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        if let Some(tells) = self.tells {
+        if let Some(tells) = self.set_attempt_headers {
             tells(request.headers_mut(), left, server);
         }
         request
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -120,7 +120,7 @@
         uri: "/a/b".parse().expect("a path"),
         headers,
         body: Rc::new(Payload::whole(Bytes::from_static(b"body"))),
-        tells: None,
+        set_attempt_headers: None,
     };
     let answer =
         driver.arrive(ClientRequest { head, deadline: driver.now().plus_millis(wait), outgoing: message });
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -360,7 +360,13 @@
                     wait: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
-                outgoing: OutgoingRequest { method, uri, headers, body: Rc::new(payload), tells: None },
+                outgoing: OutgoingRequest {
+                    method,
+                    uri,
+                    headers,
+                    body: Rc::new(payload),
+                    set_attempt_headers: None,
+                },
             };
             let driver = route.pool.driver.clone();
             let Some(answer) = driver.arrive(ask) else {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -240,7 +240,7 @@
             uri,
             headers: headers(settings, question),
             body: Rc::new(Payload::whole(question.body.clone())),
-            tells: None,
+            set_attempt_headers: None,
         },
     };
     let driver = sign_in.pool.driver.clone();
