--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -65,7 +65,18 @@
         }
         let (class, plan) = (class.clone(), plan.clone());
         let once = *effect == Effect::Unsafe;
-        Ok(Head { id: id.into(), class, plan, customer, units, width, wait, once, zones: None, tries: None })
+        Ok(Head {
+            id: id.into(),
+            class,
+            plan,
+            customer,
+            units,
+            gateways: width,
+            wait,
+            once,
+            zones: None,
+            tries: None,
+        })
     }
 
     /// Units and the number of nodes through which the customer may come.
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -56,7 +56,7 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// Nodes through which the customer's requests may come.
-    pub width: u32,
+    pub gateways: u32,
     /// How long the client will wait.
     pub wait: Millis,
     /// Whether it must never run twice.
@@ -319,7 +319,7 @@
             customer: head.customer,
             deadline,
             units: head.units,
-            gateways: head.width,
+            gateways: head.gateways,
             zones: head.zones,
             max_attempts: head.tries,
         }));
@@ -343,7 +343,7 @@
             customer: head.customer,
             deadline: now.plus_millis(head.wait),
             units: head.units,
-            gateways: head.width,
+            gateways: head.gateways,
             zones: head.zones,
             max_attempts: head.tries,
         });
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -109,7 +109,7 @@
         plan: "all".into(),
         customer: "".into(),
         units: 1.0,
-        width: 1,
+        gateways: 1,
         wait,
         once: class == "once",
         zones: None,
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -131,7 +131,7 @@
             plan: plan.clone(),
             customer: customer.clone(),
             units: route.units,
-            width: route.pool.settings.sidecars,
+            gateways: route.pool.settings.sidecars,
             wait: left,
             once,
             zones: None,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -356,7 +356,7 @@
                     plan,
                     customer,
                     units: route.units,
-                    width: route.pool.settings.sidecars,
+                    gateways: route.pool.settings.sidecars,
                     wait: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -228,7 +228,7 @@
             plan: CHECKS.into(),
             customer: question.client.clone(),
             units: 1.0,
-            width: sign_in.pool.settings.sidecars,
+            gateways: sign_in.pool.settings.sidecars,
             wait: time,
             once: false,
             zones: None,
