--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -110,7 +110,7 @@
             return Err(bad("a GET has no body"));
         }
         let body =
-            if body.is_end_stream() { Bytes::new() } else { read_body(body, head.wait, begun).await? };
+            if body.is_end_stream() { Bytes::new() } else { read_body(body, head.timeout, begun).await? };
         let message = OutgoingRequest {
             method: parts.method,
             uri: parts.uri,
@@ -118,7 +118,7 @@
             body: Rc::new(Payload::whole(body)),
             set_attempt_headers: Some(tell_deadline),
         };
-        Ok(ClientRequest { deadline: now.plus_millis(head.wait), head, outgoing: message })
+        Ok(ClientRequest { deadline: now.plus_millis(head.timeout), head, outgoing: message })
     }
 }
 
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -72,7 +72,7 @@
             customer,
             units,
             gateways: width,
-            wait,
+            timeout: wait,
             once,
             zones: None,
             tries: None,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -175,7 +175,7 @@
         customer: request.tenant.as_ref().map_or_else(|| "".into(), |tenant| tenant.name.clone()),
         units: 1.0,
         gateways: 1,
-        wait: request.wait_ms,
+        timeout: request.wait_ms,
         once: runs_at_most_once(request),
         zones: request.zones.clone(),
         tries: Some(request.route.route.tries),
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -58,7 +58,7 @@
     /// Nodes through which the customer's requests may come.
     pub gateways: u32,
     /// How long the client will wait.
-    pub wait: Millis,
+    pub timeout: Millis,
     /// Whether it must never run twice.
     pub once: bool,
     /// The only zones whose servers may have it; `None` for all.
@@ -341,7 +341,7 @@
             class: head.class,
             plan: head.plan,
             customer: head.customer,
-            deadline: now.plus_millis(head.wait),
+            deadline: now.plus_millis(head.timeout),
             units: head.units,
             gateways: head.gateways,
             zones: head.zones,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -110,7 +110,7 @@
         customer: "".into(),
         units: 1.0,
         gateways: 1,
-        wait,
+        timeout: wait,
         once: class == "once",
         zones: None,
         tries: Some(5),
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -132,7 +132,7 @@
             customer: customer.clone(),
             units: route.units,
             gateways: route.pool.settings.sidecars,
-            wait: left,
+            timeout: left,
             once,
             zones: None,
             tries: None,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -357,7 +357,7 @@
                     customer,
                     units: route.units,
                     gateways: route.pool.settings.sidecars,
-                    wait: deadline,
+                    timeout: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
                 outgoing: OutgoingRequest {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -229,7 +229,7 @@
             customer: question.client.clone(),
             units: 1.0,
             gateways: sign_in.pool.settings.sidecars,
-            wait: time,
+            timeout: time,
             once: false,
             zones: None,
             tries: None,
