--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -73,7 +73,7 @@
             units,
             gateways: width,
             timeout: wait,
-            once,
+            at_most_once: once,
             zones: None,
             tries: None,
         })
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -176,7 +176,7 @@
         units: 1.0,
         gateways: 1,
         timeout: request.wait_ms,
-        once: runs_at_most_once(request),
+        at_most_once: runs_at_most_once(request),
         zones: request.zones.clone(),
         tries: Some(request.route.route.tries),
     }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -60,7 +60,7 @@
     /// How long the client will wait.
     pub timeout: Millis,
     /// Whether it must never run twice.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The only zones whose servers may have it; `None` for all.
     pub zones: Option<Zones>,
     /// Most servers that it may be sent to, where that is fewer than for others.
@@ -303,7 +303,7 @@
         let deadline = ask.deadline - DECISION_MARGIN;
         let open = Open {
             message: Rc::new(ask.outgoing),
-            once: head.once,
+            once: head.at_most_once,
             deadline,
             answer: Some(answer),
             attempts: Vec::new(),
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -111,7 +111,7 @@
         units: 1.0,
         gateways: 1,
         timeout: wait,
-        once: class == "once",
+        at_most_once: class == "once",
         zones: None,
         tries: Some(5),
     };
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -133,7 +133,7 @@
             units: route.units,
             gateways: route.pool.settings.sidecars,
             timeout: left,
-            once,
+            at_most_once: once,
             zones: None,
             tries: None,
         });
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -349,7 +349,7 @@
             let ask = ClientRequest {
                 head: Head {
                     id: id.clone(),
-                    once: class.1,
+                    at_most_once: class.1,
                     zones: None,
                     tries: None,
                     class: class.0,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -230,7 +230,7 @@
             units: 1.0,
             gateways: sign_in.pool.settings.sidecars,
             timeout: time,
-            once: false,
+            at_most_once: false,
             zones: None,
             tries: None,
         },
