--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -75,7 +75,7 @@
             timeout: wait,
             at_most_once: once,
             zones: None,
-            tries: None,
+            max_attempts: None,
         })
     }
 
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -178,6 +178,6 @@
         timeout: request.wait_ms,
         at_most_once: runs_at_most_once(request),
         zones: request.zones.clone(),
-        tries: Some(request.route.route.tries),
+        max_attempts: Some(request.route.route.tries),
     }
 }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -64,7 +64,7 @@
     /// The only zones whose servers may have it; `None` for all.
     pub zones: Option<Zones>,
     /// Most servers that it may be sent to, where that is fewer than for others.
-    pub tries: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
 /// A client's request, read and checked.
@@ -321,7 +321,7 @@
             units: head.units,
             gateways: head.gateways,
             zones: head.zones,
-            max_attempts: head.tries,
+            max_attempts: head.max_attempts,
         }));
         self.work(&mut state);
         Some(receiver)
@@ -345,7 +345,7 @@
             units: head.units,
             gateways: head.gateways,
             zones: head.zones,
-            max_attempts: head.tries,
+            max_attempts: head.max_attempts,
         });
         let mut actions = Vec::new();
         state.gateway.handle(now, arrival, &mut actions);
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -113,7 +113,7 @@
         timeout: wait,
         at_most_once: class == "once",
         zones: None,
-        tries: Some(5),
+        max_attempts: Some(5),
     };
     let message = OutgoingRequest {
         method: Method::POST,
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -135,7 +135,7 @@
             timeout: left,
             at_most_once: once,
             zones: None,
-            tries: None,
+            max_attempts: None,
         });
         let server = match admission {
             Admission::Admitted(server) => server,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -351,7 +351,7 @@
                     id: id.clone(),
                     at_most_once: class.1,
                     zones: None,
-                    tries: None,
+                    max_attempts: None,
                     class: class.0,
                     plan,
                     customer,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -232,7 +232,7 @@
             timeout: time,
             at_most_once: false,
             zones: None,
-            tries: None,
+            max_attempts: None,
         },
         deadline: sign_in.pool.driver.now().plus_millis(time),
         outgoing: OutgoingRequest {
