--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,7 +7,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, Answer, Asked, ClientRequest, Driver, Front, Leaving,
+    end_to_end, millis, retry_after_value, Asked, ClientRequest, Driver, FinalResponse, Front, Leaving,
     OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
@@ -74,22 +74,22 @@
         let answer = answer.await;
         leaving.answered();
         Some(match answer {
-            Ok(Answer::Served(body, content_type)) => {
+            Ok(FinalResponse::Served(body, content_type)) => {
                 let mut response = Response::new(Full::new(body));
                 if let Some(content_type) = content_type {
                     response.headers_mut().insert(header::CONTENT_TYPE, content_type);
                 }
                 response
             }
-            Ok(Answer::Refused(retry_after, ..)) => {
+            Ok(FinalResponse::Refused(retry_after, ..)) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused; nothing was run");
                 if let Some(value) = retry_after_value(retry_after) {
                     response.headers_mut().insert(header::RETRY_AFTER, value);
                 }
                 response
             }
-            Ok(Answer::TimeUp) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-            Ok(Answer::Failed | Answer::Passed(_) | Answer::Whole(_)) | Err(_) => {
+            Ok(FinalResponse::TimeUp) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+            Ok(FinalResponse::Failed | FinalResponse::Passed(_) | FinalResponse::Whole(_)) | Err(_) => {
                 plain(StatusCode::BAD_GATEWAY, "failed")
             }
         })
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -12,7 +12,9 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
-use ivygate_runtime::{Answer, Asked, ClientRequest, Driver, Front, Head, Leaving, OutgoingRequest, Payload};
+use ivygate_runtime::{
+    Asked, ClientRequest, Driver, FinalResponse, Front, Head, Leaving, OutgoingRequest, Payload,
+};
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -130,7 +132,7 @@
         parts: Parts,
         body: &HeldBody,
         now: Timestamp,
-    ) -> Result<Answer, Rejection> {
+    ) -> Result<FinalResponse, Rejection> {
         let head = request_head(request);
         let id = head.id.clone();
         let message = OutgoingRequest {
@@ -146,17 +148,22 @@
         };
         // hyper drops this future when the client closes its connection: that withdraws the request.
         let leaving = Leaving::new(target.driver.clone(), id);
-        let answer = answer.await.unwrap_or(Answer::Failed);
+        let answer = answer.await.unwrap_or(FinalResponse::Failed);
         leaving.answered();
         Ok(answer)
     }
 
     /// Maps the outcome to a response. A request that was sent to no server is given back to its tenant's quota.
-    fn finish(&self, target: &Target, request: &ParsedRequest, answer: Answer) -> Response<Full<Bytes>> {
-        if let (Answer::Refused(.., false), Some(tenant)) = (&answer, &request.tenant) {
+    fn finish(
+        &self,
+        target: &Target,
+        request: &ParsedRequest,
+        answer: FinalResponse,
+    ) -> Response<Full<Bytes>> {
+        if let (FinalResponse::Refused(.., false), Some(tenant)) = (&answer, &request.tenant) {
             self.proxy.quota.release(tenant);
         }
-        let was_rejected = matches!(answer, Answer::Refused(..));
+        let was_rejected = matches!(answer, FinalResponse::Refused(..));
         let rejection_rate = self.rejections.record(&target.backend, was_rejected);
         outcome_response(answer, CROWDED_RETRY_AFTER_MS * rejection_rate, runs_at_most_once(request))
     }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -4,7 +4,7 @@
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{retry_after_value, without_hop_by_hop, Answer};
+use ivygate_runtime::{retry_after_value, without_hop_by_hop, FinalResponse};
 use ivygate_time::Millis;
 
 /// What a rejected client is told to wait where nothing better is known, in milliseconds.
@@ -85,29 +85,29 @@
 
 /// The response for the final outcome of a dispatched request. A rejected client is told to wait at least `min_retry_after_ms`.
 pub(crate) fn outcome_response(
-    answer: Answer,
+    answer: FinalResponse,
     min_retry_after_ms: Millis,
     runs_at_most_once: bool,
 ) -> Response<Full<Bytes>> {
     match answer {
         // The status would promise what the server has not: a server that does not run a request says so by a header of its
         // own, and such an answer is not passed on.
-        Answer::Whole(answer) if runs_at_most_once && promises_not_run(answer.status()) => {
+        FinalResponse::Whole(answer) if runs_at_most_once && promises_not_run(answer.status()) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed; it may have run", 0.0)
         }
-        Answer::Whole(answer) => {
+        FinalResponse::Whole(answer) => {
             let (mut parts, body) = answer.into_parts();
             parts.headers = without_hop_by_hop(parts.headers);
             // Set again from the body.
             parts.headers.remove(header::CONTENT_LENGTH);
             Response::from_parts(parts, Full::new(body))
         }
-        Answer::Refused(wait_ms, ..) => {
+        FinalResponse::Refused(wait_ms, ..) => {
             let retry_after_ms = wait_ms.max(RETRY_SOON_MS).max(min_retry_after_ms);
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused; nothing was run", retry_after_ms)
         }
-        Answer::TimeUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
-        Answer::Failed | Answer::Passed(_) | Answer::Served(..) => {
+        FinalResponse::TimeUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
+        FinalResponse::Failed | FinalResponse::Passed(_) | FinalResponse::Served(..) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed", 0.0)
         }
     }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -109,7 +109,7 @@
 
 /// The one final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// Served, with the app server's body and its type.
     Served(Bytes, Option<HeaderValue>),
     /// Served, or failed in a server's own words: what comes is passed on.
@@ -125,11 +125,11 @@
     TimeUp,
 }
 
-impl From<Words> for Answer {
+impl From<Words> for FinalResponse {
     fn from(words: Words) -> Self {
         match words {
-            Words::Streamed(answer) => Answer::Passed(answer),
-            Words::Whole(answer) => Answer::Whole(answer),
+            Words::Streamed(answer) => FinalResponse::Passed(answer),
+            Words::Whole(answer) => FinalResponse::Whole(answer),
         }
     }
 }
@@ -168,7 +168,7 @@
     once: bool,
     deadline: Timestamp,
     /// Where the answer goes; empty once it is given.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
     /// A server's own words for a failure, passed on if nothing better comes.
     fallback: Option<Words>,
@@ -291,7 +291,7 @@
 
     /// Takes a request; its one answer comes through the receiver. `None` if a request of the same id is
     /// still open: answering both by one run, or running both, would each break a promise.
-    pub fn arrive(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<Answer>> {
+    pub fn arrive(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<FinalResponse>> {
         let mut state = self.state.borrow_mut();
         let head = ask.head;
         if state.requests.contains_key(&head.id) {
@@ -511,7 +511,7 @@
                 }
                 Timer::Guard(id) => {
                     // The last guard: whatever the gateway waits for, a client is answered in time.
-                    if state.answer(&id, Answer::TimeUp) {
+                    if state.answer(&id, FinalResponse::TimeUp) {
                         self.leave(&mut state, &id);
                     }
                 }
@@ -565,12 +565,12 @@
             }
             Action::Reject { request, retry_after, reason } => {
                 let tried = state.requests.get(&request).is_some_and(|open| !open.attempts.is_empty());
-                state.answer(&request, Answer::Refused(retry_after, reason, tried));
+                state.answer(&request, FinalResponse::Refused(retry_after, reason, tried));
                 state.drop_if_over(&request);
             }
             Action::Fail { request } => {
                 let timed_out = state.requests.get(&request).is_some_and(|open| open.timed_out);
-                state.answer(&request, if timed_out { Answer::TimeUp } else { Answer::Failed });
+                state.answer(&request, if timed_out { FinalResponse::TimeUp } else { FinalResponse::Failed });
                 state.drop_if_over(&request);
             }
             Action::Cancel { request, attempt } => {
@@ -725,7 +725,7 @@
                 state.answer(id, answer.into());
             }
             (Outcome::Ok, None) => {
-                state.answer(id, Answer::Served(end.body, end.content_type));
+                state.answer(id, FinalResponse::Served(end.body, end.content_type));
             }
             (_, answer) => {
                 if let Some(open) = state.requests.get_mut(id) {
@@ -761,11 +761,11 @@
     }
 
     /// The one place from which a final answer goes out; it fires once for a request.
-    fn answer(&mut self, id: &RequestId, answer: Answer) -> bool {
+    fn answer(&mut self, id: &RequestId, answer: FinalResponse) -> bool {
         let Some(open) = self.requests.get_mut(id) else { return false };
         let Some(sender) = open.answer.take() else { return false };
         let answer = match (answer, open.fallback.take()) {
-            (Answer::Refused(..) | Answer::Failed, Some(words)) => words.into(),
+            (FinalResponse::Refused(..) | FinalResponse::Failed, Some(words)) => words.into(),
             (answer, _) => answer,
         };
         let guard = open.guard;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,7 +18,7 @@
 pub use clients::{listen, Asked, ClientLimits, Clients, Front, Turn, WHOLE_REQUEST};
 pub use clock::{millis, Clock};
 pub use driver::{
-    Admission, Answer, ClientRequest, Decisions, Driver, Head, Leaving, Ledger, OutgoingRequest,
+    Admission, ClientRequest, Decisions, Driver, FinalResponse, Head, Leaving, Ledger, OutgoingRequest,
     SetAttemptHeaders,
 };
 pub use framing::Flaw;
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    Answer, ClientRequest, Clock, Driver, Head, Listing, OutgoingRequest, Payload, Reading, Seal, Target,
-    TargetState, Upstream, UpstreamLimits,
+    ClientRequest, Clock, Driver, FinalResponse, Head, Listing, OutgoingRequest, Payload, Reading, Seal,
+    Target, TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -95,11 +95,11 @@
     driver
 }
 
-async fn ask(driver: &Rc<Driver>, class: &str, id: &str) -> Answer {
+async fn ask(driver: &Rc<Driver>, class: &str, id: &str) -> FinalResponse {
     ask_for(driver, class, id, 10_000.0).await
 }
 
-async fn ask_for(driver: &Rc<Driver>, class: &str, id: &str, wait: Millis) -> Answer {
+async fn ask_for(driver: &Rc<Driver>, class: &str, id: &str, wait: Millis) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert("host", HeaderValue::from_static("h"));
     headers.insert(ID, HeaderValue::from_str(id).expect("a value"));
@@ -172,17 +172,17 @@
 }
 
 /// What an answer tells a client: its status, and whose id and body it bears.
-fn told(answer: &Answer) -> (u16, String) {
+fn told(answer: &FinalResponse) -> (u16, String) {
     match answer {
-        Answer::Whole(answer) => {
+        FinalResponse::Whole(answer) => {
             let echo = answer.headers().get(ID).map_or("", |id| id.to_str().expect("it is text"));
             assert_eq!(answer.body(), echo, "the body is that request's");
             (answer.status().as_u16(), echo.to_owned())
         }
-        Answer::Refused(..) => (503, String::new()),
-        Answer::Failed => (502, String::new()),
-        Answer::TimeUp => (504, String::new()),
-        Answer::Served(..) | Answer::Passed(_) => panic!("answers are read whole"),
+        FinalResponse::Refused(..) => (503, String::new()),
+        FinalResponse::Failed => (502, String::new()),
+        FinalResponse::TimeUp => (504, String::new()),
+        FinalResponse::Served(..) | FinalResponse::Passed(_) => panic!("answers are read whole"),
     }
 }
 
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use ivygate_config::Listener;
 use ivygate_forward_auth::Asked;
-use ivygate_runtime::{one, Admission, Answer, Head};
+use ivygate_runtime::{one, Admission, FinalResponse, Head};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -55,7 +55,7 @@
         has_body: bool,
         (peer, peer_name): (SocketAddr, &str),
         held: &mut Held,
-    ) -> Result<Answer, Unfit> {
+    ) -> Result<FinalResponse, Unfit> {
         let (target, own_host) = destination(&parts)?;
         if Some(&target.path) != listener.answers_checks.as_ref() {
             return Err(Words::new(StatusCode::NOT_FOUND, "this listener answers checks only").into());
@@ -140,7 +140,7 @@
         let server = match admission {
             Admission::Admitted(server) => server,
             Admission::Refused(wait, reason) => {
-                return Err(in_words(&Answer::Refused(wait, reason, false)).into());
+                return Err(in_words(&FinalResponse::Refused(wait, reason, false)).into());
             }
         };
         let told = [
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,7 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Answer, Asked, ClientRequest, Flaw, Front, Head, Leaving, OutgoingRequest, Payload, Streamed,
+    millis, one, Asked, ClientRequest, FinalResponse, Flaw, Front, Head, Leaving, OutgoingRequest, Payload,
+    Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -374,7 +375,7 @@
             };
             // hyper drops this future when the client closes its connection.
             let leaving = Leaving::new(driver, id);
-            let answer = answer.await.unwrap_or(Answer::Failed);
+            let answer = answer.await.unwrap_or(FinalResponse::Failed);
             leaving.answered();
             if let Some(taken) = &taken {
                 taken.answered(&answer);
@@ -387,8 +388,10 @@
         let answer = taken.await;
         let words = match answer {
             // What the server made of half a body is not told as if the request had been whole.
-            Ok(Answer::Failed | Answer::Refused(..)) if spoilt.get() => bad(Flaw::Chunk.to_string()),
-            Ok(Answer::Passed(response)) => return Ok(passed(*response, held)),
+            Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if spoilt.get() => {
+                bad(Flaw::Chunk.to_string())
+            }
+            Ok(FinalResponse::Passed(response)) => return Ok(passed(*response, held)),
             Ok(answer) => in_words(&answer),
             Err(Unfit::Words(words)) => words,
             Err(Unfit::Passed(response)) => return Ok(passed(*response, held)),
@@ -465,20 +468,25 @@
 }
 
 /// What is told of an answer that no application gave.
-pub fn in_words(answer: &Answer) -> Words {
+pub fn in_words(answer: &FinalResponse) -> Words {
     match answer {
-        Answer::Refused(wait, RejectReason::Quota, _) => {
+        FinalResponse::Refused(wait, RejectReason::Quota, _) => {
             Words::refused(StatusCode::TOO_MANY_REQUESTS, "beyond the quota; nothing was run", *wait)
         }
-        Answer::Refused(wait, RejectReason::RateLimit, _) => {
+        FinalResponse::Refused(wait, RejectReason::RateLimit, _) => {
             Words::refused(StatusCode::TOO_MANY_REQUESTS, "at the plan's ceiling; nothing was run", *wait)
         }
-        Answer::Refused(wait, RejectReason::Overload, _) => {
+        FinalResponse::Refused(wait, RejectReason::Overload, _) => {
             let text = "no server has room for this; trying again is harmless";
             Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, *wait)
         }
-        Answer::TimeUp => Words::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run"),
-        Answer::Failed | Answer::Served(..) | Answer::Passed(_) | Answer::Whole(_) => {
+        FinalResponse::TimeUp => {
+            Words::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run")
+        }
+        FinalResponse::Failed
+        | FinalResponse::Served(..)
+        | FinalResponse::Passed(_)
+        | FinalResponse::Whole(_) => {
             Words::new(StatusCode::BAD_GATEWAY, "the server failed; it may have run")
         }
     }
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -7,7 +7,7 @@
     Attempt, Came, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order, Pseudonyms, State,
     Store, Update,
 };
-use ivygate_runtime::{Answer, Ledger};
+use ivygate_runtime::{FinalResponse, Ledger};
 use ivygate_time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -197,9 +197,9 @@
 
 impl Taken {
     /// It has its answer.
-    pub fn answered(&self, answer: &Answer) {
+    pub fn answered(&self, answer: &FinalResponse) {
         self.answered.set(true);
-        if matches!(answer, Answer::TimeUp) {
+        if matches!(answer, FinalResponse::TimeUp) {
             self.ended(Ended::GivenUp);
         }
     }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -10,7 +10,9 @@
 use hyper::{Method, Response, StatusCode, Uri};
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
-use ivygate_runtime::{millis, Answer, ClientRequest, Head, Leaving, OutgoingRequest, Payload, Streamed};
+use ivygate_runtime::{
+    millis, ClientRequest, FinalResponse, Head, Leaving, OutgoingRequest, Payload, Streamed,
+};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -158,7 +160,7 @@
     let mut headers = Vec::new();
     let mut good = 0.0;
     let input = match answer {
-        Answer::Passed(response) => {
+        FinalResponse::Passed(response) => {
             let mut meaning = Said::of(response.status().as_u16());
             let left = time - (driver.now().millis_since(asked));
             let told =
@@ -190,13 +192,13 @@
             }
             Input::Said(meaning)
         }
-        Answer::Refused(_, _, false) => Input::Refused,
+        FinalResponse::Refused(_, _, false) => Input::Refused,
         // It was asked, and there is nobody left to ask again.
-        Answer::Refused(_, _, true)
-        | Answer::Served(..)
-        | Answer::Whole(_)
-        | Answer::Failed
-        | Answer::TimeUp => Input::Unanswered,
+        FinalResponse::Refused(_, _, true)
+        | FinalResponse::Served(..)
+        | FinalResponse::Whole(_)
+        | FinalResponse::Failed
+        | FinalResponse::TimeUp => Input::Unanswered,
     };
     let outcome = match (gate.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
@@ -214,12 +216,12 @@
 }
 
 /// The answer of the service's pool, and how long to stay away if it refuses.
-async fn answer(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Answer, f64) {
+async fn answer(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (FinalResponse, f64) {
     let settings = &sign_in.settings;
-    let Ok(uri) = Uri::try_from(&settings.path) else { return (Answer::Failed, 0.0) };
+    let Ok(uri) = Uri::try_from(&settings.path) else { return (FinalResponse::Failed, 0.0) };
     // The check takes a place of its pool like any other request.
     let Some(_place) = sign_in.pool.place() else {
-        return (Answer::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
+        return (FinalResponse::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
     };
     let ask = ClientRequest {
         head: Head {
@@ -244,11 +246,11 @@
         },
     };
     let driver = sign_in.pool.driver.clone();
-    let Some(answer) = driver.arrive(ask) else { return (Answer::Failed, 0.0) };
+    let Some(answer) = driver.arrive(ask) else { return (FinalResponse::Failed, 0.0) };
     let leaving = Leaving::new(driver, question.id.clone());
-    let answer = answer.await.unwrap_or(Answer::Failed);
+    let answer = answer.await.unwrap_or(FinalResponse::Failed);
     leaving.answered();
-    let wait = if let Answer::Refused(wait, ..) = &answer { *wait } else { 0.0 };
+    let wait = if let FinalResponse::Refused(wait, ..) = &answer { *wait } else { 0.0 };
     (answer, wait)
 }
 
