--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -107,7 +107,7 @@
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused; nothing was run", retry_after_ms)
         }
         FinalResponse::TimeUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
-        FinalResponse::Failed | FinalResponse::Passed(_) | FinalResponse::Served(..) => {
+        FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Served(..) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed", 0.0)
         }
     }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -113,7 +113,7 @@
     /// Served, with the app server's body and its type.
     Served(Bytes, Option<HeaderValue>),
     /// Served, or failed in a server's own words: what comes is passed on.
-    Passed(Box<Response<Streamed>>),
+    Streamed(Box<Response<Streamed>>),
     /// The same, read whole before.
     Whole(Box<Response<Bytes>>),
     /// Refused; the client should stay away this long, or is told nothing if it is 0. The last part tells whether
@@ -128,7 +128,7 @@
 impl From<Words> for FinalResponse {
     fn from(words: Words) -> Self {
         match words {
-            Words::Streamed(answer) => FinalResponse::Passed(answer),
+            Words::Streamed(answer) => FinalResponse::Streamed(answer),
             Words::Whole(answer) => FinalResponse::Whole(answer),
         }
     }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -391,7 +391,7 @@
             Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if spoilt.get() => {
                 bad(Flaw::Chunk.to_string())
             }
-            Ok(FinalResponse::Passed(response)) => return Ok(passed(*response, held)),
+            Ok(FinalResponse::Streamed(response)) => return Ok(passed(*response, held)),
             Ok(answer) => in_words(&answer),
             Err(Unfit::Words(words)) => words,
             Err(Unfit::Passed(response)) => return Ok(passed(*response, held)),
@@ -485,7 +485,7 @@
         }
         FinalResponse::Failed
         | FinalResponse::Served(..)
-        | FinalResponse::Passed(_)
+        | FinalResponse::Streamed(_)
         | FinalResponse::Whole(_) => {
             Words::new(StatusCode::BAD_GATEWAY, "the server failed; it may have run")
         }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -160,7 +160,7 @@
     let mut headers = Vec::new();
     let mut good = 0.0;
     let input = match answer {
-        FinalResponse::Passed(response) => {
+        FinalResponse::Streamed(response) => {
             let mut meaning = Said::of(response.status().as_u16());
             let left = time - (driver.now().millis_since(asked));
             let told =
