--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -89,7 +89,7 @@
                 response
             }
             Ok(FinalResponse::TimeUp) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-            Ok(FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Whole(_)) | Err(_) => {
+            Ok(FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Buffered(_)) | Err(_) => {
                 plain(StatusCode::BAD_GATEWAY, "failed")
             }
         })
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -92,10 +92,10 @@
     match answer {
         // The status would promise what the server has not: a server that does not run a request says so by a header of its
         // own, and such an answer is not passed on.
-        FinalResponse::Whole(answer) if runs_at_most_once && promises_not_run(answer.status()) => {
+        FinalResponse::Buffered(answer) if runs_at_most_once && promises_not_run(answer.status()) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed; it may have run", 0.0)
         }
-        FinalResponse::Whole(answer) => {
+        FinalResponse::Buffered(answer) => {
             let (mut parts, body) = answer.into_parts();
             parts.headers = without_hop_by_hop(parts.headers);
             // Set again from the body.
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -115,7 +115,7 @@
     /// Served, or failed in a server's own words: what comes is passed on.
     Streamed(Box<Response<Streamed>>),
     /// The same, read whole before.
-    Whole(Box<Response<Bytes>>),
+    Buffered(Box<Response<Bytes>>),
     /// Refused; the client should stay away this long, or is told nothing if it is 0. The last part tells whether
     /// a server had been tried before.
     Refused(Millis, RejectReason, bool),
@@ -129,7 +129,7 @@
     fn from(words: Words) -> Self {
         match words {
             Words::Streamed(answer) => FinalResponse::Streamed(answer),
-            Words::Whole(answer) => FinalResponse::Whole(answer),
+            Words::Buffered(answer) => FinalResponse::Buffered(answer),
         }
     }
 }
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -78,7 +78,7 @@
     /// Passed on as it comes.
     Streamed(Box<Response<Streamed>>),
     /// Read whole.
-    Whole(Box<Response<Bytes>>),
+    Buffered(Box<Response<Bytes>>),
 }
 
 impl Words {
@@ -86,7 +86,7 @@
     pub(crate) fn status(&self) -> StatusCode {
         match self {
             Words::Streamed(answer) => answer.status(),
-            Words::Whole(answer) => answer.status(),
+            Words::Buffered(answer) => answer.status(),
         }
     }
 }
@@ -453,7 +453,7 @@
                     let mut answer = Response::new(whole.body);
                     *answer.status_mut() = whole.status;
                     *answer.headers_mut() = whole.headers;
-                    end.answer = Some(Words::Whole(Box::new(answer)));
+                    end.answer = Some(Words::Buffered(Box::new(answer)));
                 }
                 Ok(end)
             }
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -174,7 +174,7 @@
 /// What an answer tells a client: its status, and whose id and body it bears.
 fn told(answer: &FinalResponse) -> (u16, String) {
     match answer {
-        FinalResponse::Whole(answer) => {
+        FinalResponse::Buffered(answer) => {
             let echo = answer.headers().get(ID).map_or("", |id| id.to_str().expect("it is text"));
             assert_eq!(answer.body(), echo, "the body is that request's");
             (answer.status().as_u16(), echo.to_owned())
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -486,7 +486,7 @@
         FinalResponse::Failed
         | FinalResponse::Served(..)
         | FinalResponse::Streamed(_)
-        | FinalResponse::Whole(_) => {
+        | FinalResponse::Buffered(_) => {
             Words::new(StatusCode::BAD_GATEWAY, "the server failed; it may have run")
         }
     }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -196,7 +196,7 @@
         // It was asked, and there is nobody left to ask again.
         FinalResponse::Refused(_, _, true)
         | FinalResponse::Served(..)
-        | FinalResponse::Whole(_)
+        | FinalResponse::Buffered(_)
         | FinalResponse::Failed
         | FinalResponse::TimeUp => Input::Unanswered,
     };
