--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -88,7 +88,7 @@
                 }
                 response
             }
-            Ok(FinalResponse::TimeUp) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+            Ok(FinalResponse::TimedOut) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
             Ok(FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Buffered(_)) | Err(_) => {
                 plain(StatusCode::BAD_GATEWAY, "failed")
             }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -106,7 +106,7 @@
             let retry_after_ms = wait_ms.max(RETRY_SOON_MS).max(min_retry_after_ms);
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused; nothing was run", retry_after_ms)
         }
-        FinalResponse::TimeUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
+        FinalResponse::TimedOut => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
         FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Served(..) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed", 0.0)
         }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -122,7 +122,7 @@
     /// Failed.
     Failed,
     /// Failed because the time was up.
-    TimeUp,
+    TimedOut,
 }
 
 impl From<Words> for FinalResponse {
@@ -511,7 +511,7 @@
                 }
                 Timer::Guard(id) => {
                     // The last guard: whatever the gateway waits for, a client is answered in time.
-                    if state.answer(&id, FinalResponse::TimeUp) {
+                    if state.answer(&id, FinalResponse::TimedOut) {
                         self.leave(&mut state, &id);
                     }
                 }
@@ -570,7 +570,10 @@
             }
             Action::Fail { request } => {
                 let timed_out = state.requests.get(&request).is_some_and(|open| open.timed_out);
-                state.answer(&request, if timed_out { FinalResponse::TimeUp } else { FinalResponse::Failed });
+                state.answer(
+                    &request,
+                    if timed_out { FinalResponse::TimedOut } else { FinalResponse::Failed },
+                );
                 state.drop_if_over(&request);
             }
             Action::Cancel { request, attempt } => {
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -181,7 +181,7 @@
         }
         FinalResponse::Refused(..) => (503, String::new()),
         FinalResponse::Failed => (502, String::new()),
-        FinalResponse::TimeUp => (504, String::new()),
+        FinalResponse::TimedOut => (504, String::new()),
         FinalResponse::Served(..) | FinalResponse::Streamed(_) => panic!("answers are read whole"),
     }
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -480,7 +480,7 @@
             let text = "no server has room for this; trying again is harmless";
             Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, *wait)
         }
-        FinalResponse::TimeUp => {
+        FinalResponse::TimedOut => {
             Words::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run")
         }
         FinalResponse::Failed
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -199,7 +199,7 @@
     /// It has its answer.
     pub fn answered(&self, answer: &FinalResponse) {
         self.answered.set(true);
-        if matches!(answer, FinalResponse::TimeUp) {
+        if matches!(answer, FinalResponse::TimedOut) {
             self.ended(Ended::GivenUp);
         }
     }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -198,7 +198,7 @@
         | FinalResponse::Served(..)
         | FinalResponse::Buffered(_)
         | FinalResponse::Failed
-        | FinalResponse::TimeUp => Input::Unanswered,
+        | FinalResponse::TimedOut => Input::Unanswered,
     };
     let outcome = match (gate.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
