--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::listing::{Listing, TargetState};
 use crate::payload::{Outgoing, Payload, Sent};
 use crate::streamed::Streamed;
-use crate::upstream::{End, Progress, Upstream, Words};
+use crate::upstream::{End, Progress, ServerResponse, Upstream};
 use bytes::Bytes;
 use hashbrown::HashMap;
 use hyper::header::HeaderValue;
@@ -125,11 +125,11 @@
     TimedOut,
 }
 
-impl From<Words> for FinalResponse {
-    fn from(words: Words) -> Self {
+impl From<ServerResponse> for FinalResponse {
+    fn from(words: ServerResponse) -> Self {
         match words {
-            Words::Streamed(answer) => FinalResponse::Streamed(answer),
-            Words::Buffered(answer) => FinalResponse::Buffered(answer),
+            ServerResponse::Streamed(answer) => FinalResponse::Streamed(answer),
+            ServerResponse::Buffered(answer) => FinalResponse::Buffered(answer),
         }
     }
 }
@@ -171,7 +171,7 @@
     answer: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
     /// A server's own words for a failure, passed on if nothing better comes.
-    fallback: Option<Words>,
+    fallback: Option<ServerResponse>,
     /// Its last attempt ended for want of time.
     timed_out: bool,
     guard: TimerKey,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -27,4 +27,4 @@
 pub use payload::{BodyError, Payload, Rest};
 pub use stall::{StallWatch, Stalled};
 pub use streamed::Streamed;
-pub use upstream::{has_news, Judge, Reading, Seal, Upstream, UpstreamLimits, Words, BODY_MOST};
+pub use upstream::{has_news, Judge, Reading, Seal, ServerResponse, Upstream, UpstreamLimits, BODY_MOST};
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -69,24 +69,24 @@
     /// The app server's load.
     pub load: Load,
     /// An answer that is passed on, good or not.
-    pub answer: Option<Words>,
+    pub answer: Option<ServerResponse>,
 }
 
 /// An answer in a server's own words.
 #[derive(Debug)]
-pub enum Words {
+pub enum ServerResponse {
     /// Passed on as it comes.
     Streamed(Box<Response<Streamed>>),
     /// Read whole.
     Buffered(Box<Response<Bytes>>),
 }
 
-impl Words {
+impl ServerResponse {
     /// Its status.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
-            Words::Streamed(answer) => answer.status(),
-            Words::Buffered(answer) => answer.status(),
+            ServerResponse::Streamed(answer) => answer.status(),
+            ServerResponse::Buffered(answer) => answer.status(),
         }
     }
 }
@@ -453,7 +453,7 @@
                     let mut answer = Response::new(whole.body);
                     *answer.status_mut() = whole.status;
                     *answer.headers_mut() = whole.headers;
-                    end.answer = Some(Words::Buffered(Box::new(answer)));
+                    end.answer = Some(ServerResponse::Buffered(Box::new(answer)));
                 }
                 Ok(end)
             }
@@ -468,7 +468,7 @@
                 end.tell(&parts.headers);
                 let body = Streamed::new(link, body, server, self.clone(), judge.stall);
                 end.answer = (outcome != Outcome::Rejected)
-                    .then(|| Words::Streamed(Box::new(Response::from_parts(parts, body))));
+                    .then(|| ServerResponse::Streamed(Box::new(Response::from_parts(parts, body))));
                 Ok(end)
             }
         }
