--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -135,7 +135,7 @@
 }
 
 /// What must be told of requests that must not run twice before anything of them goes out, and what came of them.
-pub trait Ledger {
+pub trait AttemptRecorder {
     /// Whether a request that may run again is to be recorded too.
     fn wants(&self, id: &RequestId) -> bool;
 
@@ -243,7 +243,7 @@
     hears_until: Cell<Timestamp>,
     retired: Cell<bool>,
     /// Where attempts of requests that must not run twice are recorded first.
-    ledger: RefCell<Option<Rc<dyn Ledger>>>,
+    ledger: RefCell<Option<Rc<dyn AttemptRecorder>>>,
 }
 
 impl Driver {
@@ -275,7 +275,7 @@
     }
 
     /// From now on attempts of requests that must not run twice are recorded first.
-    pub fn record_in(&self, ledger: Rc<dyn Ledger>) {
+    pub fn record_in(&self, ledger: Rc<dyn AttemptRecorder>) {
         self.ledger.replace(Some(ledger));
     }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,8 +18,8 @@
 pub use clients::{listen, Asked, ClientLimits, Clients, Front, Turn, WHOLE_REQUEST};
 pub use clock::{millis, Clock};
 pub use driver::{
-    Admission, ClientRequest, Decisions, Driver, FinalResponse, Head, Leaving, Ledger, OutgoingRequest,
-    SetAttemptHeaders,
+    Admission, AttemptRecorder, ClientRequest, Decisions, Driver, FinalResponse, Head, Leaving,
+    OutgoingRequest, SetAttemptHeaders,
 };
 pub use framing::Flaw;
 pub use headers::{end_to_end, one, retry_after_value, without_hop_by_hop};
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -7,7 +7,7 @@
     Attempt, Came, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order, Pseudonyms, State,
     Store, Update,
 };
-use ivygate_runtime::{FinalResponse, Ledger};
+use ivygate_runtime::{AttemptRecorder, FinalResponse};
 use ivygate_time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -135,7 +135,7 @@
     }
 }
 
-impl Ledger for Orders {
+impl AttemptRecorder for Orders {
     fn wants(&self, id: &RequestId) -> bool {
         self.keyed && self.taken.borrow().contains_key(id)
     }
