--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -137,7 +137,7 @@
 /// What must be told of requests that must not run twice before anything of them goes out, and what came of them.
 pub trait AttemptRecorder {
     /// Whether a request that may run again is to be recorded too.
-    fn wants(&self, id: &RequestId) -> bool;
+    fn records_repeatable(&self, id: &RequestId) -> bool;
 
     /// An attempt is about to be sent: true once that is recorded. Where it is not, nothing is sent.
     fn sending<'a>(
@@ -643,7 +643,7 @@
             let (driver, id, progress) = (self.clone(), id.clone(), progress.clone());
             let message = open.message.clone();
             let once = open.once;
-            let ledger = self.ledger.borrow().clone().filter(|ledger| once || ledger.wants(&id));
+            let ledger = self.ledger.borrow().clone().filter(|ledger| once || ledger.records_repeatable(&id));
             async move {
                 if let (Some(ledger), Some(address)) = (ledger, address) {
                     if !ledger.sending(&id, number, address, now).await {
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -136,7 +136,7 @@
 }
 
 impl AttemptRecorder for Orders {
-    fn wants(&self, id: &RequestId) -> bool {
+    fn records_repeatable(&self, id: &RequestId) -> bool {
         self.keyed && self.taken.borrow().contains_key(id)
     }
 
