--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -140,7 +140,7 @@
     fn records_repeatable(&self, id: &RequestId) -> bool;
 
     /// An attempt is about to be sent: true once that is recorded. Where it is not, nothing is sent.
-    fn sending<'a>(
+    fn record_send<'a>(
         &'a self,
         id: &'a RequestId,
         attempt: u32,
@@ -646,7 +646,7 @@
             let ledger = self.ledger.borrow().clone().filter(|ledger| once || ledger.records_repeatable(&id));
             async move {
                 if let (Some(ledger), Some(address)) = (ledger, address) {
-                    if !ledger.sending(&id, number, address, now).await {
+                    if !ledger.record_send(&id, number, address, now).await {
                         return driver.attempt_ended(&id, number, End::bare(Outcome::NeverSent));
                     }
                     progress.recorded.set(true);
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -140,7 +140,7 @@
         self.keyed && self.taken.borrow().contains_key(id)
     }
 
-    fn sending<'a>(
+    fn record_send<'a>(
         &'a self,
         id: &'a RequestId,
         attempt: u32,
--- a/crates/sidecar/src/orders/tests.rs
+++ b/crates/sidecar/src/orders/tests.rs
@@ -30,7 +30,7 @@
         let taken = orders.taken(&id, Order { customer: orders.customer("alice"), ..Order::default() });
         let server = SocketAddr::from(([127, 0, 0, 1], 9301));
         {
-            let mut sending = pin!(orders.sending(&id, 0, server, Timestamp::from_millis(1.0)));
+            let mut sending = pin!(orders.record_send(&id, 0, server, Timestamp::from_millis(1.0)));
             if sending.as_mut().poll(&mut Context::from_waker(Waker::noop())) == Poll::Pending {
                 waited.push(id.to_string());
             }
