--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -149,7 +149,7 @@
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>>;
 
     /// What came of an attempt that was recorded: an answer's status, or proof that it never ran, or neither.
-    fn came(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>);
+    fn record_result(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>);
 }
 
 /// Whether a request may go on that somebody else will send.
@@ -719,7 +719,7 @@
                     Some(answer) => Some(answer.status().as_u16()),
                     None => (end.outcome == Outcome::Ok).then_some(200),
                 };
-                ledger.came(id, number, end.outcome.never_ran(), status);
+                ledger.record_result(id, number, end.outcome.never_ran(), status);
             }
         }
         state.timers.remove(&timer);
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -162,7 +162,7 @@
         })
     }
 
-    fn came(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
+    fn record_result(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
         let came = match status {
             // A server that turned it away has answered too, and the proof says more.
             _ if never_ran => Came::NotRun,
