--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -275,7 +275,7 @@
     }
 
     /// From now on attempts of requests that must not run twice are recorded first.
-    pub fn record_in(&self, ledger: Rc<dyn AttemptRecorder>) {
+    pub fn set_recorder(&self, ledger: Rc<dyn AttemptRecorder>) {
         self.ledger.replace(Some(ledger));
     }
 
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -228,7 +228,7 @@
     /// Has all pools record their requests that must not run twice.
     pub fn record_in(&self, orders: Option<&Rc<Orders>>) {
         if let Some(orders) = orders {
-            self.pools.values().for_each(|pool| pool.driver.record_in(orders.clone()));
+            self.pools.values().for_each(|pool| pool.driver.set_recorder(orders.clone()));
         }
     }
 
