--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, Asked, ClientRequest, Driver, FinalResponse, Front, Leaving,
-    OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
+    end_to_end, millis, retry_after_value, Asked, ClientRequest, DisconnectGuard, Driver, FinalResponse,
+    Front, OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
         let id = ask.head.id.clone();
         let answer = self.driver.arrive(ask)?;
         // hyper drops this future when the client closes its connection.
-        let leaving = Leaving::new(self.driver.clone(), id);
+        let leaving = DisconnectGuard::new(self.driver.clone(), id);
         let answer = answer.await;
         leaving.answered();
         Some(match answer {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
 use ivygate_runtime::{
-    Asked, ClientRequest, Driver, FinalResponse, Front, Head, Leaving, OutgoingRequest, Payload,
+    Asked, ClientRequest, DisconnectGuard, Driver, FinalResponse, Front, Head, OutgoingRequest, Payload,
 };
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
@@ -147,7 +147,7 @@
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
         // hyper drops this future when the client closes its connection: that withdraws the request.
-        let leaving = Leaving::new(target.driver.clone(), id);
+        let leaving = DisconnectGuard::new(target.driver.clone(), id);
         let answer = answer.await.unwrap_or(FinalResponse::Failed);
         leaving.answered();
         Ok(answer)
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -790,12 +790,12 @@
 }
 
 /// Tells the driver that the client has left, unless its answer came first.
-pub struct Leaving {
+pub struct DisconnectGuard {
     driver: Rc<Driver>,
     id: Option<RequestId>,
 }
 
-impl Leaving {
+impl DisconnectGuard {
     /// Watches over a request that has just arrived.
     pub fn new(driver: Rc<Driver>, id: RequestId) -> Self {
         Self { driver, id: Some(id) }
@@ -807,7 +807,7 @@
     }
 }
 
-impl Drop for Leaving {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             self.driver.client_gone(&id);
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,8 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Asked, ClientRequest, FinalResponse, Flaw, Front, Head, Leaving, OutgoingRequest, Payload,
-    Streamed,
+    millis, one, Asked, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Front, Head, OutgoingRequest,
+    Payload, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -374,7 +374,7 @@
                 return Err(Words::new(StatusCode::CONFLICT, "a request of this id is open").into());
             };
             // hyper drops this future when the client closes its connection.
-            let leaving = Leaving::new(driver, id);
+            let leaving = DisconnectGuard::new(driver, id);
             let answer = answer.await.unwrap_or(FinalResponse::Failed);
             leaving.answered();
             if let Some(taken) = &taken {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -11,7 +11,7 @@
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{
-    millis, ClientRequest, FinalResponse, Head, Leaving, OutgoingRequest, Payload, Streamed,
+    millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, Payload, Streamed,
 };
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -247,7 +247,7 @@
     };
     let driver = sign_in.pool.driver.clone();
     let Some(answer) = driver.arrive(ask) else { return (FinalResponse::Failed, 0.0) };
-    let leaving = Leaving::new(driver, question.id.clone());
+    let leaving = DisconnectGuard::new(driver, question.id.clone());
     let answer = answer.await.unwrap_or(FinalResponse::Failed);
     leaving.answered();
     let wait = if let FinalResponse::Refused(wait, ..) = &answer { *wait } else { 0.0 };
