--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -72,7 +72,7 @@
         // hyper drops this future when the client closes its connection.
         let leaving = DisconnectGuard::new(self.driver.clone(), id);
         let answer = answer.await;
-        leaving.answered();
+        leaving.disarm();
         Some(match answer {
             Ok(FinalResponse::Served(body, content_type)) => {
                 let mut response = Response::new(Full::new(body));
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -149,7 +149,7 @@
         // hyper drops this future when the client closes its connection: that withdraws the request.
         let leaving = DisconnectGuard::new(target.driver.clone(), id);
         let answer = answer.await.unwrap_or(FinalResponse::Failed);
-        leaving.answered();
+        leaving.disarm();
         Ok(answer)
     }
 
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -802,7 +802,7 @@
     }
 
     /// The answer has come.
-    pub fn answered(mut self) {
+    pub fn disarm(mut self) {
         self.id = None;
     }
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -376,7 +376,7 @@
             // hyper drops this future when the client closes its connection.
             let leaving = DisconnectGuard::new(driver, id);
             let answer = answer.await.unwrap_or(FinalResponse::Failed);
-            leaving.answered();
+            leaving.disarm();
             if let Some(taken) = &taken {
                 taken.answered(&answer);
             }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -249,7 +249,7 @@
     let Some(answer) = driver.arrive(ask) else { return (FinalResponse::Failed, 0.0) };
     let leaving = DisconnectGuard::new(driver, question.id.clone());
     let answer = answer.await.unwrap_or(FinalResponse::Failed);
-    leaving.answered();
+    leaving.disarm();
     let wait = if let FinalResponse::Refused(wait, ..) = &answer { *wait } else { 0.0 };
     (answer, wait)
 }
