--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,7 @@
 use front::NodeFront;
 use ivygate_gateway::{Gateway, Settings, SettingsError};
 use ivygate_runtime::{
-    listen, ClientLimits, Clients, Clock, Decisions, Driver, Reading, Upstream, UpstreamLimits,
+    listen, ClientLimits, Clients, Clock, DecisionEngine, Driver, Reading, Upstream, UpstreamLimits,
 };
 use request::Reader;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// As for [`run`].
-pub fn run_with<D: Decisions + 'static>(
+pub fn run_with<D: DecisionEngine + 'static>(
     decisions: impl FnOnce(Settings, u64) -> Result<D, SettingsError>,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let config = Config::load()?;
@@ -51,7 +51,10 @@
     LocalSet::new().block_on(&runtime, serve(config, gateway))
 }
 
-async fn serve(config: Config, gateway: impl Decisions + 'static) -> Result<(), Box<dyn std::error::Error>> {
+async fn serve(
+    config: Config,
+    gateway: impl DecisionEngine + 'static,
+) -> Result<(), Box<dyn std::error::Error>> {
     let sockets = config.sockets - reserve(config.sockets);
     let upstreams = sockets * UPSTREAM_PART.0 / UPSTREAM_PART.1;
     let mut terminate = signal(SignalKind::terminate())?;
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -207,19 +207,19 @@
 }
 
 /// Whoever decides: a [`Gateway`], or one with something in its way, as tests of a fleet put there.
-pub trait Decisions {
+pub trait DecisionEngine {
     /// Takes in one event and adds what is to be done to `actions`, in order.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Decisions for Gateway {
+impl DecisionEngine for Gateway {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         Gateway::handle(self, now, event, actions);
     }
 }
 
 struct State {
-    gateway: Box<dyn Decisions>,
+    gateway: Box<dyn DecisionEngine>,
     requests: HashMap<RequestId, Open>,
     timers: BTreeMap<TimerKey, Timer>,
     timer_number: u64,
@@ -248,7 +248,7 @@
 
 impl Driver {
     /// A driver with nothing open.
-    pub fn new(gateway: impl Decisions + 'static, clock: Clock, upstream: Rc<Upstream>) -> Rc<Self> {
+    pub fn new(gateway: impl DecisionEngine + 'static, clock: Clock, upstream: Rc<Upstream>) -> Rc<Self> {
         let state = State {
             gateway: Box::new(gateway),
             requests: HashMap::new(),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,7 +18,7 @@
 pub use clients::{listen, Asked, ClientLimits, Clients, Front, Turn, WHOLE_REQUEST};
 pub use clock::{millis, Clock};
 pub use driver::{
-    Admission, AttemptRecorder, ClientRequest, Decisions, DisconnectGuard, Driver, FinalResponse, Head,
+    Admission, AttemptRecorder, ClientRequest, DecisionEngine, DisconnectGuard, Driver, FinalResponse, Head,
     OutgoingRequest, SetAttemptHeaders,
 };
 pub use framing::Flaw;
--- a/crates/seeded-defects/src/defects.rs
+++ b/crates/seeded-defects/src/defects.rs
@@ -4,7 +4,7 @@
     Action, Effect, Event, Gateway, KeyScope, Outcome, RequestId, ServerId, ServerState, Settings,
     SettingsError,
 };
-use ivygate_runtime::Decisions;
+use ivygate_runtime::DecisionEngine;
 use ivygate_time::{Millis, Timestamp};
 use std::collections::{BTreeMap, HashSet};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -192,7 +192,7 @@
     }
 }
 
-impl Decisions for Planted {
+impl DecisionEngine for Planted {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         if self.shared.is_none() {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -4,7 +4,7 @@
 use ivygate_config as config;
 use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, Tally};
 use ivygate_gateway::{Action, Event, Gateway, Settings};
-use ivygate_runtime::Decisions;
+use ivygate_runtime::DecisionEngine;
 use ivygate_time::Timestamp;
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -64,7 +64,7 @@
     }
 }
 
-impl Decisions for Zones {
+impl DecisionEngine for Zones {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let mut guarded = self.guarded.borrow_mut();
         guarded.handle(now, event, actions);
