--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -68,7 +68,7 @@
     /// The answer to a request, or `None` if one of its id is open.
     async fn ask(&self, ask: ClientRequest) -> Option<Response<Full<Bytes>>> {
         let id = ask.head.id.clone();
-        let answer = self.driver.arrive(ask)?;
+        let answer = self.driver.submit(ask)?;
         // hyper drops this future when the client closes its connection.
         let leaving = DisconnectGuard::new(self.driver.clone(), id);
         let answer = answer.await;
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -143,7 +143,7 @@
             set_attempt_headers: Some(set_attempt_headers),
         };
         let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
-        let Some(answer) = target.driver.arrive(ask) else {
+        let Some(answer) = target.driver.submit(ask) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
         // hyper drops this future when the client closes its connection: that withdraws the request.
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -291,7 +291,7 @@
 
     /// Takes a request; its one answer comes through the receiver. `None` if a request of the same id is
     /// still open: answering both by one run, or running both, would each break a promise.
-    pub fn arrive(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<FinalResponse>> {
+    pub fn submit(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<FinalResponse>> {
         let mut state = self.state.borrow_mut();
         let head = ask.head;
         if state.requests.contains_key(&head.id) {
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -123,7 +123,7 @@
         set_attempt_headers: None,
     };
     let answer =
-        driver.arrive(ClientRequest { head, deadline: driver.now().plus_millis(wait), outgoing: message });
+        driver.submit(ClientRequest { head, deadline: driver.now().plus_millis(wait), outgoing: message });
     answer.expect("no other has its id").await.expect("it is answered")
 }
 
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -370,7 +370,7 @@
                 },
             };
             let driver = route.pool.driver.clone();
-            let Some(answer) = driver.arrive(ask) else {
+            let Some(answer) = driver.submit(ask) else {
                 return Err(Words::new(StatusCode::CONFLICT, "a request of this id is open").into());
             };
             // hyper drops this future when the client closes its connection.
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -246,7 +246,7 @@
         },
     };
     let driver = sign_in.pool.driver.clone();
-    let Some(answer) = driver.arrive(ask) else { return (FinalResponse::Failed, 0.0) };
+    let Some(answer) = driver.submit(ask) else { return (FinalResponse::Failed, 0.0) };
     let leaving = DisconnectGuard::new(driver, question.id.clone());
     let answer = answer.await.unwrap_or(FinalResponse::Failed);
     leaving.disarm();
