--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -57,7 +57,7 @@
         if whole {
             if let Ok(listing) = list(agent).await {
                 rev = Some(listing.rev);
-                driver.list(listing);
+                driver.update_servers(listing);
                 whole = false;
                 wait = BACK_OFF.0;
             }
@@ -133,7 +133,7 @@
             if !line.trim_ascii().is_empty() {
                 let listing: Listing = serde_json::from_slice(&line).map_err(|_| Trouble::Unreadable)?;
                 *rev = Some(listing.rev);
-                driver.list(listing);
+                driver.update_servers(listing);
             }
             *heard = true;
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -70,7 +70,7 @@
     );
     let rev = config.known.as_ref().map(|list| list.rev);
     if let Some(known) = config.known {
-        driver.list(known);
+        driver.update_servers(known);
     }
     let listener =
         listen(config.listen).map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -200,7 +200,7 @@
         self.slow_starts.finish_list();
         for (backend, pool) in &self.pools {
             let targets = targets.remove(backend).unwrap_or_default();
-            pool.driver.list(Listing { rev: 0, all: true, targets });
+            pool.driver.update_servers(Listing { rev: 0, all: true, targets });
         }
     }
 
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -90,7 +90,7 @@
         detour: 0.0,
         fence: None,
     };
-    driver.list(Listing { rev: 1, all: true, targets: vec![target] });
+    driver.update_servers(Listing { rev: 1, all: true, targets: vec![target] });
     tokio::task::spawn_local(driver.clone().run_timers());
     driver
 }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -151,7 +151,7 @@
             fence: None,
         };
         let targets = self.settings.servers.iter().map(target).collect();
-        self.driver.list(Listing { rev: 0, all: true, targets });
+        self.driver.update_servers(Listing { rev: 0, all: true, targets });
     }
 
     /// A place for one more open request; `None` if the pool has as many as it may.
