--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -253,13 +253,13 @@
     fn update(&mut self, classes: HashMap<String, RequestClass>, retries: RetryBudget) {
         for (name, class) in classes {
             if !self.classes.contains_key(&name) {
-                self.driver.tell(Event::Class(class.clone()));
+                self.driver.notify(Event::Class(class.clone()));
                 self.classes.insert(name, class);
             }
         }
         if self.retries != retries {
             self.retries = retries;
-            self.driver.tell(Event::RetryBudget(retries));
+            self.driver.notify(Event::RetryBudget(retries));
         }
     }
 }
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -392,7 +392,7 @@
     }
 
     /// Tells the gateway of something that is neither a request nor a server.
-    pub fn tell(self: &Rc<Self>, event: Event) {
+    pub fn notify(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
         self.work(&mut state);
