--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -155,7 +155,9 @@
             }
         }
         // A service that no longer exists is dropped once no request to it is open.
-        self.pools.retain(|name, pool| snapshot.config.backends.contains_key(name) || pool.driver.open() > 0);
+        self.pools.retain(|name, pool| {
+            snapshot.config.backends.contains_key(name) || pool.driver.open_requests() > 0
+        });
     }
 
     fn start(
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -465,7 +465,7 @@
 
     /// Fires timers for as long as the node runs.
     pub async fn run_timers(self: Rc<Self>) {
-        while !self.retired.get() || self.open() > 0 {
+        while !self.retired.get() || self.open_requests() > 0 {
             let first = self.state.borrow().timers.keys().next().copied();
             match first {
                 Some((at, _)) => {
@@ -615,7 +615,7 @@
     }
 
     /// Requests that have no answer yet or an attempt out.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
 
