--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -59,7 +59,7 @@
         if request.method() != Method::GET {
             return plain(StatusCode::METHOD_NOT_ALLOWED, "only GET");
         }
-        if ending || !self.driver.ready() {
+        if ending || !self.driver.is_ready() {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "not ready");
         }
         plain(StatusCode::OK, "up")
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -129,7 +129,7 @@
 
     /// Whether some service has a server.
     pub fn has_servers(&self) -> bool {
-        self.pools.values().any(|pool| pool.driver.ready())
+        self.pools.values().any(|pool| pool.driver.is_ready())
     }
 
     /// This proxy's part of the retry budget, which holds over all proxies together.
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -285,7 +285,7 @@
     }
 
     /// Whether an app server is known that could serve.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.state.borrow().servers.values().any(|s| s.state == TargetState::Serving)
     }
 
