--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! What a node is told at its start.
 
 use ivygate_gateway::{Bounds, Links, Settings, Setup};
-use ivygate_runtime::Listing;
+use ivygate_runtime::ServerListUpdate;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
     /// Most file descriptors that the node may hold.
     pub sockets: usize,
     /// The list of app servers as this node last had it.
-    pub known: Option<Listing>,
+    pub known: Option<ServerListUpdate>,
     /// What the decisions rest on.
     pub settings: Settings,
     /// What the settings tell of connections.
@@ -56,7 +56,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<Listing>,
+    known: Option<ServerListUpdate>,
     settings: Setup,
 }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -5,7 +5,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivygate_runtime::{Driver, Listing};
+use ivygate_runtime::{Driver, ServerListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -104,7 +104,7 @@
     }
 }
 
-async fn list(agent: SocketAddr) -> Result<Listing, Trouble> {
+async fn list(agent: SocketAddr) -> Result<ServerListUpdate, Trouble> {
     let mut call = call(agent, "/discovery/hosts").await.ok_or(Trouble::Lost)?;
     let body = http_body_util::Limited::new(&mut call.body, LIST_MOST).collect();
     let body = timeout(ANSWER, body).await.map_err(|_| Trouble::Lost)?.map_err(|_| Trouble::Lost)?;
@@ -131,7 +131,8 @@
             text.advance(1);
             from = 0;
             if !line.trim_ascii().is_empty() {
-                let listing: Listing = serde_json::from_slice(&line).map_err(|_| Trouble::Unreadable)?;
+                let listing: ServerListUpdate =
+                    serde_json::from_slice(&line).map_err(|_| Trouble::Unreadable)?;
                 *rev = Some(listing.rev);
                 driver.update_servers(listing);
             }
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -10,7 +10,9 @@
 };
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
-use ivygate_runtime::{Clock, Driver, Listing, Reading, Seal, Target, TargetState, Upstream, UpstreamLimits};
+use ivygate_runtime::{
+    Clock, Driver, Reading, Seal, ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
+};
 use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -202,7 +204,7 @@
         self.slow_starts.finish_list();
         for (backend, pool) in &self.pools {
             let targets = targets.remove(backend).unwrap_or_default();
-            pool.driver.update_servers(Listing { rev: 0, all: true, targets });
+            pool.driver.update_servers(ServerListUpdate { rev: 0, all: true, targets });
         }
     }
 
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -4,7 +4,7 @@
 //! All runs on one thread. What an action leads to is queued and handled in order, never from within.
 
 use crate::clock::Clock;
-use crate::listing::{Listing, TargetState};
+use crate::listing::{ServerListUpdate, TargetState};
 use crate::payload::{Outgoing, Payload, Sent};
 use crate::streamed::Streamed;
 use crate::upstream::{End, Progress, ServerResponse, Upstream};
@@ -399,7 +399,7 @@
     }
 
     /// News of the list of app servers.
-    pub fn update_servers(self: &Rc<Self>, listing: Listing) {
+    pub fn update_servers(self: &Rc<Self>, listing: ServerListUpdate) {
         let mut state = self.state.borrow_mut();
         let kind = if listing.all { ListKind::Full } else { ListKind::Changes };
         if listing.all {
@@ -610,7 +610,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             sleep_until(driver.clock.instant(driver.now().plus_millis(grace))).await;
-            driver.update_servers(Listing { rev: 0, all: true, targets: Vec::new() });
+            driver.update_servers(ServerListUpdate { rev: 0, all: true, targets: Vec::new() });
         });
     }
 
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -7,7 +7,7 @@
 
 /// The list or a change of it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Listing {
+pub struct ServerListUpdate {
     /// Its version.
     pub rev: u64,
     /// Whether what it lacks is gone.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    ClientRequest, Clock, Driver, FinalResponse, Head, Listing, OutgoingRequest, Payload, Reading, Seal,
-    Target, TargetState, Upstream, UpstreamLimits,
+    ClientRequest, Clock, Driver, FinalResponse, Head, OutgoingRequest, Payload, Reading, Seal,
+    ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -90,7 +90,7 @@
         detour: 0.0,
         fence: None,
     };
-    driver.update_servers(Listing { rev: 1, all: true, targets: vec![target] });
+    driver.update_servers(ServerListUpdate { rev: 1, all: true, targets: vec![target] });
     tokio::task::spawn_local(driver.clone().run_timers());
     driver
 }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,7 +6,7 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    millis, Clock, Driver, Judge, Listing, Reading, Target, TargetState, Upstream, UpstreamLimits,
+    millis, Clock, Driver, Judge, Reading, ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_time::Millis;
 use std::cell::Cell;
@@ -151,7 +151,7 @@
             fence: None,
         };
         let targets = self.settings.servers.iter().map(target).collect();
-        self.driver.update_servers(Listing { rev: 0, all: true, targets });
+        self.driver.update_servers(ServerListUpdate { rev: 0, all: true, targets });
     }
 
     /// A place for one more open request; `None` if the pool has as many as it may.
