--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -11,7 +11,7 @@
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
 use ivygate_runtime::{
-    Clock, Driver, Reading, Seal, ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
+    Clock, Driver, ListedServer, Reading, Seal, ServerListUpdate, TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
@@ -193,7 +193,7 @@
         let proxies = Node::all(items, Role::Proxy);
         let draining = items.live(Table::Drains).map(|(zone, _)| zone.to_owned()).collect();
         self.slow_starts.update_zones(now, draining);
-        let mut targets: HashMap<String, Vec<Target>> = HashMap::new();
+        let mut targets: HashMap<String, Vec<ListedServer>> = HashMap::new();
         for (id, body) in items.live(Table::Servers) {
             let Ok(server) = ServerRecord::deserialize(body) else { continue };
             let backend = snapshot.config.backends.get(&server.backend);
@@ -216,7 +216,7 @@
         server: &ServerRecord,
         slow_start_rate: f64,
         proxies: &[Node],
-    ) -> Target {
+    ) -> ListedServer {
         let ends_at = self.slow_starts.end_of(now, id, server);
         let is_bounded = slow_start_rate > 0.0 && now < ends_at;
         let bound = || SlowStartBound {
@@ -225,7 +225,7 @@
             until: ends_at,
         };
         let is_draining = server.draining || self.slow_starts.is_draining(&server.zone);
-        Target {
+        ListedServer {
             uid: id.to_owned(),
             endpoint: Some(server.address),
             detour: self.distance_cost(&server.zone),
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -14,12 +14,12 @@
     pub all: bool,
     /// The entries.
     #[serde(default)]
-    pub targets: Vec<Target>,
+    pub targets: Vec<ListedServer>,
 }
 
 /// One app server on the list.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Target {
+pub struct ListedServer {
     /// Its name, the same at every node.
     pub uid: String,
     /// Where it listens; one that is gone need not listen anywhere.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    ClientRequest, Clock, Driver, FinalResponse, Head, OutgoingRequest, Payload, Reading, Seal,
-    ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
+    ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, OutgoingRequest, Payload, Reading, Seal,
+    ServerListUpdate, TargetState, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -79,7 +79,7 @@
     let seal = Seal { echo: ID, most: 1 << 20, judge };
     let upstream = Upstream::new(limits, Reading::Sealed(seal));
     let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
-    let target = Target {
+    let target = ListedServer {
         uid: "i-1".to_owned(),
         endpoint: Some(server),
         az: "north".to_owned(),
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,7 +6,8 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    millis, Clock, Driver, Judge, Reading, ServerListUpdate, Target, TargetState, Upstream, UpstreamLimits,
+    millis, Clock, Driver, Judge, ListedServer, Reading, ServerListUpdate, TargetState, Upstream,
+    UpstreamLimits,
 };
 use ivygate_time::Millis;
 use std::cell::Cell;
@@ -138,7 +139,7 @@
         let is_new = |s: &config::Server| {
             before.is_some_and(|b| !b.servers.iter().any(|o| o.name == s.name && o.address == s.address))
         };
-        let target = |server: &config::Server| Target {
+        let target = |server: &config::Server| ListedServer {
             // A server that has moved is another one.
             uid: format!("{}@{}", server.name, server.address),
             endpoint: Some(server.address),
