--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -11,7 +11,7 @@
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
 use ivygate_runtime::{
-    Clock, Driver, ListedServer, Reading, Seal, ServerListUpdate, TargetState, Upstream, UpstreamLimits,
+    Clock, Driver, ListedServer, ListedServerState, Reading, Seal, ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
@@ -231,7 +231,7 @@
             detour: self.distance_cost(&server.zone),
             az: server.zone.clone(),
             pod_group: 0,
-            state: if is_draining { TargetState::Draining } else { TargetState::Serving },
+            state: if is_draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.capacity,
             boot_ms: 0.0,
             fence: is_bounded.then(bound),
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -4,7 +4,7 @@
 //! All runs on one thread. What an action leads to is queued and handled in order, never from within.
 
 use crate::clock::Clock;
-use crate::listing::{ServerListUpdate, TargetState};
+use crate::listing::{ListedServerState, ServerListUpdate};
 use crate::payload::{Outgoing, Payload, Sent};
 use crate::streamed::Streamed;
 use crate::upstream::{End, Progress, ServerResponse, Upstream};
@@ -203,7 +203,7 @@
 struct Listed {
     uid: String,
     address: SocketAddr,
-    state: TargetState,
+    state: ListedServerState,
 }
 
 /// Whoever decides: a [`Gateway`], or one with something in its way, as tests of a fleet put there.
@@ -286,7 +286,7 @@
 
     /// Whether an app server is known that could serve.
     pub fn is_ready(&self) -> bool {
-        self.state.borrow().servers.values().any(|s| s.state == TargetState::Serving)
+        self.state.borrow().servers.values().any(|s| s.state == ListedServerState::Serving)
     }
 
     /// Takes a request; its one answer comes through the receiver. `None` if a request of the same id is
@@ -417,7 +417,7 @@
         let mut members = Vec::with_capacity(listing.targets.len());
         for target in listing.targets {
             let known = state.names.get(&target.uid).copied();
-            let gone = target.state == TargetState::Deleted;
+            let gone = target.state == ListedServerState::Deleted;
             let server = match known {
                 Some(server) => server,
                 None if gone => continue,
@@ -431,9 +431,9 @@
                 zone: target.az,
                 cell: target.pod_group,
                 state: match target.state {
-                    TargetState::Serving => ServerState::Ready,
-                    TargetState::Draining => ServerState::Draining,
-                    TargetState::Deleted => ServerState::Gone,
+                    ListedServerState::Serving => ServerState::Ready,
+                    ListedServerState::Draining => ServerState::Draining,
+                    ListedServerState::Deleted => ServerState::Gone,
                 },
                 weight: target.capacity_hint,
                 started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(Timestamp::from_millis),
@@ -442,7 +442,7 @@
             });
             match target.endpoint {
                 Some(address) if !gone => {
-                    if target.state == TargetState::Draining {
+                    if target.state == ListedServerState::Draining {
                         self.upstream.forget(server);
                     }
                     state.names.insert(target.uid.clone(), server);
@@ -688,7 +688,7 @@
         let left = give_up_at.millis_since(now);
         let state = self.state.borrow();
         let hears = now < self.hears_until.get();
-        let serving = state.servers.get(&server).is_some_and(|s| s.state == TargetState::Serving);
+        let serving = state.servers.get(&server).is_some_and(|s| s.state == ListedServerState::Serving);
         (serving && !hears && left > 0.0).then_some(left)
     }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -23,7 +23,7 @@
 };
 pub use framing::Flaw;
 pub use headers::{end_to_end, one, retry_after_value, without_hop_by_hop};
-pub use listing::{ListedServer, ServerListUpdate, TargetState};
+pub use listing::{ListedServer, ListedServerState, ServerListUpdate};
 pub use payload::{BodyError, Payload, Rest};
 pub use stall::{StallWatch, Stalled};
 pub use streamed::Streamed;
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -31,7 +31,7 @@
     #[serde(default)]
     pub pod_group: u32,
     /// Its state.
-    pub state: TargetState,
+    pub state: ListedServerState,
     /// Its size against the others.
     #[serde(default = "one")]
     pub capacity_hint: f64,
@@ -49,7 +49,7 @@
 /// State of an app server on the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
-pub enum TargetState {
+pub enum ListedServerState {
     /// Takes requests.
     Serving,
     /// Finishes what it has.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, OutgoingRequest, Payload, Reading, Seal,
-    ServerListUpdate, TargetState, Upstream, UpstreamLimits,
+    ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, ListedServerState, OutgoingRequest,
+    Payload, Reading, Seal, ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -84,7 +84,7 @@
         endpoint: Some(server),
         az: "north".to_owned(),
         pod_group: 0,
-        state: TargetState::Serving,
+        state: ListedServerState::Serving,
         capacity_hint: 8.0,
         boot_ms: 0.0,
         detour: 0.0,
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,7 +6,7 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    millis, Clock, Driver, Judge, ListedServer, Reading, ServerListUpdate, TargetState, Upstream,
+    millis, Clock, Driver, Judge, ListedServer, ListedServerState, Reading, ServerListUpdate, Upstream,
     UpstreamLimits,
 };
 use ivygate_time::Millis;
@@ -145,7 +145,7 @@
             endpoint: Some(server.address),
             az: server.zone.clone(),
             pod_group: server.cell,
-            state: if server.draining { TargetState::Draining } else { TargetState::Serving },
+            state: if server.draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.weight,
             boot_ms: if self.settings.cold.is_some() && is_new(server) { now.as_millis() } else { 0.0 },
             detour: 0.0,
