--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -228,7 +228,7 @@
         ListedServer {
             uid: id.to_owned(),
             endpoint: Some(server.address),
-            detour: self.distance_cost(&server.zone),
+            distance_cost: self.distance_cost(&server.zone),
             az: server.zone.clone(),
             pod_group: 0,
             state: if is_draining { ListedServerState::Draining } else { ListedServerState::Serving },
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -437,7 +437,7 @@
                 },
                 weight: target.capacity_hint,
                 started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(Timestamp::from_millis),
-                distance_cost: target.detour,
+                distance_cost: target.distance_cost,
                 slow_start: target.fence,
             });
             match target.endpoint {
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -40,7 +40,7 @@
     pub boot_ms: f64,
     /// What the way there is taken to cost, as time.
     #[serde(skip)]
-    pub detour: Millis,
+    pub distance_cost: Millis,
     /// Bounds what is sent to it while it is cold.
     #[serde(skip)]
     pub fence: Option<SlowStartBound>,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -87,7 +87,7 @@
         state: ListedServerState::Serving,
         capacity_hint: 8.0,
         boot_ms: 0.0,
-        detour: 0.0,
+        distance_cost: 0.0,
         fence: None,
     };
     driver.update_servers(ServerListUpdate { rev: 1, all: true, targets: vec![target] });
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -148,7 +148,7 @@
             state: if server.draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.weight,
             boot_ms: if self.settings.cold.is_some() && is_new(server) { now.as_millis() } else { 0.0 },
-            detour: 0.0,
+            distance_cost: 0.0,
             fence: None,
         };
         let targets = self.settings.servers.iter().map(target).collect();
