--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -234,7 +234,7 @@
             state: if is_draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.capacity,
             boot_ms: 0.0,
-            fence: is_bounded.then(bound),
+            slow_start: is_bounded.then(bound),
         }
     }
 
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -438,7 +438,7 @@
                 weight: target.capacity_hint,
                 started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(Timestamp::from_millis),
                 distance_cost: target.distance_cost,
-                slow_start: target.fence,
+                slow_start: target.slow_start,
             });
             match target.endpoint {
                 Some(address) if !gone => {
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/listing.rs
@@ -43,7 +43,7 @@
     pub distance_cost: Millis,
     /// Bounds what is sent to it while it is cold.
     #[serde(skip)]
-    pub fence: Option<SlowStartBound>,
+    pub slow_start: Option<SlowStartBound>,
 }
 
 /// State of an app server on the list.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -88,7 +88,7 @@
         capacity_hint: 8.0,
         boot_ms: 0.0,
         distance_cost: 0.0,
-        fence: None,
+        slow_start: None,
     };
     driver.update_servers(ServerListUpdate { rev: 1, all: true, targets: vec![target] });
     tokio::task::spawn_local(driver.clone().run_timers());
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -149,7 +149,7 @@
             capacity_hint: server.weight,
             boot_ms: if self.settings.cold.is_some() && is_new(server) { now.as_millis() } else { 0.0 },
             distance_cost: 0.0,
-            fence: None,
+            slow_start: None,
         };
         let targets = self.settings.servers.iter().map(target).collect();
         self.driver.update_servers(ServerListUpdate { rev: 0, all: true, targets });
