--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, Asked, ClientRequest, DisconnectGuard, Driver, FinalResponse,
-    Front, OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
+    end_to_end, millis, retry_after_value, ClientRequest, DisconnectGuard, Driver, FinalResponse, Front,
+    IncomingRequest, OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -23,8 +23,8 @@
 impl Front for NodeFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, begun, ending, turn, .. } = asked;
+    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, begun, ending, turn, .. } = asked;
         let (mut response, stays) = if request.uri().path() == "/up" {
             (self.up(&request, ending), true)
         } else {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -13,7 +13,8 @@
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
 use ivygate_runtime::{
-    Asked, ClientRequest, DisconnectGuard, Driver, FinalResponse, Front, Head, OutgoingRequest, Payload,
+    ClientRequest, DisconnectGuard, Driver, FinalResponse, Front, Head, IncomingRequest, OutgoingRequest,
+    Payload,
 };
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
@@ -65,8 +66,8 @@
 impl Front for ClientFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, begun, turn, flaw, .. } = asked;
+    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, begun, turn, flaw, .. } = asked;
         if flaw.is_some() {
             // Where such a request ends can't be told.
             let mut response =
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{listen, Asked, ClientLimits, Clients, Front, WHOLE_REQUEST};
+use ivygate_runtime::{listen, ClientLimits, Clients, Front, IncomingRequest, WHOLE_REQUEST};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
@@ -84,8 +84,8 @@
 impl Front for RpcFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, begun, turn, peer, .. } = asked;
+    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, begun, turn, peer, .. } = asked;
         let (head, body) = request.into_parts();
         let time_left = request_timeout().saturating_sub(begun.elapsed());
         let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -94,11 +94,14 @@
     type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + 'static;
 
     /// Answers a request; an error ends the connection with no answer.
-    fn answer(&self, asked: Asked) -> impl Future<Output = Result<Response<Self::Body>, hyper::Error>>;
+    fn answer(
+        &self,
+        asked: IncomingRequest,
+    ) -> impl Future<Output = Result<Response<Self::Body>, hyper::Error>>;
 }
 
 /// A request whose head has come in.
-pub struct Asked {
+pub struct IncomingRequest {
     /// The request.
     pub request: Request<Incoming>,
     /// The other side of its connection.
@@ -378,7 +381,8 @@
                 let begun = client.reading();
                 let ending = clients.ending.get();
                 let flaw = client.flaws.borrow_mut().pop_front().flatten();
-                let asked = Asked { request, peer, peer_name, begun, ending, flaw, turn: Turn(client) };
+                let asked =
+                    IncomingRequest { request, peer, peer_name, begun, ending, flaw, turn: Turn(client) };
                 let mut response = clients.front.answer(asked).await?;
                 if clients.ending.get() {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,8 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Asked, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Front, Head, OutgoingRequest,
-    Payload, Streamed,
+    millis, one, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Front, Head, IncomingRequest,
+    OutgoingRequest, Payload, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -253,10 +253,10 @@
 impl Front for SidecarFront {
     type Body = AnswerBody;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<AnswerBody>, hyper::Error> {
+    async fn answer(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
         let site = self.shared.site.borrow().clone();
         let listener = self.listener.borrow().clone();
-        let Asked { request, peer, peer_name, flaw, turn, .. } = asked;
+        let IncomingRequest { request, peer, peer_name, flaw, turn, .. } = asked;
         // From here on the request's own limits hold, not the connection's.
         turn.open();
         let mut held = Held { turn, place: None, bytes: None };
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Response, StatusCode};
 use ivygate_config::Operator;
 use ivygate_journal::{answer, Told};
-use ivygate_runtime::{Asked, ClientLimits, Front};
+use ivygate_runtime::{ClientLimits, Front, IncomingRequest};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
@@ -82,8 +82,8 @@
 impl Front for OperatorFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, flaw, turn, .. } = asked;
+    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, flaw, turn, .. } = asked;
         turn.open();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
         let told = match flaw {
