--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -109,7 +109,7 @@
     /// Its address in words, without the port; IPv4 also where it came through IPv6.
     pub peer_name: Arc<str>,
     /// When its first byte came.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// Whether this process is winding up.
     pub ending: bool,
     /// Why it must not be taken; looked for only where the limits say so.
@@ -381,8 +381,15 @@
                 let begun = client.reading();
                 let ending = clients.ending.get();
                 let flaw = client.flaws.borrow_mut().pop_front().flatten();
-                let asked =
-                    IncomingRequest { request, peer, peer_name, begun, ending, flaw, turn: Turn(client) };
+                let asked = IncomingRequest {
+                    request,
+                    peer,
+                    peer_name,
+                    started_at: begun,
+                    ending,
+                    flaw,
+                    turn: Turn(client),
+                };
                 let mut response = clients.front.answer(asked).await?;
                 if clients.ending.get() {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
