--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -111,7 +111,7 @@
     /// When its first byte came.
     pub started_at: Instant,
     /// Whether this process is winding up.
-    pub ending: bool,
+    pub shutting_down: bool,
     /// Why it must not be taken; looked for only where the limits say so.
     pub flaw: Option<Flaw>,
     /// Its turn on the connection; to be dropped when the answer is made or, streamed, has gone out.
@@ -386,7 +386,7 @@
                     peer,
                     peer_name,
                     started_at: begun,
-                    ending,
+                    shutting_down: ending,
                     flaw,
                     turn: Turn(client),
                 };
