--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -113,7 +113,7 @@
     /// Whether this process is winding up.
     pub shutting_down: bool,
     /// Why it must not be taken; looked for only where the limits say so.
-    pub flaw: Option<Flaw>,
+    pub framing_error: Option<Flaw>,
     /// Its turn on the connection; to be dropped when the answer is made or, streamed, has gone out.
     pub turn: Turn,
 }
@@ -387,7 +387,7 @@
                     peer_name,
                     started_at: begun,
                     shutting_down: ending,
-                    flaw,
+                    framing_error: flaw,
                     turn: Turn(client),
                 };
                 let mut response = clients.front.answer(asked).await?;
