--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -24,7 +24,7 @@
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, started_at: begun, shutting_down: ending, turn, .. } = asked;
+        let IncomingRequest { request, started_at: begun, shutting_down: ending, guard: turn, .. } = asked;
         let (mut response, stays) = if request.uri().path() == "/up" {
             (self.up(&request, ending), true)
         } else {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -67,7 +67,7 @@
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, started_at: begun, turn, framing_error: flaw, .. } = asked;
+        let IncomingRequest { request, started_at: begun, guard: turn, framing_error: flaw, .. } = asked;
         if flaw.is_some() {
             // Where such a request ends can't be told.
             let mut response =
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -85,7 +85,7 @@
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, started_at: begun, turn, peer, .. } = asked;
+        let IncomingRequest { request, started_at: begun, guard: turn, peer, .. } = asked;
         let (head, body) = request.into_parts();
         let time_left = request_timeout().saturating_sub(begun.elapsed());
         let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -115,7 +115,7 @@
     /// Why it must not be taken; looked for only where the limits say so.
     pub framing_error: Option<Flaw>,
     /// Its turn on the connection; to be dropped when the answer is made or, streamed, has gone out.
-    pub turn: Turn,
+    pub guard: Turn,
 }
 
 /// A request's turn on its connection. Dropping it marks the request as answered or given up.
@@ -388,7 +388,7 @@
                     started_at: begun,
                     shutting_down: ending,
                     framing_error: flaw,
-                    turn: Turn(client),
+                    guard: Turn(client),
                 };
                 let mut response = clients.front.answer(asked).await?;
                 if clients.ending.get() {
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -83,7 +83,7 @@
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, framing_error: flaw, turn, .. } = asked;
+        let IncomingRequest { request, framing_error: flaw, guard: turn, .. } = asked;
         turn.open();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
         let told = match flaw {
