--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -107,7 +107,7 @@
     /// The other side of its connection.
     pub peer: SocketAddr,
     /// Its address in words, without the port; IPv4 also where it came through IPv6.
-    pub peer_name: Arc<str>,
+    pub peer_ip: Arc<str>,
     /// When its first byte came.
     pub started_at: Instant,
     /// Whether this process is winding up.
@@ -384,7 +384,7 @@
                 let asked = IncomingRequest {
                     request,
                     peer,
-                    peer_name,
+                    peer_ip: peer_name,
                     started_at: begun,
                     shutting_down: ending,
                     framing_error: flaw,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -256,7 +256,8 @@
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
         let site = self.shared.site.borrow().clone();
         let listener = self.listener.borrow().clone();
-        let IncomingRequest { request, peer, peer_name, framing_error: flaw, guard: turn, .. } = asked;
+        let IncomingRequest { request, peer, peer_ip: peer_name, framing_error: flaw, guard: turn, .. } =
+            asked;
         // From here on the request's own limits hold, not the connection's.
         turn.open();
         let mut held = Held { turn, place: None, bytes: None };
