--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -115,13 +115,13 @@
     /// Why it must not be taken; looked for only where the limits say so.
     pub framing_error: Option<Flaw>,
     /// Its turn on the connection; to be dropped when the answer is made or, streamed, has gone out.
-    pub guard: Turn,
+    pub guard: RequestGuard,
 }
 
 /// A request's turn on its connection. Dropping it marks the request as answered or given up.
-pub struct Turn(Rc<Client>);
+pub struct RequestGuard(Rc<Client>);
 
-impl Turn {
+impl RequestGuard {
     /// The request has come whole, or as far as it is waited for: the connection must stay until it is
     /// answered.
     pub fn open(&self) {
@@ -129,7 +129,7 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.served.set(self.0.served.get().saturating_add(1));
         self.0.enter(Phase::Idle);
@@ -388,7 +388,7 @@
                     started_at: begun,
                     shutting_down: ending,
                     framing_error: flaw,
-                    guard: Turn(client),
+                    guard: RequestGuard(client),
                 };
                 let mut response = clients.front.answer(asked).await?;
                 if clients.ending.get() {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -15,7 +15,7 @@
 mod streamed;
 mod upstream;
 
-pub use clients::{listen, ClientLimits, Clients, Front, IncomingRequest, Turn, WHOLE_REQUEST};
+pub use clients::{listen, ClientLimits, Clients, Front, IncomingRequest, RequestGuard, WHOLE_REQUEST};
 pub use clock::{millis, Clock};
 pub use driver::{
     Admission, AttemptRecorder, ClientRequest, DecisionEngine, DisconnectGuard, Driver, FinalResponse, Head,
--- a/crates/sidecar/src/answer.rs
+++ b/crates/sidecar/src/answer.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{BodyError, Streamed, Turn};
+use ivygate_runtime::{BodyError, RequestGuard, Streamed};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
@@ -14,7 +14,7 @@
 #[allow(dead_code, reason = "held to be dropped")]
 pub struct Held {
     /// Its turn on the client's connection.
-    pub turn: Turn,
+    pub turn: RequestGuard,
     /// Its place among the pool's open requests.
     pub place: Option<Place>,
     /// The bytes of its body that are held.
