--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -30,7 +30,7 @@
         } else {
             match self.read(request, begun).await {
                 Ok(ask) => {
-                    turn.open();
+                    turn.mark_received();
                     match self.ask(ask).await {
                         Some(response) => (response, true),
                         None => (plain(StatusCode::CONFLICT, "a request of this id is open"), false),
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -75,7 +75,7 @@
             close_connection(&mut response);
             return Ok(response);
         }
-        match self.handle(request, begun, || turn.open()).await {
+        match self.handle(request, begun, || turn.mark_received()).await {
             Ok(response) => Ok(response),
             Err(rejection) => rejection.into_response(),
         }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -99,7 +99,7 @@
                 }
             },
             Ok(Ok(body)) => {
-                turn.open();
+                turn.mark_received();
                 // The request may have waited while this process was paused or a link was cut, and may have been given to
                 // another since. The connection is looked at once more: where the caller has left, this future is dropped.
                 tokio::task::yield_now().await;
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -124,7 +124,7 @@
 impl RequestGuard {
     /// The request has come whole, or as far as it is waited for: the connection must stay until it is
     /// answered.
-    pub fn open(&self) {
+    pub fn mark_received(&self) {
         self.0.enter(Phase::Open);
     }
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -259,7 +259,7 @@
         let IncomingRequest { request, peer, peer_ip: peer_name, framing_error: flaw, guard: turn, .. } =
             asked;
         // From here on the request's own limits hold, not the connection's.
-        turn.open();
+        turn.mark_received();
         let mut held = Held { turn, place: None, bytes: None };
         if let Some(flaw) = flaw {
             let status = match flaw {
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -84,7 +84,7 @@
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let IncomingRequest { request, framing_error: flaw, guard: turn, .. } = asked;
-        turn.open();
+        turn.mark_received();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
         let told = match flaw {
             Some(flaw) => Told::error(400, &flaw.to_string()),
