--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, ClientRequest, DisconnectGuard, Driver, FinalResponse, Front,
-    IncomingRequest, OutgoingRequest, Payload, BODY_MOST, WHOLE_REQUEST,
+    end_to_end, millis, retry_after_value, ClientRequest, DisconnectGuard, Driver, FinalResponse,
+    IncomingRequest, OutgoingRequest, Payload, RequestHandler, BODY_MOST, WHOLE_REQUEST,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     reader: Reader,
 }
 
-impl Front for NodeFront {
+impl RequestHandler for NodeFront {
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -13,8 +13,8 @@
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
 use ivygate_runtime::{
-    ClientRequest, DisconnectGuard, Driver, FinalResponse, Front, Head, IncomingRequest, OutgoingRequest,
-    Payload,
+    ClientRequest, DisconnectGuard, Driver, FinalResponse, Head, IncomingRequest, OutgoingRequest, Payload,
+    RequestHandler,
 };
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
@@ -63,7 +63,7 @@
     rejections: RejectionRates,
 }
 
-impl Front for ClientFront {
+impl RequestHandler for ClientFront {
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{listen, ClientLimits, Clients, Front, IncomingRequest, WHOLE_REQUEST};
+use ivygate_runtime::{listen, ClientLimits, Clients, IncomingRequest, RequestHandler, WHOLE_REQUEST};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
@@ -81,7 +81,7 @@
     handler: Handler,
 }
 
-impl Front for RpcFront {
+impl RequestHandler for RpcFront {
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -1,4 +1,4 @@
-//! The side of the clients: accepts connections, bounds them, and hands each request to a [`Front`].
+//! The side of the clients: accepts connections, bounds them, and hands each request to a [`RequestHandler`].
 
 use crate::framing::{Flaw, Framing};
 use bytes::Bytes;
@@ -89,7 +89,7 @@
 }
 
 /// What makes answers of requests. There is one for each listener; it owns no connection.
-pub trait Front: 'static {
+pub trait RequestHandler: 'static {
     /// The body of its answers.
     type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + 'static;
 
@@ -238,7 +238,7 @@
     }
 }
 
-impl<F: Front> Clients<F> {
+impl<F: RequestHandler> Clients<F> {
     /// Serves by this front, within these limits.
     pub fn new(front: Rc<F>, limits: ClientLimits) -> Rc<Self> {
         Rc::new(Self {
@@ -571,12 +571,12 @@
 }
 
 /// A connection on the list, for as long as it lives.
-struct Registered<F: Front> {
+struct Registered<F: RequestHandler> {
     clients: Rc<Clients<F>>,
     number: u64,
 }
 
-impl<F: Front> Drop for Registered<F> {
+impl<F: RequestHandler> Drop for Registered<F> {
     fn drop(&mut self) {
         self.clients.clients.borrow_mut().remove(&self.number);
         self.clients.freed.notify_one();
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -15,7 +15,9 @@
 mod streamed;
 mod upstream;
 
-pub use clients::{listen, ClientLimits, Clients, Front, IncomingRequest, RequestGuard, WHOLE_REQUEST};
+pub use clients::{
+    listen, ClientLimits, Clients, IncomingRequest, RequestGuard, RequestHandler, WHOLE_REQUEST,
+};
 pub use clock::{millis, Clock};
 pub use driver::{
     Admission, AttemptRecorder, ClientRequest, DecisionEngine, DisconnectGuard, Driver, FinalResponse, Head,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,8 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Front, Head, IncomingRequest,
-    OutgoingRequest, Payload, Streamed,
+    millis, one, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Head, IncomingRequest, OutgoingRequest,
+    Payload, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -250,7 +250,7 @@
     Words::new(StatusCode::BAD_REQUEST, text).closing()
 }
 
-impl Front for SidecarFront {
+impl RequestHandler for SidecarFront {
     type Body = AnswerBody;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Response, StatusCode};
 use ivygate_config::Operator;
 use ivygate_journal::{answer, Told};
-use ivygate_runtime::{ClientLimits, Front, IncomingRequest};
+use ivygate_runtime::{ClientLimits, IncomingRequest, RequestHandler};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
@@ -79,7 +79,7 @@
     }
 }
 
-impl Front for OperatorFront {
+impl RequestHandler for OperatorFront {
     type Body = Full<Bytes>;
 
     async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
