--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -23,7 +23,7 @@
 impl RequestHandler for NodeFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let IncomingRequest { request, started_at: begun, shutting_down: ending, guard: turn, .. } = asked;
         let (mut response, stays) = if request.uri().path() == "/up" {
             (self.up(&request, ending), true)
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -66,7 +66,7 @@
 impl RequestHandler for ClientFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let IncomingRequest { request, started_at: begun, guard: turn, framing_error: flaw, .. } = asked;
         if flaw.is_some() {
             // Where such a request ends can't be told.
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -84,7 +84,7 @@
 impl RequestHandler for RpcFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let IncomingRequest { request, started_at: begun, guard: turn, peer, .. } = asked;
         let (head, body) = request.into_parts();
         let time_left = request_timeout().saturating_sub(begun.elapsed());
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -94,7 +94,7 @@
     type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + 'static;
 
     /// Answers a request; an error ends the connection with no answer.
-    fn answer(
+    fn respond(
         &self,
         asked: IncomingRequest,
     ) -> impl Future<Output = Result<Response<Self::Body>, hyper::Error>>;
@@ -390,7 +390,7 @@
                     framing_error: flaw,
                     guard: RequestGuard(client),
                 };
-                let mut response = clients.front.answer(asked).await?;
+                let mut response = clients.front.respond(asked).await?;
                 if clients.ending.get() {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -253,7 +253,7 @@
 impl RequestHandler for SidecarFront {
     type Body = AnswerBody;
 
-    async fn answer(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
         let site = self.shared.site.borrow().clone();
         let listener = self.listener.borrow().clone();
         let IncomingRequest { request, peer, peer_ip: peer_name, framing_error: flaw, guard: turn, .. } =
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -82,7 +82,7 @@
 impl RequestHandler for OperatorFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
         let IncomingRequest { request, framing_error: flaw, guard: turn, .. } = asked;
         turn.mark_received();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
