--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,7 @@
 use front::NodeFront;
 use ivygate_gateway::{Gateway, Settings, SettingsError};
 use ivygate_runtime::{
-    listen, ClientLimits, Clients, Clock, DecisionEngine, Driver, Reading, Upstream, UpstreamLimits,
+    listen, ClientLimits, Clock, DecisionEngine, Driver, HttpServer, Reading, Upstream, UpstreamLimits,
 };
 use request::Reader;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
     tokio::task::spawn_local(discovery::follow(driver.clone(), agents, rev));
     tokio::task::spawn_local(reload_on(hangups, agent));
     let front = Rc::new(NodeFront::new(driver, reader));
-    let clients = Clients::new(front, ClientLimits::new(sockets - upstreams));
+    let clients = HttpServer::new(front, ClientLimits::new(sockets - upstreams));
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -10,7 +10,7 @@
 use ivygate_control_state::Tables;
 use ivygate_quota::LeasedQuota;
 use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcClient, RpcError, RpcResponse, RpcServer};
-use ivygate_runtime::{listen, ClientLimits, Clients, Clock};
+use ivygate_runtime::{listen, ClientLimits, Clock, HttpServer};
 use ivygate_time::MonotonicClock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -119,7 +119,8 @@
     tasks.spawn_local(follow(cluster.replica.clone(), client, cluster.clone(), Tables::all()));
     tasks.spawn_local(cluster.clone().send_heartbeats());
     tasks.spawn_local(cluster.clone().report_usage(leased));
-    let clients = Clients::new(Rc::new(ClientFront::new(proxy.clone())), client_limits(connections.clients));
+    let clients =
+        HttpServer::new(Rc::new(ClientFront::new(proxy.clone())), client_limits(connections.clients));
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     let _ = terminate.recv().await;
     tracing::info!("shutting down");
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{listen, ClientLimits, Clients, IncomingRequest, RequestHandler, WHOLE_REQUEST};
+use ivygate_runtime::{listen, ClientLimits, HttpServer, IncomingRequest, RequestHandler, WHOLE_REQUEST};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
@@ -125,7 +125,7 @@
 
 /// A listener at work.
 pub struct RpcServer {
-    clients: Rc<Clients<RpcFront>>,
+    clients: Rc<HttpServer<RpcFront>>,
     accepting: tokio::task::JoinHandle<()>,
 }
 
@@ -146,7 +146,7 @@
     })?;
     let mut limits = ClientLimits::new(MAX_CONNECTIONS);
     limits.whole_request = request_timeout();
-    let clients = Clients::new(Rc::new(RpcFront { handler }), limits);
+    let clients = HttpServer::new(Rc::new(RpcFront { handler }), limits);
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     Ok(RpcServer { clients, accepting })
 }
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -137,7 +137,7 @@
 }
 
 /// Accepts clients and serves them.
-pub struct Clients<F> {
+pub struct HttpServer<F> {
     front: Rc<F>,
     limits: Cell<ClientLimits>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
@@ -238,7 +238,7 @@
     }
 }
 
-impl<F: RequestHandler> Clients<F> {
+impl<F: RequestHandler> HttpServer<F> {
     /// Serves by this front, within these limits.
     pub fn new(front: Rc<F>, limits: ClientLimits) -> Rc<Self> {
         Rc::new(Self {
@@ -572,7 +572,7 @@
 
 /// A connection on the list, for as long as it lives.
 struct Registered<F: RequestHandler> {
-    clients: Rc<Clients<F>>,
+    clients: Rc<HttpServer<F>>,
     number: u64,
 }
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -8,7 +8,7 @@
 use ivygate_config::{Listener, Model, Severity};
 use ivygate_files::ReadError;
 use ivygate_journal::JournalError;
-use ivygate_runtime::{listen, millis, ClientLimits, Clients, Clock};
+use ivygate_runtime::{listen, millis, ClientLimits, Clock, HttpServer};
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::io::IsTerminal;
@@ -76,7 +76,7 @@
     /// As the configuration has it; its port may be 0.
     named: SocketAddr,
     bound: SocketAddr,
-    clients: Rc<Clients<SidecarFront>>,
+    clients: Rc<HttpServer<SidecarFront>>,
     accepting: JoinHandle<()>,
 }
 
@@ -91,7 +91,7 @@
 struct Desk {
     named: SocketAddr,
     bound: SocketAddr,
-    clients: Rc<Clients<OperatorFront>>,
+    clients: Rc<HttpServer<OperatorFront>>,
     accepting: JoinHandle<()>,
 }
 
@@ -156,7 +156,7 @@
     fn open_desk(&self, model: &Model, socket: Option<(TcpListener, SocketAddr)>) {
         if let Some((operator, (socket, bound))) = model.operator.as_ref().zip(socket) {
             let front = Rc::new(OperatorFront::new(self.shared.clone()));
-            let clients = Clients::new(front, operator::limits());
+            let clients = HttpServer::new(front, operator::limits());
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
             self.desk.replace(Some(Desk { named: operator.address, bound, clients, accepting }));
         }
@@ -171,7 +171,7 @@
         for (listener, socket, address) in bound {
             let (named, limits) = (listener.address, client_limits(&listener));
             let front = Rc::new(SidecarFront::new(self.shared.clone(), listener));
-            let clients = Clients::new(front, limits);
+            let clients = HttpServer::new(front, limits);
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
             self.ports.borrow_mut().push(Port { named, bound: address, clients, accepting });
         }
