--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -86,7 +86,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    clients.wind_up(accepting).await;
+    clients.shut_down(accepting).await;
     Ok(())
 }
 
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -125,7 +125,7 @@
     let _ = terminate.recv().await;
     tracing::info!("shutting down");
     proxy.begin_shutdown();
-    clients.wind_up(accepting).await;
+    clients.shut_down(accepting).await;
     peer_server.shut_down().await;
     Ok(())
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -132,7 +132,7 @@
 impl RpcServer {
     /// Takes no more connections, and waits until the requests under way are answered.
     pub async fn shut_down(self) {
-        self.clients.wind_up(self.accepting).await;
+        self.clients.shut_down(self.accepting).await;
     }
 }
 
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -288,7 +288,7 @@
     }
 
     /// Ends in good order: whoever comes or stays is still served, and told to go elsewhere next.
-    pub async fn wind_up(&self, accepting: JoinHandle<()>) {
+    pub async fn shut_down(&self, accepting: JoinHandle<()>) {
         self.ending.set(true);
         sleep(WIND_UP_IDLE).await;
         self.close_idle(FIRST_REQUEST);
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -219,12 +219,12 @@
             true
         });
         for (clients, accepting) in gone {
-            tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
+            tokio::task::spawn_local(async move { clients.shut_down(accepting).await });
         }
         self.open(bound);
         if kept != named {
             if let Some(Desk { clients, accepting, .. }) = self.desk.take() {
-                tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
+                tokio::task::spawn_local(async move { clients.shut_down(accepting).await });
             }
             self.open_desk(model, desk);
         }
@@ -247,13 +247,11 @@
         let desk = self.desk.take();
         let mut ending: Vec<_> = ports
             .into_iter()
-            .map(|port| tokio::task::spawn_local(async move { port.clients.wind_up(port.accepting).await }))
+            .map(|port| tokio::task::spawn_local(async move { port.clients.shut_down(port.accepting).await }))
             .collect();
-        ending.extend(
-            desk.map(|desk| {
-                tokio::task::spawn_local(async move { desk.clients.wind_up(desk.accepting).await })
-            }),
-        );
+        ending.extend(desk.map(|desk| {
+            tokio::task::spawn_local(async move { desk.clients.shut_down(desk.accepting).await })
+        }));
         for one in ending {
             // A failure of its own changes nothing about the end.
             let _ = one.await;
