--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -253,7 +253,7 @@
     }
 
     /// What makes the answers.
-    pub fn front(&self) -> &Rc<F> {
+    pub fn handler(&self) -> &Rc<F> {
         &self.front
     }
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -215,7 +215,7 @@
                 return false;
             };
             port.clients.set_limits(client_limits(listener));
-            port.clients.front().listener.replace(Rc::new(listener.clone()));
+            port.clients.handler().listener.replace(Rc::new(listener.clone()));
             true
         });
         for (clients, accepting) in gone {
