--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Most connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Most bytes that hyper holds of a connection at once.
     pub buffer: usize,
     /// Longest head of requests, where those that can be read in two ways are to be found out; hyper alone does
@@ -84,7 +84,15 @@
     pub fn new(connections: usize) -> Self {
         let (whole_request, idle, idle_once) = (WHOLE_REQUEST, IDLE, IDLE_ONCE);
         let (strict_head, read_stall) = (None, None);
-        Self { connections, buffer: BUFFER, strict_head, read_stall, whole_request, idle, idle_once }
+        Self {
+            max_connections: connections,
+            buffer: BUFFER,
+            strict_head,
+            read_stall,
+            whole_request,
+            idle,
+            idle_once,
+        }
     }
 }
 
@@ -269,7 +277,7 @@
             // Guards the descriptors: at the bound another client makes room, or the next waits in the
             // kernel's queue until one ends.
             self.make_room();
-            let full = self.clients.borrow().len() >= self.limits.get().connections;
+            let full = self.clients.borrow().len() >= self.limits.get().max_connections;
             tokio::select! {
                 () = self.freed.notified(), if full => {}
                 accepted = listener.accept(), if !full => match accepted {
@@ -310,7 +318,7 @@
     /// each takes some time to end and hundreds may come at one moment.
     fn make_room(&self) {
         let clients = self.clients.borrow();
-        let wanted = self.limits.get().connections - self.limits.get().connections / ROOM_PART;
+        let wanted = self.limits.get().max_connections - self.limits.get().max_connections / ROOM_PART;
         if clients.len() <= wanted {
             return;
         }
