--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -65,7 +65,7 @@
     /// Most connections.
     pub max_connections: usize,
     /// Most bytes that hyper holds of a connection at once.
-    pub buffer: usize,
+    pub max_buffer_bytes: usize,
     /// Longest head of requests, where those that can be read in two ways are to be found out; hyper alone does
     /// not tell.
     pub strict_head: Option<usize>,
@@ -86,7 +86,7 @@
         let (strict_head, read_stall) = (None, None);
         Self {
             max_connections: connections,
-            buffer: BUFFER,
+            max_buffer_bytes: BUFFER,
             strict_head,
             read_stall,
             whole_request,
@@ -410,7 +410,7 @@
         let stream =
             Watched { stream, client: client.clone(), framing, held: Vec::new(), cleared: 0, broken: None };
         let connection = http1::Builder::new()
-            .max_buf_size(self.limits.get().buffer)
+            .max_buf_size(self.limits.get().max_buffer_bytes)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = pin!(connection);
         loop {
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -264,7 +264,7 @@
 
 fn client_limits(listener: &Listener) -> ClientLimits {
     ClientLimits {
-        buffer: listener.head.max(BUFFER),
+        max_buffer_bytes: listener.head.max(BUFFER),
         strict_head: Some(listener.head),
         read_stall: Some(millis(listener.read_stall)),
         whole_request: millis(listener.head_within),
