--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -51,7 +51,7 @@
 
 fn client_limits(max_connections: usize) -> ClientLimits {
     let mut limits = ClientLimits::new(max_connections);
-    limits.strict_head = Some(DEFAULT_MAX_HEAD_BYTES);
+    limits.strict_head_bytes = Some(DEFAULT_MAX_HEAD_BYTES);
     limits.whole_request = REQUEST_TIMEOUT;
     limits.idle = IDLE_TIMEOUT;
     limits.idle_once = IDLE_TIMEOUT_AFTER_ONE;
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -68,7 +68,7 @@
     pub max_buffer_bytes: usize,
     /// Longest head of requests, where those that can be read in two ways are to be found out; hyper alone does
     /// not tell.
-    pub strict_head: Option<usize>,
+    pub strict_head_bytes: Option<usize>,
     /// A client that has read nothing of its answer for this long is given up.
     pub read_stall: Option<Duration>,
     /// Time for a request until its front has called it whole.
@@ -87,7 +87,7 @@
         Self {
             max_connections: connections,
             max_buffer_bytes: BUFFER,
-            strict_head,
+            strict_head_bytes: strict_head,
             read_stall,
             whole_request,
             idle,
@@ -406,7 +406,7 @@
             }
         });
         let limits = self.limits.get();
-        let framing = limits.strict_head.map(Framing::new);
+        let framing = limits.strict_head_bytes.map(Framing::new);
         let stream =
             Watched { stream, client: client.clone(), framing, held: Vec::new(), cleared: 0, broken: None };
         let connection = http1::Builder::new()
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -73,7 +73,7 @@
 /// How its clients are bounded.
 pub fn limits() -> ClientLimits {
     ClientLimits {
-        strict_head: Some(HEAD),
+        strict_head_bytes: Some(HEAD),
         read_stall: Some(STALL),
         ..ClientLimits::new(Operator::CONNECTIONS)
     }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -265,7 +265,7 @@
 fn client_limits(listener: &Listener) -> ClientLimits {
     ClientLimits {
         max_buffer_bytes: listener.head.max(BUFFER),
-        strict_head: Some(listener.head),
+        strict_head_bytes: Some(listener.head),
         read_stall: Some(millis(listener.read_stall)),
         whole_request: millis(listener.head_within),
         idle: millis(listener.idle),
