--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -55,7 +55,7 @@
     limits.whole_request = REQUEST_TIMEOUT;
     limits.idle = IDLE_TIMEOUT;
     limits.idle_once = IDLE_TIMEOUT_AFTER_ONE;
-    limits.read_stall = Some(READ_STALL_TIMEOUT);
+    limits.read_stall_timeout = Some(READ_STALL_TIMEOUT);
     limits
 }
 
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -70,7 +70,7 @@
     /// not tell.
     pub strict_head_bytes: Option<usize>,
     /// A client that has read nothing of its answer for this long is given up.
-    pub read_stall: Option<Duration>,
+    pub read_stall_timeout: Option<Duration>,
     /// Time for a request until its front has called it whole.
     pub whole_request: Duration,
     /// An idle connection that has been used more than once is closed after this time ...
@@ -88,7 +88,7 @@
             max_connections: connections,
             max_buffer_bytes: BUFFER,
             strict_head_bytes: strict_head,
-            read_stall,
+            read_stall_timeout: read_stall,
             whole_request,
             idle,
             idle_once,
@@ -225,7 +225,7 @@
     /// Whether it has read nothing of its answer for too long.
     fn has_stalled(&self, limits: &ClientLimits) -> bool {
         let unread = self.unread.get().map(|since| since.elapsed());
-        unread.zip(limits.read_stall).is_some_and(|(unread, most)| unread >= most)
+        unread.zip(limits.read_stall_timeout).is_some_and(|(unread, most)| unread >= most)
     }
 
     /// Whether it may be closed to make room, and how gladly: the least first.
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -74,7 +74,7 @@
 pub fn limits() -> ClientLimits {
     ClientLimits {
         strict_head_bytes: Some(HEAD),
-        read_stall: Some(STALL),
+        read_stall_timeout: Some(STALL),
         ..ClientLimits::new(Operator::CONNECTIONS)
     }
 }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -266,7 +266,7 @@
     ClientLimits {
         max_buffer_bytes: listener.head.max(BUFFER),
         strict_head_bytes: Some(listener.head),
-        read_stall: Some(millis(listener.read_stall)),
+        read_stall_timeout: Some(millis(listener.read_stall)),
         whole_request: millis(listener.head_within),
         idle: millis(listener.idle),
         idle_once: millis(listener.idle),
