--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -145,7 +145,7 @@
         RpcError::new(ErrorKind::Configuration, format!("cannot listen on {address}: {error}"))
     })?;
     let mut limits = ClientLimits::new(MAX_CONNECTIONS);
-    limits.whole_request = request_timeout();
+    limits.receive_timeout = request_timeout();
     let clients = HttpServer::new(Rc::new(RpcFront { handler }), limits);
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     Ok(RpcServer { clients, accepting })
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -72,7 +72,7 @@
     /// A client that has read nothing of its answer for this long is given up.
     pub read_stall_timeout: Option<Duration>,
     /// Time for a request until its front has called it whole.
-    pub whole_request: Duration,
+    pub receive_timeout: Duration,
     /// An idle connection that has been used more than once is closed after this time ...
     pub idle: Duration,
     /// ... and one that has been used once after this.
@@ -89,7 +89,7 @@
             max_buffer_bytes: BUFFER,
             strict_head_bytes: strict_head,
             read_stall_timeout: read_stall,
-            whole_request,
+            receive_timeout: whole_request,
             idle,
             idle_once,
         }
@@ -207,7 +207,7 @@
     fn allowed(&self, limits: &ClientLimits) -> Option<Duration> {
         match (self.phase.get(), self.served.get()) {
             (Phase::Open, _) => None,
-            (Phase::Reading, _) | (Phase::Idle, 0) => Some(limits.whole_request),
+            (Phase::Reading, _) | (Phase::Idle, 0) => Some(limits.receive_timeout),
             (Phase::Idle, 1) => Some(limits.idle_once),
             (Phase::Idle, _) => Some(limits.idle),
         }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -267,7 +267,7 @@
         max_buffer_bytes: listener.head.max(BUFFER),
         strict_head_bytes: Some(listener.head),
         read_stall_timeout: Some(millis(listener.read_stall)),
-        whole_request: millis(listener.head_within),
+        receive_timeout: millis(listener.head_within),
         idle: millis(listener.idle),
         idle_once: millis(listener.idle),
         ..ClientLimits::new(listener.connections)
