--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -53,7 +53,7 @@
     let mut limits = ClientLimits::new(max_connections);
     limits.strict_head_bytes = Some(DEFAULT_MAX_HEAD_BYTES);
     limits.receive_timeout = REQUEST_TIMEOUT;
-    limits.idle = IDLE_TIMEOUT;
+    limits.idle_timeout = IDLE_TIMEOUT;
     limits.idle_once = IDLE_TIMEOUT_AFTER_ONE;
     limits.read_stall_timeout = Some(READ_STALL_TIMEOUT);
     limits
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -74,7 +74,7 @@
     /// Time for a request until its front has called it whole.
     pub receive_timeout: Duration,
     /// An idle connection that has been used more than once is closed after this time ...
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// ... and one that has been used once after this.
     pub idle_once: Duration,
 }
@@ -90,7 +90,7 @@
             strict_head_bytes: strict_head,
             read_stall_timeout: read_stall,
             receive_timeout: whole_request,
-            idle,
+            idle_timeout: idle,
             idle_once,
         }
     }
@@ -209,7 +209,7 @@
             (Phase::Open, _) => None,
             (Phase::Reading, _) | (Phase::Idle, 0) => Some(limits.receive_timeout),
             (Phase::Idle, 1) => Some(limits.idle_once),
-            (Phase::Idle, _) => Some(limits.idle),
+            (Phase::Idle, _) => Some(limits.idle_timeout),
         }
     }
 
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -268,7 +268,7 @@
         strict_head_bytes: Some(listener.head),
         read_stall_timeout: Some(millis(listener.read_stall)),
         receive_timeout: millis(listener.head_within),
-        idle: millis(listener.idle),
+        idle_timeout: millis(listener.idle),
         idle_once: millis(listener.idle),
         ..ClientLimits::new(listener.connections)
     }
