--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -54,7 +54,7 @@
     limits.strict_head_bytes = Some(DEFAULT_MAX_HEAD_BYTES);
     limits.receive_timeout = REQUEST_TIMEOUT;
     limits.idle_timeout = IDLE_TIMEOUT;
-    limits.idle_once = IDLE_TIMEOUT_AFTER_ONE;
+    limits.idle_timeout_after_one = IDLE_TIMEOUT_AFTER_ONE;
     limits.read_stall_timeout = Some(READ_STALL_TIMEOUT);
     limits
 }
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -76,7 +76,7 @@
     /// An idle connection that has been used more than once is closed after this time ...
     pub idle_timeout: Duration,
     /// ... and one that has been used once after this.
-    pub idle_once: Duration,
+    pub idle_timeout_after_one: Duration,
 }
 
 impl ClientLimits {
@@ -91,7 +91,7 @@
             read_stall_timeout: read_stall,
             receive_timeout: whole_request,
             idle_timeout: idle,
-            idle_once,
+            idle_timeout_after_one: idle_once,
         }
     }
 }
@@ -208,7 +208,7 @@
         match (self.phase.get(), self.served.get()) {
             (Phase::Open, _) => None,
             (Phase::Reading, _) | (Phase::Idle, 0) => Some(limits.receive_timeout),
-            (Phase::Idle, 1) => Some(limits.idle_once),
+            (Phase::Idle, 1) => Some(limits.idle_timeout_after_one),
             (Phase::Idle, _) => Some(limits.idle_timeout),
         }
     }
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -269,7 +269,7 @@
         read_stall_timeout: Some(millis(listener.read_stall)),
         receive_timeout: millis(listener.head_within),
         idle_timeout: millis(listener.idle),
-        idle_once: millis(listener.idle),
+        idle_timeout_after_one: millis(listener.idle),
         ..ClientLimits::new(listener.connections)
     }
 }
