--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{listen, ClientLimits, HttpServer, IncomingRequest, RequestHandler, WHOLE_REQUEST};
+use ivygate_runtime::{listen, ClientLimits, HttpServer, IncomingRequest, RequestHandler, RECEIVE_TIMEOUT};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
@@ -74,7 +74,7 @@
 
 /// How long a request has to come in completely.
 fn request_timeout() -> Duration {
-    WHOLE_REQUEST.saturating_mul(REQUEST_TIMEOUT_FACTOR)
+    RECEIVE_TIMEOUT.saturating_mul(REQUEST_TIMEOUT_FACTOR)
 }
 
 struct RpcFront {
--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -29,7 +29,7 @@
 const BUFFER: usize = 16 << 10;
 /// A client has this long to send a whole request: from when it connects, or from the first byte of a later
 /// one. A client that says nothing, or never the rest, would else hold its descriptor for good.
-pub const WHOLE_REQUEST: Duration = Duration::from_millis(2300);
+pub const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A connection on which this long nothing has been asked is closed ...
 const IDLE: Duration = Duration::from_secs(30);
 /// ... sooner where it has been used but once: many clients ask once and keep their connection for good.
@@ -82,7 +82,7 @@
 impl ClientLimits {
     /// The platform's limits, with this many connections.
     pub fn new(connections: usize) -> Self {
-        let (whole_request, idle, idle_once) = (WHOLE_REQUEST, IDLE, IDLE_ONCE);
+        let (whole_request, idle, idle_once) = (RECEIVE_TIMEOUT, IDLE, IDLE_ONCE);
         let (strict_head, read_stall) = (None, None);
         Self {
             max_connections: connections,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -16,7 +16,7 @@
 mod upstream;
 
 pub use clients::{
-    listen, ClientLimits, HttpServer, IncomingRequest, RequestGuard, RequestHandler, WHOLE_REQUEST,
+    listen, ClientLimits, HttpServer, IncomingRequest, RequestGuard, RequestHandler, RECEIVE_TIMEOUT,
 };
 pub use clock::{millis, Clock};
 pub use driver::{
