--- a/crates/runtime/src/clients.rs
+++ b/crates/runtime/src/clients.rs
@@ -1,6 +1,6 @@
 //! The side of the clients: accepts connections, bounds them, and hands each request to a [`RequestHandler`].
 
-use crate::framing::{Flaw, Framing};
+use crate::framing::{Framing, FramingError};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
@@ -121,7 +121,7 @@
     /// Whether this process is winding up.
     pub shutting_down: bool,
     /// Why it must not be taken; looked for only where the limits say so.
-    pub framing_error: Option<Flaw>,
+    pub framing_error: Option<FramingError>,
     /// Its turn on the connection; to be dropped when the answer is made or, streamed, has gone out.
     pub guard: RequestGuard,
 }
@@ -181,7 +181,7 @@
     /// It has been told to, to make room.
     leaving: Cell<bool>,
     /// Judgements on the heads that hyper has been given and not yet told of.
-    flaws: RefCell<VecDeque<Option<Flaw>>>,
+    flaws: RefCell<VecDeque<Option<FramingError>>>,
     /// Since when it reads nothing of what is written.
     unread: Cell<Option<Instant>>,
 }
@@ -466,7 +466,7 @@
     /// So much of that has been judged.
     cleared: usize,
     /// The body behind what has gone on can't be read. Told once, in its place: its head goes on first and is answered.
-    broken: Option<Flaw>,
+    broken: Option<FramingError>,
 }
 
 impl AsyncRead for Watched {
@@ -527,7 +527,7 @@
 }
 
 /// Judges what has come, and tells how much of it may go on.
-fn judge(framing: &mut Framing, client: &Client, bytes: &[u8], broken: &mut Option<Flaw>) -> usize {
+fn judge(framing: &mut Framing, client: &Client, bytes: &[u8], broken: &mut Option<FramingError>) -> usize {
     let mut pass = 0;
     loop {
         let step = framing.step(&bytes[pass..]);
--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -8,7 +8,7 @@
 
 /// Why a request can't be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum FramingError {
     /// A line ends in a bare line feed, or holds a bare carriage return or a NUL.
     Line,
     /// A header goes on in a second line.
@@ -27,22 +27,22 @@
     TooLong,
 }
 
-impl fmt::Display for Flaw {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Flaw::Line => "a line of the head does not end in CR LF or holds a control character",
-            Flaw::Folded => "a header is folded",
-            Flaw::Name => "a header's name is malformed",
-            Flaw::Both => "there are both Content-Length and Transfer-Encoding",
-            Flaw::Length => "Content-Length is repeated or malformed",
-            Flaw::Coding => "Transfer-Encoding is not just `chunked`",
-            Flaw::Chunk => "a chunk is malformed",
-            Flaw::TooLong => "the head is too long",
+            FramingError::Line => "a line of the head does not end in CR LF or holds a control character",
+            FramingError::Folded => "a header is folded",
+            FramingError::Name => "a header's name is malformed",
+            FramingError::Both => "there are both Content-Length and Transfer-Encoding",
+            FramingError::Length => "Content-Length is repeated or malformed",
+            FramingError::Coding => "Transfer-Encoding is not just `chunked`",
+            FramingError::Chunk => "a chunk is malformed",
+            FramingError::TooLong => "the head is too long",
         })
     }
 }
 
-impl std::error::Error for Flaw {}
+impl std::error::Error for FramingError {}
 
 /// Longest extension of one chunk; nobody needs any.
 const EXTENSION_MOST: usize = 256;
@@ -81,7 +81,7 @@
     /// So many bytes have been judged and may go on. The others are to be given again, with more behind them.
     pub pass: usize,
     /// They end with a head, of which this is the judgement.
-    pub head: Option<Result<(), Flaw>>,
+    pub head: Option<Result<(), FramingError>>,
 }
 
 /// The state of one connection's input.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// If a body can't be read: the connection must end.
-    pub fn step(&mut self, bytes: &[u8]) -> Result<Step, Flaw> {
+    pub fn step(&mut self, bytes: &[u8]) -> Result<Step, FramingError> {
         let mut at = 0;
         while at < bytes.len() {
             match self.state {
@@ -158,7 +158,7 @@
                 let whole = &head[..self.seen];
                 let length = self.seen;
                 self.seen = 0;
-                let judged = if length > self.head_most { Err(Flaw::TooLong) } else { judge(whole) };
+                let judged = if length > self.head_most { Err(FramingError::TooLong) } else { judge(whole) };
                 self.state = judged.unwrap_or(State::Stopped);
                 return Step { pass: from + length, head: Some(judged.map(|_| ())) };
             }
@@ -167,20 +167,20 @@
             self.state = State::Stopped;
             self.seen = 0;
             self.cut = true;
-            return Step { pass: bytes.len(), head: Some(Err(Flaw::TooLong)) };
+            return Step { pass: bytes.len(), head: Some(Err(FramingError::TooLong)) };
         }
         Step { pass: from, head: None }
     }
 }
 
 /// Judges a whole head and tells what follows it.
-fn judge(head: &[u8]) -> Result<State, Flaw> {
+fn judge(head: &[u8]) -> Result<State, FramingError> {
     let mut lines = head.split_inclusive(|b| *b == b'\n').skip_while(|line| matches!(*line, b"\r\n" | b"\n"));
-    let mut next = || -> Result<Option<&[u8]>, Flaw> {
+    let mut next = || -> Result<Option<&[u8]>, FramingError> {
         let Some(line) = lines.next() else { return Ok(None) };
-        let line = line.strip_suffix(b"\r\n").ok_or(Flaw::Line)?;
+        let line = line.strip_suffix(b"\r\n").ok_or(FramingError::Line)?;
         if line.iter().any(|b| matches!(b, b'\r' | 0)) {
-            return Err(Flaw::Line);
+            return Err(FramingError::Line);
         }
         Ok(Some(line).filter(|line| !line.is_empty()))
     };
@@ -188,36 +188,36 @@
     let (mut length, mut chunked) = (None, false);
     while let Some(line) = next()? {
         if matches!(line[0], b' ' | b'\t') {
-            return Err(Flaw::Folded);
+            return Err(FramingError::Folded);
         }
-        let colon = line.iter().position(|b| *b == b':').ok_or(Flaw::Name)?;
+        let colon = line.iter().position(|b| *b == b':').ok_or(FramingError::Name)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.is_empty() || name.iter().any(u8::is_ascii_whitespace) {
-            return Err(Flaw::Name);
+            return Err(FramingError::Name);
         }
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
             let number = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
             // Also where they agree: a server might not look at both.
-            if length.replace(number.ok_or(Flaw::Length)?).is_some() {
-                return Err(Flaw::Length);
+            if length.replace(number.ok_or(FramingError::Length)?).is_some() {
+                return Err(FramingError::Length);
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             if chunked || !value.eq_ignore_ascii_case(b"chunked") || first.ends_with(b"HTTP/1.0") {
-                return Err(Flaw::Coding);
+                return Err(FramingError::Coding);
             }
             chunked = true;
         }
     }
     match (length, chunked) {
-        (Some(_), true) => Err(Flaw::Both),
+        (Some(_), true) => Err(FramingError::Both),
         (None, true) => Ok(State::Size(0, 0)),
         (Some(length), false) if length > 0 => Ok(State::Body(length)),
         _ => Ok(State::Head),
     }
 }
 
-fn chunk_byte(state: State, byte: u8) -> Result<State, Flaw> {
+fn chunk_byte(state: State, byte: u8) -> Result<State, FramingError> {
     Ok(match (state, byte) {
         (State::Size(size, digits), b) if b.is_ascii_hexdigit() && digits < 15 => {
             let digit = char::from(b).to_digit(16).unwrap_or(0);
@@ -239,7 +239,7 @@
         }
         (State::TrailerEnd(0, _), b'\n') => State::Head,
         (State::TrailerEnd(_, all), b'\n') => State::Trailer(0, all),
-        _ => return Err(Flaw::Chunk),
+        _ => return Err(FramingError::Chunk),
     })
 }
 
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-type Fed = (Vec<u8>, Vec<Result<(), Flaw>>);
+type Fed = (Vec<u8>, Vec<Result<(), FramingError>>);
 
 /// Feeds bytes in pieces of a size; tells what passed and the judgements on heads.
-fn feed(bytes: &[u8], piece: usize) -> Result<Fed, Flaw> {
+fn feed(bytes: &[u8], piece: usize) -> Result<Fed, FramingError> {
     let mut framing = Framing::new(1024);
     let (mut passed, mut heads, mut held) = (Vec::new(), Vec::new(), Vec::new());
     for part in bytes.chunks(piece) {
@@ -24,23 +24,23 @@
 
 #[test]
 fn heads_that_can_be_read_in_two_ways_are_refused() {
-    let cases: [(&str, Flaw); 16] = [
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", Flaw::Both),
-        ("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", Flaw::Both),
-        ("Content-Length: 3\r\nContent-Length: 4\r\n", Flaw::Length),
-        ("Content-Length: 3\r\ncontent-length: 3\r\n", Flaw::Length),
-        ("Content-Length: 3, 3\r\n", Flaw::Length),
-        ("Content-Length: +3\r\n", Flaw::Length),
-        ("Content-Length: 0x3\r\n", Flaw::Length),
-        ("Content-Length:\r\n", Flaw::Length),
-        ("Transfer-Encoding: identity, chunked\r\n", Flaw::Coding),
-        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Flaw::Coding),
-        ("Transfer-Encoding: xchunked\r\n", Flaw::Coding),
-        ("Transfer-Encoding : chunked\r\n", Flaw::Name),
-        ("X: a\r\n b\r\n", Flaw::Folded),
-        ("X: a\n", Flaw::Line),
-        ("X: a\rTransfer-Encoding: chunked\r\n", Flaw::Line),
-        ("no colon\r\n", Flaw::Name),
+    let cases: [(&str, FramingError); 16] = [
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", FramingError::Both),
+        ("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", FramingError::Both),
+        ("Content-Length: 3\r\nContent-Length: 4\r\n", FramingError::Length),
+        ("Content-Length: 3\r\ncontent-length: 3\r\n", FramingError::Length),
+        ("Content-Length: 3, 3\r\n", FramingError::Length),
+        ("Content-Length: +3\r\n", FramingError::Length),
+        ("Content-Length: 0x3\r\n", FramingError::Length),
+        ("Content-Length:\r\n", FramingError::Length),
+        ("Transfer-Encoding: identity, chunked\r\n", FramingError::Coding),
+        ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", FramingError::Coding),
+        ("Transfer-Encoding: xchunked\r\n", FramingError::Coding),
+        ("Transfer-Encoding : chunked\r\n", FramingError::Name),
+        ("X: a\r\n b\r\n", FramingError::Folded),
+        ("X: a\n", FramingError::Line),
+        ("X: a\rTransfer-Encoding: chunked\r\n", FramingError::Line),
+        ("no colon\r\n", FramingError::Name),
     ];
     for (headers, flaw) in cases {
         let text = format!("POST / HTTP/1.1\r\nHost: h\r\n{headers}\r\nGET /hidden HTTP/1.1\r\n\r\n");
@@ -76,14 +76,14 @@
         "0\r\nT: v\n",
     ] {
         let text = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
-        assert_eq!(feed(text.as_bytes(), 1), Err(Flaw::Chunk), "{body:?}");
+        assert_eq!(feed(text.as_bytes(), 1), Err(FramingError::Chunk), "{body:?}");
     }
     let long = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;{}", "x".repeat(300));
-    assert_eq!(feed(long.as_bytes(), 100), Err(Flaw::Chunk));
+    assert_eq!(feed(long.as_bytes(), 100), Err(FramingError::Chunk));
 }
 
 #[test]
 fn a_head_has_a_bound() {
     let text = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(2000));
-    assert_eq!(feed(text.as_bytes(), 64).expect("no body").1, [Err(Flaw::TooLong)]);
+    assert_eq!(feed(text.as_bytes(), 64).expect("no body").1, [Err(FramingError::TooLong)]);
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -23,7 +23,7 @@
     Admission, AttemptRecorder, ClientRequest, DecisionEngine, DisconnectGuard, Driver, FinalResponse, Head,
     OutgoingRequest, SetAttemptHeaders,
 };
-pub use framing::Flaw;
+pub use framing::FramingError;
 pub use headers::{end_to_end, one, retry_after_value, without_hop_by_hop};
 pub use listing::{ListedServer, ListedServerState, ServerListUpdate};
 pub use payload::{BodyError, Payload, Rest};
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,8 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, ClientRequest, DisconnectGuard, FinalResponse, Flaw, Head, IncomingRequest, OutgoingRequest,
-    Payload, RequestHandler, Streamed,
+    millis, one, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head, IncomingRequest,
+    OutgoingRequest, Payload, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -263,7 +263,7 @@
         let mut held = Held { turn, place: None, bytes: None };
         if let Some(flaw) = flaw {
             let status = match flaw {
-                Flaw::TooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                FramingError::TooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 _ => StatusCode::BAD_REQUEST,
             };
             return Ok(Words::new(status, flaw.to_string()).closing().response(held));
@@ -390,7 +390,7 @@
         let words = match answer {
             // What the server made of half a body is not told as if the request had been whole.
             Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if spoilt.get() => {
-                bad(Flaw::Chunk.to_string())
+                bad(FramingError::Chunk.to_string())
             }
             Ok(FinalResponse::Streamed(response)) => return Ok(passed(*response, held)),
             Ok(answer) => in_words(&answer),
@@ -444,7 +444,7 @@
                     let text = "this pool holds as much of bodies as it may; nothing was run";
                     Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, FULL_RETRY_AFTER).closing().into()
                 }
-                Unread::Malformed => bad(Flaw::Chunk.to_string()).into(),
+                Unread::Malformed => bad(FramingError::Chunk.to_string()).into(),
                 Unread::Lost(error) => Unfit::Lost(error),
             }
         })
