--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
     /// A line ends in a bare line feed, or holds a bare carriage return or a NUL.
-    Line,
+    InvalidLine,
     /// A header goes on in a second line.
     Folded,
     /// There is a space between a header's name and its colon, or no colon.
@@ -30,7 +30,9 @@
 impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            FramingError::Line => "a line of the head does not end in CR LF or holds a control character",
+            FramingError::InvalidLine => {
+                "a line of the head does not end in CR LF or holds a control character"
+            }
             FramingError::Folded => "a header is folded",
             FramingError::Name => "a header's name is malformed",
             FramingError::Both => "there are both Content-Length and Transfer-Encoding",
@@ -178,9 +180,9 @@
     let mut lines = head.split_inclusive(|b| *b == b'\n').skip_while(|line| matches!(*line, b"\r\n" | b"\n"));
     let mut next = || -> Result<Option<&[u8]>, FramingError> {
         let Some(line) = lines.next() else { return Ok(None) };
-        let line = line.strip_suffix(b"\r\n").ok_or(FramingError::Line)?;
+        let line = line.strip_suffix(b"\r\n").ok_or(FramingError::InvalidLine)?;
         if line.iter().any(|b| matches!(b, b'\r' | 0)) {
-            return Err(FramingError::Line);
+            return Err(FramingError::InvalidLine);
         }
         Ok(Some(line).filter(|line| !line.is_empty()))
     };
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -38,8 +38,8 @@
         ("Transfer-Encoding: xchunked\r\n", FramingError::Coding),
         ("Transfer-Encoding : chunked\r\n", FramingError::Name),
         ("X: a\r\n b\r\n", FramingError::Folded),
-        ("X: a\n", FramingError::Line),
-        ("X: a\rTransfer-Encoding: chunked\r\n", FramingError::Line),
+        ("X: a\n", FramingError::InvalidLine),
+        ("X: a\rTransfer-Encoding: chunked\r\n", FramingError::InvalidLine),
         ("no colon\r\n", FramingError::Name),
     ];
     for (headers, flaw) in cases {
