--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -12,7 +12,7 @@
     /// A line ends in a bare line feed, or holds a bare carriage return or a NUL.
     InvalidLine,
     /// A header goes on in a second line.
-    Folded,
+    FoldedHeader,
     /// There is a space between a header's name and its colon, or no colon.
     Name,
     /// Both a length and a coding.
@@ -33,7 +33,7 @@
             FramingError::InvalidLine => {
                 "a line of the head does not end in CR LF or holds a control character"
             }
-            FramingError::Folded => "a header is folded",
+            FramingError::FoldedHeader => "a header is folded",
             FramingError::Name => "a header's name is malformed",
             FramingError::Both => "there are both Content-Length and Transfer-Encoding",
             FramingError::Length => "Content-Length is repeated or malformed",
@@ -190,7 +190,7 @@
     let (mut length, mut chunked) = (None, false);
     while let Some(line) = next()? {
         if matches!(line[0], b' ' | b'\t') {
-            return Err(FramingError::Folded);
+            return Err(FramingError::FoldedHeader);
         }
         let colon = line.iter().position(|b| *b == b':').ok_or(FramingError::Name)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -37,7 +37,7 @@
         ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", FramingError::Coding),
         ("Transfer-Encoding: xchunked\r\n", FramingError::Coding),
         ("Transfer-Encoding : chunked\r\n", FramingError::Name),
-        ("X: a\r\n b\r\n", FramingError::Folded),
+        ("X: a\r\n b\r\n", FramingError::FoldedHeader),
         ("X: a\n", FramingError::InvalidLine),
         ("X: a\rTransfer-Encoding: chunked\r\n", FramingError::InvalidLine),
         ("no colon\r\n", FramingError::Name),
