--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -14,7 +14,7 @@
     /// A header goes on in a second line.
     FoldedHeader,
     /// There is a space between a header's name and its colon, or no colon.
-    Name,
+    InvalidHeaderName,
     /// Both a length and a coding.
     Both,
     /// More than one length, or one that is no number.
@@ -34,7 +34,7 @@
                 "a line of the head does not end in CR LF or holds a control character"
             }
             FramingError::FoldedHeader => "a header is folded",
-            FramingError::Name => "a header's name is malformed",
+            FramingError::InvalidHeaderName => "a header's name is malformed",
             FramingError::Both => "there are both Content-Length and Transfer-Encoding",
             FramingError::Length => "Content-Length is repeated or malformed",
             FramingError::Coding => "Transfer-Encoding is not just `chunked`",
@@ -192,10 +192,10 @@
         if matches!(line[0], b' ' | b'\t') {
             return Err(FramingError::FoldedHeader);
         }
-        let colon = line.iter().position(|b| *b == b':').ok_or(FramingError::Name)?;
+        let colon = line.iter().position(|b| *b == b':').ok_or(FramingError::InvalidHeaderName)?;
         let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
         if name.is_empty() || name.iter().any(u8::is_ascii_whitespace) {
-            return Err(FramingError::Name);
+            return Err(FramingError::InvalidHeaderName);
         }
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -36,11 +36,11 @@
         ("Transfer-Encoding: identity, chunked\r\n", FramingError::Coding),
         ("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", FramingError::Coding),
         ("Transfer-Encoding: xchunked\r\n", FramingError::Coding),
-        ("Transfer-Encoding : chunked\r\n", FramingError::Name),
+        ("Transfer-Encoding : chunked\r\n", FramingError::InvalidHeaderName),
         ("X: a\r\n b\r\n", FramingError::FoldedHeader),
         ("X: a\n", FramingError::InvalidLine),
         ("X: a\rTransfer-Encoding: chunked\r\n", FramingError::InvalidLine),
-        ("no colon\r\n", FramingError::Name),
+        ("no colon\r\n", FramingError::InvalidHeaderName),
     ];
     for (headers, flaw) in cases {
         let text = format!("POST / HTTP/1.1\r\nHost: h\r\n{headers}\r\nGET /hidden HTTP/1.1\r\n\r\n");
