--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -16,7 +16,7 @@
     /// There is a space between a header's name and its colon, or no colon.
     InvalidHeaderName,
     /// Both a length and a coding.
-    Both,
+    LengthAndCoding,
     /// More than one length, or one that is no number.
     Length,
     /// A coding other than one `chunked`, or any in HTTP/1.0.
@@ -35,7 +35,7 @@
             }
             FramingError::FoldedHeader => "a header is folded",
             FramingError::InvalidHeaderName => "a header's name is malformed",
-            FramingError::Both => "there are both Content-Length and Transfer-Encoding",
+            FramingError::LengthAndCoding => "there are both Content-Length and Transfer-Encoding",
             FramingError::Length => "Content-Length is repeated or malformed",
             FramingError::Coding => "Transfer-Encoding is not just `chunked`",
             FramingError::Chunk => "a chunk is malformed",
@@ -212,7 +212,7 @@
         }
     }
     match (length, chunked) {
-        (Some(_), true) => Err(FramingError::Both),
+        (Some(_), true) => Err(FramingError::LengthAndCoding),
         (None, true) => Ok(State::Size(0, 0)),
         (Some(length), false) if length > 0 => Ok(State::Body(length)),
         _ => Ok(State::Head),
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -25,8 +25,8 @@
 #[test]
 fn heads_that_can_be_read_in_two_ways_are_refused() {
     let cases: [(&str, FramingError); 16] = [
-        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", FramingError::Both),
-        ("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", FramingError::Both),
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", FramingError::LengthAndCoding),
+        ("Transfer-Encoding: chunked\r\nContent-Length: 3\r\n", FramingError::LengthAndCoding),
         ("Content-Length: 3\r\nContent-Length: 4\r\n", FramingError::Length),
         ("Content-Length: 3\r\ncontent-length: 3\r\n", FramingError::Length),
         ("Content-Length: 3, 3\r\n", FramingError::Length),
