--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -18,7 +18,7 @@
     /// Both a length and a coding.
     LengthAndCoding,
     /// More than one length, or one that is no number.
-    Length,
+    InvalidLength,
     /// A coding other than one `chunked`, or any in HTTP/1.0.
     Coding,
     /// A chunk that can't be read.
@@ -36,7 +36,7 @@
             FramingError::FoldedHeader => "a header is folded",
             FramingError::InvalidHeaderName => "a header's name is malformed",
             FramingError::LengthAndCoding => "there are both Content-Length and Transfer-Encoding",
-            FramingError::Length => "Content-Length is repeated or malformed",
+            FramingError::InvalidLength => "Content-Length is repeated or malformed",
             FramingError::Coding => "Transfer-Encoding is not just `chunked`",
             FramingError::Chunk => "a chunk is malformed",
             FramingError::TooLong => "the head is too long",
@@ -201,8 +201,8 @@
             let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
             let number = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
             // Also where they agree: a server might not look at both.
-            if length.replace(number.ok_or(FramingError::Length)?).is_some() {
-                return Err(FramingError::Length);
+            if length.replace(number.ok_or(FramingError::InvalidLength)?).is_some() {
+                return Err(FramingError::InvalidLength);
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             if chunked || !value.eq_ignore_ascii_case(b"chunked") || first.ends_with(b"HTTP/1.0") {
