--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -20,7 +20,7 @@
     /// More than one length, or one that is no number.
     InvalidLength,
     /// A coding other than one `chunked`, or any in HTTP/1.0.
-    Coding,
+    InvalidCoding,
     /// A chunk that can't be read.
     Chunk,
     /// The head is longer than allowed.
@@ -37,7 +37,7 @@
             FramingError::InvalidHeaderName => "a header's name is malformed",
             FramingError::LengthAndCoding => "there are both Content-Length and Transfer-Encoding",
             FramingError::InvalidLength => "Content-Length is repeated or malformed",
-            FramingError::Coding => "Transfer-Encoding is not just `chunked`",
+            FramingError::InvalidCoding => "Transfer-Encoding is not just `chunked`",
             FramingError::Chunk => "a chunk is malformed",
             FramingError::TooLong => "the head is too long",
         })
@@ -206,7 +206,7 @@
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             if chunked || !value.eq_ignore_ascii_case(b"chunked") || first.ends_with(b"HTTP/1.0") {
-                return Err(FramingError::Coding);
+                return Err(FramingError::InvalidCoding);
             }
             chunked = true;
         }
