--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -22,7 +22,7 @@
     /// A coding other than one `chunked`, or any in HTTP/1.0.
     InvalidCoding,
     /// A chunk that can't be read.
-    Chunk,
+    InvalidChunk,
     /// The head is longer than allowed.
     TooLong,
 }
@@ -38,7 +38,7 @@
             FramingError::LengthAndCoding => "there are both Content-Length and Transfer-Encoding",
             FramingError::InvalidLength => "Content-Length is repeated or malformed",
             FramingError::InvalidCoding => "Transfer-Encoding is not just `chunked`",
-            FramingError::Chunk => "a chunk is malformed",
+            FramingError::InvalidChunk => "a chunk is malformed",
             FramingError::TooLong => "the head is too long",
         })
     }
@@ -241,7 +241,7 @@
         }
         (State::TrailerEnd(0, _), b'\n') => State::Head,
         (State::TrailerEnd(_, all), b'\n') => State::Trailer(0, all),
-        _ => return Err(FramingError::Chunk),
+        _ => return Err(FramingError::InvalidChunk),
     })
 }
 
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -76,10 +76,10 @@
         "0\r\nT: v\n",
     ] {
         let text = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
-        assert_eq!(feed(text.as_bytes(), 1), Err(FramingError::Chunk), "{body:?}");
+        assert_eq!(feed(text.as_bytes(), 1), Err(FramingError::InvalidChunk), "{body:?}");
     }
     let long = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;{}", "x".repeat(300));
-    assert_eq!(feed(long.as_bytes(), 100), Err(FramingError::Chunk));
+    assert_eq!(feed(long.as_bytes(), 100), Err(FramingError::InvalidChunk));
 }
 
 #[test]
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -390,7 +390,7 @@
         let words = match answer {
             // What the server made of half a body is not told as if the request had been whole.
             Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if spoilt.get() => {
-                bad(FramingError::Chunk.to_string())
+                bad(FramingError::InvalidChunk.to_string())
             }
             Ok(FinalResponse::Streamed(response)) => return Ok(passed(*response, held)),
             Ok(answer) => in_words(&answer),
@@ -444,7 +444,7 @@
                     let text = "this pool holds as much of bodies as it may; nothing was run";
                     Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, FULL_RETRY_AFTER).closing().into()
                 }
-                Unread::Malformed => bad(FramingError::Chunk.to_string()).into(),
+                Unread::Malformed => bad(FramingError::InvalidChunk.to_string()).into(),
                 Unread::Lost(error) => Unfit::Lost(error),
             }
         })
