--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -24,7 +24,7 @@
     /// A chunk that can't be read.
     InvalidChunk,
     /// The head is longer than allowed.
-    TooLong,
+    HeadTooLong,
 }
 
 impl fmt::Display for FramingError {
@@ -39,7 +39,7 @@
             FramingError::InvalidLength => "Content-Length is repeated or malformed",
             FramingError::InvalidCoding => "Transfer-Encoding is not just `chunked`",
             FramingError::InvalidChunk => "a chunk is malformed",
-            FramingError::TooLong => "the head is too long",
+            FramingError::HeadTooLong => "the head is too long",
         })
     }
 }
@@ -160,7 +160,8 @@
                 let whole = &head[..self.seen];
                 let length = self.seen;
                 self.seen = 0;
-                let judged = if length > self.head_most { Err(FramingError::TooLong) } else { judge(whole) };
+                let judged =
+                    if length > self.head_most { Err(FramingError::HeadTooLong) } else { judge(whole) };
                 self.state = judged.unwrap_or(State::Stopped);
                 return Step { pass: from + length, head: Some(judged.map(|_| ())) };
             }
@@ -169,7 +170,7 @@
             self.state = State::Stopped;
             self.seen = 0;
             self.cut = true;
-            return Step { pass: bytes.len(), head: Some(Err(FramingError::TooLong)) };
+            return Step { pass: bytes.len(), head: Some(Err(FramingError::HeadTooLong)) };
         }
         Step { pass: from, head: None }
     }
--- a/crates/runtime/src/framing/tests.rs
+++ b/crates/runtime/src/framing/tests.rs
@@ -85,5 +85,5 @@
 #[test]
 fn a_head_has_a_bound() {
     let text = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(2000));
-    assert_eq!(feed(text.as_bytes(), 64).expect("no body").1, [Err(FramingError::TooLong)]);
+    assert_eq!(feed(text.as_bytes(), 64).expect("no body").1, [Err(FramingError::HeadTooLong)]);
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -263,7 +263,7 @@
         let mut held = Held { turn, place: None, bytes: None };
         if let Some(flaw) = flaw {
             let status = match flaw {
-                FramingError::TooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                FramingError::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 _ => StatusCode::BAD_REQUEST,
             };
             return Ok(Words::new(status, flaw.to_string()).closing().response(held));
