--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -7,8 +7,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
-    end_to_end, millis, retry_after_value, ClientRequest, DisconnectGuard, Driver, FinalResponse,
-    IncomingRequest, OutgoingRequest, Payload, RequestHandler, BODY_MOST, RECEIVE_TIMEOUT,
+    duration_from_millis, end_to_end, retry_after_value, ClientRequest, DisconnectGuard, Driver,
+    FinalResponse, IncomingRequest, OutgoingRequest, Payload, RequestHandler, BODY_MOST, RECEIVE_TIMEOUT,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -136,7 +136,7 @@
     if body.size_hint().lower() > BODY_MOST as u64 {
         return Err(too_large());
     }
-    let wait = millis(wait).min(RECEIVE_TIMEOUT.saturating_sub(begun.elapsed()));
+    let wait = duration_from_millis(wait).min(RECEIVE_TIMEOUT.saturating_sub(begun.elapsed()));
     match timeout(wait, Limited::new(body, BODY_MOST).collect()).await {
         Err(_) => Err(Unfit::Answer(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -26,12 +26,12 @@
 
     /// The instant of a time; one that has passed before the start is the start.
     pub fn instant(&self, at: Timestamp) -> Instant {
-        self.start + millis(at.millis_since(self.start_at))
+        self.start + duration_from_millis(at.millis_since(self.start_at))
     }
 }
 
 /// A length of time; nothing if it is negative or no number, and a day at the most.
-pub fn millis(ms: Millis) -> Duration {
+pub fn duration_from_millis(ms: Millis) -> Duration {
     const DAY: Millis = 86_400_000.0;
     Duration::from_secs_f64(ms.clamp(0.0, DAY).max(0.0) / 1000.0)
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,7 +18,7 @@
 pub use clients::{
     listen, ClientLimits, HttpServer, IncomingRequest, RequestGuard, RequestHandler, RECEIVE_TIMEOUT,
 };
-pub use clock::{millis, Clock};
+pub use clock::{duration_from_millis, Clock};
 pub use driver::{
     Admission, AttemptRecorder, ClientRequest, DecisionEngine, DisconnectGuard, Driver, FinalResponse, Head,
     OutgoingRequest, SetAttemptHeaders,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Connections to app servers and the attempts on them. One request at a time on each connection.
 
-use crate::clock::millis;
+use crate::clock::duration_from_millis;
 use crate::payload::{Outgoing, Sent};
 use crate::streamed::Streamed;
 use bytes::Bytes;
@@ -210,10 +210,10 @@
 impl UpstreamLimits {
     /// The platform's, by what its settings tell.
     pub fn platform(links: Links, connections: usize) -> Self {
-        let keep = |ms: Millis| millis(ms * KEEP_PART);
+        let keep = |ms: Millis| duration_from_millis(ms * KEEP_PART);
         Self {
             connections,
-            connect: links.connect_timeout.map_or(CONNECT_UNTOLD, millis),
+            connect: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
             keep: links.keepalive.map_or(KEEP_UNTOLD, keep),
             idle: usize::MAX,
             rest: REST,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,8 +21,8 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head, IncomingRequest,
-    OutgoingRequest, Payload, RequestHandler, Streamed,
+    duration_from_millis, one, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head,
+    IncomingRequest, OutgoingRequest, Payload, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -435,8 +435,9 @@
             Body::Coming(body) => body,
             Body::Here(payload, bytes) => return Ok((payload, bytes)),
         };
-        upload::read(body, &route.pool, millis(listener.body_stall), spoilt.clone()).await.map_err(|error| {
-            match error {
+        upload::read(body, &route.pool, duration_from_millis(listener.body_stall), spoilt.clone())
+            .await
+            .map_err(|error| match error {
                 Unread::Stalled => {
                     Words::new(StatusCode::REQUEST_TIMEOUT, "the body stood still").closing().into()
                 }
@@ -446,8 +447,7 @@
                 }
                 Unread::Malformed => bad(FramingError::InvalidChunk.to_string()).into(),
                 Unread::Lost(error) => Unfit::Lost(error),
-            }
-        })
+            })
     }
 }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,8 +6,8 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    millis, Clock, Driver, Judge, ListedServer, ListedServerState, Reading, ServerListUpdate, Upstream,
-    UpstreamLimits,
+    duration_from_millis, Clock, Driver, Judge, ListedServer, ListedServerState, Reading, ServerListUpdate,
+    Upstream, UpstreamLimits,
 };
 use ivygate_time::Millis;
 use std::cell::Cell;
@@ -79,8 +79,8 @@
         let gateway = Gateway::new(settings.clone(), fastrand::u64(..)).map_err(|error| error.to_string())?;
         let limits = UpstreamLimits {
             connections: pool.connections,
-            connect: millis(pool.connect),
-            keep: millis(pool.keep),
+            connect: duration_from_millis(pool.connect),
+            keep: duration_from_millis(pool.keep),
             idle: usize::MAX,
             // What is there to be read is seen without a rest.
             rest: Duration::ZERO,
@@ -92,7 +92,7 @@
         let judge = Judge {
             errors: pool.errors.iter().filter_map(|status| StatusCode::from_u16(*status).ok()).collect(),
             declined,
-            stall: millis(pool.answer_stall),
+            stall: duration_from_millis(pool.answer_stall),
         };
         let upstream = Upstream::new(limits, Reading::Application(judge));
         let (driver, zones) = match &pool.domains {
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -8,7 +8,7 @@
 use ivygate_config::{Listener, Model, Severity};
 use ivygate_files::ReadError;
 use ivygate_journal::JournalError;
-use ivygate_runtime::{listen, millis, ClientLimits, Clock, HttpServer};
+use ivygate_runtime::{duration_from_millis, listen, ClientLimits, Clock, HttpServer};
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::io::IsTerminal;
@@ -234,7 +234,7 @@
     /// Ends in good order: finishes what has been taken and tells clients to go. Streams that take longer than
     /// the configuration allows are broken off, which their clients can tell.
     pub async fn wind_up(&self) {
-        if timeout(millis(self.drain.get()), self.finish()).await.is_err() {
+        if timeout(duration_from_millis(self.drain.get()), self.finish()).await.is_err() {
             eprintln!("ivygate: broke off what was still open after {} s", self.drain.get() / 1000.0);
         }
         if let Some(orders) = &self.shared.orders {
@@ -266,10 +266,10 @@
     ClientLimits {
         max_buffer_bytes: listener.head.max(BUFFER),
         strict_head_bytes: Some(listener.head),
-        read_stall_timeout: Some(millis(listener.read_stall)),
-        receive_timeout: millis(listener.head_within),
-        idle_timeout: millis(listener.idle),
-        idle_timeout_after_one: millis(listener.idle),
+        read_stall_timeout: Some(duration_from_millis(listener.read_stall)),
+        receive_timeout: duration_from_millis(listener.head_within),
+        idle_timeout: duration_from_millis(listener.idle),
+        idle_timeout_after_one: duration_from_millis(listener.idle),
         ..ClientLimits::new(listener.connections)
     }
 }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -11,7 +11,8 @@
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{
-    millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, Payload, Streamed,
+    duration_from_millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, Payload,
+    Streamed,
 };
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -93,7 +94,7 @@
     let begun = driver.now();
     let key = sign_in.remembered.key(question.route, &settings.request_headers, question.headers);
     let looking = sign_in.remembered.look(|| driver.now().as_millis(), key);
-    let asking = match timeout(millis(question.time), looking).await {
+    let asking = match timeout(duration_from_millis(question.time), looking).await {
         Ok(Ok(Remember::Yes(headers))) => return Outcome::GoOn(headers),
         Ok(Ok(Remember::No(status, headers, body))) => return Outcome::No(status, headers, body),
         Ok(Err(asking)) => asking,
@@ -300,5 +301,5 @@
         }
         Some(read.freeze())
     };
-    timeout(millis(time), reading).await.ok().flatten()
+    timeout(duration_from_millis(time), reading).await.ok().flatten()
 }
