--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -5,7 +5,7 @@
 use hyper::http::request::Parts;
 use hyper::Method;
 use ivygate_gateway::{Bounds, Effect, Settings};
-use ivygate_runtime::{one, Head};
+use ivygate_runtime::{single_value, Head};
 use ivygate_time::Millis;
 use std::sync::Arc;
 
@@ -39,26 +39,26 @@
     /// Says what is wrong with it.
     pub fn read(&self, head: &Parts) -> Result<Head, &'static str> {
         let headers = &head.headers;
-        let id = one(headers, "req-id")?.filter(|id| is_name(id, ID_MOST));
+        let id = single_value(headers, "req-id")?.filter(|id| is_name(id, ID_MOST));
         let id = id.ok_or("Req-Id is missing or malformed")?;
-        let kind = one(headers, "req-kind")?.ok_or("Req-Kind is missing")?;
+        let kind = single_value(headers, "req-kind")?.ok_or("Req-Kind is missing")?;
         let (class, effect) =
             self.classes.iter().find(|(name, _)| **name == *kind).ok_or("Req-Kind is unknown")?;
-        let plan = one(headers, "api-plan")?.ok_or("Api-Plan is missing")?;
+        let plan = single_value(headers, "api-plan")?.ok_or("Api-Plan is missing")?;
         let plan = self.plans.iter().find(|name| ***name == *plan).ok_or("Api-Plan is unknown")?;
         let customer = customer(headers).ok_or("the cookie 'customer' is missing or malformed")?;
-        let wait = one(headers, "req-deadline")?.and_then(duration);
+        let wait = single_value(headers, "req-deadline")?.and_then(duration);
         // Guards the timers and what is kept for a request against a client that would wait for ever.
         let wait = wait.filter(|wait| *wait <= self.bounds.longest_wait);
         let wait = wait.ok_or("Req-Deadline is missing, malformed or too long")?;
-        let terms = one(headers, "api-terms")?.and_then(|text| self.terms(text));
+        let terms = single_value(headers, "api-terms")?.and_then(|text| self.terms(text));
         let (units, width) = terms.ok_or("Api-Terms is missing, malformed or out of range")?;
         let method = if *effect == Effect::Safe { Method::GET } else { Method::POST };
         if head.method != method {
             return Err("the method does not fit the class");
         }
         // Guards the app servers' memory of keys: without one they could not drop a repeat.
-        match (one(headers, "idempotency-key")?, matches!(effect, Effect::Keyed(_))) {
+        match (single_value(headers, "idempotency-key")?, matches!(effect, Effect::Keyed(_))) {
             (Some(key), true) if is_name(key, KEY_MOST) => {}
             (None, false) => {}
             _ => return Err("Idempotency-Key does not fit the class"),
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
 use ivygate_gateway::Zones;
-use ivygate_runtime::{end_to_end, one};
+use ivygate_runtime::{end_to_end, single_value};
 use ivygate_time::Millis;
 use std::rc::Rc;
 
@@ -51,7 +51,7 @@
     let host = match parts.uri.host() {
         Some(host) => host,
         None => {
-            let host = one(&parts.headers, "host").ok().flatten();
+            let host = single_value(&parts.headers, "host").ok().flatten();
             host.ok_or_else(|| bad_request("Host is missing or repeated"))?
         }
     };
@@ -69,7 +69,7 @@
     if !snapshot.has_tenants {
         return Ok(None);
     }
-    let key = one(headers, API_KEY.as_str()).map_err(|_| unknown_key())?;
+    let key = single_value(headers, API_KEY.as_str()).map_err(|_| unknown_key())?;
     match key.and_then(|key| snapshot.find_tenant(key)) {
         Some(tenant) => Ok(Some(tenant.clone())),
         None if route.route.public => Ok(None),
@@ -78,7 +78,7 @@
 }
 
 fn parse_attempt_id(headers: &HeaderMap) -> Result<String, Rejection> {
-    let id = one(headers, ATTEMPT_ID.as_str()).map_err(bad_request)?;
+    let id = single_value(headers, ATTEMPT_ID.as_str()).map_err(bad_request)?;
     let id = id.filter(|id| !id.is_empty() && id.len() <= MAX_ATTEMPT_ID_BYTES);
     let id = id.ok_or_else(|| bad_request("Ivygate-Attempt-Id is missing or malformed"))?;
     Ok(id.to_owned())
@@ -86,7 +86,7 @@
 
 /// How long the client says that it waits; infinite where it does not say.
 fn parse_wait_ms(headers: &HeaderMap) -> Result<Millis, Rejection> {
-    let wait_ms = one(headers, DEADLINE.as_str()).map_err(bad_request)?;
+    let wait_ms = single_value(headers, DEADLINE.as_str()).map_err(bad_request)?;
     let wait_ms = wait_ms.and_then(|text| text.parse::<f64>().ok());
     let wait_ms = wait_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
     Ok(wait_ms.map_or(f64::INFINITY, |ms| ms.min(MAX_WAIT_MS)))
--- a/crates/runtime/src/headers.rs
+++ b/crates/runtime/src/headers.rs
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// Says which of the two it is.
-pub fn one<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
+pub fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.any(|other| other != value) {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -24,7 +24,7 @@
     OutgoingRequest, SetAttemptHeaders,
 };
 pub use framing::FramingError;
-pub use headers::{end_to_end, one, retry_after_value, without_hop_by_hop};
+pub use headers::{end_to_end, retry_after_value, single_value, without_hop_by_hop};
 pub use listing::{ListedServer, ListedServerState, ServerListUpdate};
 pub use payload::{BodyError, Payload, Rest};
 pub use stall::{StallWatch, Stalled};
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use ivygate_config::Listener;
 use ivygate_forward_auth::Asked;
-use ivygate_runtime::{one, Admission, FinalResponse, Head};
+use ivygate_runtime::{single_value, Admission, FinalResponse, Head};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -188,7 +188,9 @@
 }
 
 fn id(parts: &Parts) -> Result<Option<String>, Words> {
-    let Some(id) = one(&parts.headers, REQUEST_ID.as_str()).map_err(bad)?.filter(|id| !id.is_empty()) else {
+    let Some(id) =
+        single_value(&parts.headers, REQUEST_ID.as_str()).map_err(bad)?.filter(|id| !id.is_empty())
+    else {
         return Ok(None);
     };
     if id.len() > ID_MOST {
--- a/crates/sidecar/src/asker.rs
+++ b/crates/sidecar/src/asker.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderMap;
 use hyper::Method;
 use ivygate_routing::{normalize_host, RequestTarget};
-use ivygate_runtime::one;
+use ivygate_runtime::single_value;
 
 /// A request that somebody else has and asks about.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 pub fn read(headers: &HeaderMap, host: &str) -> Result<About, String> {
     let uri = agreed(headers, "x-forwarded-uri", "x-original-uri")?;
     // How the client came says nothing of where its request goes.
-    let url = one(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
+    let url = single_value(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
     let parse =
         |text: &str| RequestTarget::parse(text).map_err(|error| format!("what is asked about: {error}"));
     let (target, named) = match (uri, url) {
@@ -54,7 +54,7 @@
         None => None,
         Some(name) => Some(Method::from_bytes(name.as_bytes()).map_err(|_| "the method is malformed")?),
     };
-    let told = match one(headers, "x-forwarded-host")? {
+    let told = match single_value(headers, "x-forwarded-host")? {
         None => None,
         Some(text) => Some(normalize_host(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
     };
@@ -68,7 +68,7 @@
 }
 
 fn agreed<'a>(headers: &'a HeaderMap, first: &str, second: &str) -> Result<Option<&'a str>, String> {
-    match (one(headers, first)?, one(headers, second)?) {
+    match (single_value(headers, first)?, single_value(headers, second)?) {
         (Some(a), Some(b)) if a != b => Err(format!("{first} and {second} tell different things")),
         (a, b) => Ok(a.or(b)),
     }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -21,7 +21,7 @@
 use ivygate_journal::{Order, State};
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    duration_from_millis, one, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head,
+    duration_from_millis, single_value, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head,
     IncomingRequest, OutgoingRequest, Payload, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
@@ -131,7 +131,7 @@
         let named = match &identity.plan_header {
             // What a sign-in service says is believed of whoever asked.
             Some(name) if self.origin.trusted || self.site.vouched.contains(&folded(name)) => {
-                one(headers, name).map_err(bad)?
+                single_value(headers, name).map_err(bad)?
             }
             _ => None,
         };
@@ -144,7 +144,7 @@
     /// How long a request's client will wait.
     pub(crate) fn wait(&self, seen: &Seen<'_>, headers: &header::HeaderMap) -> Result<f64, Words> {
         let told = match &seen.site.identity.deadline_header {
-            Some(name) if seen.origin.trusted => one(headers, name).map_err(bad)?,
+            Some(name) if seen.origin.trusted => single_value(headers, name).map_err(bad)?,
             _ => None,
         };
         let most = seen.route.deadline;
@@ -333,19 +333,23 @@
             let orders = self.shared.orders.as_ref().filter(|orders| class.1 || keyed && orders.keyed);
             let taken = match orders {
                 None => None,
-                Some(orders) => Some(orders.taken(
-                    &id,
-                    Order {
-                        client_id: one(&headers, orders.id_header.as_str()).map_err(bad)?.map(str::to_owned),
-                        keyed,
-                        customer: orders.customer(&customer),
-                        route: route.name.to_string(),
-                        target: target.path_and_query(),
-                        taken_at: route.pool.driver.now().as_millis(),
-                        attempts: Vec::new(),
-                        ended: None,
-                    },
-                )),
+                Some(orders) => Some(
+                    orders.taken(
+                        &id,
+                        Order {
+                            client_id: single_value(&headers, orders.id_header.as_str())
+                                .map_err(bad)?
+                                .map(str::to_owned),
+                            keyed,
+                            customer: orders.customer(&customer),
+                            route: route.name.to_string(),
+                            target: target.path_and_query(),
+                            taken_at: route.pool.driver.now().as_millis(),
+                            attempts: Vec::new(),
+                            ended: None,
+                        },
+                    ),
+                ),
             };
             let deadline = wait + if payload.is_streamed() { route.upload } else { 0.0 };
             let ask = ClientRequest {
@@ -554,7 +558,7 @@
         return Ok((route.class.clone(), route.once));
     };
     // Two keys are none: a server may look at either.
-    Ok(match one(&parts.headers, key.as_str()).map_err(bad)? {
+    Ok(match single_value(&parts.headers, key.as_str()).map_err(bad)? {
         None | Some("") => (unkeyed.clone(), true),
         Some(_) => (route.class.clone(), false),
     })
--- a/crates/sidecar/src/identity.rs
+++ b/crates/sidecar/src/identity.rs
@@ -3,7 +3,7 @@
 use hyper::header::{self, HeaderMap};
 use ipnet::IpNet;
 use ivygate_config::CustomerFrom;
-use ivygate_runtime::one;
+use ivygate_runtime::single_value;
 use std::net::IpAddr;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     client: impl Fn() -> Arc<str>,
 ) -> Result<Arc<str>, &'static str> {
     let named = match from {
-        CustomerFrom::Header(name) => one(headers, name)?,
+        CustomerFrom::Header(name) => single_value(headers, name)?,
         CustomerFrom::Cookie(name) => cookie(headers, name)?,
         CustomerFrom::Address => None,
         CustomerFrom::Fixed(name) => return Ok(name.as_str().into()),
