--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -8,7 +8,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
     duration_from_millis, end_to_end, retry_after_value, ClientRequest, DisconnectGuard, Driver,
-    FinalResponse, IncomingRequest, OutgoingRequest, Payload, RequestHandler, BODY_MOST, RECEIVE_TIMEOUT,
+    FinalResponse, IncomingRequest, OutgoingRequest, RequestBody, RequestHandler, BODY_MOST, RECEIVE_TIMEOUT,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -115,7 +115,7 @@
             method: parts.method,
             uri: parts.uri,
             headers: end_to_end(parts.headers, |_| false),
-            body: Rc::new(Payload::whole(body)),
+            body: Rc::new(RequestBody::whole(body)),
             set_attempt_headers: Some(tell_deadline),
         };
         Ok(ClientRequest { deadline: now.plus_millis(head.timeout), head, outgoing: message })
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -13,8 +13,8 @@
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
 use ivygate_runtime::{
-    ClientRequest, DisconnectGuard, Driver, FinalResponse, Head, IncomingRequest, OutgoingRequest, Payload,
-    RequestHandler,
+    ClientRequest, DisconnectGuard, Driver, FinalResponse, Head, IncomingRequest, OutgoingRequest,
+    RequestBody, RequestHandler,
 };
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
@@ -140,7 +140,7 @@
             headers: forwarded_headers(&parts.headers, request.tenant.as_deref()),
             method: parts.method,
             uri: parts.uri,
-            body: Rc::new(Payload::whole(body.bytes.clone())),
+            body: Rc::new(RequestBody::whole(body.bytes.clone())),
             set_attempt_headers: Some(set_attempt_headers),
         };
         let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crate::listing::{ListedServerState, ServerListUpdate};
-use crate::payload::{Outgoing, Payload, Sent};
+use crate::payload::{Outgoing, RequestBody, Sent};
 use crate::streamed::Streamed;
 use crate::upstream::{End, Progress, ServerResponse, Upstream};
 use bytes::Bytes;
@@ -86,7 +86,7 @@
     /// Its headers, without those that belong to the client's connection.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Rc<Payload>,
+    pub body: Rc<RequestBody>,
     /// What a server is told besides, just before the first byte is written.
     pub set_attempt_headers: Option<SetAttemptHeaders>,
 }
--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -18,7 +18,7 @@
 pub type Rest = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
 
 /// A request's body.
-pub struct Payload {
+pub struct RequestBody {
     held: Bytes,
     trailers: Option<HeaderMap>,
     /// `None` once it has been taken by an attempt, and where all is held.
@@ -28,7 +28,7 @@
     begun: Rc<Cell<bool>>,
 }
 
-impl Payload {
+impl RequestBody {
     /// A body that is here as a whole.
     pub fn whole(held: Bytes) -> Self {
         Self::held(held, None)
@@ -96,7 +96,7 @@
     held: Bytes,
     trailers: Option<HeaderMap>,
     rest: Option<Rest>,
-    payload: Rc<Payload>,
+    payload: Rc<RequestBody>,
     sent: Rc<Sent>,
 }
 
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -7,7 +7,7 @@
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
     ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, ListedServerState, OutgoingRequest,
-    Payload, Reading, Seal, ServerListUpdate, Upstream, UpstreamLimits,
+    Reading, RequestBody, Seal, ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -119,7 +119,7 @@
         method: Method::POST,
         uri: "/a/b".parse().expect("a path"),
         headers,
-        body: Rc::new(Payload::whole(Bytes::from_static(b"body"))),
+        body: Rc::new(RequestBody::whole(Bytes::from_static(b"body"))),
         set_attempt_headers: None,
     };
     let answer =
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -22,7 +22,7 @@
 use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
     duration_from_millis, single_value, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head,
-    IncomingRequest, OutgoingRequest, Payload, RequestHandler, Streamed,
+    IncomingRequest, OutgoingRequest, RequestBody, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -424,7 +424,7 @@
 /// A request's body, before or after it has been read.
 enum Body {
     Coming(Incoming),
-    Here(Payload, Bytewise),
+    Here(RequestBody, Bytewise),
 }
 
 impl Body {
@@ -434,7 +434,7 @@
         route: &Route,
         listener: &Listener,
         spoilt: &Rc<Cell<bool>>,
-    ) -> Result<(Payload, Bytewise), Unfit> {
+    ) -> Result<(RequestBody, Bytewise), Unfit> {
         let body = match self {
             Body::Coming(body) => body,
             Body::Here(payload, bytes) => return Ok((payload, bytes)),
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -11,7 +11,7 @@
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{
-    duration_from_millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, Payload,
+    duration_from_millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, RequestBody,
     Streamed,
 };
 use std::collections::HashSet;
@@ -242,7 +242,7 @@
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
             headers: headers(settings, question),
-            body: Rc::new(Payload::whole(question.body.clone())),
+            body: Rc::new(RequestBody::whole(question.body.clone())),
             set_attempt_headers: None,
         },
     };
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use ivygate_runtime::{BodyError, Payload, StallWatch};
+use ivygate_runtime::{BodyError, RequestBody, StallWatch};
 use std::cell::Cell;
 use std::error::Error;
 use std::pin::Pin;
@@ -32,21 +32,21 @@
     pool: &Rc<Pool>,
     stall: Duration,
     spoilt: Rc<Cell<bool>>,
-) -> Result<(Payload, Bytewise), Unread> {
+) -> Result<(RequestBody, Bytewise), Unread> {
     let limit = pool.settings.repeat_limit;
     let mut held = BytesMut::new();
     let mut taken = pool.hold();
     if body.is_end_stream() {
-        return Ok((Payload::whole(Bytes::new()), taken));
+        return Ok((RequestBody::whole(Bytes::new()), taken));
     }
     if body.size_hint().lower() > limit as u64 {
         // It could not be sent again anyway, so nothing of it is held.
-        return Ok((Payload::streamed(Bytes::new(), Box::pin(Upload::new(body, stall, spoilt))), taken));
+        return Ok((RequestBody::streamed(Bytes::new(), Box::pin(Upload::new(body, stall, spoilt))), taken));
     }
     loop {
         let frame = match timeout(stall, body.frame()).await {
             Err(_) => return Err(Unread::Stalled),
-            Ok(None) => return Ok((Payload::held(held.freeze(), None), taken)),
+            Ok(None) => return Ok((RequestBody::held(held.freeze(), None), taken)),
             Ok(Some(Err(error))) if is_malformed(&error) => return Err(Unread::Malformed),
             Ok(Some(Err(error))) => return Err(Unread::Lost(error)),
             Ok(Some(Ok(frame))) => frame,
@@ -59,12 +59,12 @@
                 held.extend_from_slice(&data);
                 if held.len() > limit {
                     let rest = Box::pin(Upload::new(body, stall, spoilt));
-                    return Ok((Payload::streamed(held.freeze(), rest), taken));
+                    return Ok((RequestBody::streamed(held.freeze(), rest), taken));
                 }
             }
             Err(frame) => {
                 if let Ok(trailers) = frame.into_trailers() {
-                    return Ok((Payload::held(held.freeze(), Some(trailers)), taken));
+                    return Ok((RequestBody::held(held.freeze(), Some(trailers)), taken));
                 }
             }
         }
