--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -115,7 +115,7 @@
             method: parts.method,
             uri: parts.uri,
             headers: end_to_end(parts.headers, |_| false),
-            body: Rc::new(RequestBody::whole(body)),
+            body: Rc::new(RequestBody::buffered(body)),
             set_attempt_headers: Some(tell_deadline),
         };
         Ok(ClientRequest { deadline: now.plus_millis(head.timeout), head, outgoing: message })
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -140,7 +140,7 @@
             headers: forwarded_headers(&parts.headers, request.tenant.as_deref()),
             method: parts.method,
             uri: parts.uri,
-            body: Rc::new(RequestBody::whole(body.bytes.clone())),
+            body: Rc::new(RequestBody::buffered(body.bytes.clone())),
             set_attempt_headers: Some(set_attempt_headers),
         };
         let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -30,7 +30,7 @@
 
 impl RequestBody {
     /// A body that is here as a whole.
-    pub fn whole(held: Bytes) -> Self {
+    pub fn buffered(held: Bytes) -> Self {
         Self::held(held, None)
     }
 
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -119,7 +119,7 @@
         method: Method::POST,
         uri: "/a/b".parse().expect("a path"),
         headers,
-        body: Rc::new(RequestBody::whole(Bytes::from_static(b"body"))),
+        body: Rc::new(RequestBody::buffered(Bytes::from_static(b"body"))),
         set_attempt_headers: None,
     };
     let answer =
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -242,7 +242,7 @@
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
             headers: headers(settings, question),
-            body: Rc::new(RequestBody::whole(question.body.clone())),
+            body: Rc::new(RequestBody::buffered(question.body.clone())),
             set_attempt_headers: None,
         },
     };
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -37,7 +37,7 @@
     let mut held = BytesMut::new();
     let mut taken = pool.hold();
     if body.is_end_stream() {
-        return Ok((RequestBody::whole(Bytes::new()), taken));
+        return Ok((RequestBody::buffered(Bytes::new()), taken));
     }
     if body.size_hint().lower() > limit as u64 {
         // It could not be sent again anyway, so nothing of it is held.
