--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -31,11 +31,11 @@
 impl RequestBody {
     /// A body that is here as a whole.
     pub fn buffered(held: Bytes) -> Self {
-        Self::held(held, None)
+        Self::buffered_with_trailers(held, None)
     }
 
     /// A whole body with trailers behind it.
-    pub fn held(held: Bytes, trailers: Option<HeaderMap>) -> Self {
+    pub fn buffered_with_trailers(held: Bytes, trailers: Option<HeaderMap>) -> Self {
         Self { held, trailers, rest: RefCell::default(), streamed: false, begun: Rc::default() }
     }
 
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -46,7 +46,7 @@
     loop {
         let frame = match timeout(stall, body.frame()).await {
             Err(_) => return Err(Unread::Stalled),
-            Ok(None) => return Ok((RequestBody::held(held.freeze(), None), taken)),
+            Ok(None) => return Ok((RequestBody::buffered_with_trailers(held.freeze(), None), taken)),
             Ok(Some(Err(error))) if is_malformed(&error) => return Err(Unread::Malformed),
             Ok(Some(Err(error))) => return Err(Unread::Lost(error)),
             Ok(Some(Ok(frame))) => frame,
@@ -64,7 +64,7 @@
             }
             Err(frame) => {
                 if let Ok(trailers) = frame.into_trailers() {
-                    return Ok((RequestBody::held(held.freeze(), Some(trailers)), taken));
+                    return Ok((RequestBody::buffered_with_trailers(held.freeze(), Some(trailers)), taken));
                 }
             }
         }
