--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -52,7 +52,7 @@
     }
 
     /// Its bytes, if it is here as a whole.
-    pub fn whole_bytes(&self) -> Option<Bytes> {
+    pub fn buffered_bytes(&self) -> Option<Bytes> {
         (!self.streamed).then(|| self.held.clone())
     }
 
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -296,7 +296,7 @@
                 let mut sent = Bytes::new();
                 if let Some(most) = sign_in.settings.body {
                     let (payload, bytes) = body.read(route, listener, &spoilt).await?;
-                    match payload.whole_bytes().filter(|whole| whole.len() <= most) {
+                    match payload.buffered_bytes().filter(|whole| whole.len() <= most) {
                         Some(whole) => sent = whole,
                         None => {
                             let text = "the body is too long to be checked; nothing was run";
