--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -734,7 +734,7 @@
                 if let Some(open) = state.requests.get_mut(id) {
                     open.fallback = answer;
                     open.timed_out = end.outcome == Outcome::Timeout;
-                    if open.message.body.is_spent() {
+                    if open.message.body.is_consumed() {
                         // The gateway's word for what belongs to the client and is never sent anew.
                         let request = id.clone();
                         state.events.push_back(Event::StreamStarted { request, attempt: number });
--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether it can't be sent any more.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         self.begun.get()
     }
 
