--- a/crates/runtime/src/payload.rs
+++ b/crates/runtime/src/payload.rs
@@ -15,14 +15,14 @@
 /// Why a body that was being streamed ended early.
 pub type BodyError = Box<dyn Error + Send + Sync>;
 /// The part of a body that is still coming in.
-pub type Rest = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
+pub type RemainingBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyError>>>;
 
 /// A request's body.
 pub struct RequestBody {
     held: Bytes,
     trailers: Option<HeaderMap>,
     /// `None` once it has been taken by an attempt, and where all is held.
-    rest: RefCell<Option<Rest>>,
+    rest: RefCell<Option<RemainingBody>>,
     streamed: bool,
     /// A byte of the rest has been asked for: it can't be had again.
     begun: Rc<Cell<bool>>,
@@ -41,7 +41,7 @@
 
     /// A body whose rest comes in while it is sent on. It can be sent again only as long as nothing of the
     /// rest has been asked for.
-    pub fn streamed(held: Bytes, rest: Rest) -> Self {
+    pub fn streamed(held: Bytes, rest: RemainingBody) -> Self {
         let rest = RefCell::new(Some(rest));
         Self { held, trailers: None, rest, streamed: true, begun: Rc::default() }
     }
@@ -95,7 +95,7 @@
 pub(crate) struct Outgoing {
     held: Bytes,
     trailers: Option<HeaderMap>,
-    rest: Option<Rest>,
+    rest: Option<RemainingBody>,
     payload: Rc<RequestBody>,
     sent: Rc<Sent>,
 }
