--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -27,6 +27,6 @@
 pub use headers::{end_to_end, retry_after_value, single_value, without_hop_by_hop};
 pub use listing::{ListedServer, ListedServerState, ServerListUpdate};
 pub use payload::{BodyError, RemainingBody, RequestBody};
-pub use stall::{StallWatch, Stalled};
+pub use stall::{StallTimer, Stalled};
 pub use streamed::Streamed;
 pub use upstream::{has_news, Judge, Reading, Seal, ServerResponse, Upstream, UpstreamLimits, BODY_MOST};
--- a/crates/runtime/src/stall.rs
+++ b/crates/runtime/src/stall.rs
@@ -20,14 +20,14 @@
 impl std::error::Error for Stalled {}
 
 /// Watches over the pauses of a body. Its time runs only while something is waited for.
-pub struct StallWatch {
+pub struct StallTimer {
     most: Duration,
     /// Made at the first pause; most bodies come at once.
     timer: Option<Pin<Box<Sleep>>>,
     owed: bool,
 }
 
-impl StallWatch {
+impl StallTimer {
     /// Allows pauses of this length.
     pub fn new(most: Duration) -> Self {
         Self { most, timer: None, owed: false }
--- a/crates/runtime/src/streamed.rs
+++ b/crates/runtime/src/streamed.rs
@@ -2,7 +2,7 @@
 //! back when it is whole.
 
 use crate::payload::BodyError;
-use crate::stall::StallWatch;
+use crate::stall::StallTimer;
 use crate::upstream::{Link, Upstream};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -20,7 +20,7 @@
     incoming: Incoming,
     server: ServerId,
     upstream: Rc<Upstream>,
-    pauses: StallWatch,
+    pauses: StallTimer,
 }
 
 impl Streamed {
@@ -31,7 +31,7 @@
         upstream: Rc<Upstream>,
         stall: Duration,
     ) -> Self {
-        Self { link: Some(link), incoming, server, upstream, pauses: StallWatch::new(stall) }
+        Self { link: Some(link), incoming, server, upstream, pauses: StallTimer::new(stall) }
     }
 
     /// Gives the connection back: the answer is whole.
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use ivygate_runtime::{BodyError, RequestBody, StallWatch};
+use ivygate_runtime::{BodyError, RequestBody, StallTimer};
 use std::cell::Cell;
 use std::error::Error;
 use std::pin::Pin;
@@ -74,7 +74,7 @@
 /// The part of a body that is still coming in.
 struct Upload {
     incoming: Incoming,
-    pauses: StallWatch,
+    pauses: StallTimer,
     /// Told when it can't be read.
     spoilt: Rc<Cell<bool>>,
 }
@@ -94,7 +94,7 @@
 
 impl Upload {
     fn new(incoming: Incoming, stall: Duration, spoilt: Rc<Cell<bool>>) -> Self {
-        Self { incoming, pauses: StallWatch::new(stall), spoilt }
+        Self { incoming, pauses: StallTimer::new(stall), spoilt }
     }
 }
 
