--- a/crates/runtime/src/stall.rs
+++ b/crates/runtime/src/stall.rs
@@ -34,7 +34,7 @@
     }
 
     /// Something has come.
-    pub fn came(&mut self) {
+    pub fn reset(&mut self) {
         self.owed = false;
     }
 
--- a/crates/runtime/src/streamed.rs
+++ b/crates/runtime/src/streamed.rs
@@ -76,7 +76,7 @@
         }
         match frame {
             Poll::Ready(Some(Ok(frame))) => {
-                this.pauses.came();
+                this.pauses.reset();
                 if this.incoming.is_end_stream() {
                     this.finish();
                 }
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -108,7 +108,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
         if let Poll::Ready(frame) = Pin::new(&mut this.incoming).poll_frame(cx) {
-            this.pauses.came();
+            this.pauses.reset();
             if let Some(Err(error)) = &frame {
                 this.spoilt.set(is_malformed(error));
             }
