--- a/crates/runtime/src/stall.rs
+++ b/crates/runtime/src/stall.rs
@@ -39,7 +39,7 @@
     }
 
     /// Nothing is there yet: ready when that has been so for too long.
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Stalled> {
+    pub fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<Stalled> {
         let most = self.most;
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(most)));
         if !self.owed {
--- a/crates/runtime/src/streamed.rs
+++ b/crates/runtime/src/streamed.rs
@@ -87,7 +87,7 @@
                 this.finish();
                 Poll::Ready(None)
             }
-            Poll::Pending => match this.pauses.poll(cx) {
+            Poll::Pending => match this.pauses.poll_stalled(cx) {
                 Poll::Ready(stalled) => this.fail(Box::new(stalled)),
                 Poll::Pending => Poll::Pending,
             },
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -114,7 +114,7 @@
             }
             return Poll::Ready(frame.map(|frame| frame.map_err(Into::into)));
         }
-        this.pauses.poll(cx).map(|stalled| Some(Err(Box::new(stalled) as BodyError)))
+        this.pauses.poll_stalled(cx).map(|stalled| Some(Err(Box::new(stalled) as BodyError)))
     }
 
     fn is_end_stream(&self) -> bool {
