--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -5,7 +5,7 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
 use hyper_util::rt::TokioIo;
-use ivygate_runtime::has_news;
+use ivygate_runtime::has_unread_input;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -30,7 +30,7 @@
 impl Connection {
     /// Whether another call may be written: the other side has neither closed it nor sent what nobody asked for.
     pub fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.socket.upgrade().is_some_and(|socket| !has_news(&socket))
+        self.sender.is_ready() && self.socket.upgrade().is_some_and(|socket| !has_unread_input(&socket))
     }
 }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -29,4 +29,6 @@
 pub use payload::{BodyError, RemainingBody, RequestBody};
 pub use stall::{StallTimer, Stalled};
 pub use streamed::Streamed;
-pub use upstream::{has_news, Judge, Reading, Seal, ServerResponse, Upstream, UpstreamLimits, BODY_MOST};
+pub use upstream::{
+    has_unread_input, Judge, Reading, Seal, ServerResponse, Upstream, UpstreamLimits, BODY_MOST,
+};
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -558,7 +558,7 @@
 
 /// Whether the other side has sent something that is still unread, or has ended its sending. Asks the system itself: tokio
 /// may not have heard yet.
-pub fn has_news(stream: &TcpStream) -> bool {
+pub fn has_unread_input(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
@@ -712,7 +712,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         // Guards against a stray second answer that tokio has not noticed yet.
-        if self.resting.get() && has_news(&self.stream) {
+        if self.resting.get() && has_unread_input(&self.stream) {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
