--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -8,7 +8,8 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use ivygate_runtime::{
     duration_from_millis, end_to_end, retry_after_value, ClientRequest, DisconnectGuard, Driver,
-    FinalResponse, IncomingRequest, OutgoingRequest, RequestBody, RequestHandler, BODY_MOST, RECEIVE_TIMEOUT,
+    FinalResponse, IncomingRequest, OutgoingRequest, RequestBody, RequestHandler, MAX_BODY_BYTES,
+    RECEIVE_TIMEOUT,
 };
 use ivygate_time::Millis;
 use std::rc::Rc;
@@ -133,11 +134,11 @@
 /// Reads a body that is still coming in, no longer than its client will wait or than a whole request may take.
 async fn read_body(body: Incoming, wait: Millis, begun: Instant) -> Result<Bytes, Unfit> {
     let too_large = || Unfit::Answer(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_large());
     }
     let wait = duration_from_millis(wait).min(RECEIVE_TIMEOUT.saturating_sub(begun.elapsed()));
-    match timeout(wait, Limited::new(body, BODY_MOST).collect()).await {
+    match timeout(wait, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Err(_) => Err(Unfit::Answer(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -29,7 +29,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Longest body of a message.
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Most that hyper holds of an answer where bodies are small.
 const HEAD_MOST: usize = 32 << 10;
 /// A connection rests this long between two requests: what a server sends behind an answer must not come
@@ -421,7 +421,7 @@
         link.keep = kept_for(answer.headers(), self.limits.keep);
         match &self.reading {
             Reading::Platform => {
-                let reading = pin!(read_whole(answer, BODY_MOST));
+                let reading = pin!(read_whole(answer, MAX_BODY_BYTES));
                 let whole = drive_while(&mut link, reading).await?;
                 let end = read_answer(whole);
                 if link.stands() && link.usable().await {
