--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,7 @@
 use front::NodeFront;
 use ivygate_gateway::{Gateway, Settings, SettingsError};
 use ivygate_runtime::{
-    listen, ClientLimits, Clock, DecisionEngine, Driver, HttpServer, Reading, Upstream, UpstreamLimits,
+    listen, ClientLimits, Clock, DecisionEngine, Driver, HttpServer, ResponsePolicy, Upstream, UpstreamLimits,
 };
 use request::Reader;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
     let driver = Driver::new(
         gateway,
         clock,
-        Upstream::new(UpstreamLimits::platform(config.links, upstreams), Reading::Platform),
+        Upstream::new(UpstreamLimits::platform(config.links, upstreams), ResponsePolicy::Platform),
     );
     let rev = config.known.as_ref().map(|list| list.rev);
     if let Some(known) = config.known {
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -11,7 +11,8 @@
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
 use ivygate_runtime::{
-    Clock, Driver, ListedServer, ListedServerState, Reading, Seal, ServerListUpdate, Upstream, UpstreamLimits,
+    Clock, Driver, ListedServer, ListedServerState, ResponsePolicy, Seal, ServerListUpdate, Upstream,
+    UpstreamLimits,
 };
 use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
@@ -182,7 +183,7 @@
             most: MAX_ANSWER_BYTES,
             judge: server_protocol::outcome_of,
         };
-        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, Reading::Sealed(seal)));
+        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Sealed(seal)));
         tokio::task::spawn_local(driver.clone().run_timers());
         Ok(driver)
     }
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -144,7 +144,7 @@
 
 /// How answers are read.
 #[derive(Clone, Debug)]
-pub enum Reading {
+pub enum ResponsePolicy {
     /// Whole, by the platform's protocol.
     Platform,
     /// As ordinary applications word them, passed on while they come in.
@@ -229,7 +229,7 @@
     /// Part of the requests on kept connections, of late, that ended with nothing but a reset.
     broke: Cell<f64>,
     limits: UpstreamLimits,
-    reading: Reading,
+    reading: ResponsePolicy,
     /// Servers whose answers broke when they had begun, since that was last asked for.
     broken: RefCell<Vec<ServerId>>,
 }
@@ -290,7 +290,7 @@
 
 impl Upstream {
     /// No connection yet.
-    pub fn new(limits: UpstreamLimits, reading: Reading) -> Rc<Self> {
+    pub fn new(limits: UpstreamLimits, reading: ResponsePolicy) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
             open: Rc::default(),
@@ -303,7 +303,7 @@
 
     /// Whether servers can be tried without a request.
     pub(crate) fn probes(&self) -> bool {
-        !matches!(self.reading, Reading::Platform)
+        !matches!(self.reading, ResponsePolicy::Platform)
     }
 
     /// Whether a server takes a connection.
@@ -399,7 +399,7 @@
         request: Request<Outgoing>,
     ) -> Result<End, Broken> {
         let echo = match &self.reading {
-            Reading::Sealed(seal) => request.headers().get(&seal.echo).cloned(),
+            ResponsePolicy::Sealed(seal) => request.headers().get(&seal.echo).cloned(),
             _ => None,
         };
         let Link { sender, connection, .. } = &mut *link;
@@ -420,7 +420,7 @@
         .await?;
         link.keep = kept_for(answer.headers(), self.limits.keep);
         match &self.reading {
-            Reading::Platform => {
+            ResponsePolicy::Platform => {
                 let reading = pin!(read_whole(answer, MAX_BODY_BYTES));
                 let whole = drive_while(&mut link, reading).await?;
                 let end = read_answer(whole);
@@ -429,7 +429,7 @@
                 }
                 Ok(end)
             }
-            Reading::Sealed(seal) => {
+            ResponsePolicy::Sealed(seal) => {
                 let reading = pin!(read_whole(answer, seal.most));
                 let whole = drive_while(&mut link, reading).await?;
                 // Guards against a surplus answer to an earlier request, and against bytes that no server's
@@ -457,7 +457,7 @@
                 }
                 Ok(end)
             }
-            Reading::Application(judge) => {
+            ResponsePolicy::Application(judge) => {
                 // Guards the connection: nobody asked for another protocol.
                 if answer.status().is_informational() {
                     return Err(Broken::Spoilt);
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -18,7 +18,7 @@
             rest: REST,
             buffer: HEAD_MOST,
         };
-        let upstream = Upstream::new(limits, Reading::Platform);
+        let upstream = Upstream::new(limits, ResponsePolicy::Platform);
         for _ in 0..10 {
             let link = upstream.connect(address).await.unwrap_or_else(|_| panic!("it listens"));
             upstream.put_back(7, link);
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -7,7 +7,7 @@
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
     ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, ListedServerState, OutgoingRequest,
-    Reading, RequestBody, Seal, ServerListUpdate, Upstream, UpstreamLimits,
+    RequestBody, ResponsePolicy, Seal, ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -77,7 +77,7 @@
         buffer: 64 << 10,
     };
     let seal = Seal { echo: ID, most: 1 << 20, judge };
-    let upstream = Upstream::new(limits, Reading::Sealed(seal));
+    let upstream = Upstream::new(limits, ResponsePolicy::Sealed(seal));
     let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
     let target = ListedServer {
         uid: "i-1".to_owned(),
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,8 +6,8 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    duration_from_millis, Clock, Driver, Judge, ListedServer, ListedServerState, Reading, ServerListUpdate,
-    Upstream, UpstreamLimits,
+    duration_from_millis, Clock, Driver, Judge, ListedServer, ListedServerState, ResponsePolicy,
+    ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_time::Millis;
 use std::cell::Cell;
@@ -94,7 +94,7 @@
             declined,
             stall: duration_from_millis(pool.answer_stall),
         };
-        let upstream = Upstream::new(limits, Reading::Application(judge));
+        let upstream = Upstream::new(limits, ResponsePolicy::Application(judge));
         let (driver, zones) = match &pool.domains {
             Some(domains) => {
                 let zones = Zones::new(pool, domains, &settings, gateway);
