--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -148,7 +148,7 @@
     /// Whole, by the platform's protocol.
     Platform,
     /// As ordinary applications word them, passed on while they come in.
-    Application(Judge),
+    Application(ApplicationPolicy),
     /// Whole, and only those that bear what tells them to be the answer to the request; passed on unchanged.
     Sealed(Seal),
 }
@@ -166,7 +166,7 @@
 
 /// Which outcome an application's answer stands for.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct ApplicationPolicy {
     /// Statuses that are failures of the server; all others are the application's answer.
     pub errors: Vec<StatusCode>,
     /// The header and value by which a 503 or 504 proves that nothing ran; by default nothing does.
@@ -175,7 +175,7 @@
     pub stall: Duration,
 }
 
-impl Judge {
+impl ApplicationPolicy {
     fn outcome(&self, status: StatusCode, headers: &HeaderMap) -> Outcome {
         let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
         let says = |(name, value): &(HeaderName, HeaderValue)| headers.get(name) == Some(value);
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,7 +6,7 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    duration_from_millis, Clock, Driver, Judge, ListedServer, ListedServerState, ResponsePolicy,
+    duration_from_millis, ApplicationPolicy, Clock, Driver, ListedServer, ListedServerState, ResponsePolicy,
     ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_time::Millis;
@@ -89,7 +89,7 @@
         let declined = pool.declined.as_ref().and_then(|(name, value)| {
             Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?))
         });
-        let judge = Judge {
+        let judge = ApplicationPolicy {
             errors: pool.errors.iter().filter_map(|status| StatusCode::from_u16(*status).ok()).collect(),
             declined,
             stall: duration_from_millis(pool.answer_stall),
