--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -11,7 +11,7 @@
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
 use ivygate_runtime::{
-    Clock, Driver, ListedServer, ListedServerState, ResponsePolicy, Seal, ServerListUpdate, Upstream,
+    Clock, Driver, EchoPolicy, ListedServer, ListedServerState, ResponsePolicy, ServerListUpdate, Upstream,
     UpstreamLimits,
 };
 use ivygate_time::{Millis, Timestamp};
@@ -178,7 +178,7 @@
             rest: MIN_IDLE_TIME,
             buffer: BUFFER_BYTES,
         };
-        let seal = Seal {
+        let seal = EchoPolicy {
             echo: server_protocol::ATTEMPT_ID,
             most: MAX_ANSWER_BYTES,
             judge: server_protocol::outcome_of,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -30,6 +30,6 @@
 pub use stall::{StallTimer, Stalled};
 pub use streamed::Streamed;
 pub use upstream::{
-    has_unread_input, ApplicationPolicy, ResponsePolicy, Seal, ServerResponse, Upstream, UpstreamLimits,
-    MAX_BODY_BYTES,
+    has_unread_input, ApplicationPolicy, EchoPolicy, ResponsePolicy, ServerResponse, Upstream,
+    UpstreamLimits, MAX_BODY_BYTES,
 };
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -150,12 +150,12 @@
     /// As ordinary applications word them, passed on while they come in.
     Application(ApplicationPolicy),
     /// Whole, and only those that bear what tells them to be the answer to the request; passed on unchanged.
-    Sealed(Seal),
+    Sealed(EchoPolicy),
 }
 
 /// How a whole answer is told to be the server's and to be the request's own.
 #[derive(Clone, Debug)]
-pub struct Seal {
+pub struct EchoPolicy {
     /// The header of a request that its answer must bring back unchanged.
     pub echo: HeaderName,
     /// The longest body that is read.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -6,8 +6,8 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use ivygate_gateway::{Effect, Gateway, Outcome, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    ClientRequest, Clock, Driver, FinalResponse, Head, ListedServer, ListedServerState, OutgoingRequest,
-    RequestBody, ResponsePolicy, Seal, ServerListUpdate, Upstream, UpstreamLimits,
+    ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
+    OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
 use ivygate_time::Millis;
@@ -76,7 +76,7 @@
         rest: Duration::from_millis(1),
         buffer: 64 << 10,
     };
-    let seal = Seal { echo: ID, most: 1 << 20, judge };
+    let seal = EchoPolicy { echo: ID, most: 1 << 20, judge };
     let upstream = Upstream::new(limits, ResponsePolicy::Sealed(seal));
     let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
     let target = ListedServer {
