--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -183,7 +183,7 @@
             most: MAX_ANSWER_BYTES,
             judge: server_protocol::outcome_of,
         };
-        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Sealed(seal)));
+        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Echo(seal)));
         tokio::task::spawn_local(driver.clone().run_timers());
         Ok(driver)
     }
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -150,7 +150,7 @@
     /// As ordinary applications word them, passed on while they come in.
     Application(ApplicationPolicy),
     /// Whole, and only those that bear what tells them to be the answer to the request; passed on unchanged.
-    Sealed(EchoPolicy),
+    Echo(EchoPolicy),
 }
 
 /// How a whole answer is told to be the server's and to be the request's own.
@@ -399,7 +399,7 @@
         request: Request<Outgoing>,
     ) -> Result<End, Broken> {
         let echo = match &self.reading {
-            ResponsePolicy::Sealed(seal) => request.headers().get(&seal.echo).cloned(),
+            ResponsePolicy::Echo(seal) => request.headers().get(&seal.echo).cloned(),
             _ => None,
         };
         let Link { sender, connection, .. } = &mut *link;
@@ -429,7 +429,7 @@
                 }
                 Ok(end)
             }
-            ResponsePolicy::Sealed(seal) => {
+            ResponsePolicy::Echo(seal) => {
                 let reading = pin!(read_whole(answer, seal.most));
                 let whole = drive_while(&mut link, reading).await?;
                 // Guards against a surplus answer to an earlier request, and against bytes that no server's
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -77,7 +77,7 @@
         buffer: 64 << 10,
     };
     let seal = EchoPolicy { echo: ID, most: 1 << 20, judge };
-    let upstream = Upstream::new(limits, ResponsePolicy::Sealed(seal));
+    let upstream = Upstream::new(limits, ResponsePolicy::Echo(seal));
     let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
     let target = ListedServer {
         uid: "i-1".to_owned(),
