--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -168,7 +168,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ApplicationPolicy {
     /// Statuses that are failures of the server; all others are the application's answer.
-    pub errors: Vec<StatusCode>,
+    pub error_statuses: Vec<StatusCode>,
     /// The header and value by which a 503 or 504 proves that nothing ran; by default nothing does.
     pub declined: Option<(HeaderName, HeaderValue)>,
     /// How long a server may pause in the middle of an answer.
@@ -181,7 +181,7 @@
         let says = |(name, value): &(HeaderName, HeaderValue)| headers.get(name) == Some(value);
         if turned_away && self.declined.as_ref().is_some_and(says) {
             Outcome::Rejected
-        } else if self.errors.contains(&status) {
+        } else if self.error_statuses.contains(&status) {
             Outcome::Error
         } else {
             Outcome::Ok
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -90,7 +90,11 @@
             Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?))
         });
         let judge = ApplicationPolicy {
-            errors: pool.errors.iter().filter_map(|status| StatusCode::from_u16(*status).ok()).collect(),
+            error_statuses: pool
+                .errors
+                .iter()
+                .filter_map(|status| StatusCode::from_u16(*status).ok())
+                .collect(),
             declined,
             stall: duration_from_millis(pool.answer_stall),
         };
