--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -170,7 +170,7 @@
     /// Statuses that are failures of the server; all others are the application's answer.
     pub error_statuses: Vec<StatusCode>,
     /// The header and value by which a 503 or 504 proves that nothing ran; by default nothing does.
-    pub declined: Option<(HeaderName, HeaderValue)>,
+    pub not_run_header: Option<(HeaderName, HeaderValue)>,
     /// How long a server may pause in the middle of an answer.
     pub stall: Duration,
 }
@@ -179,7 +179,7 @@
     fn outcome(&self, status: StatusCode, headers: &HeaderMap) -> Outcome {
         let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
         let says = |(name, value): &(HeaderName, HeaderValue)| headers.get(name) == Some(value);
-        if turned_away && self.declined.as_ref().is_some_and(says) {
+        if turned_away && self.not_run_header.as_ref().is_some_and(says) {
             Outcome::Rejected
         } else if self.error_statuses.contains(&status) {
             Outcome::Error
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -95,7 +95,7 @@
                 .iter()
                 .filter_map(|status| StatusCode::from_u16(*status).ok())
                 .collect(),
-            declined,
+            not_run_header: declined,
             stall: duration_from_millis(pool.answer_stall),
         };
         let upstream = Upstream::new(limits, ResponsePolicy::Application(judge));
