--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -172,7 +172,7 @@
     /// The header and value by which a 503 or 504 proves that nothing ran; by default nothing does.
     pub not_run_header: Option<(HeaderName, HeaderValue)>,
     /// How long a server may pause in the middle of an answer.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 impl ApplicationPolicy {
@@ -466,7 +466,7 @@
                 let outcome = judge.outcome(parts.status, &parts.headers);
                 let mut end = End::bare(outcome);
                 end.tell(&parts.headers);
-                let body = Streamed::new(link, body, server, self.clone(), judge.stall);
+                let body = Streamed::new(link, body, server, self.clone(), judge.stall_timeout);
                 end.answer = (outcome != Outcome::Rejected)
                     .then(|| ServerResponse::Streamed(Box::new(Response::from_parts(parts, body))));
                 Ok(end)
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -96,7 +96,7 @@
                 .filter_map(|status| StatusCode::from_u16(*status).ok())
                 .collect(),
             not_run_header: declined,
-            stall: duration_from_millis(pool.answer_stall),
+            stall_timeout: duration_from_millis(pool.answer_stall),
         };
         let upstream = Upstream::new(limits, ResponsePolicy::Application(judge));
         let (driver, zones) = match &pool.domains {
