--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -179,7 +179,7 @@
             buffer: BUFFER_BYTES,
         };
         let seal = EchoPolicy {
-            echo: server_protocol::ATTEMPT_ID,
+            echo_header: server_protocol::ATTEMPT_ID,
             most: MAX_ANSWER_BYTES,
             judge: server_protocol::outcome_of,
         };
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug)]
 pub struct EchoPolicy {
     /// The header of a request that its answer must bring back unchanged.
-    pub echo: HeaderName,
+    pub echo_header: HeaderName,
     /// The longest body that is read.
     pub most: usize,
     /// Which outcome an answer stands for.
@@ -399,7 +399,7 @@
         request: Request<Outgoing>,
     ) -> Result<End, Broken> {
         let echo = match &self.reading {
-            ResponsePolicy::Echo(seal) => request.headers().get(&seal.echo).cloned(),
+            ResponsePolicy::Echo(seal) => request.headers().get(&seal.echo_header).cloned(),
             _ => None,
         };
         let Link { sender, connection, .. } = &mut *link;
@@ -437,8 +437,8 @@
                 // which; on a connection that has carried no other there is but the one.
                 let untold = !reused
                     && whole.status == StatusCode::MISDIRECTED_REQUEST
-                    && !whole.headers.contains_key(&seal.echo);
-                if whole.headers.get(&seal.echo) != echo.as_ref() && !untold {
+                    && !whole.headers.contains_key(&seal.echo_header);
+                if whole.headers.get(&seal.echo_header) != echo.as_ref() && !untold {
                     return Err(Broken::Spoilt);
                 }
                 let outcome = (seal.judge)(whole.status, &whole.headers);
