--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -180,7 +180,7 @@
         };
         let seal = EchoPolicy {
             echo_header: server_protocol::ATTEMPT_ID,
-            most: MAX_ANSWER_BYTES,
+            max_body_bytes: MAX_ANSWER_BYTES,
             judge: server_protocol::outcome_of,
         };
         let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Echo(seal)));
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -159,7 +159,7 @@
     /// The header of a request that its answer must bring back unchanged.
     pub echo_header: HeaderName,
     /// The longest body that is read.
-    pub most: usize,
+    pub max_body_bytes: usize,
     /// Which outcome an answer stands for.
     pub judge: fn(StatusCode, &HeaderMap) -> Outcome,
 }
@@ -430,7 +430,7 @@
                 Ok(end)
             }
             ResponsePolicy::Echo(seal) => {
-                let reading = pin!(read_whole(answer, seal.most));
+                let reading = pin!(read_whole(answer, seal.max_body_bytes));
                 let whole = drive_while(&mut link, reading).await?;
                 // Guards against a surplus answer to an earlier request, and against bytes that no server's
                 // application made. Whoever has the address by now may turn a request away without a word on
