--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -181,7 +181,7 @@
         let seal = EchoPolicy {
             echo_header: server_protocol::ATTEMPT_ID,
             max_body_bytes: MAX_ANSWER_BYTES,
-            judge: server_protocol::outcome_of,
+            classify: server_protocol::outcome_of,
         };
         let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Echo(seal)));
         tokio::task::spawn_local(driver.clone().run_timers());
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -161,7 +161,7 @@
     /// The longest body that is read.
     pub max_body_bytes: usize,
     /// Which outcome an answer stands for.
-    pub judge: fn(StatusCode, &HeaderMap) -> Outcome,
+    pub classify: fn(StatusCode, &HeaderMap) -> Outcome,
 }
 
 /// Which outcome an application's answer stands for.
@@ -441,7 +441,7 @@
                 if whole.headers.get(&seal.echo_header) != echo.as_ref() && !untold {
                     return Err(Broken::Spoilt);
                 }
-                let outcome = (seal.judge)(whole.status, &whole.headers);
+                let outcome = (seal.classify)(whole.status, &whole.headers);
                 if outcome == Outcome::Unusable {
                     return Err(Broken::Spoilt);
                 }
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -76,7 +76,7 @@
         rest: Duration::from_millis(1),
         buffer: 64 << 10,
     };
-    let seal = EchoPolicy { echo_header: ID, max_body_bytes: 1 << 20, judge };
+    let seal = EchoPolicy { echo_header: ID, max_body_bytes: 1 << 20, classify: judge };
     let upstream = Upstream::new(limits, ResponsePolicy::Echo(seal));
     let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
     let target = ListedServer {
