--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -171,7 +171,7 @@
         let settings = decision_settings(&self.zone, classes.values().cloned().collect(), retries);
         let gateway = Gateway::new(settings, fastrand::u64(..))?;
         let limits = UpstreamLimits {
-            connections: self.max_connections,
+            max_connections: self.max_connections,
             connect: CONNECT_TIMEOUT,
             keep: IDLE_TIMEOUT,
             idle: MAX_IDLE_PER_SERVER,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -193,7 +193,7 @@
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
     /// Most connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// A connection not established by then has failed.
     pub connect: Duration,
     /// An idle connection is kept for this long.
@@ -212,7 +212,7 @@
     pub fn platform(links: Links, connections: usize) -> Self {
         let keep = |ms: Millis| duration_from_millis(ms * KEEP_PART);
         Self {
-            connections,
+            max_connections: connections,
             connect: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
             keep: links.keepalive.map_or(KEEP_UNTOLD, keep),
             idle: usize::MAX,
@@ -508,7 +508,7 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Box<Link>, Outcome> {
-        if self.open.get() >= self.limits.connections && !self.close_oldest() {
+        if self.open.get() >= self.limits.max_connections && !self.close_oldest() {
             // No descriptor to spare: a want of this node's own, which tells nothing of the server.
             return Err(Outcome::NeverSent);
         }
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -11,7 +11,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("it has one");
         let limits = UpstreamLimits {
-            connections: 100,
+            max_connections: 100,
             connect: CONNECT_UNTOLD,
             keep: KEEP_UNTOLD,
             idle: 4,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -69,7 +69,7 @@
         overload_window: 1_000.0,
     };
     let limits = UpstreamLimits {
-        connections: 100,
+        max_connections: 100,
         connect: Duration::from_secs(5),
         keep: Duration::from_secs(60),
         idle: 4,
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -78,7 +78,7 @@
         let settings = settings(pool, classes, plans);
         let gateway = Gateway::new(settings.clone(), fastrand::u64(..)).map_err(|error| error.to_string())?;
         let limits = UpstreamLimits {
-            connections: pool.connections,
+            max_connections: pool.connections,
             connect: duration_from_millis(pool.connect),
             keep: duration_from_millis(pool.keep),
             idle: usize::MAX,
