--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -172,7 +172,7 @@
         let gateway = Gateway::new(settings, fastrand::u64(..))?;
         let limits = UpstreamLimits {
             max_connections: self.max_connections,
-            connect: CONNECT_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             keep: IDLE_TIMEOUT,
             idle: MAX_IDLE_PER_SERVER,
             rest: MIN_IDLE_TIME,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -195,7 +195,7 @@
     /// Most connections.
     pub max_connections: usize,
     /// A connection not established by then has failed.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// An idle connection is kept for this long.
     pub keep: Duration,
     /// Most idle connections that are kept to one server: where each request that must not run twice takes a new one,
@@ -213,7 +213,7 @@
         let keep = |ms: Millis| duration_from_millis(ms * KEEP_PART);
         Self {
             max_connections: connections,
-            connect: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
+            connect_timeout: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
             keep: links.keepalive.map_or(KEEP_UNTOLD, keep),
             idle: usize::MAX,
             rest: REST,
@@ -513,7 +513,7 @@
             return Err(Outcome::NeverSent);
         }
         let slot = Slot::take(&self.open);
-        let stream = match timeout(self.limits.connect, TcpStream::connect(address)).await {
+        let stream = match timeout(self.limits.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if out_of_descriptors(&error) => return Err(Outcome::NeverSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -79,7 +79,7 @@
         let gateway = Gateway::new(settings.clone(), fastrand::u64(..)).map_err(|error| error.to_string())?;
         let limits = UpstreamLimits {
             max_connections: pool.connections,
-            connect: duration_from_millis(pool.connect),
+            connect_timeout: duration_from_millis(pool.connect),
             keep: duration_from_millis(pool.keep),
             idle: usize::MAX,
             // What is there to be read is seen without a rest.
