--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -173,7 +173,7 @@
         let limits = UpstreamLimits {
             max_connections: self.max_connections,
             connect_timeout: CONNECT_TIMEOUT,
-            keep: IDLE_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
             idle: MAX_IDLE_PER_SERVER,
             rest: MIN_IDLE_TIME,
             buffer: BUFFER_BYTES,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -197,7 +197,7 @@
     /// A connection not established by then has failed.
     pub connect_timeout: Duration,
     /// An idle connection is kept for this long.
-    pub keep: Duration,
+    pub idle_timeout: Duration,
     /// Most idle connections that are kept to one server: where each request that must not run twice takes a new one,
     /// they would add up to more than a server takes.
     pub idle: usize,
@@ -214,7 +214,7 @@
         Self {
             max_connections: connections,
             connect_timeout: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
-            keep: links.keepalive.map_or(KEEP_UNTOLD, keep),
+            idle_timeout: links.keepalive.map_or(KEEP_UNTOLD, keep),
             idle: usize::MAX,
             rest: REST,
             buffer: HEAD_MOST,
@@ -418,7 +418,7 @@
             Poll::Pending
         })
         .await?;
-        link.keep = kept_for(answer.headers(), self.limits.keep);
+        link.keep = kept_for(answer.headers(), self.limits.idle_timeout);
         match &self.reading {
             ResponsePolicy::Platform => {
                 let reading = pin!(read_whole(answer, MAX_BODY_BYTES));
@@ -528,7 +528,7 @@
             .handshake(TokioIo::new(counted))
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
-        let keep = self.limits.keep;
+        let keep = self.limits.idle_timeout;
         Ok(Box::new(Link { sender, connection: Some(connection), written, resting, address, keep }))
     }
 
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -13,7 +13,7 @@
         let limits = UpstreamLimits {
             max_connections: 100,
             connect_timeout: CONNECT_UNTOLD,
-            keep: KEEP_UNTOLD,
+            idle_timeout: KEEP_UNTOLD,
             idle: 4,
             rest: REST,
             buffer: HEAD_MOST,
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -71,7 +71,7 @@
     let limits = UpstreamLimits {
         max_connections: 100,
         connect_timeout: Duration::from_secs(5),
-        keep: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
         idle: 4,
         rest: Duration::from_millis(1),
         buffer: 64 << 10,
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -80,7 +80,7 @@
         let limits = UpstreamLimits {
             max_connections: pool.connections,
             connect_timeout: duration_from_millis(pool.connect),
-            keep: duration_from_millis(pool.keep),
+            idle_timeout: duration_from_millis(pool.keep),
             idle: usize::MAX,
             // What is there to be read is seen without a rest.
             rest: Duration::ZERO,
