--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -174,7 +174,7 @@
             max_connections: self.max_connections,
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
-            idle: MAX_IDLE_PER_SERVER,
+            max_idle_per_server: MAX_IDLE_PER_SERVER,
             rest: MIN_IDLE_TIME,
             buffer: BUFFER_BYTES,
         };
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -200,7 +200,7 @@
     pub idle_timeout: Duration,
     /// Most idle connections that are kept to one server: where each request that must not run twice takes a new one,
     /// they would add up to more than a server takes.
-    pub idle: usize,
+    pub max_idle_per_server: usize,
     /// A connection rests this long between two requests.
     pub rest: Duration,
     /// Most that hyper holds of an answer at once; guards the memory against heads that do not end.
@@ -215,7 +215,7 @@
             max_connections: connections,
             connect_timeout: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
             idle_timeout: links.keepalive.map_or(KEEP_UNTOLD, keep),
-            idle: usize::MAX,
+            max_idle_per_server: usize::MAX,
             rest: REST,
             buffer: HEAD_MOST,
         }
@@ -500,7 +500,7 @@
         let idle = Idle { link, since: Instant::now() };
         let mut all = self.idle.borrow_mut();
         let links = all.entry(server).or_default();
-        if links.len() >= self.limits.idle {
+        if links.len() >= self.limits.max_idle_per_server {
             // The one that was used longest ago, which would be closed first anyway.
             links.remove(0);
         }
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -14,7 +14,7 @@
             max_connections: 100,
             connect_timeout: CONNECT_UNTOLD,
             idle_timeout: KEEP_UNTOLD,
-            idle: 4,
+            max_idle_per_server: 4,
             rest: REST,
             buffer: HEAD_MOST,
         };
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -72,7 +72,7 @@
         max_connections: 100,
         connect_timeout: Duration::from_secs(5),
         idle_timeout: Duration::from_secs(60),
-        idle: 4,
+        max_idle_per_server: 4,
         rest: Duration::from_millis(1),
         buffer: 64 << 10,
     };
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -81,7 +81,7 @@
             max_connections: pool.connections,
             connect_timeout: duration_from_millis(pool.connect),
             idle_timeout: duration_from_millis(pool.keep),
-            idle: usize::MAX,
+            max_idle_per_server: usize::MAX,
             // What is there to be read is seen without a rest.
             rest: Duration::ZERO,
             buffer: BUFFER,
