--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -175,7 +175,7 @@
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             max_idle_per_server: MAX_IDLE_PER_SERVER,
-            rest: MIN_IDLE_TIME,
+            min_idle_time: MIN_IDLE_TIME,
             buffer: BUFFER_BYTES,
         };
         let seal = EchoPolicy {
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -202,7 +202,7 @@
     /// they would add up to more than a server takes.
     pub max_idle_per_server: usize,
     /// A connection rests this long between two requests.
-    pub rest: Duration,
+    pub min_idle_time: Duration,
     /// Most that hyper holds of an answer at once; guards the memory against heads that do not end.
     pub buffer: usize,
 }
@@ -216,7 +216,7 @@
             connect_timeout: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
             idle_timeout: links.keepalive.map_or(KEEP_UNTOLD, keep),
             max_idle_per_server: usize::MAX,
-            rest: REST,
+            min_idle_time: REST,
             buffer: HEAD_MOST,
         }
     }
@@ -482,12 +482,12 @@
                 let mut idle = self.idle.borrow_mut();
                 let links = idle.get_mut(&server)?;
                 let last = links.len().checked_sub(1)?;
-                let rested = links.iter().rposition(|idle| now - idle.since >= self.limits.rest);
+                let rested = links.iter().rposition(|idle| now - idle.since >= self.limits.min_idle_time);
                 links.remove(rested.unwrap_or(last))
             };
             let rested = now - idle.since;
-            if rested < self.limits.rest {
-                sleep(self.limits.rest - rested).await;
+            if rested < self.limits.min_idle_time {
+                sleep(self.limits.min_idle_time - rested).await;
             }
             let mut link = idle.link;
             if rested < link.keep && link.address == address && link.usable().await {
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -15,7 +15,7 @@
             connect_timeout: CONNECT_UNTOLD,
             idle_timeout: KEEP_UNTOLD,
             max_idle_per_server: 4,
-            rest: REST,
+            min_idle_time: REST,
             buffer: HEAD_MOST,
         };
         let upstream = Upstream::new(limits, ResponsePolicy::Platform);
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -83,7 +83,7 @@
             idle_timeout: duration_from_millis(pool.keep),
             max_idle_per_server: usize::MAX,
             // What is there to be read is seen without a rest.
-            rest: Duration::ZERO,
+            min_idle_time: Duration::ZERO,
             buffer: BUFFER,
         };
         let declined = pool.declined.as_ref().and_then(|(name, value)| {
