--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -176,7 +176,7 @@
             idle_timeout: IDLE_TIMEOUT,
             max_idle_per_server: MAX_IDLE_PER_SERVER,
             min_idle_time: MIN_IDLE_TIME,
-            buffer: BUFFER_BYTES,
+            max_buffer_bytes: BUFFER_BYTES,
         };
         let seal = EchoPolicy {
             echo_header: server_protocol::ATTEMPT_ID,
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -204,7 +204,7 @@
     /// A connection rests this long between two requests.
     pub min_idle_time: Duration,
     /// Most that hyper holds of an answer at once; guards the memory against heads that do not end.
-    pub buffer: usize,
+    pub max_buffer_bytes: usize,
 }
 
 impl UpstreamLimits {
@@ -217,7 +217,7 @@
             idle_timeout: links.keepalive.map_or(KEEP_UNTOLD, keep),
             max_idle_per_server: usize::MAX,
             min_idle_time: REST,
-            buffer: HEAD_MOST,
+            max_buffer_bytes: HEAD_MOST,
         }
     }
 }
@@ -524,7 +524,7 @@
         let resting = Rc::new(Cell::new(false));
         let counted = Counted { stream, written: written.clone(), resting: resting.clone(), _slot: slot };
         let (sender, connection) = hyper::client::conn::http1::Builder::new()
-            .max_buf_size(self.limits.buffer)
+            .max_buf_size(self.limits.max_buffer_bytes)
             .handshake(TokioIo::new(counted))
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
--- a/crates/runtime/src/upstream/tests.rs
+++ b/crates/runtime/src/upstream/tests.rs
@@ -16,7 +16,7 @@
             idle_timeout: KEEP_UNTOLD,
             max_idle_per_server: 4,
             min_idle_time: REST,
-            buffer: HEAD_MOST,
+            max_buffer_bytes: HEAD_MOST,
         };
         let upstream = Upstream::new(limits, ResponsePolicy::Platform);
         for _ in 0..10 {
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -74,7 +74,7 @@
         idle_timeout: Duration::from_secs(60),
         max_idle_per_server: 4,
         min_idle_time: Duration::from_millis(1),
-        buffer: 64 << 10,
+        max_buffer_bytes: 64 << 10,
     };
     let seal = EchoPolicy { echo_header: ID, max_body_bytes: 1 << 20, classify: judge };
     let upstream = Upstream::new(limits, ResponsePolicy::Echo(seal));
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -84,7 +84,7 @@
             max_idle_per_server: usize::MAX,
             // What is there to be read is seen without a rest.
             min_idle_time: Duration::ZERO,
-            buffer: BUFFER,
+            max_buffer_bytes: BUFFER,
         };
         let declined = pool.declined.as_ref().and_then(|(name, value)| {
             Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?))
