--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -443,7 +443,7 @@
             match target.endpoint {
                 Some(address) if !gone => {
                     if target.state == ListedServerState::Draining {
-                        self.upstream.forget(server);
+                        self.upstream.close_idle(server);
                     }
                     state.names.insert(target.uid.clone(), server);
                     let listed = Listed { uid: target.uid, address, state: target.state };
@@ -457,7 +457,7 @@
     }
 
     fn remove(&self, state: &mut State, server: ServerId) {
-        self.upstream.forget(server);
+        self.upstream.close_idle(server);
         if let Some(listed) = state.servers.remove(&server) {
             state.names.remove(&listed.uid);
         }
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -329,7 +329,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: ServerId) {
+    pub fn close_idle(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
 
