--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -516,7 +516,7 @@
                     }
                 }
                 Timer::Sweep => {
-                    self.upstream.sweep();
+                    self.upstream.close_expired();
                     for server in self.upstream.take_broken() {
                         let (outcome, load) = (Outcome::Reset, Load::default());
                         state.events.push_back(Event::HealthChecked { server, outcome, load });
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -334,7 +334,7 @@
     }
 
     /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, links| {
             links.retain(|idle| idle.since.elapsed() < idle.link.keep);
             !links.is_empty()
