--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,24 +1,24 @@
 //! Reads configurations from disk.
 //!
-//! Called by the command line and the sidecar's process, so that `check` and `serve` read alike. It must not
-//! know what a file says.
+//! The command line and the sidecar both load through this crate, so `check` and `serve` read files alike. It knows
+//! nothing of the contents.
 
 use ivygate_config::{load_with, Loaded, Loader};
 use std::fs::{File, Metadata, OpenOptions};
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-/// Largest file that is read.
+/// Largest file that is read, in bytes.
 pub const MAX_FILE_BYTES: u64 = 16 << 20;
-/// How often a file that changes while it is read is read anew.
-const TRIES: usize = 3;
+/// Number of times a file that changes during the read is read before it is rejected.
+const MAX_READ_ATTEMPTS: usize = 3;
 
 /// Why a file cannot be read.
 #[derive(Debug)]
 pub struct ReadError {
-    /// Its name.
+    /// Path of the file.
     pub path: String,
-    /// Why, in words.
+    /// Reason, as text for the operator.
     pub reason: String,
 }
 
@@ -30,21 +30,21 @@
 
 impl std::error::Error for ReadError {}
 
-/// Reads and checks a configuration with all that it includes; `-` is standard input.
+/// Reads and checks a configuration with all files that it includes; `-` is standard input.
 ///
 /// # Errors
-/// If the first file cannot be read; what is wrong with others is a finding at their include.
+/// If the first file cannot be read. An included file that cannot be read is a finding at its `include`.
 pub fn load(path: &Path) -> Result<Loaded, ReadError> {
     let bytes = read(path)?;
     Ok(load_with(&path.display().to_string(), &bytes, &DiskLoader))
 }
 
-/// One file's bytes; `-` is standard input.
+/// Reads the bytes of one file; `-` is standard input.
 ///
 /// # Errors
-/// If it cannot be read, is no plain file, is too large, or does not stay the same while it is read.
+/// If the file cannot be read, is not a regular file, is too large, or keeps changing during the read.
 pub fn read(path: &Path) -> Result<Vec<u8>, ReadError> {
-    let fail = |why: String| ReadError { path: path.display().to_string(), reason: why };
+    let fail = |reason: String| ReadError { path: path.display().to_string(), reason };
     if path == Path::new("-") {
         let mut bytes = Vec::new();
         io::stdin()
@@ -54,19 +54,19 @@
             .map_err(|e| fail(e.to_string()))?;
         return if bytes.len() as u64 > MAX_FILE_BYTES { Err(fail(too_large())) } else { Ok(bytes) };
     }
-    plain(path).map_err(fail)
+    read_regular_file(path).map_err(fail)
 }
 
 fn too_large() -> String {
-    format!("it has more than {} MiB", MAX_FILE_BYTES >> 20)
+    format!("the file has more than {} MiB", MAX_FILE_BYTES >> 20)
 }
 
-fn plain(path: &Path) -> Result<Vec<u8>, String> {
-    for _ in 0..TRIES {
+fn read_regular_file(path: &Path) -> Result<Vec<u8>, String> {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let file = open(path).map_err(|error| error.to_string())?;
         let before = file.metadata().map_err(|error| error.to_string())?;
         if !before.is_file() {
-            return Err("it is no plain file".to_owned());
+            return Err("not a regular file".to_owned());
         }
         if before.len() > MAX_FILE_BYTES {
             return Err(too_large());
@@ -74,33 +74,33 @@
         let mut bytes = Vec::with_capacity(before.len() as usize);
         (&file).take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|error| error.to_string())?;
         let after = file.metadata().map_err(|error| error.to_string())?;
-        // One that is being written in place would else be taken in half: it may parse all the same.
-        if same(&before, &after) && bytes.len() as u64 == after.len() {
+        // A file that is written in place could otherwise be read in part, and a part may parse as well.
+        if is_unchanged(&before, &after) && bytes.len() as u64 == after.len() {
             return Ok(bytes);
         }
     }
-    Err("it changes while it is read".to_owned())
+    Err("the file keeps changing while it is read".to_owned())
 }
 
-fn same(before: &Metadata, after: &Metadata) -> bool {
+fn is_unchanged(before: &Metadata, after: &Metadata) -> bool {
     before.len() == after.len() && before.modified().ok() == after.modified().ok()
 }
 
-/// Opens without waiting for the other side of a pipe.
+/// Opens a file without blocking on a pipe that has no writer.
 fn open(path: &Path) -> io::Result<File> {
     let mut options = OpenOptions::new();
     options.read(true);
     #[cfg(target_os = "linux")]
     {
         use std::os::unix::fs::OpenOptionsExt;
-        /// O_NONBLOCK, of the same value on all of Linux's architectures but MIPS, Alpha and SPARC.
-        const NONBLOCK: i32 = 0o4000;
-        options.custom_flags(NONBLOCK);
+        /// Has this value on all Linux architectures except MIPS, Alpha and SPARC.
+        const O_NONBLOCK: i32 = 0o4000;
+        options.custom_flags(O_NONBLOCK);
     }
     options.open(path)
 }
 
-/// The files of this machine.
+/// Loads included files from the file system.
 pub struct DiskLoader;
 
 impl Loader for DiskLoader {
@@ -109,40 +109,40 @@
         let path = base.join(pattern);
         if !pattern.contains(['*', '?', '[']) {
             std::fs::metadata(&path).map_err(|error| error.to_string())?;
-            return Ok(vec![shown(&path)]);
+            return Ok(vec![display_name(&path)]);
         }
-        // Only what the pattern says may be a wildcard, not what the folder's name happens to hold.
-        let whole = match base.as_os_str().is_empty() || Path::new(pattern).is_absolute() {
+        // Only characters of the pattern are wildcards; those in the directory's name are escaped.
+        let full_pattern = match base.as_os_str().is_empty() || Path::new(pattern).is_absolute() {
             true => pattern.to_owned(),
             false => {
-                let base = base.to_str().ok_or("the folder's name is not UTF-8")?;
+                let base = base.to_str().ok_or("the directory's name is not UTF-8")?;
                 format!("{}/{pattern}", glob::Pattern::escape(base))
             }
         };
         let mut names = Vec::new();
-        for entry in glob::glob(&whole).map_err(|error| error.to_string())? {
+        for entry in glob::glob(&full_pattern).map_err(|error| error.to_string())? {
             let path: PathBuf = entry.map_err(|error| error.to_string())?;
-            // Hidden files are editors' and package managers' own.
-            let hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
-            if !hidden && !path.is_dir() {
-                names.push(shown(&path));
+            // Hidden files are left out: editors and package managers create them.
+            let is_hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
+            if !is_hidden && !path.is_dir() {
+                names.push(display_name(&path));
             }
         }
         Ok(names)
     }
 
     fn read(&self, name: &str) -> Result<Vec<u8>, String> {
-        plain(Path::new(name))
+        read_regular_file(Path::new(name))
     }
 
     fn identity(&self, name: &str) -> String {
-        // One that has gone meanwhile fails when it is read.
-        Path::new(name).canonicalize().map_or_else(|_| name.to_owned(), |real| real.display().to_string())
+        // A file that was removed since then fails when it is read.
+        Path::new(name).canonicalize().map_or_else(|_| name.to_owned(), |path| path.display().to_string())
     }
 }
 
-/// The name by which a file is told: as written, without `.` in it.
-fn shown(path: &Path) -> String {
+/// Returns the name by which diagnostics refer to a file: the path as written, without `.` components.
+fn display_name(path: &Path) -> String {
     let parts: PathBuf = path.components().filter(|part| *part != std::path::Component::CurDir).collect();
     parts.display().to_string()
 }
