--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -224,7 +224,7 @@
     // A key that can't be used is told, and the one from before stays.
     std::fs::write(&key, "short").expect("it is written");
     assert!(!first.reload(&text(a, &key, &format!("operator {operator};\n"))));
-    assert!(first.said().contains("a key has 16 bytes"), "{}", first.said());
+    assert!(first.said().contains("a key must have at least 16 bytes"), "{}", first.said());
     drop(second);
     assert!(members() >= 1 && first.get("/app").status() == 200);
 }
--- a/crates/peer-gossip/src/lib.rs
+++ b/crates/peer-gossip/src/lib.rs
@@ -1,8 +1,8 @@
-//! What processes of one installation tell each other about the zones of their pools: packets with a key, and the members
-//! that were heard.
+//! Gossip between the processes of one installation about the zones of their pools: authenticated packets, and the
+//! members that have sent some.
 //!
-//! Called by the sidecar, which owns the socket. It must not do I/O, read a clock, or judge what is told: that is
-//! `ivygate-domains`' part.
+//! The sidecar owns the socket. This crate does no I/O, reads no clock and draws no conclusions from the reports:
+//! `ivygate-failure-domains` does.
 
 mod members;
 mod packet;
--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -1,40 +1,42 @@
-//! Members: who was heard, whose packets are old, and how much each may say.
+//! Members of a group: replay protection, rate limits, and when each was last heard.
 
-use crate::packet::{open, seal, Key, Packet, Unreadable};
+use crate::packet::{decode, encode, DecodeError, Key, Packet};
 use ivygate_failure_domains::Tally;
 use std::collections::HashMap;
 
-/// Most members; packets of further ones are dropped.
-const MEMBERS: usize = 512;
-/// A member that was not heard for this long is forgotten, in milliseconds.
-const FORGOTTEN: f64 = 10_000.0;
-/// Clocks may differ by this much, and packets be that late, in milliseconds: what was recorded earlier says nothing.
-const APART: f64 = 10_000.0;
-/// Packets a second that are taken from one member, and at once.
-const RATE: f64 = 100.0;
-const BURST: f64 = 100.0;
+/// Maximum number of members; packets from further ones are dropped.
+const MAX_MEMBERS: usize = 512;
+/// A member that has not been heard for this long is forgotten, in milliseconds.
+const MEMBER_TIMEOUT_MS: f64 = 10_000.0;
+/// Maximum difference between a packet's timestamp and the local clock, in milliseconds. Covers clock skew and delay,
+/// and rejects packets that were recorded earlier.
+const MAX_PACKET_AGE_MS: f64 = 10_000.0;
+/// Packets per second that are accepted from one member.
+const MAX_PACKETS_PER_S: f64 = 100.0;
+/// Packets that are accepted from one member at once.
+const MAX_PACKET_BURST: f64 = 100.0;
 
-/// Why a packet is dropped.
+/// Reason for which a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is none.
+    /// The bytes are not a packet.
     Malformed,
-    /// No key vouches for it.
+    /// No key authenticates the packet.
     Forged,
-    /// It is this process's own, as a peer's address may be.
+    /// This process sent the packet itself: its own address may be in the list of peers.
     Own,
-    /// It was sent too long ago, or by a clock that stands apart.
+    /// The packet was sent too long ago, or the clocks differ too much.
     Stale,
-    /// Its number was heard before, or a later one.
+    /// A packet with the same or a higher sequence number was received before.
     Replayed,
-    /// The member says more than it may.
+    /// The member exceeds its packet rate.
     RateLimited,
-    /// There are as many members as may be.
+    /// The group has the maximum number of members.
     TooManyMembers,
 }
 
 impl DropReason {
-    /// All reasons, with their names.
+    /// All reasons, with the names under which they are reported.
     pub const ALL: [(DropReason, &'static str); 7] = [
         (DropReason::Malformed, "malformed"),
         (DropReason::Forged, "forged"),
@@ -46,112 +48,120 @@
     ];
 }
 
-/// A member that was heard.
+/// A member from which packets were received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// Its name: drawn anew at each start of a process.
+    /// Identifier, drawn at random at each start of a process.
     pub id: u64,
-    /// When it was last heard, on the caller's clock.
+    /// Time at which it was last heard, on the caller's clock.
     pub heard_at: f64,
-    /// Packets taken from it.
+    /// Number of packets accepted from it.
     pub packets: u64,
 }
 
-struct Heard {
+struct MemberState {
     member: Member,
-    number: u64,
-    store: f64,
+    last_sequence: u64,
+    /// Token bucket of the packet rate.
+    tokens: f64,
 }
 
-/// This process in its group. Times are Unix milliseconds.
+/// This process as a member of its group. Times are Unix milliseconds.
 pub struct PeerGroup {
-    own: u64,
-    number: u64,
+    own_id: u64,
+    last_sequence: u64,
     keys: Vec<Key>,
-    members: HashMap<u64, Heard>,
+    members: HashMap<u64, MemberState>,
     dropped: [u64; DropReason::ALL.len()],
 }
 
 impl PeerGroup {
-    /// One that has heard nobody. `own` is drawn at random; the first key is written with, all are believed.
-    pub fn new(own: u64, keys: Vec<Key>) -> Self {
-        Self { own, number: 0, keys, members: HashMap::new(), dropped: [0; DropReason::ALL.len()] }
+    /// Creates a group without other members. `own_id` is drawn at random. Packets are signed with the first key, and
+    /// accepted with any.
+    pub fn new(own_id: u64, keys: Vec<Key>) -> Self {
+        Self { own_id, last_sequence: 0, keys, members: HashMap::new(), dropped: [0; DropReason::ALL.len()] }
     }
 
-    /// Other keys, as while they are being changed.
+    /// Replaces the keys, as during a key rotation.
     pub fn set_keys(&mut self, keys: Vec<Key>) {
         self.keys = keys;
     }
 
-    /// A packet that tells this; `None` without a key.
-    pub fn encode_packet(&mut self, now: f64, words: Vec<(String, Tally)>) -> Option<Vec<u8>> {
-        self.number += 1;
-        let packet = Packet { sender: self.own, number: self.number, sent_at: now.max(0.0) as u64, words };
-        self.keys.first().map(|key| seal(&packet, key))
+    /// Encodes a packet with these tallies, each with its pool; `None` without a key.
+    pub fn encode_packet(&mut self, now: f64, tallies: Vec<(String, Tally)>) -> Option<Vec<u8>> {
+        self.last_sequence += 1;
+        let packet = Packet {
+            sender: self.own_id,
+            sequence: self.last_sequence,
+            sent_at: now.max(0.0) as u64,
+            tallies,
+        };
+        self.keys.first().map(|key| encode(&packet, key))
     }
 
-    /// Takes in a packet: who says it, and what.
+    /// Decodes and checks a packet, and returns its sender and its tallies, each with its pool.
     ///
     /// # Errors
-    /// Says why it is dropped, and counts that.
+    /// The reason for which the packet is dropped, which is counted as well.
     pub fn handle_packet(
         &mut self,
         now: f64,
         bytes: &[u8],
     ) -> Result<(u64, Vec<(String, Tally)>), DropReason> {
-        let taken = self.take(now, bytes);
-        if let Err(dropped) = taken {
-            self.dropped[dropped as usize] += 1;
+        let accepted = self.accept(now, bytes);
+        if let Err(reason) = accepted {
+            self.dropped[reason as usize] += 1;
         }
-        taken
+        accepted
     }
 
-    fn take(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), DropReason> {
-        let packet = open(bytes, &self.keys).map_err(|unreadable| match unreadable {
-            Unreadable::Malformed => DropReason::Malformed,
-            Unreadable::Forged => DropReason::Forged,
+    fn accept(&mut self, now: f64, bytes: &[u8]) -> Result<(u64, Vec<(String, Tally)>), DropReason> {
+        let packet = decode(bytes, &self.keys).map_err(|error| match error {
+            DecodeError::Malformed => DropReason::Malformed,
+            DecodeError::Forged => DropReason::Forged,
         })?;
-        if packet.sender == self.own {
+        if packet.sender == self.own_id {
             return Err(DropReason::Own);
         }
-        if (now - packet.sent_at as f64).abs() > APART {
+        if (now - packet.sent_at as f64).abs() > MAX_PACKET_AGE_MS {
             return Err(DropReason::Stale);
         }
         if !self.members.contains_key(&packet.sender) {
-            if self.members.len() >= MEMBERS {
-                self.members.retain(|_, heard| heard.member.heard_at > now - FORGOTTEN);
+            if self.members.len() >= MAX_MEMBERS {
+                self.members.retain(|_, state| state.member.heard_at > now - MEMBER_TIMEOUT_MS);
             }
-            if self.members.len() >= MEMBERS {
+            if self.members.len() >= MAX_MEMBERS {
                 return Err(DropReason::TooManyMembers);
             }
         }
         let member = Member { id: packet.sender, heard_at: now, packets: 0 };
-        let new = || Heard { member, number: 0, store: BURST };
-        let heard = self.members.entry(packet.sender).or_insert_with(new);
-        if packet.number <= heard.number {
+        let new = || MemberState { member, last_sequence: 0, tokens: MAX_PACKET_BURST };
+        let state = self.members.entry(packet.sender).or_insert_with(new);
+        if packet.sequence <= state.last_sequence {
             return Err(DropReason::Replayed);
         }
-        let gone = (now - heard.member.heard_at).max(0.0);
-        heard.store = (heard.store + gone * RATE / 1000.0).min(BURST);
-        heard.member.heard_at = now;
-        heard.number = packet.number;
-        if heard.store < 1.0 {
+        let elapsed = (now - state.member.heard_at).max(0.0);
+        state.tokens = (state.tokens + elapsed * MAX_PACKETS_PER_S / 1000.0).min(MAX_PACKET_BURST);
+        state.member.heard_at = now;
+        state.last_sequence = packet.sequence;
+        if state.tokens < 1.0 {
             return Err(DropReason::RateLimited);
         }
-        heard.store -= 1.0;
-        heard.member.packets += 1;
-        Ok((packet.sender, packet.words))
+        state.tokens -= 1.0;
+        state.member.packets += 1;
+        Ok((packet.sender, packet.tallies))
     }
 
-    /// Who was heard of late, the last first.
+    /// Returns the members heard recently, the last one first.
     pub fn members(&self, now: f64) -> Vec<Member> {
-        let late = self.members.values().map(|heard| heard.member);
-        let mut late: Vec<Member> = late.filter(|member| member.heard_at > now - FORGOTTEN).collect();
-        late.sort_by(|a, b| b.heard_at.total_cmp(&a.heard_at).then(a.id.cmp(&b.id)));
-        late
+        let all = self.members.values().map(|state| state.member);
+        let mut recent: Vec<Member> =
+            all.filter(|member| member.heard_at > now - MEMBER_TIMEOUT_MS).collect();
+        recent.sort_by(|a, b| b.heard_at.total_cmp(&a.heard_at).then(a.id.cmp(&b.id)));
+        recent
     }
 
-    /// How many packets were dropped, by reason.
+    /// Returns the number of dropped packets by reason.
     pub fn drop_counts(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         DropReason::ALL.iter().map(|(reason, name)| (*name, self.dropped[*reason as usize]))
     }
--- a/crates/peer-gossip/src/packet.rs
+++ b/crates/peer-gossip/src/packet.rs
@@ -1,74 +1,77 @@
-//! The form of a packet: `IVG1`, sender, number, time, words, and a code that only who has the key can make.
+//! The packet format: `IVG1`, sender, sequence number, time, tallies, and a message authentication code.
 //!
-//! All numbers are big-endian. Sender, number and Unix time in milliseconds take eight bytes each; then the number of words
-//! in one byte, and for each pool and zone (a length in one byte and as many bytes of UTF-8), good and bad signs in two bytes
-//! each; then 16 bytes of HMAC-SHA256 over all before.
+//! All numbers are big-endian. Sender, sequence number and Unix time in milliseconds take eight bytes each. The number of
+//! tallies follows in one byte, and for each tally its pool and zone (a length in one byte and as many bytes of UTF-8) and
+//! its good and bad signs in two bytes each. The last 16 bytes are a truncated HMAC-SHA256 of all bytes before.
 
 use hmac::{Hmac, Mac};
 use ivygate_failure_domains::Tally;
 use sha2::Sha256;
 use std::fmt;
 
-/// Longest packet: it passes any network in one piece.
+/// Maximum length of a packet, in bytes: short enough to pass any network without fragmentation.
 pub const MAX_PACKET_BYTES: usize = 1_200;
 const MAGIC: &[u8; 4] = b"IVG1";
-const HEAD: usize = 4 + 8 + 8 + 8 + 1;
-const CODE: usize = 16;
-/// Shortest key, in bytes.
-const KEY_LEAST: usize = 16;
+/// Length of all fields before the tallies, in bytes.
+const HEADER_BYTES: usize = 4 + 8 + 8 + 8 + 1;
+/// Length of the truncated message authentication code, in bytes.
+const MAC_BYTES: usize = 16;
+/// Minimum length of a key, in bytes.
+const MIN_KEY_BYTES: usize = 16;
 
-/// A key that members share.
+/// The key shared by the members of a group.
 #[derive(Clone)]
 pub struct Key(Hmac<Sha256>);
 
-/// A key that is none.
+/// Error for a key that is too short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyError;
 
 impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a key has {KEY_LEAST} bytes at the least")
+        write!(f, "a key must have at least {MIN_KEY_BYTES} bytes")
     }
 }
 
 impl std::error::Error for KeyError {}
 
 impl Key {
-    /// A key of these bytes; white space round them is none of it.
+    /// Creates a key from these bytes, without leading and trailing white space.
     ///
     /// # Errors
-    /// If they are too few.
+    /// If the key is too short.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyError> {
         let bytes = bytes.trim_ascii();
-        if bytes.len() < KEY_LEAST {
+        if bytes.len() < MIN_KEY_BYTES {
             return Err(KeyError);
         }
         Hmac::new_from_slice(bytes).map(Self).map_err(|_| KeyError)
     }
 }
 
-/// What a packet says.
+/// A decoded packet.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Packet {
     pub sender: u64,
-    pub number: u64,
+    pub sequence: u64,
+    /// Unix time in milliseconds.
     pub sent_at: u64,
-    /// Pool and what is told of one of its zones.
-    pub words: Vec<(String, Tally)>,
+    /// Name of a pool and the tally of one of its zones.
+    pub tallies: Vec<(String, Tally)>,
 }
 
-/// Writes a packet; words that find no room are left out, the last first.
-pub(crate) fn seal(packet: &Packet, key: &Key) -> Vec<u8> {
+/// Encodes and authenticates a packet. Tallies that exceed the maximum length are left out, from the end of the list.
+pub(crate) fn encode(packet: &Packet, key: &Key) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_PACKET_BYTES);
     bytes.extend(MAGIC);
-    for number in [packet.sender, packet.number, packet.sent_at] {
+    for number in [packet.sender, packet.sequence, packet.sent_at] {
         bytes.extend(number.to_be_bytes());
     }
-    let at = bytes.len();
+    let count_at = bytes.len();
     bytes.push(0);
     let mut count: u8 = 0;
-    for (pool, tally) in &packet.words {
-        let room = MAX_PACKET_BYTES - CODE - bytes.len();
+    for (pool, tally) in &packet.tallies {
+        let room = MAX_PACKET_BYTES - MAC_BYTES - bytes.len();
         let (Ok(pool_length), Ok(zone_length)) = (u8::try_from(pool.len()), u8::try_from(tally.zone.len()))
         else {
             continue;
@@ -84,44 +87,45 @@
         bytes.extend(tally.bad.to_be_bytes());
         count += 1;
     }
-    bytes[at] = count;
-    let code = key.0.clone().chain_update(&bytes).finalize().into_bytes();
-    bytes.extend(&code[..CODE]);
+    bytes[count_at] = count;
+    let mac = key.0.clone().chain_update(&bytes).finalize().into_bytes();
+    bytes.extend(&mac[..MAC_BYTES]);
     bytes
 }
 
-/// Reads a packet that one of the keys vouches for.
-pub(crate) fn open(bytes: &[u8], keys: &[Key]) -> Result<Packet, Unreadable> {
-    if bytes.len() < HEAD + CODE || bytes.len() > MAX_PACKET_BYTES || !bytes.starts_with(MAGIC) {
-        return Err(Unreadable::Malformed);
+/// Decodes a packet that is authenticated by one of the keys.
+pub(crate) fn decode(bytes: &[u8], keys: &[Key]) -> Result<Packet, DecodeError> {
+    if bytes.len() < HEADER_BYTES + MAC_BYTES || bytes.len() > MAX_PACKET_BYTES || !bytes.starts_with(MAGIC) {
+        return Err(DecodeError::Malformed);
     }
-    let (said, code) = bytes.split_at(bytes.len() - CODE);
-    // In constant time, for all keys alike.
-    let vouched = keys
-        .iter()
-        .fold(false, |yes, key| yes | key.0.clone().chain_update(said).verify_truncated_left(code).is_ok());
-    if !vouched {
-        return Err(Unreadable::Forged);
+    let (content, mac) = bytes.split_at(bytes.len() - MAC_BYTES);
+    // Checks all keys, each in constant time, so that the duration does not tell which key matched.
+    let is_authentic = keys.iter().fold(false, |found, key| {
+        found | key.0.clone().chain_update(content).verify_truncated_left(mac).is_ok()
+    });
+    if !is_authentic {
+        return Err(DecodeError::Forged);
     }
-    read(&said[MAGIC.len()..]).ok_or(Unreadable::Malformed)
+    parse(&content[MAGIC.len()..]).ok_or(DecodeError::Malformed)
 }
 
-/// Why a packet can't be read.
+/// Reason for which a packet cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unreadable {
+pub(crate) enum DecodeError {
     Malformed,
     Forged,
 }
 
-fn read(mut rest: &[u8]) -> Option<Packet> {
+/// Parses the fields after the magic number.
+fn parse(mut rest: &[u8]) -> Option<Packet> {
     let mut number = || {
         let (first, after) = rest.split_first_chunk::<8>()?;
         rest = after;
         Some(u64::from_be_bytes(*first))
     };
-    let (sender, number, sent_at) = (number()?, number()?, number()?);
+    let (sender, sequence, sent_at) = (number()?, number()?, number()?);
     let (count, mut rest) = rest.split_first()?;
-    let mut words = Vec::with_capacity(usize::from(*count));
+    let mut tallies = Vec::with_capacity(usize::from(*count));
     for _ in 0..*count {
         let mut text = || {
             let (length, after) = rest.split_first()?;
@@ -134,7 +138,7 @@
         rest = after;
         let [a, b, c, d] = *counts;
         let (good, bad) = (u16::from_be_bytes([a, b]), u16::from_be_bytes([c, d]));
-        words.push((pool, Tally { zone: zone.into(), good, bad }));
+        tallies.push((pool, Tally { zone: zone.into(), good, bad }));
     }
-    rest.is_empty().then_some(Packet { sender, number, sent_at, words })
+    rest.is_empty().then_some(Packet { sender, sequence, sent_at, tallies })
 }
