--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads configurations from disk.
 //!
-//! The command line and the sidecar both load through this crate, so `check` and `serve` read files alike. It knows
-//! nothing of the contents.
+//! The command line and the sidecar both load through this crate, so `check` and `serve` read files alike. It
+//! knows nothing of the contents.
 
 use ivygate_config::{load_with, Loaded, Loader};
 use std::fs::{File, Metadata, OpenOptions};
--- a/crates/peer-gossip/src/members.rs
+++ b/crates/peer-gossip/src/members.rs
@@ -8,8 +8,8 @@
 const MAX_MEMBERS: usize = 512;
 /// A member that has not been heard for this long is forgotten, in milliseconds.
 const MEMBER_TIMEOUT_MS: f64 = 10_000.0;
-/// Maximum difference between a packet's timestamp and the local clock, in milliseconds. Covers clock skew and delay,
-/// and rejects packets that were recorded earlier.
+/// Maximum difference between a packet's timestamp and the local clock, in milliseconds. Covers clock skew
+/// and delay, and rejects packets that were recorded earlier.
 const MAX_PACKET_AGE_MS: f64 = 10_000.0;
 /// Packets per second that are accepted from one member.
 const MAX_PACKETS_PER_S: f64 = 100.0;
@@ -76,8 +76,8 @@
 }
 
 impl PeerGroup {
-    /// Creates a group without other members. `own_id` is drawn at random. Packets are signed with the first key, and
-    /// accepted with any.
+    /// Creates a group without other members. `own_id` is drawn at random. Packets are signed with the first
+    /// key, and accepted with any.
     pub fn new(own_id: u64, keys: Vec<Key>) -> Self {
         Self { own_id, last_sequence: 0, keys, members: HashMap::new(), dropped: [0; DropReason::ALL.len()] }
     }
--- a/crates/peer-gossip/src/packet.rs
+++ b/crates/peer-gossip/src/packet.rs
@@ -1,8 +1,9 @@
 //! The packet format: `IVG1`, sender, sequence number, time, tallies, and a message authentication code.
 //!
-//! All numbers are big-endian. Sender, sequence number and Unix time in milliseconds take eight bytes each. The number of
-//! tallies follows in one byte, and for each tally its pool and zone (a length in one byte and as many bytes of UTF-8) and
-//! its good and bad signs in two bytes each. The last 16 bytes are a truncated HMAC-SHA256 of all bytes before.
+//! All numbers are big-endian. Sender, sequence number and Unix time in milliseconds take eight bytes each.
+//! The number of tallies follows in one byte, and for each tally its pool and zone (a length in one byte and
+//! as many bytes of UTF-8) and its good and bad signs in two bytes each. The last 16 bytes are a truncated
+//! HMAC-SHA256 of all bytes before.
 
 use hmac::{Hmac, Mac};
 use ivygate_failure_domains::Tally;
@@ -60,7 +61,8 @@
     pub tallies: Vec<(String, Tally)>,
 }
 
-/// Encodes and authenticates a packet. Tallies that exceed the maximum length are left out, from the end of the list.
+/// Encodes and authenticates a packet. Tallies that exceed the maximum length are left out, from the end of
+/// the list.
 pub(crate) fn encode(packet: &Packet, key: &Key) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(MAX_PACKET_BYTES);
     bytes.extend(MAGIC);
