--- a/crates/routing/src/equivalence.rs
+++ b/crates/routing/src/equivalence.rs
@@ -1,80 +1,91 @@
-//! One request for each region of requests that tables cannot tell apart.
+//! Enumerates one request of each class of requests that route tables cannot tell apart.
 //!
-//! What a table finds depends on the host only through the hosts and suffixes that claims name, on the path only
-//! through the nodes that its segments lead to, and on the method only through the lists that name it. So a
-//! request for each reachable set of nodes, with each of the named segments, one that no claim names, and an
-//! empty one behind it, stands for all. Nothing is sampled: two tables are equal if they agree on these.
+//! The result of a lookup depends on the host only through the hosts and suffixes that routes name, on the
+//! path only through the nodes that its segments lead to, and on the method only through the method lists
+//! that contain it. So it suffices to look up one request for each reachable set of nodes, followed by each
+//! of the named segments, by one that no route names, and by an empty one. The enumeration is complete: two
+//! tables are equivalent if they agree on all of these requests.
 
 use crate::table::{HostMatch, LookupResult, MethodMatch, RouteTable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most requests that are looked at.
-const MOST: usize = 4_000_000;
+/// Maximum number of requests that are enumerated.
+const MAX_REQUESTS: usize = 4_000_000;
 
-/// There are more regions than are looked at.
+/// Error for tables with more equivalence classes than are enumerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyClasses;
 
-/// A request that stands for its region.
+/// A request that represents its equivalence class.
 #[derive(Clone, Copy, Debug)]
 pub struct SampleRequest<'a> {
-    /// Its host.
+    /// Host.
     pub host: &'a str,
-    /// Its path.
+    /// Path.
     pub path: &'a str,
-    /// Its method.
+    /// Method.
     pub method: &'a str,
 }
 
-/// Shows one request of each region.
+/// Calls `visit` with one request of each equivalence class.
 ///
 /// # Errors
-/// If there are too many.
+/// If there are too many classes.
 pub fn visit_equivalence_classes(
     tables: &[&RouteTable],
     mut visit: impl FnMut(SampleRequest),
 ) -> Result<(), TooManyClasses> {
-    let methods = methods(tables);
-    let fresh = fresh(tables);
+    let methods = representative_methods(tables);
+    let unnamed = unnamed_label(tables);
     let children: Vec<Vec<Vec<u32>>> = tables.iter().map(|t| t.children_of()).collect();
-    let mut walk =
-        Walk { tables, children: &children, methods: &methods, fresh: &fresh, visit: &mut visit, left: MOST };
+    let mut walk = Walk {
+        tables,
+        children: &children,
+        methods: &methods,
+        unnamed: &unnamed,
+        visit: &mut visit,
+        remaining: MAX_REQUESTS,
+    };
     let mut hosts: BTreeSet<String> = BTreeSet::new();
-    for claim in tables.iter().flat_map(|t| t.route_matches()) {
-        match &claim.host {
+    for route in tables.iter().flat_map(|t| t.route_matches()) {
+        match &route.host {
             HostMatch::Exact(host) => hosts.insert(host.clone()),
-            HostMatch::Suffix(suffix) => hosts.insert(format!("{fresh}.{suffix}")),
+            HostMatch::Suffix(suffix) => hosts.insert(format!("{unnamed}.{suffix}")),
             HostMatch::Any => false,
         };
     }
-    hosts.insert(fresh.clone());
+    hosts.insert(unnamed.clone());
     for host in hosts {
         let mut active = Vec::new();
         for (number, table) in tables.iter().enumerate() {
-            let (own, any) = table.roots_of(&host);
-            active.extend(own.into_iter().map(|node| At { table: number, node, own: true }));
-            active.extend(any.map(|node| At { table: number, node, own: false }));
+            let (named, any) = table.roots_of(&host);
+            active.extend(named.into_iter().map(|node| Position {
+                table: number,
+                node,
+                is_host_named: true,
+            }));
+            active.extend(any.map(|node| Position { table: number, node, is_host_named: false }));
         }
-        walk.below(&host, &mut String::new(), active, host == fresh)?;
+        walk.visit_below(&host, &mut String::new(), active, host == unnamed)?;
     }
     Ok(())
 }
 
-/// A method of each group that all lists name together, and one that none names.
-fn methods(tables: &[&RouteTable]) -> Vec<String> {
+/// Returns one method of each group of methods that are in the same lists, and one that is in no list.
+fn representative_methods(tables: &[&RouteTable]) -> Vec<String> {
     let lists: BTreeSet<Vec<&str>> = tables
         .iter()
         .flat_map(|t| t.route_matches())
-        .filter_map(|claim| match &claim.methods {
+        .filter_map(|route| match &route.methods {
             MethodMatch::Any => None,
             MethodMatch::Named(names) => Some(names.iter().map(String::as_str).collect()),
         })
         .collect();
     let mut groups: BTreeMap<Vec<usize>, &str> = BTreeMap::new();
     for name in lists.iter().flatten() {
-        let within =
+        let containing_lists =
             lists.iter().enumerate().filter(|(_, list)| list.contains(name)).map(|(n, _)| n).collect();
-        groups.entry(within).or_insert(name);
+        groups.entry(containing_lists).or_insert(name);
     }
     let mut methods: Vec<String> = groups.into_values().map(str::to_owned).collect();
     let mut other = "OTHER".to_owned();
@@ -85,108 +96,122 @@
     methods
 }
 
-/// A segment, and a label of hosts, that no claim names.
-fn fresh(tables: &[&RouteTable]) -> String {
-    let mut fresh = "other".to_owned();
-    let named = |text: &str| {
-        let hosts = |host: &HostMatch| match host {
+/// Returns a text that no route names, neither as a path segment nor as a host label.
+fn unnamed_label(tables: &[&RouteTable]) -> String {
+    let mut label = "other".to_owned();
+    let is_named = |text: &str| {
+        let in_host = |host: &HostMatch| match host {
             HostMatch::Exact(host) | HostMatch::Suffix(host) => host.split('.').any(|label| label == text),
             HostMatch::Any => false,
         };
-        tables.iter().any(|t| t.has_segment(text) || t.route_matches().iter().any(|claim| hosts(&claim.host)))
+        tables
+            .iter()
+            .any(|t| t.has_segment(text) || t.route_matches().iter().any(|route| in_host(&route.host)))
     };
-    while named(&fresh) {
-        fresh.push('-');
-        fresh.push('x');
+    while is_named(&label) {
+        label.push('-');
+        label.push('x');
     }
-    fresh
+    label
 }
 
 /// A node that a path has led to.
 #[derive(Clone, Copy)]
-struct At {
+struct Position {
     table: usize,
     node: u32,
-    /// It stands below the host's own name or suffix, and not below that for all hosts.
-    own: bool,
+    /// The node is below the root of the host's name or suffix, and not below that of all hosts.
+    is_host_named: bool,
 }
 
 struct Walk<'a, F> {
     tables: &'a [&'a RouteTable],
     children: &'a [Vec<Vec<u32>>],
     methods: &'a [String],
-    fresh: &'a str,
+    unnamed: &'a str,
     visit: &'a mut F,
-    left: usize,
+    remaining: usize,
 }
 
 impl<F: FnMut(SampleRequest)> Walk<'_, F> {
-    fn below(
+    fn visit_below(
         &mut self,
         host: &str,
         path: &mut String,
-        active: Vec<At>,
-        any_host: bool,
+        active: Vec<Position>,
+        is_unnamed_host: bool,
     ) -> Result<(), TooManyClasses> {
         let length = path.len();
         if length > 0 {
-            self.show(host, path)?;
+            self.visit_methods(host, path)?;
         }
         path.push('/');
-        self.show(host, path)?;
-        path.push_str(self.fresh);
-        self.show(host, path)?;
-        let leave = !any_host && !active.iter().any(|at| at.own) && self.settled(host, path);
+        self.visit_methods(host, path)?;
+        path.push_str(self.unnamed);
+        self.visit_methods(host, path)?;
+        let is_covered = !is_unnamed_host
+            && !active.iter().any(|position| position.is_host_named)
+            && self.host_routes_agree(host, path);
         path.truncate(length);
-        if leave {
+        if is_covered {
             return Ok(());
         }
         let mut literals: BTreeSet<&str> = BTreeSet::new();
-        for at in &active {
-            let table = self.tables[at.table];
-            literals.extend(self.children[at.table][at.node as usize].iter().map(|n| table.segment(*n)));
+        for position in &active {
+            let table = self.tables[position.table];
+            let children = &self.children[position.table][position.node as usize];
+            literals.extend(children.iter().map(|n| table.segment(*n)));
         }
         literals.remove("");
-        let wild: Vec<At> = active
+        let wildcard: Vec<Position> = active
             .iter()
-            .filter_map(|at| Some(At { node: self.tables[at.table].any_of(at.node)?, ..*at }))
+            .filter_map(|position| {
+                let node = self.tables[position.table].wildcard_child(position.node)?;
+                Some(Position { node, ..*position })
+            })
             .collect();
         for literal in literals {
-            let mut next: Vec<At> = active
+            let mut next: Vec<Position> = active
                 .iter()
-                .filter_map(|at| Some(At { node: self.tables[at.table].child(at.node, literal)?, ..*at }))
+                .filter_map(|position| {
+                    let node = self.tables[position.table].child(position.node, literal)?;
+                    Some(Position { node, ..*position })
+                })
                 .collect();
-            next.extend(&wild);
+            next.extend(&wildcard);
             path.push('/');
             path.push_str(literal);
-            self.below(host, path, next, any_host)?;
+            self.visit_below(host, path, next, is_unnamed_host)?;
             path.truncate(length);
         }
-        if !wild.is_empty() {
+        if !wildcard.is_empty() {
             path.push('/');
-            path.push_str(self.fresh);
-            self.below(host, path, wild, any_host)?;
+            path.push_str(self.unnamed);
+            self.visit_below(host, path, wildcard, is_unnamed_host)?;
             path.truncate(length);
         }
         Ok(())
     }
 
-    /// Whether below this path, where no node of the host's own is left, the tables agree on what the host's
-    /// own prefixes have caught. What they leave is the same for hosts that no claim names, and is seen there.
-    fn settled(&self, host: &str, path: &str) -> bool {
+    /// Returns whether the tables agree on which requests below this path are taken by prefixes of the host's
+    /// own routes.
+    ///
+    /// Called where no node of the host's own routes is left. The requests that those prefixes do not take
+    /// are matched as for a host that no route names, and are visited with that host.
+    fn host_routes_agree(&self, host: &str, path: &str) -> bool {
         self.methods.iter().all(|method| {
-            let mut own = self.tables.iter().map(|table| match table.find(host, path, method) {
+            let mut is_host_route = self.tables.iter().map(|table| match table.find(host, path, method) {
                 LookupResult::Route(number, _) => table.route_matches()[number].host != HostMatch::Any,
                 _ => false,
             });
-            let first = own.next();
-            own.all(|other| Some(other) == first)
+            let first = is_host_route.next();
+            is_host_route.all(|other| Some(other) == first)
         })
     }
 
-    fn show(&mut self, host: &str, path: &str) -> Result<(), TooManyClasses> {
+    fn visit_methods(&mut self, host: &str, path: &str) -> Result<(), TooManyClasses> {
         for method in self.methods {
-            self.left = self.left.checked_sub(1).ok_or(TooManyClasses)?;
+            self.remaining = self.remaining.checked_sub(1).ok_or(TooManyClasses)?;
             (self.visit)(SampleRequest { host, path, method });
         }
         Ok(())
@@ -194,21 +219,22 @@
 }
 
 impl RouteTable {
-    /// Routes that no request reaches, and those that take what they claim.
+    /// Returns the routes that no request reaches, each with the routes that take its requests. Empty if
+    /// there are too many equivalence classes to decide.
     pub fn unreachable(&self) -> Vec<(usize, Vec<usize>)> {
         let mut reached = vec![false; self.route_matches().len()];
-        let all = visit_equivalence_classes(&[self], |request| {
+        let enumerated = visit_equivalence_classes(&[self], |request| {
             if let LookupResult::Route(number, _) = self.find(request.host, request.path, request.method) {
                 reached[number] = true;
             }
         });
-        if all.is_err() {
-            // Not known; a route is never called useless on a guess.
+        if enumerated.is_err() {
+            // Unknown: a route is reported as unreachable only if that is certain.
             return Vec::new();
         }
         let unreached =
             reached.iter().enumerate().filter(|(_, reached)| !**reached).map(|(number, _)| number);
-        unreached.map(|number| (number, self.takers(number))).collect()
+        unreached.map(|number| (number, self.shadowing_routes(number))).collect()
     }
 }
 
--- a/crates/routing/src/equivalence/tests.rs
+++ b/crates/routing/src/equivalence/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `regions` that need its private state.
+//! Unit tests of `equivalence`.
 
 use super::*;
 use crate::table::{PathMatch, RouteMatch};
 
-fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
+fn route_match(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, path) = path.split_once(' ').unwrap();
     let path = match kind {
         "exact" => PathMatch::exact(path),
@@ -17,48 +17,48 @@
     RouteMatch { host: HostMatch::parse(host).unwrap(), path: path.unwrap(), methods }
 }
 
-fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
-    RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).unwrap()
+fn table(routes: &[(&str, &str, &str)]) -> RouteTable {
+    RouteTable::build(routes.iter().map(|(h, p, m)| route_match(h, p, m)).collect()).unwrap()
 }
 
-fn unreachable(claims: &[(&str, &str, &str)]) -> Vec<(usize, Vec<usize>)> {
-    table(claims).unreachable()
+fn unreachable(routes: &[(&str, &str, &str)]) -> Vec<(usize, Vec<usize>)> {
+    table(routes).unreachable()
 }
 
 #[test]
-fn a_pattern_behind_a_wider_one_is_never_reached() {
-    let claims = [("*", "pattern /a/**", ""), ("*", "pattern /a/*/b", "")];
-    assert_eq!(unreachable(&claims), [(1, vec![0])]);
-    let claims = [("*", "pattern /a/*/b", ""), ("*", "pattern /a/**", "")];
-    assert_eq!(unreachable(&claims), []);
+fn pattern_after_a_wider_pattern_is_unreachable() {
+    let routes = [("*", "pattern /a/**", ""), ("*", "pattern /a/*/b", "")];
+    assert_eq!(unreachable(&routes), [(1, vec![0])]);
+    let routes = [("*", "pattern /a/*/b", ""), ("*", "pattern /a/**", "")];
+    assert_eq!(unreachable(&routes), []);
 }
 
 #[test]
-fn a_pattern_that_several_others_cover_together_is_never_reached() {
-    let claims =
+fn pattern_covered_by_several_routes_together_is_unreachable() {
+    let routes =
         [("*", "prefix /a", "GET"), ("*", "pattern /a/*", "POST PUT"), ("*", "pattern /a/x", "GET POST")];
-    assert_eq!(unreachable(&claims), [(2, vec![0, 1])]);
+    assert_eq!(unreachable(&routes), [(2, vec![0, 1])]);
 }
 
 #[test]
-fn an_any_method_route_is_reached_by_methods_that_no_list_names() {
+fn route_for_any_method_is_reached_by_methods_in_no_list() {
     assert_eq!(unreachable(&[("*", "exact /a", "GET"), ("*", "exact /a", "")]), []);
 }
 
 #[test]
-fn a_pattern_under_a_prefix_of_the_same_host_is_never_reached_and_under_that_of_another_is() {
+fn pattern_under_a_prefix_is_unreachable_only_if_the_host_is_the_same() {
     assert_eq!(unreachable(&[("h", "prefix /a", ""), ("h", "pattern /a/*", "")]), [(1, vec![0])]);
     assert_eq!(unreachable(&[("h", "prefix /a", ""), ("*", "pattern /a/*", "")]), []);
 }
 
 #[test]
-fn a_route_for_all_hosts_is_reached_through_hosts_that_no_claim_names() {
+fn route_for_all_hosts_is_reached_by_hosts_that_no_route_names() {
     assert_eq!(unreachable(&[("*.x", "prefix /", ""), ("a.x", "prefix /", ""), ("*", "prefix /", "")]), []);
 }
 
-/// A table at random, of few names so that its claims meet.
-fn random(rng: &mut fastrand::Rng) -> RouteTable {
-    let mut claims = Vec::new();
+/// Builds a random table from few names, so that its routes overlap.
+fn random_table(rng: &mut fastrand::Rng) -> RouteTable {
+    let mut routes = Vec::new();
     for _ in 0..rng.usize(1..8) {
         let host = ["*", "*.x", "a.x", "b.a.x", "h"][rng.usize(..5)];
         let mut path = String::new();
@@ -70,16 +70,17 @@
             path = path.replace("/c", "/*") + ["", "/**"][rng.usize(..2)];
         }
         path += if path.is_empty() || (kind != "pattern" && rng.u8(..4) == 0) { "/" } else { "" };
-        claims.push(claim(host, &format!("{kind} {path}"), ["", "GET", "GET POST", "POST"][rng.usize(..4)]));
-        if RouteTable::build(claims.clone()).is_err() {
-            claims.pop();
+        let methods = ["", "GET", "GET POST", "POST"][rng.usize(..4)];
+        routes.push(route_match(host, &format!("{kind} {path}"), methods));
+        if RouteTable::build(routes.clone()).is_err() {
+            routes.pop();
         }
     }
-    RouteTable::build(claims).unwrap()
+    RouteTable::build(routes).unwrap()
 }
 
-/// The claim that takes a request, whatever its number.
-fn taken<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a RouteMatch> {
+/// Returns the match of the route that takes a request, regardless of its number.
+fn matched<'a>(table: &'a RouteTable, host: &str, path: &str, method: &str) -> Option<&'a RouteMatch> {
     match table.find(host, path, method) {
         LookupResult::Route(number, _) => Some(&table.route_matches()[number]),
         _ => None,
@@ -87,14 +88,14 @@
 }
 
 #[test]
-fn requests_at_random_never_find_a_difference_or_a_route_that_regions_miss() {
+fn random_requests_find_no_pair_of_routes_that_the_enumeration_misses() {
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut differences = 0;
+    let mut checked = 0;
     for _ in 0..2000 {
-        let (old, new) = (random(&mut rng), random(&mut rng));
+        let (old, new) = (random_table(&mut rng), random_table(&mut rng));
         let mut pairs = BTreeSet::new();
         let pair = |host: &str, path: &str, method: &str| {
-            format!("{:?} {:?}", taken(&old, host, path, method), taken(&new, host, path, method))
+            format!("{:?} {:?}", matched(&old, host, path, method), matched(&new, host, path, method))
         };
         visit_equivalence_classes(&[&old, &new], |r| {
             pairs.insert(pair(r.host, r.path, r.method));
@@ -108,15 +109,15 @@
             }
             path += if path.is_empty() || rng.bool() { "/" } else { "" };
             let method = ["GET", "POST", "PUT"][rng.usize(..3)];
-            let seen = pair(host, &path, method);
+            let found = pair(host, &path, method);
             assert!(
-                pairs.contains(&seen),
-                "{method} {host}{path}: {seen}\n{:?}\n{:?}",
+                pairs.contains(&found),
+                "{method} {host}{path}: {found}\n{:?}\n{:?}",
                 old.route_matches(),
                 new.route_matches()
             );
-            differences += 1;
+            checked += 1;
         }
     }
-    assert!(differences > 0);
+    assert!(checked > 0);
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,14 +1,15 @@
-//! Which route takes a request: targets normalised once, hosts and paths matched by a stated order.
+//! Route matching: request targets are normalized once, then hosts, paths and methods are matched in a
+//! defined order.
 //!
-//! Called by the sidecar and by the configuration's checker. It does no I/O, reads no clock and knows nothing
-//! of pools or classes: a route is a number here. What is matched is what is sent on, so that no server can
-//! read another path into a request than the one that was judged.
+//! Used by the sidecar and by the configuration checker. This crate does no I/O, reads no clock and knows
+//! nothing of pools or classes: a route is an index. The normalized path that is matched is also the one that
+//! is forwarded, so a server cannot see another path than the one that the route was chosen by.
 
-mod regions;
+mod equivalence;
 mod table;
 mod target;
 
-pub use regions::{visit_equivalence_classes, SampleRequest, TooManyClasses};
+pub use equivalence::{visit_equivalence_classes, SampleRequest, TooManyClasses};
 pub use table::{
     BuildError, Conflict, HostMatch, LookupResult, MatchKind, MethodMatch, Overlap, PathMatch, PatternError,
     RouteMatch, RouteTable, Segment,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The route table: claims put in once, requests looked up at a cost that grows with their path only.
+//! The route table: built once from all routes; the cost of a lookup depends only on the request's path.
 
 use crate::target::{normalize_host, normalize_path, TargetError};
 use hashbrown::HashTable;
@@ -6,19 +6,19 @@
 use std::fmt;
 use std::hash::{BuildHasher, RandomState};
 
-/// The hosts that a route claims.
+/// The hosts that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HostMatch {
-    /// This one.
+    /// Exactly this host.
     Exact(String),
-    /// All that end in a dot and this, at any depth; not this itself.
+    /// All subdomains of this host at any depth, but not the host itself.
     Suffix(String),
-    /// Every one.
+    /// Every host.
     Any,
 }
 
 impl HostMatch {
-    /// Reads `name`, `*.name` or `*`.
+    /// Parses `name`, `*.name` or `*`.
     ///
     /// # Errors
     /// If the name is malformed.
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A host that it claims and that hardly any other claim names.
+    /// Returns a host that matches and that other routes are unlikely to name.
     fn sample(&self) -> String {
         match self {
             HostMatch::Exact(host) => host.clone(),
@@ -50,36 +50,37 @@
     }
 }
 
-/// The paths that a route claims.
+/// The paths that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PathMatch {
-    /// This one, in normal form.
+    /// Exactly this path, in normal form.
     Exact(String),
-    /// This one and what lies below it, by whole segments; with a final slash only what lies below.
+    /// This path and all paths below it, by whole segments; with a final slash only the paths below it.
     Prefix(String),
-    /// Segments of which each is literal or any one; at the end, perhaps any number of further ones.
+    /// Segments, each literal or a wildcard; if the second field is true, followed by one or more further
+    /// segments.
     Pattern(Vec<Segment>, bool),
 }
 
 /// A segment of a pattern.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Segment {
-    /// This one.
+    /// Exactly this segment.
     Literal(String),
-    /// Any one that is not empty.
+    /// Any segment that is not empty.
     Any,
 }
 
-/// What is wrong with a claimed path.
+/// Error for an invalid path of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PatternError {
-    /// The path itself is malformed.
+    /// The path is malformed.
     Path(TargetError),
-    /// It is not in normal form; this is.
+    /// The path is not in normal form; the normal form is given.
     NotNormalized(String),
-    /// `*` is mixed with other characters in a segment.
+    /// `*` is mixed with other characters in this segment.
     PartialWildcard(String),
-    /// `**` stands before the end.
+    /// `**` is followed by further segments.
     TailWildcardNotLast,
 }
 
@@ -91,9 +92,9 @@
                 write!(f, "requests are matched in normal form, as `{normal}`")
             }
             PatternError::PartialWildcard(segment) => {
-                write!(f, "`*` stands for a whole segment, and cannot be a part of `{segment}`")
+                write!(f, "`*` matches a whole segment and cannot be part of `{segment}`")
             }
-            PatternError::TailWildcardNotLast => f.write_str("`**` can only stand at the end"),
+            PatternError::TailWildcardNotLast => f.write_str("`**` is only allowed at the end"),
         }
     }
 }
@@ -101,33 +102,33 @@
 impl std::error::Error for PatternError {}
 
 impl PathMatch {
-    /// An exact path.
+    /// Creates an exact match.
     ///
     /// # Errors
     /// If it is malformed or not in normal form.
     pub fn exact(path: &str) -> Result<Self, PatternError> {
-        normal(path).map(PathMatch::Exact)
+        require_normalized(path).map(PathMatch::Exact)
     }
 
-    /// A prefix.
+    /// Creates a prefix match.
     ///
     /// # Errors
     /// If it is malformed or not in normal form.
     pub fn prefix(path: &str) -> Result<Self, PatternError> {
-        normal(path).map(PathMatch::Prefix)
+        require_normalized(path).map(PathMatch::Prefix)
     }
 
-    /// A pattern such as `/trails/*/edits` or `/maps/*/**`.
+    /// Parses a pattern such as `/trails/*/edits` or `/maps/*/**`.
     ///
     /// # Errors
     /// If it is malformed.
     pub fn pattern(path: &str) -> Result<Self, PatternError> {
-        let (body, tail) = match path.strip_suffix("/**") {
+        let (body, has_tail) = match path.strip_suffix("/**") {
             Some(body) => (body, true),
             None => (path, false),
         };
-        let rooted = body.starts_with('/') || (tail && body.is_empty());
-        if !rooted {
+        let is_absolute = body.starts_with('/') || (has_tail && body.is_empty());
+        if !is_absolute {
             return Err(PatternError::Path(TargetError::InvalidForm));
         }
         let mut segments = Vec::new();
@@ -139,7 +140,7 @@
                 _ => Segment::Literal(segment.to_owned()),
             });
         }
-        // What is left without the wildcards must be normal, or nothing could ever match it.
+        // The literal segments must be in normal form, since only normalized paths are matched.
         let literal: String = segments
             .iter()
             .map(|s| match s {
@@ -148,18 +149,18 @@
             })
             .collect();
         if !literal.is_empty() {
-            normal(&literal)?;
+            require_normalized(&literal)?;
         }
-        Ok(PathMatch::Pattern(segments, tail))
+        Ok(PathMatch::Pattern(segments, has_tail))
     }
 
-    /// A path that it claims and that hardly any other claim names.
+    /// Returns a path that matches and that other routes are unlikely to name.
     fn sample(&self) -> String {
         const UNLIKELY: &str = "~~";
         match self {
             PathMatch::Exact(path) => path.clone(),
             PathMatch::Prefix(path) => format!("{}/{UNLIKELY}", path.strip_suffix('/').unwrap_or(path)),
-            PathMatch::Pattern(segments, tail) => {
+            PathMatch::Pattern(segments, has_tail) => {
                 let mut path = String::new();
                 for segment in segments {
                     path.push('/');
@@ -168,7 +169,7 @@
                         Segment::Any => UNLIKELY,
                     });
                 }
-                if *tail {
+                if *has_tail {
                     path.push('/');
                     path.push_str(UNLIKELY);
                 }
@@ -183,7 +184,7 @@
         match self {
             PathMatch::Exact(path) => write!(f, "exact {path}"),
             PathMatch::Prefix(path) => write!(f, "prefix {path}"),
-            PathMatch::Pattern(segments, tail) => {
+            PathMatch::Pattern(segments, has_tail) => {
                 f.write_str("pattern ")?;
                 for segment in segments {
                     match segment {
@@ -191,13 +192,13 @@
                         Segment::Any => f.write_str("/*")?,
                     }
                 }
-                f.write_str(if *tail { "/**" } else { "" })
+                f.write_str(if *has_tail { "/**" } else { "" })
             }
         }
     }
 }
 
-fn normal(path: &str) -> Result<String, PatternError> {
+fn require_normalized(path: &str) -> Result<String, PatternError> {
     let normal = normalize_path(path).map_err(PatternError::Path)?;
     if normal == path {
         Ok(normal)
@@ -206,17 +207,17 @@
     }
 }
 
-/// The methods that a route claims.
+/// The methods that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MethodMatch {
-    /// Every one.
+    /// Every method.
     Any,
-    /// These.
+    /// These methods.
     Named(Vec<String>),
 }
 
 impl MethodMatch {
-    fn has(&self, method: &str) -> bool {
+    fn contains(&self, method: &str) -> bool {
         match self {
             MethodMatch::Any => true,
             MethodMatch::Named(names) => names.iter().any(|name| name == method),
@@ -224,7 +225,7 @@
     }
 }
 
-/// What a route claims: the requests that match all three.
+/// The match conditions of a route, all of which a request must meet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RouteMatch {
     /// Hosts.
@@ -235,16 +236,16 @@
     pub methods: MethodMatch,
 }
 
-/// Two routes that claim the same requests at equal rank, by their numbers.
+/// Two routes, by number, that match the same requests with equal precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Conflict {
-    /// The one that came first.
+    /// The route that was added first.
     pub first: usize,
-    /// The other.
+    /// The other route.
     pub second: usize,
 }
 
-/// Why a table cannot be built.
+/// Error for routes from which no table can be built.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BuildError {
     /// All conflicts, in the order of the second route.
@@ -253,107 +254,114 @@
 
 impl fmt::Display for BuildError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} pairs of routes claim the same requests at equal rank", self.conflicts.len())
+        write!(f, "{} pairs of routes match the same requests with equal precedence", self.conflicts.len())
     }
 }
 
 impl std::error::Error for BuildError {}
 
-/// A route whose requests another one also claims; the order decides.
+/// Two routes that match the same requests, where the precedence decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
     /// The route that takes them.
     pub winner: usize,
-    /// The route that would take them else.
+    /// The route that would take them otherwise.
     pub shadowed: usize,
 }
 
-/// By what a route was found.
+/// The kind of path match by which a route was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MatchKind {
-    /// Its exact path.
+    /// The exact path.
     Exact,
-    /// The longest prefix.
+    /// The longest matching prefix.
     Prefix,
-    /// The first pattern of the file that matches.
+    /// The first matching pattern in configuration order.
     Pattern,
 }
 
-/// What a look-up found.
+/// Result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
     /// The route with this number.
     Route(usize, MatchKind),
-    /// Routes claim the path, but none this method; these are the methods.
+    /// Routes match host and path, but not the method; these are the methods that they match.
     MethodNotAllowed(Vec<String>),
-    /// No route claims host and path.
+    /// No route matches host and path.
     NotFound,
 }
 
-/// What ends at a node.
+/// Numbers of the routes whose path ends at a node, by the kind of match.
 #[derive(Default)]
-struct Ends {
+struct NodeRoutes {
     exact: Vec<u32>,
     prefix: Vec<u32>,
-    below: Vec<u32>,
+    /// Prefixes with a final slash, which match only the paths below.
+    prefix_below: Vec<u32>,
     pattern: Vec<u32>,
-    tail: Vec<u32>,
+    /// Patterns with a final `**`.
+    pattern_tail: Vec<u32>,
 }
 
 struct Node {
     parent: u32,
     segment: Box<str>,
-    /// The child for any one segment.
-    any: Option<u32>,
-    /// Its place among the ends.
-    ends: Option<u32>,
+    /// Child for a wildcard segment.
+    wildcard: Option<u32>,
+    /// Index into [`RouteTable::node_routes`].
+    routes: Option<u32>,
 }
 
 /// Routes by host, path and method.
 ///
-/// All nodes of all hosts stand in one array, and one hash table finds a node's child by its segment, so that
-/// a look-up costs a probe for each segment however many routes there are.
+/// Each host has a tree of path segments. The nodes of all trees are in one array, and one hash table finds a
+/// node's child by its segment, so a lookup takes one probe for each segment, independent of the number of
+/// routes.
 pub struct RouteTable {
-    claims: Vec<RouteMatch>,
-    exact: HashMap<String, u32>,
-    suffix: HashMap<String, u32>,
-    any: Option<u32>,
+    route_matches: Vec<RouteMatch>,
+    /// Index into `roots` for each exact host.
+    exact_hosts: HashMap<String, u32>,
+    /// Index into `roots` for each host suffix.
+    suffix_hosts: HashMap<String, u32>,
+    /// Index into `roots` for all hosts.
+    any_host: Option<u32>,
     nodes: Vec<Node>,
-    ends: Vec<Ends>,
+    node_routes: Vec<NodeRoutes>,
     children: HashTable<u32>,
     hasher: RandomState,
-    /// Roots below which there are patterns.
-    patterned: Vec<bool>,
+    /// Whether there are patterns below each root.
+    has_patterns: Vec<bool>,
+    /// Root node of each host's tree.
     roots: Vec<u32>,
 }
 
 impl RouteTable {
-    /// Puts claims in; a route's number is its place among them.
+    /// Builds a table; the number of a route is its index in `route_matches`.
     ///
     /// # Errors
-    /// If two claim the same requests at equal rank.
-    pub fn build(claims: Vec<RouteMatch>) -> Result<Self, BuildError> {
+    /// If two routes match the same requests with equal precedence.
+    pub fn build(route_matches: Vec<RouteMatch>) -> Result<Self, BuildError> {
         let mut table = Self {
-            claims: Vec::new(),
-            exact: HashMap::new(),
-            suffix: HashMap::new(),
-            any: None,
+            route_matches: Vec::new(),
+            exact_hosts: HashMap::new(),
+            suffix_hosts: HashMap::new(),
+            any_host: None,
             nodes: Vec::new(),
-            ends: Vec::new(),
+            node_routes: Vec::new(),
             children: HashTable::new(),
             hasher: RandomState::new(),
-            patterned: Vec::new(),
+            has_patterns: Vec::new(),
             roots: Vec::new(),
         };
         let mut conflicts = Vec::new();
-        for (number, claim) in claims.iter().enumerate() {
-            if let Some(first) = table.insert(number as u32, claim, &claims) {
+        for (number, route) in route_matches.iter().enumerate() {
+            if let Some(first) = table.insert(number as u32, route, &route_matches) {
                 conflicts.push(Conflict { first: first as usize, second: number });
             }
         }
-        table.claims = claims;
+        table.route_matches = route_matches;
         table.nodes.shrink_to_fit();
-        table.ends.shrink_to_fit();
+        table.node_routes.shrink_to_fit();
         if conflicts.is_empty() {
             Ok(table)
         } else {
@@ -361,81 +369,83 @@
         }
     }
 
-    /// What each route claims, by its number.
+    /// Returns the match conditions of each route, by its number.
     pub fn route_matches(&self) -> &[RouteMatch] {
-        &self.claims
+        &self.route_matches
     }
 
-    fn insert(&mut self, number: u32, claim: &RouteMatch, claims: &[RouteMatch]) -> Option<u32> {
-        let root = self.root(&claim.host);
+    /// Adds a route, and returns the number of a route that it conflicts with.
+    fn insert(&mut self, number: u32, route: &RouteMatch, all: &[RouteMatch]) -> Option<u32> {
+        let root = self.root(&route.host);
         let mut node = self.roots[root as usize];
-        let ends = match &claim.path {
+        let routes = match &route.path {
             PathMatch::Exact(path) => {
                 for segment in path[1..].split('/') {
                     node = self.child_or_new(node, segment);
                 }
-                &mut self.ends_of(node).exact
+                &mut self.routes_at(node).exact
             }
             PathMatch::Prefix(path) => {
                 let inner = path.strip_suffix('/').unwrap_or(path);
                 for segment in inner.split('/').skip(1) {
                     node = self.child_or_new(node, segment);
                 }
-                let ends = self.ends_of(node);
+                let routes = self.routes_at(node);
                 if path.ends_with('/') {
-                    &mut ends.below
+                    &mut routes.prefix_below
                 } else {
-                    &mut ends.prefix
+                    &mut routes.prefix
                 }
             }
-            PathMatch::Pattern(segments, tail) => {
-                self.patterned[root as usize] = true;
+            PathMatch::Pattern(segments, has_tail) => {
+                self.has_patterns[root as usize] = true;
                 for segment in segments {
                     node = match segment {
                         Segment::Literal(text) => self.child_or_new(node, text),
-                        Segment::Any => self.any_child(node),
+                        Segment::Any => self.wildcard_child_or_new(node),
                     };
                 }
-                let ends = self.ends_of(node);
-                if *tail {
-                    &mut ends.tail
+                let routes = self.routes_at(node);
+                if *has_tail {
+                    &mut routes.pattern_tail
                 } else {
-                    &mut ends.pattern
+                    &mut routes.pattern
                 }
             }
         };
-        let clashes = |other: &&u32| match (&claims[**other as usize].methods, &claim.methods) {
+        let conflicts = |other: &&u32| match (&all[**other as usize].methods, &route.methods) {
             (MethodMatch::Any, MethodMatch::Any) => true,
             (MethodMatch::Named(a), MethodMatch::Named(b)) => a.iter().any(|m| b.contains(m)),
-            // A named method goes before any.
+            // A named method takes precedence over any method.
             _ => false,
         };
-        let clash = ends.iter().find(clashes).copied();
-        ends.push(number);
-        // Named methods first, but patterns by the file's order alone.
-        if !matches!(claim.path, PathMatch::Pattern(..)) {
-            ends.sort_by_key(|n| (claims[*n as usize].methods == MethodMatch::Any, *n));
+        let conflict = routes.iter().find(conflicts).copied();
+        routes.push(number);
+        // Routes with named methods come first, except for patterns, which keep the configuration order.
+        if !matches!(route.path, PathMatch::Pattern(..)) {
+            routes.sort_by_key(|n| (all[*n as usize].methods == MethodMatch::Any, *n));
         }
-        clash
+        conflict
     }
 
+    /// Returns the index of a host's root, which is added if it does not exist.
     fn root(&mut self, host: &HostMatch) -> u32 {
         let known = match host {
-            HostMatch::Exact(host) => self.exact.get(host).copied(),
-            HostMatch::Suffix(suffix) => self.suffix.get(suffix).copied(),
-            HostMatch::Any => self.any,
+            HostMatch::Exact(host) => self.exact_hosts.get(host).copied(),
+            HostMatch::Suffix(suffix) => self.suffix_hosts.get(suffix).copied(),
+            HostMatch::Any => self.any_host,
         };
         if let Some(root) = known {
             return root;
         }
         let root = self.roots.len() as u32;
-        self.nodes.push(Node { parent: u32::MAX, segment: "".into(), any: None, ends: None });
+        self.nodes.push(Node { parent: u32::MAX, segment: "".into(), wildcard: None, routes: None });
         self.roots.push(self.nodes.len() as u32 - 1);
-        self.patterned.push(false);
+        self.has_patterns.push(false);
         match host {
-            HostMatch::Exact(host) => drop(self.exact.insert(host.clone(), root)),
-            HostMatch::Suffix(suffix) => drop(self.suffix.insert(suffix.clone(), root)),
-            HostMatch::Any => self.any = Some(root),
+            HostMatch::Exact(host) => drop(self.exact_hosts.insert(host.clone(), root)),
+            HostMatch::Suffix(suffix) => drop(self.suffix_hosts.insert(suffix.clone(), root)),
+            HostMatch::Any => self.any_host = Some(root),
         }
         root
     }
@@ -445,11 +455,11 @@
     }
 
     pub(crate) fn child(&self, parent: u32, segment: &str) -> Option<u32> {
-        let is = |n: &u32| {
+        let is_child = |n: &u32| {
             let node = &self.nodes[*n as usize];
             node.parent == parent && *node.segment == *segment
         };
-        self.children.find(self.hash(parent, segment), is).copied()
+        self.children.find(self.hash(parent, segment), is_child).copied()
     }
 
     fn child_or_new(&mut self, parent: u32, segment: &str) -> u32 {
@@ -457,7 +467,7 @@
             return child;
         }
         let child = self.nodes.len() as u32;
-        self.nodes.push(Node { parent, segment: segment.into(), any: None, ends: None });
+        self.nodes.push(Node { parent, segment: segment.into(), wildcard: None, routes: None });
         let hash = self.hash(parent, segment);
         let (nodes, hasher) = (&self.nodes, &self.hasher);
         let rehash = |n: &u32| {
@@ -468,98 +478,100 @@
         child
     }
 
-    fn any_child(&mut self, parent: u32) -> u32 {
-        if let Some(child) = self.nodes[parent as usize].any {
+    fn wildcard_child_or_new(&mut self, parent: u32) -> u32 {
+        if let Some(child) = self.nodes[parent as usize].wildcard {
             return child;
         }
         let child = self.nodes.len() as u32;
-        // Never in the hash table, so its segment is never compared.
-        self.nodes.push(Node { parent, segment: "*".into(), any: None, ends: None });
-        self.nodes[parent as usize].any = Some(child);
+        // Not in the hash table, so the segment is never compared.
+        self.nodes.push(Node { parent, segment: "*".into(), wildcard: None, routes: None });
+        self.nodes[parent as usize].wildcard = Some(child);
         child
     }
 
-    fn ends_of(&mut self, node: u32) -> &mut Ends {
-        let place = match self.nodes[node as usize].ends {
-            Some(place) => place,
+    fn routes_at(&mut self, node: u32) -> &mut NodeRoutes {
+        let index = match self.nodes[node as usize].routes {
+            Some(index) => index,
             None => {
-                self.ends.push(Ends::default());
-                let place = self.ends.len() as u32 - 1;
-                self.nodes[node as usize].ends = Some(place);
-                place
+                self.node_routes.push(NodeRoutes::default());
+                let index = self.node_routes.len() as u32 - 1;
+                self.nodes[node as usize].routes = Some(index);
+                index
             }
         };
-        &mut self.ends[place as usize]
+        &mut self.node_routes[index as usize]
     }
 
-    /// The route that takes a request: by its host, its normal path and its method.
+    /// Finds the route for a request by its host, its normalized path and its method.
     ///
-    /// Of the routes that claim it, one with the exact host goes before the longest suffix before any host;
-    /// then the exact path before the longest prefix before the first pattern; then a named method before any.
+    /// Of the matching routes, an exact host takes precedence over the longest suffix, and that over any
+    /// host; then an exact path over the longest prefix, and that over the first pattern; then a named method
+    /// over any method.
     pub fn find(&self, host: &str, path: &str, method: &str) -> LookupResult {
-        self.find_but(host, path, method, None)
+        self.find_except(host, path, method, None)
     }
 
-    fn find_but(&self, host: &str, path: &str, method: &str, but: Option<u32>) -> LookupResult {
-        let mut others = Vec::new();
-        let mut search = Search { table: self, path, method, but, others: &mut others };
-        let mut found = self.exact.get(host).and_then(|root| search.below(*root));
-        if found.is_none() && !self.suffix.is_empty() {
+    /// Finds the route for a request, ignoring the route with the number `except`.
+    fn find_except(&self, host: &str, path: &str, method: &str, except: Option<u32>) -> LookupResult {
+        let mut other_methods = Vec::new();
+        let mut search = Search { table: self, path, method, except, other_methods: &mut other_methods };
+        let mut found = self.exact_hosts.get(host).and_then(|root| search.find_below(*root));
+        if found.is_none() && !self.suffix_hosts.is_empty() {
             let mut rest = host;
             while let (None, Some((_, suffix))) = (found, rest.split_once('.')) {
-                found = self.suffix.get(suffix).and_then(|root| search.below(*root));
+                found = self.suffix_hosts.get(suffix).and_then(|root| search.find_below(*root));
                 rest = suffix;
             }
         }
-        found = found.or_else(|| self.any.and_then(|root| search.below(root)));
+        found = found.or_else(|| self.any_host.and_then(|root| search.find_below(root)));
         match found {
-            Some((number, reason)) => LookupResult::Route(number as usize, reason),
-            None if others.is_empty() => LookupResult::NotFound,
+            Some((number, kind)) => LookupResult::Route(number as usize, kind),
+            None if other_methods.is_empty() => LookupResult::NotFound,
             None => {
-                others.sort();
-                others.dedup();
-                LookupResult::MethodNotAllowed(others)
+                other_methods.sort();
+                other_methods.dedup();
+                LookupResult::MethodNotAllowed(other_methods)
             }
         }
     }
 
-    /// Overlaps that the order resolves: for each route, the one that would take its requests without it, and
-    /// the one that takes them before it.
+    /// Returns the overlaps that the precedence resolves: for each route, the route that would take its
+    /// requests without it, or the one that takes them in its place.
     pub fn overlaps(&self) -> Vec<Overlap> {
         let mut overlaps = Vec::new();
-        for (number, claim) in self.claims.iter().enumerate() {
-            let host = claim.host.sample();
-            let path = claim.path.sample();
-            let names = match &claim.methods {
+        for (number, route) in self.route_matches.iter().enumerate() {
+            let host = route.host.sample();
+            let path = route.path.sample();
+            let names = match &route.methods {
                 MethodMatch::Any => vec!["~~".to_owned()],
                 MethodMatch::Named(names) => names.clone(),
             };
-            let mut told = Vec::new();
+            let mut of_route = Vec::new();
             for method in &names {
                 let overlap = match self.find(&host, &path, method) {
-                    LookupResult::Route(taker, _) if taker != number => {
-                        Overlap { winner: taker, shadowed: number }
+                    LookupResult::Route(winner, _) if winner != number => {
+                        Overlap { winner, shadowed: number }
                     }
-                    _ => match self.find_but(&host, &path, method, Some(number as u32)) {
+                    _ => match self.find_except(&host, &path, method, Some(number as u32)) {
                         LookupResult::Route(other, _) => Overlap { winner: number, shadowed: other },
                         _ => continue,
                     },
                 };
-                if !told.contains(&overlap) {
-                    told.push(overlap);
+                if !of_route.contains(&overlap) {
+                    of_route.push(overlap);
                 }
             }
-            overlaps.append(&mut told);
+            overlaps.append(&mut of_route);
         }
         overlaps
     }
 
-    /// For each node, the children that a literal segment leads to.
+    /// Returns for each node its children for literal segments.
     pub(crate) fn children_of(&self) -> Vec<Vec<u32>> {
         let mut children = vec![Vec::new(); self.nodes.len()];
         for (number, node) in self.nodes.iter().enumerate() {
             let number = number as u32;
-            if node.parent != u32::MAX && self.nodes[node.parent as usize].any != Some(number) {
+            if node.parent != u32::MAX && self.nodes[node.parent as usize].wildcard != Some(number) {
                 children[node.parent as usize].push(number);
             }
         }
@@ -570,148 +582,152 @@
         &self.nodes[node as usize].segment
     }
 
-    pub(crate) fn any_of(&self, node: u32) -> Option<u32> {
-        self.nodes[node as usize].any
+    pub(crate) fn wildcard_child(&self, node: u32) -> Option<u32> {
+        self.nodes[node as usize].wildcard
     }
 
     pub(crate) fn has_segment(&self, text: &str) -> bool {
         self.nodes.iter().any(|node| *node.segment == *text)
     }
 
-    /// The nodes at which a look-up for a host begins: below its own name and suffixes, and below that for all.
+    /// Returns the root nodes for a host: those of its name and suffixes, and that of all hosts.
     pub(crate) fn roots_of(&self, host: &str) -> (Vec<u32>, Option<u32>) {
-        let mut own: Vec<u32> = self.exact.get(host).copied().into_iter().collect();
+        let mut named: Vec<u32> = self.exact_hosts.get(host).copied().into_iter().collect();
         let mut rest = host;
         while let Some((_, suffix)) = rest.split_once('.') {
-            own.extend(self.suffix.get(suffix));
+            named.extend(self.suffix_hosts.get(suffix));
             rest = suffix;
         }
-        let start = |root: u32| self.roots[root as usize];
-        (own.into_iter().map(start).collect(), self.any.map(start))
+        let node = |root: u32| self.roots[root as usize];
+        (named.into_iter().map(node).collect(), self.any_host.map(node))
     }
 
-    /// The routes that take what a route claims, before it.
-    pub(crate) fn takers(&self, number: usize) -> Vec<usize> {
-        let claim = &self.claims[number];
-        let host = claim.host.sample();
-        let names = match &claim.methods {
+    /// Returns the routes that take precedence over a route for a sample of its requests.
+    pub(crate) fn shadowing_routes(&self, number: usize) -> Vec<usize> {
+        let route = &self.route_matches[number];
+        let host = route.host.sample();
+        let names = match &route.methods {
             MethodMatch::Any => vec!["~~".to_owned()],
             MethodMatch::Named(names) => names.clone(),
         };
-        let mut takers = Vec::new();
+        let mut shadowing = Vec::new();
         for method in names {
-            if let LookupResult::Route(taker, _) = self.find(&host, &claim.path.sample(), &method) {
-                if taker != number && !takers.contains(&taker) {
-                    takers.push(taker);
+            if let LookupResult::Route(winner, _) = self.find(&host, &route.path.sample(), &method) {
+                if winner != number && !shadowing.contains(&winner) {
+                    shadowing.push(winner);
                 }
             }
         }
-        takers
+        shadowing
     }
 
-    /// Bytes that the table holds, without those of the claims.
+    /// Returns the memory that the table uses, in bytes, without the match conditions.
     pub fn memory_bytes(&self) -> usize {
-        let lists = |e: &Ends| [&e.exact, &e.prefix, &e.below, &e.pattern, &e.tail].map(Vec::capacity);
+        let capacities = |r: &NodeRoutes| {
+            [&r.exact, &r.prefix, &r.prefix_below, &r.pattern, &r.pattern_tail].map(Vec::capacity)
+        };
         self.nodes.capacity() * size_of::<Node>()
             + self.nodes.iter().map(|n| n.segment.len()).sum::<usize>()
-            + self.ends.capacity() * size_of::<Ends>()
-            + self.ends.iter().flat_map(lists).sum::<usize>() * size_of::<u32>()
+            + self.node_routes.capacity() * size_of::<NodeRoutes>()
+            + self.node_routes.iter().flat_map(capacities).sum::<usize>() * size_of::<u32>()
             + self.children.allocation_size()
     }
 }
 
-/// One look-up under way.
+/// State of one lookup.
 struct Search<'a> {
     table: &'a RouteTable,
     path: &'a str,
     method: &'a str,
-    but: Option<u32>,
-    /// Methods claimed where the path fits and the method does not.
-    others: &'a mut Vec<String>,
+    except: Option<u32>,
+    /// Methods of the routes that match the path but not the method.
+    other_methods: &'a mut Vec<String>,
 }
 
 impl Search<'_> {
-    fn below(&mut self, root: u32) -> Option<(u32, MatchKind)> {
+    fn find_below(&mut self, root: u32) -> Option<(u32, MatchKind)> {
         let table = self.table;
         let start = table.roots[root as usize];
         let segments = || self.path[1..].split('/');
-        // Prefixes met on the way, the longest last.
-        let mut met: Vec<&[u32]> = Vec::new();
+        // Routes of the prefixes passed on the way, the longest prefix last.
+        let mut prefixes: Vec<&[u32]> = Vec::new();
         let mut node = Some(start);
         let mut rest = segments();
         while let Some(at) = node {
-            let ends = table.nodes[at as usize].ends.map(|e| &table.ends[e as usize]);
+            let routes = table.nodes[at as usize].routes.map(|r| &table.node_routes[r as usize]);
             let next = rest.next();
-            if let Some(ends) = ends {
-                if !ends.prefix.is_empty() {
-                    met.push(&ends.prefix);
+            if let Some(routes) = routes {
+                if !routes.prefix.is_empty() {
+                    prefixes.push(&routes.prefix);
                 }
-                if next.is_some() && !ends.below.is_empty() {
-                    met.push(&ends.below);
+                if next.is_some() && !routes.prefix_below.is_empty() {
+                    prefixes.push(&routes.prefix_below);
                 }
             }
             match next {
                 Some(segment) => node = table.child(at, segment),
                 None => {
-                    let exact = ends.map_or(&[][..], |e| &e.exact);
-                    if let Some(number) = self.choose(exact) {
+                    let exact = routes.map_or(&[][..], |r| &r.exact);
+                    if let Some(number) = self.first_match(exact) {
                         return Some((number, MatchKind::Exact));
                     }
                     break;
                 }
             }
         }
-        while let Some(ends) = met.pop() {
-            if let Some(number) = self.choose(ends) {
+        while let Some(routes) = prefixes.pop() {
+            if let Some(number) = self.first_match(routes) {
                 return Some((number, MatchKind::Prefix));
             }
         }
-        if !table.patterned[root as usize] {
+        if !table.has_patterns[root as usize] {
             return None;
         }
         let segments: Vec<&str> = self.path[1..].split('/').collect();
         let mut best = None;
-        self.patterns(start, &segments, &mut best);
+        self.find_pattern(start, &segments, &mut best);
         best.map(|number| (number, MatchKind::Pattern))
     }
 
-    /// The first pattern in the file's order below a node. Each segment has two ways at the most, the literal
-    /// and the wildcard one, and only those that claims have made are walked.
-    fn patterns(&mut self, node: u32, segments: &[&str], best: &mut Option<u32>) {
+    /// Finds the first matching pattern below a node in configuration order. Each segment has at most two
+    /// branches, a literal and a wildcard one, and only nodes that routes have created are visited.
+    fn find_pattern(&mut self, node: u32, segments: &[&str], best: &mut Option<u32>) {
         let table = self.table;
         let here = &table.nodes[node as usize];
-        let ends = here.ends.map(|e| &table.ends[e as usize]);
+        let routes = here.routes.map(|r| &table.node_routes[r as usize]);
         let Some((first, rest)) = segments.split_first() else {
-            if let Some(ends) = ends {
-                self.earliest(&ends.pattern, best);
+            if let Some(routes) = routes {
+                self.update_best(&routes.pattern, best);
             }
             return;
         };
-        if let Some(ends) = ends {
-            self.earliest(&ends.tail, best);
+        if let Some(routes) = routes {
+            self.update_best(&routes.pattern_tail, best);
         }
         if let Some(child) = table.child(node, first) {
-            self.patterns(child, rest, best);
+            self.find_pattern(child, rest, best);
         }
-        if let Some(child) = here.any.filter(|_| !first.is_empty()) {
-            self.patterns(child, rest, best);
+        if let Some(child) = here.wildcard.filter(|_| !first.is_empty()) {
+            self.find_pattern(child, rest, best);
         }
     }
 
-    fn earliest(&mut self, numbers: &[u32], best: &mut Option<u32>) {
-        if let Some(number) = self.choose(numbers) {
+    fn update_best(&mut self, numbers: &[u32], best: &mut Option<u32>) {
+        if let Some(number) = self.first_match(numbers) {
             *best = Some(best.map_or(number, |b| b.min(number)));
         }
     }
 
-    fn choose(&mut self, numbers: &[u32]) -> Option<u32> {
+    /// Returns the first of these routes whose methods contain the request's; notes the methods of the
+    /// others.
+    fn first_match(&mut self, numbers: &[u32]) -> Option<u32> {
         for number in numbers {
-            if self.but == Some(*number) {
+            if self.except == Some(*number) {
                 continue;
             }
-            match &self.table.claims[*number as usize].methods {
-                methods if methods.has(self.method) => return Some(*number),
-                MethodMatch::Named(names) => self.others.extend(names.iter().cloned()),
+            match &self.table.route_matches[*number as usize].methods {
+                methods if methods.contains(self.method) => return Some(*number),
+                MethodMatch::Named(names) => self.other_methods.extend(names.iter().cloned()),
                 MethodMatch::Any => {}
             }
         }
--- a/crates/routing/src/target.rs
+++ b/crates/routing/src/target.rs
@@ -1,23 +1,23 @@
-//! A request's target in one normal form.
+//! Normalization of request targets and hosts.
 
 use std::fmt;
 
-/// What is wrong with a target or a host. Each is answered 400.
+/// Error for a malformed request target or host. The response to each is 400.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
-    /// Neither `/…` nor `http://host/…`.
+    /// The target is neither `/…` nor `http://host/…`.
     InvalidForm,
-    /// A `%` without two hexadecimal digits, or one that hides a control character.
+    /// A `%` is not followed by two hexadecimal digits, or encodes a control character.
     InvalidEscape,
-    /// A control character, a space, a backslash, `#` or another byte that has no place in a path.
+    /// The path contains a control character, a space, a backslash, `#` or another byte that must be escaped.
     InvalidByte,
-    /// `..` above the root.
+    /// A `..` segment leads above the root.
     AboveRoot,
-    /// A dot segment that a server might see although it is none here: `..;x`, `..%2F`, `..%5C`.
+    /// Some servers would read a segment as a dot segment: `..;x`, `..%2F`, `..%5C`.
     HiddenDotSegment,
-    /// Longer than 8 KiB without its query, or deeper than 256 segments.
+    /// The path is longer than 8 KiB without its query, or has more than 256 segments.
     TooLong,
-    /// A host with characters that no host has, or a port that is none.
+    /// The host contains invalid characters, or the port is not a valid number.
     InvalidHost,
 }
 
@@ -37,32 +37,32 @@
 
 impl std::error::Error for TargetError {}
 
-/// Longest path, in bytes, without its query.
-pub const PATH_MOST: usize = 8 << 10;
-/// Most segments of a path.
-pub const SEGMENTS_MOST: usize = 256;
+/// Maximum length of a path without its query, in bytes.
+pub const MAX_PATH_BYTES: usize = 8 << 10;
+/// Maximum number of segments of a path.
+pub const MAX_SEGMENTS: usize = 256;
 
-/// A target, taken apart and normal.
+/// A parsed and normalized request target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestTarget {
-    /// The host that an absolute target names, normal.
+    /// Normalized host of an absolute target.
     pub host: Option<String>,
-    /// The normal path; begins with `/`.
+    /// Normalized path; begins with `/`.
     pub path: String,
-    /// The query as it came, without `?`.
+    /// Query as received, without `?`.
     pub query: Option<String>,
 }
 
 impl RequestTarget {
-    /// Reads a request's target: `/path?query` or `http://host/path?query`.
+    /// Parses a request target: `/path?query` or `http://host/path?query`.
     ///
     /// # Errors
-    /// Says what is wrong with it.
+    /// If the target is malformed.
     pub fn parse(target: &str) -> Result<Self, TargetError> {
         let (host, rest) = if target.starts_with('/') {
             (None, target)
         } else {
-            // The scheme's case does not matter; https never comes in the clear.
+            // The scheme is case-insensitive. https is not accepted: connections here are not encrypted.
             let scheme = target.get(..7).ok_or(TargetError::InvalidForm)?;
             if !scheme.eq_ignore_ascii_case("http://") {
                 return Err(TargetError::InvalidForm);
@@ -82,7 +82,7 @@
         Ok(Self { host, path, query: query.map(str::to_owned) })
     }
 
-    /// Path and query as they are sent on.
+    /// Returns path and query as they are forwarded.
     pub fn path_and_query(&self) -> String {
         match &self.query {
             Some(query) => format!("{}?{query}", self.path),
@@ -91,10 +91,10 @@
     }
 }
 
-/// A host without its port, in lower case and without a final dot.
+/// Returns the host of an authority, without its port, in lower case and without a final dot.
 ///
 /// # Errors
-/// If it is no host name, IPv4 address or bracketed IPv6 address with an optional port.
+/// If the authority is not a host name, IPv4 address or bracketed IPv6 address with an optional port.
 pub fn normalize_host(authority: &str) -> Result<String, TargetError> {
     let (host, port) = if let Some(rest) = authority.strip_prefix('[') {
         let (inner, after) = rest.split_once(']').ok_or(TargetError::InvalidHost)?;
@@ -108,50 +108,51 @@
             None => (authority, ""),
         };
         let host = host.strip_suffix('.').unwrap_or(host).to_ascii_lowercase();
-        let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_');
-        let labels = host.split('.').all(|label| !label.is_empty() && label.len() <= 63);
-        if host.len() > 253 || !labels || !host.bytes().all(fits) {
+        let is_host_byte = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_');
+        let labels_valid = host.split('.').all(|label| !label.is_empty() && label.len() <= 63);
+        if host.len() > 253 || !labels_valid || !host.bytes().all(is_host_byte) {
             return Err(TargetError::InvalidHost);
         }
         (host, port)
     };
     let number = port.strip_prefix(':');
-    let good = |n: &str| n.is_empty() || (n.bytes().all(|b| b.is_ascii_digit()) && n.parse::<u16>().is_ok());
-    if !(port.is_empty() || number.is_some_and(good)) {
+    let is_port =
+        |n: &str| n.is_empty() || (n.bytes().all(|b| b.is_ascii_digit()) && n.parse::<u16>().is_ok());
+    if !(port.is_empty() || number.is_some_and(is_port)) {
         return Err(TargetError::InvalidHost);
     }
     Ok(host)
 }
 
-fn unreserved(b: u8) -> bool {
+fn is_unreserved(b: u8) -> bool {
     b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~')
 }
 
-/// Bytes that may stand in a path as they are, besides the unreserved ones and `%`.
-fn plain(b: u8) -> bool {
+/// Returns whether a byte may appear unescaped in a path, apart from the unreserved ones and `%`.
+fn is_sub_delimiter(b: u8) -> bool {
     matches!(b, b'!' | b'$' | b'&' | b'\'' | b'(' | b')' | b'*' | b'+' | b',' | b';' | b'=' | b':' | b'@')
 }
 
-/// A path in normal form: escapes of unreserved characters undone, others in capitals, runs of slashes made
-/// one, dot segments resolved. `%2F` stays as it is and divides no segments.
+/// Normalizes a path: decodes escapes of unreserved characters, writes other escapes in upper case, merges
+/// runs of slashes and resolves dot segments. `%2F` is kept and does not separate segments.
 ///
 /// # Errors
-/// If the path is malformed, or a server might see other segments in it than are seen here.
+/// If the path is malformed, or a server might read other segments in it.
 pub fn normalize_path(path: &str) -> Result<String, TargetError> {
-    if path.len() > PATH_MOST {
+    if path.len() > MAX_PATH_BYTES {
         return Err(TargetError::TooLong);
     }
     let bytes = path.as_bytes();
     if bytes.first() != Some(&b'/') {
         return Err(TargetError::InvalidForm);
     }
-    if is_plainly_normal(bytes) {
+    if is_already_normal(bytes) {
         return Ok(path.to_owned());
     }
     let mut segments: Vec<String> = Vec::new();
     let mut ends_in_slash = true;
     for raw in bytes[1..].split(|b| *b == b'/') {
-        let segment = normal_segment(raw)?;
+        let segment = normalize_segment(raw)?;
         ends_in_slash = segment.is_empty() || segment == "." || segment == "..";
         match segment.as_str() {
             "" | "." => {}
@@ -160,7 +161,7 @@
             }
             _ => segments.push(segment),
         }
-        if segments.len() > SEGMENTS_MOST {
+        if segments.len() > MAX_SEGMENTS {
             return Err(TargetError::TooLong);
         }
     }
@@ -175,32 +176,31 @@
     Ok(normal)
 }
 
-/// Whether a path has nothing in it that could be written in another way: most have not, and are taken as they
-/// are.
-fn is_plainly_normal(path: &[u8]) -> bool {
+/// Returns whether a path is certainly in normal form. True for most paths, which are then not rewritten.
+fn is_already_normal(path: &[u8]) -> bool {
     let mut depth = 0;
-    let mut before = 0;
+    let mut previous = 0;
     for b in path {
-        let fits = match *b {
+        let is_normal = match *b {
             // No empty segment, and none that begins with a dot.
-            b'/' => before != b'/',
-            b'.' => before != b'/',
-            // Parameters may hide dots.
+            b'/' => previous != b'/',
+            b'.' => previous != b'/',
+            // Parameters may follow a dot segment.
             b';' => false,
-            b => unreserved(b) || plain(b),
+            b => is_unreserved(b) || is_sub_delimiter(b),
         };
-        if !fits {
+        if !is_normal {
             return false;
         }
         depth += usize::from(*b == b'/');
-        before = *b;
+        previous = *b;
     }
-    depth <= SEGMENTS_MOST
+    depth <= MAX_SEGMENTS
 }
 
-fn normal_segment(raw: &[u8]) -> Result<String, TargetError> {
+fn normalize_segment(raw: &[u8]) -> Result<String, TargetError> {
     let mut segment = String::with_capacity(raw.len());
-    let mut divides = false;
+    let mut has_escaped_separator = false;
     let mut at = 0;
     while at < raw.len() {
         let b = raw[at];
@@ -212,8 +212,8 @@
             if value < 0x20 || value == 0x7f {
                 return Err(TargetError::InvalidEscape);
             }
-            divides |= matches!(value, b'/' | b'\\');
-            if unreserved(value) {
+            has_escaped_separator |= matches!(value, b'/' | b'\\');
+            if is_unreserved(value) {
                 segment.push(char::from(value));
             } else {
                 segment.push_str(&format!("%{value:02X}"));
@@ -221,20 +221,21 @@
             at += 3;
             continue;
         }
-        if !unreserved(b) && !plain(b) {
+        if !is_unreserved(b) && !is_sub_delimiter(b) {
             return Err(TargetError::InvalidByte);
         }
         segment.push(char::from(b));
         at += 1;
     }
-    // Servers differ: some cut `;…` off, some take `%2F` and `%5C` for dividers, and would then see dots.
-    let dots = |part: &str| matches!(part, "." | "..");
+    // Some servers cut off `;…`, and some take `%2F` and `%5C` for separators: they would then see a dot
+    // segment.
+    let is_dot_segment = |part: &str| matches!(part, "." | "..");
     let parts = segment.replace("%2F", "/").replace("%5C", "/");
-    let hidden = parts.split('/').any(|part| {
-        let (head, parameters) = part.split_once(';').map_or((part, false), |(head, _)| (head, true));
-        dots(head) && (parameters || divides)
+    let has_hidden_dots = parts.split('/').any(|part| {
+        let (name, has_parameters) = part.split_once(';').map_or((part, false), |(name, _)| (name, true));
+        is_dot_segment(name) && (has_parameters || has_escaped_separator)
     });
-    if hidden {
+    if has_hidden_dots {
         return Err(TargetError::HiddenDotSegment);
     }
     Ok(segment)
--- a/crates/routing/src/target/tests.rs
+++ b/crates/routing/src/target/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `target` that need its private state.
+//! Unit tests of `target`.
 
 use super::*;
 
 #[test]
-fn each_spelling_has_one_stated_answer() {
+fn each_spelling_of_a_path_has_one_defined_result() {
     let cases: [(&str, Result<&str, TargetError>); 33] = [
         ("/", Ok("/")),
         ("//", Ok("/")),
@@ -39,15 +39,15 @@
         ("/é", Err(TargetError::InvalidByte)),
         ("a", Err(TargetError::InvalidForm)),
     ];
-    for (path, wanted) in cases {
-        assert_eq!(normalize_path(path).as_deref(), wanted.as_ref().map(|p| *p), "{path}");
+    for (path, expected) in cases {
+        assert_eq!(normalize_path(path).as_deref(), expected.as_ref().map(|p| *p), "{path}");
     }
-    assert_eq!(normalize_path(&format!("/{}", "a".repeat(PATH_MOST))), Err(TargetError::TooLong));
-    assert_eq!(normalize_path(&"/a".repeat(SEGMENTS_MOST + 1)), Err(TargetError::TooLong));
+    assert_eq!(normalize_path(&format!("/{}", "a".repeat(MAX_PATH_BYTES))), Err(TargetError::TooLong));
+    assert_eq!(normalize_path(&"/a".repeat(MAX_SEGMENTS + 1)), Err(TargetError::TooLong));
 }
 
 #[test]
-fn a_normal_path_is_its_own_normal_form() {
+fn normalization_is_idempotent() {
     let mut rng = fastrand::Rng::with_seed(7);
     let parts = ["a", ".", "..", "", "%2e", "%2F", "%41", ";", "x;y", "%c3", "b", "%5C", "~"];
     for _ in 0..20_000 {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn absolute_targets_name_their_host() {
+fn absolute_targets_include_their_host() {
     let target = RequestTarget::parse("http://Tiles.Example.org:8080/a/../b?x=//").unwrap();
     assert_eq!((target.host.as_deref(), target.path.as_str()), (Some("tiles.example.org"), "/b"));
     assert_eq!(target.path_and_query(), "/b?x=//");
@@ -75,7 +75,7 @@
 
 #[test]
 fn hosts_are_compared_without_case_port_and_final_dot() {
-    for (given, wanted) in [
+    for (given, expected) in [
         ("A.b", "a.b"),
         ("a.b.", "a.b"),
         ("a:80", "a"),
@@ -83,7 +83,7 @@
         ("[::1]:80", "[::1]"),
         ("10.0.0.1:9", "10.0.0.1"),
     ] {
-        assert_eq!(normalize_host(given).as_deref(), Ok(wanted), "{given}");
+        assert_eq!(normalize_host(given).as_deref(), Ok(expected), "{given}");
     }
     for bad in ["", ".", "a..b", "a b", "a/b", "a:x", "a:99999", "a:1:2", "[::1", "[x]", "u@h", "a%41", "a,b"]
     {
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,8 +1,8 @@
-//! The order of routes, conflicts and overlaps.
+//! Precedence of routes, conflicts and overlaps.
 
 use ivygate_routing::*;
 
-fn claim(host: &str, path: &str, methods: &str) -> RouteMatch {
+fn route_match(host: &str, path: &str, methods: &str) -> RouteMatch {
     let (kind, text) = path.split_once(' ').expect("a kind and a path");
     let path = match kind {
         "exact" => PathMatch::exact(text),
@@ -16,8 +16,8 @@
     RouteMatch { host: HostMatch::parse(host).expect("a host"), path: path.expect("a path"), methods }
 }
 
-fn table(claims: &[(&str, &str, &str)]) -> RouteTable {
-    RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).expect("no conflict")
+fn table(routes: &[(&str, &str, &str)]) -> RouteTable {
+    RouteTable::build(routes.iter().map(|(h, p, m)| route_match(h, p, m)).collect()).expect("no conflict")
 }
 
 fn route(table: &RouteTable, host: &str, path: &str, method: &str) -> Option<usize> {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn an_exact_host_goes_before_the_longest_suffix_before_any() {
+fn exact_host_precedes_longest_suffix_and_any_host() {
     let t = table(&[
         ("*", "prefix /", ""),
         ("*.org", "prefix /", ""),
         ("*.example.org", "prefix /", ""),
         ("tiles.example.org", "prefix /", ""),
     ]);
-    for (host, wanted) in [
+    for (host, expected) in [
         ("tiles.example.org", 3),
         ("a.example.org", 2),
         ("a.b.example.org", 2),
@@ -45,12 +45,12 @@
         ("x", 0),
         ("[::1]", 0),
     ] {
-        assert_eq!(route(&t, host, "/", "GET"), Some(wanted), "{host}");
+        assert_eq!(route(&t, host, "/", "GET"), Some(expected), "{host}");
     }
 }
 
 #[test]
-fn an_exact_path_goes_before_the_longest_prefix_before_the_first_pattern() {
+fn exact_path_precedes_longest_prefix_and_first_pattern() {
     let t = table(&[
         ("*", "pattern /a/*/c", ""),
         ("*", "pattern /a/**", ""),
@@ -61,7 +61,7 @@
         ("*", "prefix /s/", ""),
         ("*", "exact /s", ""),
     ]);
-    for (path, wanted) in [
+    for (path, expected) in [
         ("/a/b/c", Some(0)),
         ("/a/b", Some(1)),
         ("/a/", Some(1)),
@@ -79,12 +79,12 @@
         ("/s/t", Some(6)),
         ("/", None),
     ] {
-        assert_eq!(route(&t, "h", path, "GET"), wanted, "{path}");
+        assert_eq!(route(&t, "h", path, "GET"), expected, "{path}");
     }
 }
 
 #[test]
-fn a_named_method_goes_before_any_and_others_are_told() {
+fn named_method_precedes_any_method_and_unmatched_methods_are_listed() {
     let t = table(&[
         ("*", "exact /o", "POST"),
         ("*", "exact /o", "GET HEAD"),
@@ -101,16 +101,17 @@
 }
 
 #[test]
-fn a_request_that_a_better_host_leaves_goes_to_the_next() {
+fn request_unmatched_by_the_more_specific_host_falls_back_to_the_next() {
     let t = table(&[("a.example.org", "prefix /a", ""), ("*", "prefix /", "")]);
     assert_eq!(route(&t, "a.example.org", "/a", "GET"), Some(0));
     assert_eq!(route(&t, "a.example.org", "/b", "GET"), Some(1));
 }
 
 #[test]
-fn equal_claims_are_refused_with_both_numbers() {
-    let build = |claims: &[(&str, &str, &str)]| {
-        RouteTable::build(claims.iter().map(|(h, p, m)| claim(h, p, m)).collect()).map_err(|e| e.conflicts)
+fn equal_matches_are_rejected_with_both_route_numbers() {
+    let build = |routes: &[(&str, &str, &str)]| {
+        RouteTable::build(routes.iter().map(|(h, p, m)| route_match(h, p, m)).collect())
+            .map_err(|e| e.conflicts)
     };
     let pair = |first, second| Err(vec![Conflict { first, second }]);
     assert_eq!(build(&[("*", "prefix /a", ""), ("*", "prefix /a", "")]).map(|_| ()), pair(0, 1));
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn overlaps_tell_who_takes_and_who_would() {
+fn overlaps_report_the_winning_and_the_shadowed_route() {
     let t = table(&[
         ("*", "prefix /", ""),
         ("tiles.example.org", "prefix /tiles", ""),
@@ -132,12 +133,12 @@
         ("*", "prefix /tiles", ""),
     ]);
     let pairs: Vec<_> = t.overlaps().iter().map(|o| (o.winner, o.shadowed)).collect();
-    // The pattern is never reached: the prefix `/` takes all.
+    // The pattern is unreachable: the prefix `/` takes all requests.
     assert_eq!(pairs, [(1, 3), (0, 2), (3, 0)]);
 }
 
 #[test]
-fn claims_that_nothing_could_match_are_malformed() {
+fn paths_that_no_request_could_match_are_rejected() {
     assert_eq!(PathMatch::prefix("/a//b"), Err(PatternError::NotNormalized("/a/b".into())));
     assert_eq!(PathMatch::exact("/%41"), Err(PatternError::NotNormalized("/A".into())));
     assert_eq!(PathMatch::pattern("/a*/b"), Err(PatternError::PartialWildcard("a*".into())));
@@ -151,58 +152,58 @@
     );
 }
 
-/// What the order says, spelled out route by route.
-fn by_hand(claims: &[RouteMatch], host: &str, path: &str, method: &str) -> Option<usize> {
+/// Finds the route by comparing the rank of every route: a reference for the table's lookup.
+fn reference_lookup(routes: &[RouteMatch], host: &str, path: &str, method: &str) -> Option<usize> {
     let segments: Vec<&str> = path[1..].split('/').collect();
-    let rank = |number: usize, claim: &RouteMatch| {
-        let host = match &claim.host {
+    let rank = |number: usize, route: &RouteMatch| {
+        let host = match &route.host {
             HostMatch::Exact(h) if h == host => (2, 0),
             HostMatch::Suffix(s) if host.ends_with(&format!(".{s}")) => (1, s.len()),
             HostMatch::Any => (0, 0),
             _ => return None,
         };
-        let path = match &claim.path {
+        let path = match &route.path {
             PathMatch::Exact(p) if p == path => (2, 0, 0),
             PathMatch::Prefix(p) if p.ends_with('/') && path.starts_with(p.as_str()) => (1, p.len(), 0),
             PathMatch::Prefix(p) if path == p || path.starts_with(&format!("{p}/")) => (1, p.len(), 0),
-            PathMatch::Pattern(wanted, tail) => {
-                let enough =
-                    if *tail { segments.len() > wanted.len() } else { segments.len() == wanted.len() };
-                let fits = wanted.iter().zip(&segments).all(|(w, s)| match w {
+            PathMatch::Pattern(pattern, has_tail) => {
+                let length_matches =
+                    if *has_tail { segments.len() > pattern.len() } else { segments.len() == pattern.len() };
+                let segments_match = pattern.iter().zip(&segments).all(|(p, s)| match p {
                     Segment::Literal(text) => text == s,
                     Segment::Any => !s.is_empty(),
                 });
-                if !enough || !fits {
+                if !length_matches || !segments_match {
                     return None;
                 }
                 (0, 0, usize::MAX - number)
             }
             _ => return None,
         };
-        let named = match &claim.methods {
+        let named = match &route.methods {
             MethodMatch::Any => 0,
             MethodMatch::Named(names) if names.iter().any(|n| n == method) => 1,
             MethodMatch::Named(_) => return None,
         };
         Some((host, path, named))
     };
-    let ranked = claims.iter().enumerate().filter_map(|(n, c)| Some((rank(n, c)?, n)));
+    let ranked = routes.iter().enumerate().filter_map(|(n, c)| Some((rank(n, c)?, n)));
     ranked.max().map(|(_, number)| number)
 }
 
 #[test]
-fn the_table_agrees_with_the_order_spelled_out() {
+fn table_agrees_with_the_reference_lookup() {
     let mut rng = fastrand::Rng::with_seed(11);
     let hosts = ["*", "a.org", "*.org", "*.a.org", "b.a.org"];
     let parts = ["a", "b", "c"];
     for _ in 0..400 {
-        let mut claims: Vec<RouteMatch> = Vec::new();
+        let mut routes: Vec<RouteMatch> = Vec::new();
         for _ in 0..rng.usize(1..14) {
             let kind = ["exact", "prefix", "pattern"][rng.usize(..3)];
             let mut path: String = (0..rng.usize(1..4))
                 .map(|_| {
-                    let wild = kind == "pattern" && rng.bool();
-                    format!("/{}", if wild { "*" } else { parts[rng.usize(..3)] })
+                    let is_wildcard = kind == "pattern" && rng.bool();
+                    format!("/{}", if is_wildcard { "*" } else { parts[rng.usize(..3)] })
                 })
                 .collect();
             match rng.usize(..4) {
@@ -211,14 +212,14 @@
                 _ => {}
             }
             let methods = ["", "GET", "PUT"][rng.usize(..3)];
-            let new = claim(hosts[rng.usize(..hosts.len())], &format!("{kind} {path}"), methods);
-            let mut with = claims.clone();
-            with.push(new);
-            if RouteTable::build(with.clone()).is_ok() {
-                claims = with;
+            let new = route_match(hosts[rng.usize(..hosts.len())], &format!("{kind} {path}"), methods);
+            let mut extended = routes.clone();
+            extended.push(new);
+            if RouteTable::build(extended.clone()).is_ok() {
+                routes = extended;
             }
         }
-        let table = RouteTable::build(claims.clone()).expect("no conflict");
+        let table = RouteTable::build(routes.clone()).expect("no conflict");
         for _ in 0..60 {
             let mut path: String =
                 (0..rng.usize(1..5)).map(|_| format!("/{}", parts[rng.usize(..3)])).collect();
@@ -227,8 +228,9 @@
             }
             let host = ["a.org", "b.a.org", "c.b.a.org", "x.org", "x"][rng.usize(..5)];
             let method = ["GET", "PUT", "POST"][rng.usize(..3)];
-            let (found, wanted) = (route(&table, host, &path, method), by_hand(&claims, host, &path, method));
-            assert_eq!(found, wanted, "{method} {host}{path} of {claims:#?}");
+            let found = route(&table, host, &path, method);
+            let expected = reference_lookup(&routes, host, &path, method);
+            assert_eq!(found, expected, "{method} {host}{path} of {routes:#?}");
         }
     }
 }
