--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -1,13 +1,14 @@
-//! The only owner of the [`Gateway`]: feeds events in, carries out actions, holds the timers and the table
-//! of open requests.
+//! The driver owns the [`Gateway`]: it feeds events to it, executes its actions, and holds the timers and the
+//! open requests.
 //!
-//! All runs on one thread. What an action leads to is queued and handled in order, never from within.
+//! Everything runs on one thread. Events caused by an action are queued and handled in order, never
+//! recursively.
 
 use crate::clock::Clock;
-use crate::listing::{ListedServerState, ServerListUpdate};
-use crate::payload::{Outgoing, RequestBody, Sent};
+use crate::request_body::{AttemptBody, RequestBody, SendProgress};
+use crate::server_list::{ListedServerState, ServerListUpdate};
 use crate::streamed::Streamed;
-use crate::upstream::{End, Progress, ServerResponse, Upstream};
+use crate::upstream::{AttemptEnd, AttemptProgress, ServerResponse, Upstream};
 use bytes::Bytes;
 use hashbrown::HashMap;
 use hyper::header::HeaderValue;
@@ -29,117 +30,124 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
 
-/// Kept before a client's deadline for the network: the gateway decides as if the deadline came that much earlier.
+/// Margin for the network before a client's deadline: the gateway works with a deadline that is this much
+/// earlier.
 const DECISION_MARGIN: Duration = Duration::from_millis(12);
-/// How long before the client's deadline it is answered whatever the gateway waits for: later than any decision, early
-/// enough for the answer to arrive.
-const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(5);
-/// Interval in which idle connections are swept.
+/// Time before the client's deadline at which it gets a response in any case. Later than any decision of the
+/// gateway, and early enough for the response to arrive.
+const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(5);
+/// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// A process whose sweep is overdue by this was stalled. The longest stall that goes unnoticed, with one interval before
-/// it, stays below the grace period of a drain.
-const STALL_THRESHOLD: Duration = Duration::from_millis(300);
-/// After a stall nothing is sent for this long: what waits to be read may say that a server drains.
-const RESUME_PAUSE: Duration = Duration::from_millis(20);
+/// A process whose sweep is overdue by this was paused. The longest pause that stays undetected, plus one
+/// interval, is shorter than the grace period of a drain.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(300);
+/// Time after a pause during which no request is sent: unread input may say that a server is draining.
+const RESUME_DELAY: Duration = Duration::from_millis(20);
 
-/// What a head says, checked.
+/// The checked contents of a request head.
 #[derive(Debug, PartialEq)]
 pub struct Head {
-    /// The request's id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: Arc<str>,
-    /// The customer's plan.
+    /// Plan of the customer.
     pub plan: Arc<str>,
-    /// The customer.
+    /// Customer.
     pub customer: Arc<str>,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// Nodes through which the customer's requests may come.
+    /// Number of gateways through which the customer's requests may come.
     pub gateways: u32,
-    /// How long the client will wait.
+    /// Time for which the client waits for the response.
     pub timeout: Millis,
-    /// Whether it must never run twice.
+    /// Whether the request must not run twice.
     pub at_most_once: bool,
-    /// The only zones whose servers may have it; `None` for all.
+    /// Zones whose servers may get the request; `None` for all.
     pub zones: Option<Zones>,
-    /// Most servers that it may be sent to, where that is fewer than for others.
+    /// Maximum number of attempts, if it is lower than that of the settings.
     pub max_attempts: Option<u32>,
 }
 
-/// A client's request, read and checked.
+/// A client's request, parsed and checked.
 pub struct ClientRequest {
-    /// What its head says.
+    /// Contents of its head.
     pub head: Head,
-    /// When the client gives up.
+    /// Time at which the client gives up.
     pub deadline: Timestamp,
-    /// What goes on to an app server, unchanged.
+    /// The request as it is forwarded to an app server.
     pub outgoing: OutgoingRequest,
 }
 
-/// A request as it goes on to an app server.
+/// A request as it is forwarded to an app server.
 pub struct OutgoingRequest {
-    /// Its method.
+    /// Method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers, without those that belong to the client's connection.
+    /// Headers, without those that belong to the client's connection.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: Rc<RequestBody>,
-    /// What a server is told besides, just before the first byte is written.
+    /// Sets further headers for each attempt, just before the first byte is written.
     pub set_attempt_headers: Option<SetAttemptHeaders>,
 }
 
-/// Adds to a request's headers what depends on the attempt: the time left for it and the server's name on the list.
+/// Sets the headers of a request that depend on the attempt: from the time left for it and the server's name
+/// on the list.
 pub type SetAttemptHeaders = fn(&mut HeaderMap, Millis, &str);
 
 impl OutgoingRequest {
-    fn request(&self, left: Millis, server: &str, sent: &Rc<Sent>) -> Request<Outgoing> {
-        let mut request = Request::new(self.body.outgoing(sent));
+    fn for_attempt(
+        &self,
+        time_left: Millis,
+        server: &str,
+        progress: &Rc<SendProgress>,
+    ) -> Request<AttemptBody> {
+        let mut request = Request::new(self.body.for_attempt(progress));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        if let Some(tells) = self.set_attempt_headers {
-            tells(request.headers_mut(), left, server);
+        if let Some(set_attempt_headers) = self.set_attempt_headers {
+            set_attempt_headers(request.headers_mut(), time_left, server);
         }
         request
     }
 }
 
-/// The one final answer to a request.
+/// The final response to a request. Each request gets exactly one.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// Served, with the app server's body and its type.
+    /// The request was served; the body and its content type, if the server sent one.
     Served(Bytes, Option<HeaderValue>),
-    /// Served, or failed in a server's own words: what comes is passed on.
+    /// A server's response, successful or not, that is forwarded while it is received.
     Streamed(Box<Response<Streamed>>),
-    /// The same, read whole before.
+    /// A server's response, successful or not, that was received completely.
     Buffered(Box<Response<Bytes>>),
-    /// Refused; the client should stay away this long, or is told nothing if it is 0. The last part tells whether
-    /// a server had been tried before.
+    /// The request was refused: the time after which the client should retry (0 for no advice), the reason,
+    /// and whether an attempt had been made before.
     Refused(Millis, RejectReason, bool),
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// Failed because the time was up.
+    /// The request failed because its time was up.
     TimedOut,
 }
 
 impl From<ServerResponse> for FinalResponse {
-    fn from(words: ServerResponse) -> Self {
-        match words {
-            ServerResponse::Streamed(answer) => FinalResponse::Streamed(answer),
-            ServerResponse::Buffered(answer) => FinalResponse::Buffered(answer),
+    fn from(response: ServerResponse) -> Self {
+        match response {
+            ServerResponse::Streamed(response) => FinalResponse::Streamed(response),
+            ServerResponse::Buffered(response) => FinalResponse::Buffered(response),
         }
     }
 }
 
-/// What must be told of requests that must not run twice before anything of them goes out, and what came of them.
+/// Records attempts of requests that must not run twice: each before it is sent, and its result.
 pub trait AttemptRecorder {
-    /// Whether a request that may run again is to be recorded too.
+    /// Returns whether attempts of this request are recorded although it may run twice.
     fn records_repeatable(&self, id: &RequestId) -> bool;
 
-    /// An attempt is about to be sent: true once that is recorded. Where it is not, nothing is sent.
+    /// Records that an attempt is about to be sent. Returns whether it was recorded; if not, nothing is sent.
     fn record_send<'a>(
         &'a self,
         id: &'a RequestId,
@@ -148,67 +156,68 @@
         now: Timestamp,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>>;
 
-    /// What came of an attempt that was recorded: an answer's status, or proof that it never ran, or neither.
+    /// Records the result of a recorded attempt: the status of its response, or that it certainly did not
+    /// run, or neither.
     fn record_result(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>);
 }
 
-/// Whether a request may go on that somebody else will send.
+/// Decision on a request that is not sent by this process.
 #[derive(Debug)]
 pub enum Admission {
-    /// It may; this server would be chosen for it.
+    /// The request is admitted; the address of the server that would be chosen for it.
     Admitted(Option<SocketAddr>),
-    /// It may not, and should stay away this long.
+    /// The request is refused; the time after which the client should retry, and the reason.
     Refused(Millis, RejectReason),
 }
 
-/// A request that has arrived, until its answer is given and all its attempts have ended.
-struct Open {
-    message: Rc<OutgoingRequest>,
-    /// It must not be sent again once it has been.
-    once: bool,
+/// A request from its submission until it has its final response and all its attempts have ended.
+struct OpenRequest {
+    outgoing: Rc<OutgoingRequest>,
+    /// The request must not be sent again after it has been sent.
+    at_most_once: bool,
     deadline: Timestamp,
-    /// Where the answer goes; empty once it is given.
-    answer: Option<oneshot::Sender<FinalResponse>>,
+    /// Channel for the final response; `None` once that is given.
+    response: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
-    /// A server's own words for a failure, passed on if nothing better comes.
+    /// A server's response to a failed attempt, forwarded unless a better one follows.
     fallback: Option<ServerResponse>,
-    /// Its last attempt ended for want of time.
+    /// The last attempt timed out.
     timed_out: bool,
-    guard: TimerKey,
+    deadline_timer: TimerKey,
 }
 
 struct Attempt {
     server: ServerId,
     sent_at: Timestamp,
-    progress: Rc<Progress>,
+    progress: Rc<AttemptProgress>,
     task: AbortHandle,
     timer: TimerKey,
-    ended: bool,
+    is_ended: bool,
 }
 
-/// Timers in order: microseconds of Unix time, and a number that makes each unique.
+/// Sorts timers by time in microseconds of Unix time; the second number makes each key unique.
 type TimerKey = (u64, u64);
 
 enum Timer {
-    /// The gateway's own.
+    /// A timer of the gateway, with its token.
     Gateway(u64),
-    /// An attempt's time is up.
-    GiveUp(RequestId, u32),
-    /// A request's deadline is near.
-    Guard(RequestId),
-    /// Idle connections are to be looked through.
+    /// The time of an attempt is up.
+    AttemptTimeout(RequestId, u32),
+    /// The deadline of a request is near.
+    Deadline(RequestId),
+    /// Expired idle connections are to be closed.
     Sweep,
 }
 
-struct Listed {
+struct KnownServer {
     uid: String,
     address: SocketAddr,
     state: ListedServerState,
 }
 
-/// Whoever decides: a [`Gateway`], or one with something in its way, as tests of a fleet put there.
+/// Makes the decisions: a [`Gateway`], or a wrapper around one.
 pub trait DecisionEngine {
-    /// Takes in one event and adds what is to be done to `actions`, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in order.
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -220,43 +229,43 @@
 
 struct State {
     gateway: Box<dyn DecisionEngine>,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, OpenRequest>,
     timers: BTreeMap<TimerKey, Timer>,
-    timer_number: u64,
-    servers: HashMap<ServerId, Listed>,
-    names: HashMap<String, ServerId>,
-    next_server: ServerId,
+    last_timer: u64,
+    servers: HashMap<ServerId, KnownServer>,
+    server_ids: HashMap<String, ServerId>,
+    last_server_id: ServerId,
     events: VecDeque<Event>,
     actions: Vec<Action>,
 }
 
-/// Ties the gateway to clients, app servers, discovery and the clock.
+/// Connects the gateway to clients, app servers, discovery and the clock.
 pub struct Driver {
     state: RefCell<State>,
     upstream: Rc<Upstream>,
     clock: Clock,
-    /// A timer became the first.
-    sooner: Notify,
-    /// When the next sweep is due.
+    /// Notified when a timer becomes the first one.
+    first_timer_changed: Notify,
+    /// Time at which the next sweep is due.
     sweep_due: Cell<Timestamp>,
-    /// Until then nothing is sent: the process has stood still.
-    hears_until: Cell<Timestamp>,
-    retired: Cell<bool>,
-    /// Where attempts of requests that must not run twice are recorded first.
-    ledger: RefCell<Option<Rc<dyn AttemptRecorder>>>,
+    /// No request is sent before this time, since the process was paused.
+    paused_until: Cell<Timestamp>,
+    is_retired: Cell<bool>,
+    /// Records attempts of requests that must not run twice before they are sent.
+    recorder: RefCell<Option<Rc<dyn AttemptRecorder>>>,
 }
 
 impl Driver {
-    /// A driver with nothing open.
+    /// Creates a driver without open requests.
     pub fn new(gateway: impl DecisionEngine + 'static, clock: Clock, upstream: Rc<Upstream>) -> Rc<Self> {
         let state = State {
             gateway: Box::new(gateway),
             requests: HashMap::new(),
             timers: BTreeMap::new(),
-            timer_number: 0,
+            last_timer: 0,
             servers: HashMap::new(),
-            names: HashMap::new(),
-            next_server: 0,
+            server_ids: HashMap::new(),
+            last_server_id: 0,
             events: VecDeque::new(),
             actions: Vec::new(),
         };
@@ -264,52 +273,57 @@
             state: RefCell::new(state),
             upstream,
             clock,
-            sooner: Notify::new(),
+            first_timer_changed: Notify::new(),
             sweep_due: Cell::new(clock.now() + SWEEP_INTERVAL),
-            hears_until: Cell::new(Timestamp::DISTANT_PAST),
-            retired: Cell::new(false),
-            ledger: RefCell::default(),
+            paused_until: Cell::new(Timestamp::DISTANT_PAST),
+            is_retired: Cell::new(false),
+            recorder: RefCell::default(),
         });
         driver.set_timer(&mut driver.state.borrow_mut(), clock.now() + SWEEP_INTERVAL, Timer::Sweep);
         driver
     }
 
-    /// From now on attempts of requests that must not run twice are recorded first.
-    pub fn set_recorder(&self, ledger: Rc<dyn AttemptRecorder>) {
-        self.ledger.replace(Some(ledger));
+    /// Sets the recorder for attempts of requests that must not run twice.
+    pub fn set_recorder(&self, recorder: Rc<dyn AttemptRecorder>) {
+        self.recorder.replace(Some(recorder));
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Whether an app server is known that could serve.
+    /// Returns whether at least one app server accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().servers.values().any(|s| s.state == ListedServerState::Serving)
     }
 
-    /// Takes a request; its one answer comes through the receiver. `None` if a request of the same id is
-    /// still open: answering both by one run, or running both, would each break a promise.
-    pub fn submit(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<FinalResponse>> {
+    /// Submits a request and returns the receiver of its final response.
+    ///
+    /// Returns `None` if a request with the same id is still open: one run would have to answer two requests,
+    /// or the request would run twice.
+    pub fn submit(self: &Rc<Self>, request: ClientRequest) -> Option<oneshot::Receiver<FinalResponse>> {
         let mut state = self.state.borrow_mut();
-        let head = ask.head;
+        let head = request.head;
         if state.requests.contains_key(&head.id) {
             return None;
         }
-        let (answer, receiver) = oneshot::channel();
-        let guard =
-            self.set_timer(&mut state, ask.deadline - LAST_ANSWER_MARGIN, Timer::Guard(head.id.clone()));
-        let deadline = ask.deadline - DECISION_MARGIN;
-        let open = Open {
-            message: Rc::new(ask.outgoing),
-            once: head.at_most_once,
+        let (response, receiver) = oneshot::channel();
+        let deadline_timer = self.set_timer(
+            &mut state,
+            request.deadline - FINAL_RESPONSE_MARGIN,
+            Timer::Deadline(head.id.clone()),
+        );
+        let deadline = request.deadline - DECISION_MARGIN;
+        let open = OpenRequest {
+            outgoing: Rc::new(request.outgoing),
+            at_most_once: head.at_most_once,
             deadline,
-            answer: Some(answer),
+            response: Some(response),
             attempts: Vec::new(),
             fallback: None,
             timed_out: false,
-            guard,
+            deadline_timer,
         };
         state.requests.insert(head.id.clone(), open);
         state.events.push_back(Event::Arrival(Arrival {
@@ -323,15 +337,16 @@
             zones: head.zones,
             max_attempts: head.max_attempts,
         }));
-        self.work(&mut state);
+        self.process_events(&mut state);
         Some(receiver)
     }
 
-    /// Asks whether a request may go on that somebody else will send: quotas, ceilings, servers and room are looked at
-    /// as for one that is sent from here, and its units are taken. `head.id` must be of no other request.
+    /// Decides on a request that is not sent by this process. Quotas, rate limits, servers and capacity are
+    /// checked as for a request that is sent from here, and its units are taken. No other request may have
+    /// the id `head.id`.
     ///
-    /// Nothing is known of what becomes of it, so it counts as out for no time at all, and nothing is learned of its
-    /// server.
+    /// The result of the request stays unknown, so it counts as in flight for no time, and nothing is learned
+    /// about the server.
     pub fn admit(self: &Rc<Self>, head: Head) -> Admission {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
@@ -368,65 +383,65 @@
                 Action::Reject { request, retry_after, reason } if request == id => {
                     admission = Admission::Refused(retry_after, reason);
                 }
-                other => self.carry_out(&mut state, other, now),
+                other => self.execute(&mut state, other, now),
             }
         }
-        self.work_at(&mut state, now);
+        self.process_events_at(&mut state, now);
         admission
     }
 
-    /// The client has left: nothing is owed any more, and what is out for it is given up.
+    /// Ends a request whose client has disconnected: its attempts are given up.
     pub fn client_gone(self: &Rc<Self>, id: &RequestId) {
         let mut state = self.state.borrow_mut();
         let Some(open) = state.requests.get_mut(id) else { return };
-        if open.answer.take().is_some() {
-            self.leave(&mut state, id);
+        if open.response.take().is_some() {
+            self.abandon(&mut state, id);
         }
     }
 
-    /// Tells the gateway that nothing is owed for a request any more.
-    fn leave(self: &Rc<Self>, state: &mut State, id: &RequestId) {
+    /// Tells the gateway that a request needs no response any more.
+    fn abandon(self: &Rc<Self>, state: &mut State, id: &RequestId) {
         state.events.push_back(Event::ClientGone { request: id.clone() });
-        self.work(state);
-        state.drop_if_over(id);
+        self.process_events(state);
+        state.remove_if_ended(id);
     }
 
-    /// Tells the gateway of something that is neither a request nor a server.
+    /// Passes an event to the gateway that concerns neither a request nor a server.
     pub fn notify(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
-        self.work(&mut state);
+        self.process_events(&mut state);
     }
 
-    /// News of the list of app servers.
-    pub fn update_servers(self: &Rc<Self>, listing: ServerListUpdate) {
+    /// Applies an update of the server list.
+    pub fn update_servers(self: &Rc<Self>, update: ServerListUpdate) {
         let mut state = self.state.borrow_mut();
-        let kind = if listing.all { ListKind::Full } else { ListKind::Changes };
-        if listing.all {
-            let named: HashSet<&str> = listing.targets.iter().map(|t| t.uid.as_str()).collect();
-            let gone: Vec<_> = state
+        let kind = if update.all { ListKind::Full } else { ListKind::Changes };
+        if update.all {
+            let listed: HashSet<&str> = update.targets.iter().map(|t| t.uid.as_str()).collect();
+            let removed: Vec<_> = state
                 .servers
                 .iter()
-                .filter(|(_, s)| !named.contains(s.uid.as_str()))
+                .filter(|(_, s)| !listed.contains(s.uid.as_str()))
                 .map(|(id, _)| *id)
                 .collect();
-            for server in gone {
+            for server in removed {
                 self.remove(&mut state, server);
             }
         }
-        let mut members = Vec::with_capacity(listing.targets.len());
-        for target in listing.targets {
-            let known = state.names.get(&target.uid).copied();
-            let gone = target.state == ListedServerState::Deleted;
+        let mut entries = Vec::with_capacity(update.targets.len());
+        for target in update.targets {
+            let known = state.server_ids.get(&target.uid).copied();
+            let is_deleted = target.state == ListedServerState::Deleted;
             let server = match known {
                 Some(server) => server,
-                None if gone => continue,
+                None if is_deleted => continue,
                 None => {
-                    state.next_server += 1;
-                    state.next_server
+                    state.last_server_id += 1;
+                    state.last_server_id
                 }
             };
-            members.push(ServerEntry {
+            entries.push(ServerEntry {
                 server,
                 zone: target.az,
                 cell: target.pod_group,
@@ -441,83 +456,83 @@
                 slow_start: target.slow_start,
             });
             match target.endpoint {
-                Some(address) if !gone => {
+                Some(address) if !is_deleted => {
                     if target.state == ListedServerState::Draining {
                         self.upstream.close_idle(server);
                     }
-                    state.names.insert(target.uid.clone(), server);
-                    let listed = Listed { uid: target.uid, address, state: target.state };
-                    state.servers.insert(server, listed);
+                    state.server_ids.insert(target.uid.clone(), server);
+                    let known = KnownServer { uid: target.uid, address, state: target.state };
+                    state.servers.insert(server, known);
                 }
                 _ => self.remove(&mut state, server),
             }
         }
-        state.events.push_back(Event::List { kind, servers: members.into() });
-        self.work(&mut state);
+        state.events.push_back(Event::List { kind, servers: entries.into() });
+        self.process_events(&mut state);
     }
 
     fn remove(&self, state: &mut State, server: ServerId) {
         self.upstream.close_idle(server);
-        if let Some(listed) = state.servers.remove(&server) {
-            state.names.remove(&listed.uid);
+        if let Some(known) = state.servers.remove(&server) {
+            state.server_ids.remove(&known.uid);
         }
     }
 
-    /// Fires timers for as long as the node runs.
+    /// Runs the timers, until the driver is retired and has no open request.
     pub async fn run_timers(self: Rc<Self>) {
-        while !self.retired.get() || self.open_requests() > 0 {
+        while !self.is_retired.get() || self.open_requests() > 0 {
             let first = self.state.borrow().timers.keys().next().copied();
             match first {
                 Some((at, _)) => {
                     tokio::select! {
-                        () = sleep_until(self.clock.instant(Timestamp::from_micros(at))) => self.fire(),
-                        () = self.sooner.notified() => {}
+                        () = sleep_until(self.clock.instant(Timestamp::from_micros(at))) => self.fire_timers(),
+                        () = self.first_timer_changed.notified() => {}
                     }
                 }
-                None => self.sooner.notified().await,
+                None => self.first_timer_changed.notified().await,
             }
         }
     }
 
-    /// Looks whether the process has stood still, and if so lets it hear before it sends.
-    fn wake(&self, now: Timestamp) {
-        if now > self.sweep_due.get() + STALL_THRESHOLD {
+    /// Detects whether the process was paused, and if so delays requests until it has read its input.
+    fn detect_pause(&self, now: Timestamp) {
+        if now > self.sweep_due.get() + PAUSE_THRESHOLD {
             self.sweep_due.set(now + SWEEP_INTERVAL);
-            self.hears_until.set(now + RESUME_PAUSE);
+            self.paused_until.set(now + RESUME_DELAY);
         }
     }
 
-    /// Waits while a process that has stood still hears what it missed.
-    async fn awake(&self) {
+    /// Waits, if the process was paused, until it has read its input.
+    async fn wait_for_resume(&self) {
         let now = self.clock.now();
-        self.wake(now);
-        if now < self.hears_until.get() {
-            sleep_until(self.clock.instant(self.hears_until.get())).await;
+        self.detect_pause(now);
+        if now < self.paused_until.get() {
+            sleep_until(self.clock.instant(self.paused_until.get())).await;
         }
     }
 
-    fn fire(self: &Rc<Self>) {
+    fn fire_timers(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        self.wake(now);
+        self.detect_pause(now);
         let now = now.whole_micros();
-        // Only what is due now: a timer set meanwhile for a time that has passed fires in the next round.
+        // Only timers that are due now: one that is set meanwhile for a past time fires in the next round.
         let later = state.timers.split_off(&(now + 1, 0));
         for (_, timer) in std::mem::replace(&mut state.timers, later) {
             match timer {
                 Timer::Gateway(token) => state.events.push_back(Event::Timer { token }),
-                Timer::GiveUp(id, number) => {
+                Timer::AttemptTimeout(id, number) => {
                     self.give_up(&mut state, &id, number, Outcome::Timeout, self.clock.now());
                 }
-                Timer::Guard(id) => {
-                    // The last guard: whatever the gateway waits for, a client is answered in time.
-                    if state.answer(&id, FinalResponse::TimedOut) {
-                        self.leave(&mut state, &id);
+                Timer::Deadline(id) => {
+                    // The client gets a response in time even if the gateway still waits for something.
+                    if state.respond(&id, FinalResponse::TimedOut) {
+                        self.abandon(&mut state, &id);
                     }
                 }
                 Timer::Sweep => {
                     self.upstream.close_expired();
-                    for server in self.upstream.take_broken() {
+                    for server in self.upstream.take_failed_streams() {
                         let (outcome, load) = (Outcome::Reset, Load::default());
                         state.events.push_back(Event::HealthChecked { server, outcome, load });
                     }
@@ -526,55 +541,54 @@
                     self.set_timer(&mut state, due, Timer::Sweep);
                 }
             }
-            self.work(&mut state);
+            self.process_events(&mut state);
         }
     }
 
     fn set_timer(&self, state: &mut State, at: Timestamp, timer: Timer) -> TimerKey {
-        state.timer_number += 1;
-        let key = (at.whole_micros(), state.timer_number);
+        state.last_timer += 1;
+        let key = (at.whole_micros(), state.last_timer);
         state.timers.insert(key, timer);
         if state.timers.keys().next() == Some(&key) {
-            self.sooner.notify_one();
+            self.first_timer_changed.notify_one();
         }
         key
     }
 
-    /// Feeds queued events to the gateway and carries out what it wants, until neither is left.
-    fn work(self: &Rc<Self>, state: &mut State) {
-        // Read once: what one event leads to takes microseconds.
+    /// Passes the queued events to the gateway and executes its actions, until no event is left.
+    fn process_events(self: &Rc<Self>, state: &mut State) {
+        // The clock is read once, since the consequences of one event take only microseconds.
         let now = self.clock.now();
-        self.work_at(state, now);
+        self.process_events_at(state, now);
     }
 
-    fn work_at(self: &Rc<Self>, state: &mut State, now: Timestamp) {
+    fn process_events_at(self: &Rc<Self>, state: &mut State, now: Timestamp) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             state.gateway.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action, now);
+                self.execute(state, action, now);
             }
             state.actions = actions;
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action, now: Timestamp) {
+    fn execute(self: &Rc<Self>, state: &mut State, action: Action, now: Timestamp) {
         match action {
             Action::Send { request, server, give_up_at } => {
                 self.send(state, request, server, give_up_at, now);
             }
             Action::Reject { request, retry_after, reason } => {
-                let tried = state.requests.get(&request).is_some_and(|open| !open.attempts.is_empty());
-                state.answer(&request, FinalResponse::Refused(retry_after, reason, tried));
-                state.drop_if_over(&request);
+                let was_attempted =
+                    state.requests.get(&request).is_some_and(|open| !open.attempts.is_empty());
+                state.respond(&request, FinalResponse::Refused(retry_after, reason, was_attempted));
+                state.remove_if_ended(&request);
             }
             Action::Fail { request } => {
                 let timed_out = state.requests.get(&request).is_some_and(|open| open.timed_out);
-                state.answer(
-                    &request,
-                    if timed_out { FinalResponse::TimedOut } else { FinalResponse::Failed },
-                );
-                state.drop_if_over(&request);
+                let response = if timed_out { FinalResponse::TimedOut } else { FinalResponse::Failed };
+                state.respond(&request, response);
+                state.remove_if_ended(&request);
             }
             Action::Cancel { request, attempt } => {
                 self.give_up(state, &request, attempt, Outcome::Cancelled, now);
@@ -583,30 +597,31 @@
                 self.set_timer(state, at, Timer::Gateway(token));
             }
             Action::Log { text } => eprintln!("{text}"),
-            Action::CheckHealth { server } => self.probe(state, server),
-            // The list is told without being asked for.
+            Action::CheckHealth { server } => self.check_health(state, server),
+            // The server list is pushed without a subscription.
             Action::Subscribe => {}
         }
     }
 
-    /// Tries whether a server takes a connection, where that is all that can be asked of it.
-    fn probe(self: &Rc<Self>, state: &State, server: ServerId) {
-        // The platform's protocol has no message for it.
-        let Some(listed) = state.servers.get(&server).filter(|_| self.upstream.probes()) else { return };
-        let (driver, address) = (self.clone(), listed.address);
+    /// Starts a health check of a server: whether it accepts a connection.
+    fn check_health(self: &Rc<Self>, state: &State, server: ServerId) {
+        // The platform's protocol has no health checks.
+        let known = state.servers.get(&server).filter(|_| self.upstream.supports_health_checks());
+        let Some(known) = known else { return };
+        let (driver, address) = (self.clone(), known.address);
         tokio::task::spawn_local(async move {
-            let outcome = driver.upstream.probe(address).await;
+            let outcome = driver.upstream.check_health(address).await;
             let mut state = driver.state.borrow_mut();
             state.events.push_back(Event::HealthChecked { server, outcome, load: Load::default() });
-            driver.work(&mut state);
+            driver.process_events(&mut state);
         });
     }
 
-    /// Ends this driver, which must be told of no request any more: what is open may still be sent on for the
-    /// grace, and ends after it with the attempts that are out.
+    /// Retires this driver, to which no request may be submitted any more. Open requests continue for the
+    /// grace period; then all servers are removed, which ends the requests and their attempts.
     pub fn retire(self: &Rc<Self>, grace: Millis) {
-        self.retired.set(true);
-        self.sooner.notify_one();
+        self.is_retired.set(true);
+        self.first_timer_changed.notify_one();
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             sleep_until(driver.clock.instant(driver.now().plus_millis(grace))).await;
@@ -614,7 +629,7 @@
         });
     }
 
-    /// Requests that have no answer yet or an attempt out.
+    /// Returns the number of requests that have no response yet, or an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.len()
     }
@@ -627,181 +642,195 @@
         give_up_at: Timestamp,
         now: Timestamp,
     ) {
-        let State { requests, servers, timer_number, timers, .. } = state;
+        let State { requests, servers, last_timer, timers, .. } = state;
         let Some(open) = requests.get_mut(&id) else { return };
         let number = open.attempts.len() as u32;
         let give_up_at =
             if give_up_at.as_millis() > 0.0 { give_up_at.min(open.deadline) } else { open.deadline };
-        // Where a body can't be had again, giving up in time for another attempt is no use.
-        let give_up_at = if open.message.body.is_streamed() { open.deadline } else { give_up_at };
+        // A streamed body cannot be sent again, so it is no use to give up in time for another attempt.
+        let give_up_at = if open.outgoing.body.is_streamed() { open.deadline } else { give_up_at };
         open.fallback = None;
-        let again = open.attempts.iter().any(|attempt| attempt.server == server);
-        let progress = Rc::new(Progress::default());
-        let listed = servers.get(&server).map(|s| (s.address, s.uid.clone()));
-        let address = listed.as_ref().map(|(address, _)| *address);
+        let sent_before = open.attempts.iter().any(|attempt| attempt.server == server);
+        let progress = Rc::new(AttemptProgress::default());
+        let known = servers.get(&server).map(|s| (s.address, s.uid.clone()));
+        let address = known.as_ref().map(|(address, _)| *address);
         let attempt = {
             let (driver, id, progress) = (self.clone(), id.clone(), progress.clone());
-            let message = open.message.clone();
-            let once = open.once;
-            let ledger = self.ledger.borrow().clone().filter(|ledger| once || ledger.records_repeatable(&id));
+            let outgoing = open.outgoing.clone();
+            let at_most_once = open.at_most_once;
+            let recorder = self.recorder.borrow().clone();
+            let recorder = recorder.filter(|recorder| at_most_once || recorder.records_repeatable(&id));
             async move {
-                if let (Some(ledger), Some(address)) = (ledger, address) {
-                    if !ledger.record_send(&id, number, address, now).await {
-                        return driver.attempt_ended(&id, number, End::bare(Outcome::NeverSent));
+                if let (Some(recorder), Some(address)) = (recorder, address) {
+                    if !recorder.record_send(&id, number, address, now).await {
+                        let end = AttemptEnd::without_response(Outcome::NeverSent);
+                        return driver.finish_attempt(&id, number, end);
                     }
-                    progress.recorded.set(true);
-                    // The wait for the disk is none of the server's time.
-                    if let Some(attempt) = driver.state.borrow_mut().attempt(&id, number) {
+                    progress.is_recorded.set(true);
+                    // The wait for the disk does not count as time of the server.
+                    if let Some(attempt) = driver.state.borrow_mut().running_attempt(&id, number) {
                         attempt.sent_at = driver.clock.now();
                     }
                 }
-                let name = listed.map(|(_, name)| name).unwrap_or_default();
-                let request = |sent: &Rc<Sent>| {
-                    driver.may_write(server, give_up_at).map(|left| message.request(left, &name, sent))
+                let name = known.map(|(_, name)| name).unwrap_or_default();
+                let request = |progress: &Rc<SendProgress>| {
+                    let time_left = driver.time_left_to_send(server, give_up_at);
+                    time_left.map(|time_left| outgoing.for_attempt(time_left, &name, progress))
                 };
-                driver.awake().await;
+                driver.wait_for_resume().await;
                 let end = match address {
                     Some(address) => {
-                        driver.upstream.attempt(server, address, &progress, once, again, request).await
+                        let upstream = &driver.upstream;
+                        upstream.attempt(server, address, &progress, at_most_once, sent_before, request).await
                     }
-                    None => End::bare(Outcome::NeverSent),
+                    None => AttemptEnd::without_response(Outcome::NeverSent),
                 };
-                driver.attempt_ended(&id, number, end);
+                driver.finish_attempt(&id, number, end);
             }
         };
         let task = tokio::task::spawn_local(attempt).abort_handle();
-        *timer_number += 1;
-        let timer = (give_up_at.whole_micros(), *timer_number);
-        timers.insert(timer, Timer::GiveUp(id, number));
+        *last_timer += 1;
+        let timer = (give_up_at.whole_micros(), *last_timer);
+        timers.insert(timer, Timer::AttemptTimeout(id, number));
         if timers.keys().next() == Some(&timer) {
-            self.sooner.notify_one();
+            self.first_timer_changed.notify_one();
         }
-        open.attempts.push(Attempt { server, sent_at: now, progress, task, timer, ended: false });
+        open.attempts.push(Attempt { server, sent_at: now, progress, task, timer, is_ended: false });
     }
 
-    /// The time left for an attempt whose first byte is about to be written, unless it must not be: the
-    /// server drains or is gone by now, or may be for all that this process has slept through, or its time is up. Where the client has left the attempt has been
-    /// given up, and never comes here.
-    fn may_write(&self, server: ServerId, give_up_at: Timestamp) -> Option<Millis> {
+    /// Returns the time left for an attempt whose first byte is about to be written, or `None` if it must not
+    /// be sent: the server is draining or removed, or might be according to input not yet read after a pause,
+    /// or the time is up. If the client has disconnected, the attempt was given up before.
+    fn time_left_to_send(&self, server: ServerId, give_up_at: Timestamp) -> Option<Millis> {
         let now = self.clock.now();
-        self.wake(now);
-        let left = give_up_at.millis_since(now);
+        self.detect_pause(now);
+        let time_left = give_up_at.millis_since(now);
         let state = self.state.borrow();
-        let hears = now < self.hears_until.get();
-        let serving = state.servers.get(&server).is_some_and(|s| s.state == ListedServerState::Serving);
-        (serving && !hears && left > 0.0).then_some(left)
+        let is_paused = now < self.paused_until.get();
+        let is_serving = state.servers.get(&server).is_some_and(|s| s.state == ListedServerState::Serving);
+        (is_serving && !is_paused && time_left > 0.0).then_some(time_left)
     }
 
-    /// Stops waiting for an attempt and closes its connection.
+    /// Aborts an attempt and closes its connection.
     fn give_up(&self, state: &mut State, id: &RequestId, number: u32, outcome: Outcome, now: Timestamp) {
-        let Some(attempt) = state.attempt(id, number) else { return };
+        let Some(attempt) = state.running_attempt(id, number) else { return };
         attempt.task.abort();
-        // What was never written can't have run: an unsafe request may then be tried again or refused.
+        // A request that was not written completely cannot have run, so it may be sent again or refused even
+        // if it must not run twice.
         let outcome = if attempt.progress.may_have_run() { outcome } else { Outcome::NeverSent };
-        self.end(state, id, number, End::bare(outcome), now);
+        self.apply_attempt_end(state, id, number, AttemptEnd::without_response(outcome), now);
     }
 
-    fn attempt_ended(self: &Rc<Self>, id: &RequestId, number: u32, end: End) {
+    fn finish_attempt(self: &Rc<Self>, id: &RequestId, number: u32, end: AttemptEnd) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        self.end(&mut state, id, number, end, now);
-        self.work_at(&mut state, now);
+        self.apply_attempt_end(&mut state, id, number, end, now);
+        self.process_events_at(&mut state, now);
     }
 
-    /// Takes in how an attempt ended, once for each.
-    fn end(&self, state: &mut State, id: &RequestId, number: u32, end: End, now: Timestamp) {
-        let Some(attempt) = state.attempt(id, number) else { return };
-        attempt.ended = true;
+    /// Applies the result of an attempt; only the first result of each attempt has an effect.
+    fn apply_attempt_end(
+        &self,
+        state: &mut State,
+        id: &RequestId,
+        number: u32,
+        end: AttemptEnd,
+        now: Timestamp,
+    ) {
+        let Some(attempt) = state.running_attempt(id, number) else { return };
+        attempt.is_ended = true;
         let (server, sent_at, timer) = (attempt.server, attempt.sent_at, attempt.timer);
-        if attempt.progress.recorded.get() {
-            if let Some(ledger) = &*self.ledger.borrow() {
-                let status = match &end.answer {
-                    Some(answer) => Some(answer.status().as_u16()),
+        if attempt.progress.is_recorded.get() {
+            if let Some(recorder) = &*self.recorder.borrow() {
+                let status = match &end.response {
+                    Some(response) => Some(response.status().as_u16()),
                     None => (end.outcome == Outcome::Ok).then_some(200),
                 };
-                ledger.record_result(id, number, end.outcome.never_ran(), status);
+                recorder.record_result(id, number, end.outcome.never_ran(), status);
             }
         }
         state.timers.remove(&timer);
-        match (end.outcome, end.answer) {
-            (Outcome::Ok, Some(answer)) => {
-                state.answer(id, answer.into());
+        match (end.outcome, end.response) {
+            (Outcome::Ok, Some(response)) => {
+                state.respond(id, response.into());
             }
             (Outcome::Ok, None) => {
-                state.answer(id, FinalResponse::Served(end.body, end.content_type));
+                state.respond(id, FinalResponse::Served(end.body, end.content_type));
             }
-            (_, answer) => {
+            (_, response) => {
                 if let Some(open) = state.requests.get_mut(id) {
-                    open.fallback = answer;
+                    open.fallback = response;
                     open.timed_out = end.outcome == Outcome::Timeout;
-                    if open.message.body.is_consumed() {
-                        // The gateway's word for what belongs to the client and is never sent anew.
+                    if open.outgoing.body.is_consumed() {
+                        // Tells the gateway that the request cannot be sent again.
                         let request = id.clone();
                         state.events.push_back(Event::StreamStarted { request, attempt: number });
                     }
                 }
             }
         }
-        let closed = state.requests.get(id).is_none_or(|open| open.answer.is_none());
+        let is_final = state.requests.get(id).is_none_or(|open| open.response.is_none());
         state.events.push_back(Event::AttemptEnded(AttemptResult {
             request: id.clone(),
             attempt: number,
             server,
             outcome: end.outcome,
             elapsed: now.millis_since(sent_at),
-            is_final: closed,
-            metered_percent: end.use_percent,
+            is_final,
+            metered_percent: end.metered_percent,
             load: end.load,
         }));
-        state.drop_if_over(id);
+        state.remove_if_ended(id);
     }
 }
 
 impl State {
-    /// An attempt that has not ended.
-    fn attempt(&mut self, id: &RequestId, number: u32) -> Option<&mut Attempt> {
-        self.requests.get_mut(id)?.attempts.get_mut(number as usize).filter(|a| !a.ended)
+    /// Returns an attempt that has not ended.
+    fn running_attempt(&mut self, id: &RequestId, number: u32) -> Option<&mut Attempt> {
+        self.requests.get_mut(id)?.attempts.get_mut(number as usize).filter(|a| !a.is_ended)
     }
 
-    /// The one place from which a final answer goes out; it fires once for a request.
-    fn answer(&mut self, id: &RequestId, answer: FinalResponse) -> bool {
+    /// Gives the final response to a request. All final responses pass through here; returns whether this was
+    /// the first one for the request, and ignores further ones.
+    fn respond(&mut self, id: &RequestId, response: FinalResponse) -> bool {
         let Some(open) = self.requests.get_mut(id) else { return false };
-        let Some(sender) = open.answer.take() else { return false };
-        let answer = match (answer, open.fallback.take()) {
-            (FinalResponse::Refused(..) | FinalResponse::Failed, Some(words)) => words.into(),
-            (answer, _) => answer,
+        let Some(sender) = open.response.take() else { return false };
+        let response = match (response, open.fallback.take()) {
+            (FinalResponse::Refused(..) | FinalResponse::Failed, Some(fallback)) => fallback.into(),
+            (response, _) => response,
         };
-        let guard = open.guard;
-        self.timers.remove(&guard);
-        // A client that has just left needs no answer; it is told to the gateway by whoever noticed.
-        let _ = sender.send(answer);
+        let deadline_timer = open.deadline_timer;
+        self.timers.remove(&deadline_timer);
+        // Fails if the client has just disconnected, which is reported to the gateway separately.
+        let _ = sender.send(response);
         true
     }
 
-    /// Forgets a request that is answered and has no attempt out.
-    fn drop_if_over(&mut self, id: &RequestId) {
-        let over = |open: &Open| open.answer.is_none() && open.attempts.iter().all(|a| a.ended);
-        if self.requests.get(id).is_some_and(over) {
+    /// Removes a request that has its final response and no attempt in flight.
+    fn remove_if_ended(&mut self, id: &RequestId) {
+        let is_ended =
+            |open: &OpenRequest| open.response.is_none() && open.attempts.iter().all(|a| a.is_ended);
+        if self.requests.get(id).is_some_and(is_ended) {
             if let Some(open) = self.requests.remove(id) {
-                self.timers.remove(&open.guard);
+                self.timers.remove(&open.deadline_timer);
             }
         }
     }
 }
 
-/// Tells the driver that the client has left, unless its answer came first.
+/// Tells the driver on drop that the client has disconnected, unless the guard was disarmed.
 pub struct DisconnectGuard {
     driver: Rc<Driver>,
     id: Option<RequestId>,
 }
 
 impl DisconnectGuard {
-    /// Watches over a request that has just arrived.
+    /// Creates a guard for a request that was just submitted.
     pub fn new(driver: Rc<Driver>, id: RequestId) -> Self {
         Self { driver, id: Some(id) }
     }
 
-    /// The answer has come.
+    /// Disarms the guard, as the final response has been received.
     pub fn disarm(mut self) {
         self.id = None;
     }
--- a/crates/runtime/src/framing.rs
+++ b/crates/runtime/src/framing.rs
@@ -1,27 +1,27 @@
-//! Where each request on a connection begins and ends, judged more strictly than any server would.
+//! Strict check of the message framing of requests, against request smuggling.
 //!
-//! hyper takes a request with both a length and chunks for chunked, and does not tell that there were both. A
-//! server behind might see it otherwise, and find a second request in the body. So the bytes are looked at
-//! before hyper has them: what can be read in two ways is refused.
+//! hyper reads a request with both `Content-Length` and `Transfer-Encoding` as chunked, and does not report
+//! that there were both. A server behind might use the length instead and find a second request in the body.
+//! So the bytes are checked before hyper gets them, and every request whose framing is ambiguous is rejected.
 
 use std::fmt;
 
-/// Why a request can't be taken.
+/// Error for a request with invalid or ambiguous framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
-    /// A line ends in a bare line feed, or holds a bare carriage return or a NUL.
+    /// A line ends with a bare line feed, or contains a bare carriage return or a NUL.
     InvalidLine,
-    /// A header goes on in a second line.
+    /// A header continues on a second line.
     FoldedHeader,
-    /// There is a space between a header's name and its colon, or no colon.
+    /// A header has no colon, or its name is empty or contains white space.
     InvalidHeaderName,
-    /// Both a length and a coding.
+    /// There are both a `Content-Length` and a `Transfer-Encoding`.
     LengthAndCoding,
-    /// More than one length, or one that is no number.
+    /// There is more than one `Content-Length`, or its value is not a number.
     InvalidLength,
-    /// A coding other than one `chunked`, or any in HTTP/1.0.
+    /// `Transfer-Encoding` is not exactly `chunked`, or occurs in an HTTP/1.0 request.
     InvalidCoding,
-    /// A chunk that can't be read.
+    /// A chunk is malformed.
     InvalidChunk,
     /// The head is longer than allowed.
     HeadTooLong,
@@ -46,82 +46,84 @@
 
 impl std::error::Error for FramingError {}
 
-/// Longest extension of one chunk; nobody needs any.
-const EXTENSION_MOST: usize = 256;
-/// Longest trailers.
-const TRAILERS_MOST: usize = 8 << 10;
+/// Maximum length of a chunk extension, in bytes.
+const MAX_EXTENSION_BYTES: usize = 256;
+/// Maximum length of all trailers, in bytes.
+const MAX_TRAILER_BYTES: usize = 8 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// In a head.
     Head,
-    /// In a body with a length, of which this much is left.
+    /// In a body with a length; the number of bytes left.
     Body(u64),
-    /// In a chunk's size: its value and digits so far.
+    /// In the size of a chunk; its value and number of digits so far.
     Size(u64, u8),
-    /// In a chunk's extension, so many bytes long.
+    /// In the extension of a chunk; the chunk's size and the extension's length so far.
     Extension(u64, usize),
-    /// Behind the CR of a chunk's first line.
+    /// After the CR of a chunk's first line; the chunk's size.
     SizeEnd(u64),
-    /// In a chunk's data.
+    /// In the data of a chunk; the number of bytes left.
     Data(u64),
-    /// Behind a chunk's data.
+    /// After the data of a chunk.
     DataCr,
-    /// Behind the CR there.
+    /// After the CR that follows the data.
     DataLf,
-    /// In trailers: bytes of this line, and of all.
+    /// In the trailers; the length of this line and of all trailers so far.
     Trailer(usize, usize),
-    /// Behind the CR of a trailer's line.
+    /// After the CR of a trailer line; the length of the line and of all trailers.
     TrailerEnd(usize, usize),
-    /// Behind a flaw: nothing more is let through.
+    /// After an error; no further bytes pass.
     Stopped,
 }
 
-/// What may go on of the bytes given.
+/// Result of checking some input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// So many bytes have been judged and may go on. The others are to be given again, with more behind them.
+    /// Number of bytes that have been checked and may pass. The others must be given again, followed by more
+    /// input.
     pub pass: usize,
-    /// They end with a head, of which this is the judgement.
+    /// Result for the head with which the passed bytes end, if they end with one.
     pub head: Option<Result<(), FramingError>>,
 }
 
-/// The state of one connection's input.
+/// State of the input of one connection.
 #[derive(Debug)]
 pub struct Framing {
     state: State,
-    head_most: usize,
-    /// Bytes of the present head that have been looked at and end no line.
-    seen: usize,
-    /// A head was cut off, and lacks its end.
-    cut: bool,
+    max_head_bytes: usize,
+    /// Length of the lines of the current head that have been scanned.
+    scanned: usize,
+    /// A head was truncated and lacks the empty line at its end.
+    is_truncated: bool,
 }
 
 impl Framing {
-    /// A connection on which nothing has come; heads are at most this long.
-    pub fn new(head_most: usize) -> Self {
-        Self { state: State::Head, head_most, seen: 0, cut: false }
+    /// Creates the state of a new connection, for heads up to this length.
+    pub fn new(max_head_bytes: usize) -> Self {
+        Self { state: State::Head, max_head_bytes, scanned: 0, is_truncated: false }
     }
 
-    /// Whether nothing more is let through.
+    /// Returns whether no further bytes pass.
     pub fn is_stopped(&self) -> bool {
         self.state == State::Stopped
     }
 
-    /// Adds an end to a head that was cut off, once, so that it is answered; tells how long that is.
-    pub fn take_end(&mut self, held: &mut Vec<u8>) -> usize {
+    /// Terminates a truncated head, so that hyper passes the request on and it gets a response. Does so once,
+    /// and returns the number of bytes added.
+    pub fn terminate_head(&mut self, buffer: &mut Vec<u8>) -> usize {
         const END: &[u8] = b"\r\n\r\n";
-        if !std::mem::take(&mut self.cut) {
+        if !std::mem::take(&mut self.is_truncated) {
             return 0;
         }
-        held.extend_from_slice(END);
+        buffer.extend_from_slice(END);
         END.len()
     }
 
-    /// Judges bytes up to the end of the next head at the most. With nothing passed more bytes are needed.
+    /// Checks bytes up to the end of the next head at most. If no bytes pass, more input is needed.
     ///
     /// # Errors
-    /// If a body can't be read: the connection must end.
+    /// If a body is malformed: the connection must be closed.
     pub fn step(&mut self, bytes: &[u8]) -> Result<Step, FramingError> {
         let mut at = 0;
         while at < bytes.len() {
@@ -147,37 +149,40 @@
         Ok(Step { pass: at, head: None })
     }
 
-    /// A head that begins at `from`, if it is whole.
+    /// Checks the head that begins at `from`, if it is complete.
     fn head(&mut self, bytes: &[u8], from: usize) -> Step {
         let head = &bytes[from..];
-        while let Some(end) = head[self.seen..].iter().position(|b| *b == b'\n') {
-            let line_start = self.seen;
-            self.seen += end + 1;
-            let line = &head[line_start..self.seen];
-            // Empty lines before a request are passed over, as hyper does.
-            let empty = matches!(line, b"\n" | b"\r\n");
-            if empty && !head[..line_start].iter().all(|b| matches!(b, b'\r' | b'\n')) {
-                let whole = &head[..self.seen];
-                let length = self.seen;
-                self.seen = 0;
-                let judged =
-                    if length > self.head_most { Err(FramingError::HeadTooLong) } else { judge(whole) };
-                self.state = judged.unwrap_or(State::Stopped);
-                return Step { pass: from + length, head: Some(judged.map(|_| ())) };
+        while let Some(end) = head[self.scanned..].iter().position(|b| *b == b'\n') {
+            let line_start = self.scanned;
+            self.scanned += end + 1;
+            let line = &head[line_start..self.scanned];
+            // Empty lines before a request are skipped, as hyper does.
+            let is_empty = matches!(line, b"\n" | b"\r\n");
+            if is_empty && !head[..line_start].iter().all(|b| matches!(b, b'\r' | b'\n')) {
+                let complete = &head[..self.scanned];
+                let length = self.scanned;
+                self.scanned = 0;
+                let next_state = if length > self.max_head_bytes {
+                    Err(FramingError::HeadTooLong)
+                } else {
+                    check_head(complete)
+                };
+                self.state = next_state.unwrap_or(State::Stopped);
+                return Step { pass: from + length, head: Some(next_state.map(|_| ())) };
             }
         }
-        if head.len() > self.head_most {
+        if head.len() > self.max_head_bytes {
             self.state = State::Stopped;
-            self.seen = 0;
-            self.cut = true;
+            self.scanned = 0;
+            self.is_truncated = true;
             return Step { pass: bytes.len(), head: Some(Err(FramingError::HeadTooLong)) };
         }
         Step { pass: from, head: None }
     }
 }
 
-/// Judges a whole head and tells what follows it.
-fn judge(head: &[u8]) -> Result<State, FramingError> {
+/// Checks a complete head and returns the state that follows it.
+fn check_head(head: &[u8]) -> Result<State, FramingError> {
     let mut lines = head.split_inclusive(|b| *b == b'\n').skip_while(|line| matches!(*line, b"\r\n" | b"\n"));
     let mut next = || -> Result<Option<&[u8]>, FramingError> {
         let Some(line) = lines.next() else { return Ok(None) };
@@ -187,7 +192,7 @@
         }
         Ok(Some(line).filter(|line| !line.is_empty()))
     };
-    let first = next()?.unwrap_or_default();
+    let request_line = next()?.unwrap_or_default();
     let (mut length, mut chunked) = (None, false);
     while let Some(line) = next()? {
         if matches!(line[0], b' ' | b'\t') {
@@ -201,12 +206,12 @@
         if name.eq_ignore_ascii_case(b"content-length") {
             let digits = !value.is_empty() && value.len() <= 18 && value.iter().all(u8::is_ascii_digit);
             let number = std::str::from_utf8(value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-            // Also where they agree: a server might not look at both.
+            // Rejected also where the lengths agree: a server might read only one of them.
             if length.replace(number.ok_or(FramingError::InvalidLength)?).is_some() {
                 return Err(FramingError::InvalidLength);
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            if chunked || !value.eq_ignore_ascii_case(b"chunked") || first.ends_with(b"HTTP/1.0") {
+            if chunked || !value.eq_ignore_ascii_case(b"chunked") || request_line.ends_with(b"HTTP/1.0") {
                 return Err(FramingError::InvalidCoding);
             }
             chunked = true;
@@ -220,6 +225,7 @@
     }
 }
 
+/// Returns the state after one byte of a chunked body outside the data of a chunk.
 fn chunk_byte(state: State, byte: u8) -> Result<State, FramingError> {
     Ok(match (state, byte) {
         (State::Size(size, digits), b) if b.is_ascii_hexdigit() && digits < 15 => {
@@ -229,7 +235,7 @@
         (State::Size(size, 1..), b'\r') => State::SizeEnd(size),
         (State::Size(size, 1..), b';') => State::Extension(size, 0),
         (State::Extension(size, _), b'\r') => State::SizeEnd(size),
-        (State::Extension(size, length), b) if b != b'\n' && b != 0 && length < EXTENSION_MOST => {
+        (State::Extension(size, length), b) if b != b'\n' && b != 0 && length < MAX_EXTENSION_BYTES => {
             State::Extension(size, length + 1)
         }
         (State::SizeEnd(0), b'\n') => State::Trailer(0, 0),
@@ -237,7 +243,7 @@
         (State::DataCr, b'\r') => State::DataLf,
         (State::DataLf, b'\n') => State::Size(0, 0),
         (State::Trailer(line, all), b'\r') => State::TrailerEnd(line, all),
-        (State::Trailer(line, all), b) if b != b'\n' && b != 0 && all < TRAILERS_MOST => {
+        (State::Trailer(line, all), b) if b != b'\n' && b != 0 && all < MAX_TRAILER_BYTES => {
             State::Trailer(line + 1, all + 1)
         }
         (State::TrailerEnd(0, _), b'\n') => State::Head,
--- a/crates/runtime/src/listing.rs
+++ b/crates/runtime/src/server_list.rs
@@ -1,47 +1,47 @@
-//! The list of app servers as plain data: what tells of it fills it in, the driver takes it.
+//! The server list as plain data: filled in by the sources of the list and applied by the driver.
 
 use ivygate_gateway::SlowStartBound;
 use ivygate_time::Millis;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The list or a change of it.
+/// The whole server list, or a change of it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServerListUpdate {
-    /// Its version.
+    /// Version of the list.
     pub rev: u64,
-    /// Whether what it lacks is gone.
+    /// Whether this is the whole list: servers that it does not contain are removed.
     pub all: bool,
-    /// The entries.
+    /// Entries.
     #[serde(default)]
     pub targets: Vec<ListedServer>,
 }
 
-/// One app server on the list.
+/// An app server on the list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedServer {
-    /// Its name, the same at every node.
+    /// Name, the same on every node.
     pub uid: String,
-    /// Where it listens; one that is gone need not listen anywhere.
+    /// Address on which it listens; not needed for a server that is removed.
     pub endpoint: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone.
     #[serde(default)]
     pub az: String,
-    /// Its cell.
+    /// Cell.
     #[serde(default)]
     pub pod_group: u32,
-    /// Its state.
+    /// State.
     pub state: ListedServerState,
-    /// Its size against the others.
-    #[serde(default = "one")]
+    /// Capacity relative to the other servers.
+    #[serde(default = "default_capacity")]
     pub capacity_hint: f64,
-    /// When it last started, in Unix time; 0 for long ago.
+    /// Unix time of its last start, in milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub boot_ms: f64,
-    /// What the way there is taken to cost, as time.
+    /// Cost of the network distance to it, as time.
     #[serde(skip)]
     pub distance_cost: Millis,
-    /// Bounds what is sent to it while it is cold.
+    /// Limit on the requests sent to it while it warms up.
     #[serde(skip)]
     pub slow_start: Option<SlowStartBound>,
 }
@@ -50,14 +50,14 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Finishes what it has.
+    /// Finishes its requests and gets no new ones.
     Draining,
     /// Removed.
     Deleted,
 }
 
-fn one() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
--- a/crates/runtime/src/stall.rs
+++ b/crates/runtime/src/stall.rs
@@ -1,4 +1,4 @@
-//! How long a side may pause in the middle of a body.
+//! Timeout for pauses in the middle of a body.
 
 use std::fmt;
 use std::future::Future;
@@ -7,44 +7,44 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// A side sent nothing for too long in the middle of a body.
+/// Error for a body of which nothing was received for too long.
 #[derive(Debug)]
 pub struct Stalled;
 
 impl fmt::Display for Stalled {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a body stood still for too long")
+        f.write_str("nothing was received of a body for too long")
     }
 }
 
 impl std::error::Error for Stalled {}
 
-/// Watches over the pauses of a body. Its time runs only while something is waited for.
+/// Limits the pauses of a body. The time runs only while the reader waits for data.
 pub struct StallTimer {
-    most: Duration,
-    /// Made at the first pause; most bodies come at once.
+    max_pause: Duration,
+    /// Created at the first pause, since most bodies arrive without one.
     timer: Option<Pin<Box<Sleep>>>,
-    owed: bool,
+    is_waiting: bool,
 }
 
 impl StallTimer {
-    /// Allows pauses of this length.
-    pub fn new(most: Duration) -> Self {
-        Self { most, timer: None, owed: false }
+    /// Creates a timer that allows pauses of this length.
+    pub fn new(max_pause: Duration) -> Self {
+        Self { max_pause, timer: None, is_waiting: false }
     }
 
-    /// Something has come.
+    /// Notes that data was received.
     pub fn reset(&mut self) {
-        self.owed = false;
+        self.is_waiting = false;
     }
 
-    /// Nothing is there yet: ready when that has been so for too long.
+    /// Polls the timer while no data is available; ready when the pause has lasted too long.
     pub fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<Stalled> {
-        let most = self.most;
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(most)));
-        if !self.owed {
-            self.owed = true;
-            timer.as_mut().reset(Instant::now() + most);
+        let max_pause = self.max_pause;
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(max_pause)));
+        if !self.is_waiting {
+            self.is_waiting = true;
+            timer.as_mut().reset(Instant::now() + max_pause);
         }
         timer.as_mut().poll(cx).map(|()| Stalled)
     }
--- a/crates/runtime/src/streamed.rs
+++ b/crates/runtime/src/streamed.rs
@@ -1,9 +1,9 @@
-//! An answer that is passed on while it comes in. It drives the connection that brings it, and gives that
-//! back when it is whole.
+//! A response body that is forwarded while it is received. It drives its connection, and returns the
+//! connection to the idle ones when the body is complete.
 
-use crate::payload::BodyError;
+use crate::request_body::BodyError;
 use crate::stall::StallTimer;
-use crate::upstream::{Link, Upstream};
+use crate::upstream::{ServerConnection, Upstream};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use ivygate_gateway::ServerId;
@@ -13,41 +13,42 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// The body of an answer that is passed on.
+/// Body of a response that is forwarded while it is received.
 pub struct Streamed {
-    /// `None` once the answer is whole or has broken.
-    link: Option<Box<Link>>,
+    /// `None` once the response is complete or has failed.
+    connection: Option<Box<ServerConnection>>,
     incoming: Incoming,
     server: ServerId,
     upstream: Rc<Upstream>,
-    pauses: StallTimer,
+    stall_timer: StallTimer,
 }
 
 impl Streamed {
     pub(crate) fn new(
-        link: Box<Link>,
+        connection: Box<ServerConnection>,
         incoming: Incoming,
         server: ServerId,
         upstream: Rc<Upstream>,
-        stall: Duration,
+        stall_timeout: Duration,
     ) -> Self {
-        Self { link: Some(link), incoming, server, upstream, pauses: StallTimer::new(stall) }
+        let stall_timer = StallTimer::new(stall_timeout);
+        Self { connection: Some(connection), incoming, server, upstream, stall_timer }
     }
 
-    /// Gives the connection back: the answer is whole.
+    /// Returns the connection to the idle ones, as the response is complete.
     fn finish(&mut self) {
-        let Some(mut link) = self.link.take() else { return };
-        // hyper notes only on its next turn that the answer was the last; one whose request is still being
-        // written is not given back.
-        link.drive(&mut Context::from_waker(Waker::noop()));
-        if link.is_ready() {
-            self.upstream.put_back(self.server, link);
+        let Some(mut connection) = self.connection.take() else { return };
+        // hyper notices the end of the response only when it is polled again. A connection whose request is
+        // still being written is closed instead.
+        connection.drive(&mut Context::from_waker(Waker::noop()));
+        if connection.is_ready() {
+            self.upstream.add_idle(self.server, connection);
         }
     }
 
     fn fail(&mut self, error: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.link = None;
-        self.upstream.stream_broke(self.server);
+        self.connection = None;
+        self.upstream.record_failed_stream(self.server);
         Poll::Ready(Some(Err(error)))
     }
 }
@@ -69,14 +70,14 @@
         let this = &mut *self;
         let mut frame = Pin::new(&mut this.incoming).poll_frame(cx);
         if frame.is_pending() {
-            if let Some(link) = &mut this.link {
-                link.drive(cx);
+            if let Some(connection) = &mut this.connection {
+                connection.drive(cx);
                 frame = Pin::new(&mut this.incoming).poll_frame(cx);
             }
         }
         match frame {
             Poll::Ready(Some(Ok(frame))) => {
-                this.pauses.reset();
+                this.stall_timer.reset();
                 if this.incoming.is_end_stream() {
                     this.finish();
                 }
@@ -87,7 +88,7 @@
                 this.finish();
                 Poll::Ready(None)
             }
-            Poll::Pending => match this.pauses.poll_stalled(cx) {
+            Poll::Pending => match this.stall_timer.poll_stalled(cx) {
                 Poll::Ready(stalled) => this.fail(Box::new(stalled)),
                 Poll::Pending => Poll::Pending,
             },
@@ -105,7 +106,7 @@
 
 impl Drop for Streamed {
     fn drop(&mut self) {
-        // An answer without a body is never polled.
+        // The body of a response without one is never polled.
         if self.incoming.is_end_stream() {
             self.finish();
         }
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to app servers and the attempts on them. One request at a time on each connection.
+//! Connections to app servers, and attempts on them. Each connection carries one request at a time.
 
 use crate::clock::duration_from_millis;
-use crate::payload::{Outgoing, Sent};
+use crate::request_body::{AttemptBody, SendProgress};
 use crate::streamed::Streamed;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -28,111 +28,112 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Longest body of a message.
+/// Maximum length of a body in the platform's protocol, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Most that hyper holds of an answer where bodies are small.
-const HEAD_MOST: usize = 32 << 10;
-/// A connection rests this long between two requests: what a server sends behind an answer must not come
-/// to be read as the next one's.
-const REST: Duration = Duration::from_millis(1);
-/// Weight of one request on a kept connection in the part of those that broke: some tens of requests.
-const BROKE_WEIGHT: f64 = 0.05;
-/// From this part on, kept connections are not trusted with a request that must not be sent again.
-const BROKE_MOST: f64 = 0.04;
-/// The most use that is believed, in percent: more is a slip of the pen.
-const USE_MOST: f64 = 100_000.0;
-/// And the most requests that a server is believed to hold.
-const HELD_MOST: f64 = 100_000.0;
-/// Part of the time after which app servers close an idle connection for which one is kept here: a request
-/// written to a connection that the other side is just closing is a reset.
-const KEEP_PART: f64 = 0.6;
-/// And where the server itself tells it, the connection is let go this long before: the close is on its way then.
-const KEEP_WAY: Duration = Duration::from_millis(500);
-/// Where the settings tell no such time.
-const KEEP_UNTOLD: Duration = Duration::from_secs(4);
-/// And where they tell no time for connecting.
-const CONNECT_UNTOLD: Duration = Duration::from_secs(1);
+/// Read buffer of a connection where bodies are small, in bytes.
+const DEFAULT_BUFFER_BYTES: usize = 32 << 10;
+/// Minimum idle time of a connection between two requests, so that surplus bytes after a response arrive
+/// before the next request and are not read as its response.
+const DEFAULT_MIN_IDLE_TIME: Duration = Duration::from_millis(1);
+/// Weight of one request in the moving average of resets on reused connections, which so covers some tens of
+/// requests.
+const RESET_RATE_WEIGHT: f64 = 0.05;
+/// From this rate of resets on, a request that must not run twice is sent on a new connection.
+const MAX_RESET_RATE: f64 = 0.04;
+/// Highest plausible usage, in percent; greater values are ignored as errors.
+const MAX_USAGE_PERCENT: f64 = 100_000.0;
+/// Highest plausible number of requests that a server reports to have; greater values are ignored as errors.
+const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
+/// Idle timeout as a fraction of the server's: a request written while the server closes the connection ends
+/// in a reset.
+const IDLE_TIMEOUT_RATIO: f64 = 0.6;
+/// Margin before the idle timeout that a server announces itself, for a close that is already on its way.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
+/// Idle timeout if the settings give none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Connect timeout if the settings give none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 const API_USAGE: HeaderName = HeaderName::from_static("api-usage");
 const SRV_LOAD: HeaderName = HeaderName::from_static("srv-load");
 
-/// What an attempt came to.
-pub struct End {
-    /// Its outcome, by the protocol's table.
+/// Result of an attempt.
+pub struct AttemptEnd {
+    /// Outcome, as the response policy classifies it.
     pub outcome: Outcome,
-    /// The body that came with a good answer.
+    /// Body of a successful response of the platform's protocol.
     pub body: Bytes,
-    /// And that body's type.
+    /// Content type of that body.
     pub content_type: Option<HeaderValue>,
-    /// The customer's use, in percent.
-    pub use_percent: Option<f64>,
-    /// The app server's load.
+    /// Usage of the customer's quota, in percent.
+    pub metered_percent: Option<f64>,
+    /// Load of the app server.
     pub load: Load,
-    /// An answer that is passed on, good or not.
-    pub answer: Option<ServerResponse>,
+    /// Response that is forwarded, successful or not.
+    pub response: Option<ServerResponse>,
 }
 
-/// An answer in a server's own words.
+/// A server's response that is forwarded to the client.
 #[derive(Debug)]
 pub enum ServerResponse {
-    /// Passed on as it comes.
+    /// Forwarded while it is received.
     Streamed(Box<Response<Streamed>>),
-    /// Read whole.
+    /// Received completely.
     Buffered(Box<Response<Bytes>>),
 }
 
 impl ServerResponse {
-    /// Its status.
+    /// Returns the status.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
-            ServerResponse::Streamed(answer) => answer.status(),
-            ServerResponse::Buffered(answer) => answer.status(),
+            ServerResponse::Streamed(response) => response.status(),
+            ServerResponse::Buffered(response) => response.status(),
         }
     }
 }
 
-impl End {
-    /// An end that brought nothing along.
-    pub fn bare(outcome: Outcome) -> Self {
+impl AttemptEnd {
+    /// Creates a result without a response.
+    pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
             body: Bytes::new(),
             content_type: None,
-            use_percent: None,
+            metered_percent: None,
             load: Load::default(),
-            answer: None,
+            response: None,
         }
     }
 
-    /// Takes in what an answer's headers tell besides. One that cannot be read is as good as none: it is a
-    /// hint, and the answer itself is whole.
-    fn tell(&mut self, headers: &HeaderMap) {
+    /// Reads the usage and load headers of a response. A malformed one is ignored: these are hints, and the
+    /// response itself is complete.
+    fn read_hints(&mut self, headers: &HeaderMap) {
         let usage = headers.get(API_USAGE).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
-        self.use_percent = usage.filter(|u: &f64| (0.0..=USE_MOST).contains(u));
+        self.metered_percent = usage.filter(|u: &f64| (0.0..=MAX_USAGE_PERCENT).contains(u));
         let load = headers.get(SRV_LOAD).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
         self.load = load.map_or_else(Load::default, LoadReport::load);
     }
 }
 
-/// How far an attempt has come, for whoever gives it up.
+/// Progress of an attempt, which determines its outcome if it is given up.
 #[derive(Default)]
-pub struct Progress {
-    /// The bytes that its connection has taken, and how many there were before this attempt.
+pub struct AttemptProgress {
+    /// Number of bytes written to its connection, and that number before this attempt.
     written: RefCell<Option<(Rc<Cell<u64>>, u64)>>,
-    /// How much of its body has been handed over.
-    pub(crate) sent: Rc<Sent>,
-    /// It is recorded that it is about to be sent.
-    pub(crate) recorded: Cell<bool>,
+    /// Progress of handing over its body.
+    pub(crate) body: Rc<SendProgress>,
+    /// Its start has been recorded.
+    pub(crate) is_recorded: Cell<bool>,
 }
 
-impl Progress {
-    /// Whether the last of its body has been handed over and any byte has been written since the attempt
-    /// began: from then on, in doubt, the request may have run.
+impl AttemptProgress {
+    /// Returns whether the request may have run: its body has been handed over completely, and some byte has
+    /// been written since the attempt began.
     pub fn may_have_run(&self) -> bool {
-        self.sent.last.get() && self.has_written()
+        self.body.is_complete.get() && self.has_written()
     }
 
-    /// Whether any byte has been written since the attempt began.
+    /// Returns whether any byte has been written since the attempt began.
     fn has_written(&self) -> bool {
         self.written.borrow().as_ref().is_some_and(|(written, before)| written.get() > *before)
     }
@@ -142,44 +143,46 @@
     }
 }
 
-/// How answers are read.
+/// How responses are read and classified.
 #[derive(Clone, Debug)]
 pub enum ResponsePolicy {
-    /// Whole, by the platform's protocol.
+    /// Responses of the platform's protocol, read completely.
     Platform,
-    /// As ordinary applications word them, passed on while they come in.
+    /// Responses of ordinary applications, forwarded while they are received.
     Application(ApplicationPolicy),
-    /// Whole, and only those that bear what tells them to be the answer to the request; passed on unchanged.
+    /// Responses that must echo a header of their request, read completely and forwarded unchanged.
     Echo(EchoPolicy),
 }
 
-/// How a whole answer is told to be the server's and to be the request's own.
+/// Policy for responses that must prove to be from the server and to belong to the request.
 #[derive(Clone, Debug)]
 pub struct EchoPolicy {
-    /// The header of a request that its answer must bring back unchanged.
+    /// Request header that the response must repeat unchanged.
     pub echo_header: HeaderName,
-    /// The longest body that is read.
+    /// Maximum length of a response body, in bytes.
     pub max_body_bytes: usize,
-    /// Which outcome an answer stands for.
+    /// Returns the outcome for a response.
     pub classify: fn(StatusCode, &HeaderMap) -> Outcome,
 }
 
-/// Which outcome an application's answer stands for.
+/// Policy for responses of ordinary applications.
 #[derive(Clone, Debug, Default)]
 pub struct ApplicationPolicy {
-    /// Statuses that are failures of the server; all others are the application's answer.
+    /// Statuses that count as failures of the server; all others are responses of the application.
     pub error_statuses: Vec<StatusCode>,
-    /// The header and value by which a 503 or 504 proves that nothing ran; by default nothing does.
+    /// Header and value by which a 503 or 504 proves that the request was not run; `None` if nothing proves
+    /// that.
     pub not_run_header: Option<(HeaderName, HeaderValue)>,
-    /// How long a server may pause in the middle of an answer.
+    /// Maximum pause in the middle of a response body.
     pub stall_timeout: Duration,
 }
 
 impl ApplicationPolicy {
     fn outcome(&self, status: StatusCode, headers: &HeaderMap) -> Outcome {
-        let turned_away = matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
-        let says = |(name, value): &(HeaderName, HeaderValue)| headers.get(name) == Some(value);
-        if turned_away && self.not_run_header.as_ref().is_some_and(says) {
+        let may_be_rejection =
+            matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+        let is_present = |(name, value): &(HeaderName, HeaderValue)| headers.get(name) == Some(value);
+        if may_be_rejection && self.not_run_header.as_ref().is_some_and(is_present) {
             Outcome::Rejected
         } else if self.error_statuses.contains(&status) {
             Outcome::Error
@@ -189,143 +192,146 @@
     }
 }
 
-/// What bounds the connections to a pool's servers.
+/// Limits on the connections to a pool's servers.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
-    /// Most connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// A connection not established by then has failed.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
-    /// An idle connection is kept for this long.
+    /// Time for which an idle connection is kept.
     pub idle_timeout: Duration,
-    /// Most idle connections that are kept to one server: where each request that must not run twice takes a new one,
-    /// they would add up to more than a server takes.
+    /// Maximum number of idle connections to one server. Without a limit, requests that must not run twice,
+    /// which may each take a new connection, would leave more of them than a server accepts.
     pub max_idle_per_server: usize,
-    /// A connection rests this long between two requests.
+    /// Minimum idle time of a connection between two requests.
     pub min_idle_time: Duration,
-    /// Most that hyper holds of an answer at once; guards the memory against heads that do not end.
+    /// Maximum length of the read buffer, in bytes; limits the memory for a response head that does not end.
     pub max_buffer_bytes: usize,
 }
 
 impl UpstreamLimits {
-    /// The platform's, by what its settings tell.
+    /// Returns the limits for the platform's protocol, with the timeouts of its settings.
     pub fn platform(links: Links, connections: usize) -> Self {
-        let keep = |ms: Millis| duration_from_millis(ms * KEEP_PART);
+        let idle_timeout = |ms: Millis| duration_from_millis(ms * IDLE_TIMEOUT_RATIO);
         Self {
             max_connections: connections,
-            connect_timeout: links.connect_timeout.map_or(CONNECT_UNTOLD, duration_from_millis),
-            idle_timeout: links.keepalive.map_or(KEEP_UNTOLD, keep),
+            connect_timeout: links.connect_timeout.map_or(DEFAULT_CONNECT_TIMEOUT, duration_from_millis),
+            idle_timeout: links.keepalive.map_or(DEFAULT_IDLE_TIMEOUT, idle_timeout),
             max_idle_per_server: usize::MAX,
-            min_idle_time: REST,
-            max_buffer_bytes: HEAD_MOST,
+            min_idle_time: DEFAULT_MIN_IDLE_TIME,
+            max_buffer_bytes: DEFAULT_BUFFER_BYTES,
         }
     }
 }
 
-/// All connections to app servers.
+/// The connections to app servers.
 pub struct Upstream {
-    idle: RefCell<HashMap<ServerId, Vec<Idle>>>,
-    open: Rc<Cell<usize>>,
-    /// Part of the requests on kept connections, of late, that ended with nothing but a reset.
-    broke: Cell<f64>,
+    idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
+    open_connections: Rc<Cell<usize>>,
+    /// Moving average of the fraction of requests on reused connections that ended in a reset without a
+    /// response.
+    reset_rate: Cell<f64>,
     limits: UpstreamLimits,
-    reading: ResponsePolicy,
-    /// Servers whose answers broke when they had begun, since that was last asked for.
-    broken: RefCell<Vec<ServerId>>,
+    response_policy: ResponsePolicy,
+    /// Servers with a response that failed in the middle of its body, since the last call of
+    /// `take_failed_streams`.
+    failed_streams: RefCell<Vec<ServerId>>,
 }
 
-struct Idle {
-    /// In a box: it is moved often and large.
-    link: Box<Link>,
+struct IdleConnection {
+    /// Boxed, since it is large and moved often.
+    connection: Box<ServerConnection>,
     since: Instant,
 }
 
-/// One connection. It is driven by whoever uses it, so nothing is left running when it is dropped.
-pub(crate) struct Link {
-    sender: SendRequest<Outgoing>,
+/// A connection to a server. It is polled by its user, so nothing is left running when it is dropped.
+pub(crate) struct ServerConnection {
+    sender: SendRequest<AttemptBody>,
     /// `None` once it has ended.
-    connection: Option<Connection<TokioIo<Counted>, Outgoing>>,
+    driver: Option<Connection<TokioIo<CountingStream>, AttemptBody>>,
     written: Rc<Cell<u64>>,
-    /// Nothing is asked, so that anything to be read is too much.
-    resting: Rc<Cell<bool>>,
+    /// No request is open, so any unread input is an error.
+    expects_silence: Rc<Cell<bool>>,
     address: SocketAddr,
-    /// How long it is kept while idle, by the limits and by what the server last told.
-    keep: Duration,
+    /// Idle timeout, by the limits and by the server's last `Keep-Alive` header.
+    idle_timeout: Duration,
 }
 
-impl Link {
-    /// Whether another request may be written: the other side has not closed it, and all that it sent was
-    /// read. Looks without waiting, and past tokio, which may not have heard yet or may owe others a turn.
-    async fn usable(&mut self) -> bool {
-        self.resting.set(true);
-        let look = poll_fn(|cx| {
+impl ServerConnection {
+    /// Returns whether another request may be written: the server has not closed the connection, and all that
+    /// it has sent was read. Does not wait, and asks the system instead of tokio, whose readiness may be out
+    /// of date and whose task budget may be used up.
+    async fn is_reusable(&mut self) -> bool {
+        self.expects_silence.set(true);
+        let drive_once = poll_fn(|cx| {
             self.drive(cx);
             Poll::Ready(())
         });
-        tokio::task::unconstrained(look).await;
-        self.resting.set(false);
+        tokio::task::unconstrained(drive_once).await;
+        self.expects_silence.set(false);
         self.is_ready()
     }
 
-    /// Whether the connection stands and waits for a request.
+    /// Returns whether the connection is open and waits for a request.
     pub(crate) fn is_ready(&self) -> bool {
-        self.stands() && self.sender.is_ready()
+        self.is_open() && self.sender.is_ready()
     }
 
-    /// Reads and writes what can be.
+    /// Reads and writes without blocking.
     pub(crate) fn drive(&mut self, cx: &mut Context<'_>) {
-        if let Some(connection) = &mut self.connection {
-            // How it ended shows in the answer.
-            if Pin::new(connection).poll(cx).is_ready() {
-                self.connection = None;
+        if let Some(driver) = &mut self.driver {
+            // An error is also returned by the response.
+            if Pin::new(driver).poll(cx).is_ready() {
+                self.driver = None;
             }
         }
     }
 
-    /// Whether the connection has not ended, as far as is known.
-    pub(crate) fn stands(&self) -> bool {
-        self.connection.is_some()
+    /// Returns whether the connection has not ended, as far as is known.
+    pub(crate) fn is_open(&self) -> bool {
+        self.driver.is_some()
     }
 }
 
 impl Upstream {
-    /// No connection yet.
-    pub fn new(limits: UpstreamLimits, reading: ResponsePolicy) -> Rc<Self> {
+    /// Creates an upstream without connections.
+    pub fn new(limits: UpstreamLimits, response_policy: ResponsePolicy) -> Rc<Self> {
         Rc::new(Self {
             idle: RefCell::default(),
-            open: Rc::default(),
-            broke: Cell::new(0.0),
+            open_connections: Rc::default(),
+            reset_rate: Cell::new(0.0),
             limits,
-            reading,
-            broken: RefCell::default(),
+            response_policy,
+            failed_streams: RefCell::default(),
         })
     }
 
-    /// Whether servers can be tried without a request.
-    pub(crate) fn probes(&self) -> bool {
-        !matches!(self.reading, ResponsePolicy::Platform)
+    /// Returns whether servers can be checked without a request.
+    pub(crate) fn supports_health_checks(&self) -> bool {
+        !matches!(self.response_policy, ResponsePolicy::Platform)
     }
 
-    /// Whether a server takes a connection.
-    pub(crate) async fn probe(&self, address: SocketAddr) -> Outcome {
+    /// Checks whether a server accepts a connection.
+    pub(crate) async fn check_health(&self, address: SocketAddr) -> Outcome {
         match self.connect(address).await {
             Ok(_) => Outcome::Ok,
             Err(outcome) => outcome,
         }
     }
 
-    /// Notes that an answer broke after it had begun.
-    pub(crate) fn stream_broke(&self, server: ServerId) {
-        let mut broken = self.broken.borrow_mut();
-        // Guards the memory; a server is no worse for being named twice.
-        if !broken.contains(&server) {
-            broken.push(server);
+    /// Records that a response failed in the middle of its body.
+    pub(crate) fn record_failed_stream(&self, server: ServerId) {
+        let mut failed = self.failed_streams.borrow_mut();
+        // One entry per server bounds the memory, and a second one would have no effect.
+        if !failed.contains(&server) {
+            failed.push(server);
         }
     }
 
-    /// Servers whose answers broke after they had begun, once each.
-    pub(crate) fn take_broken(&self) -> Vec<ServerId> {
-        self.broken.take()
+    /// Takes the servers with a response that failed in the middle of its body, each once.
+    pub(crate) fn take_failed_streams(&self) -> Vec<ServerId> {
+        self.failed_streams.take()
     }
 
     /// Closes the idle connections to a server.
@@ -333,324 +339,358 @@
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes the connections whose idle timeout has passed.
     pub fn close_expired(&self) {
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|idle| idle.since.elapsed() < idle.link.keep);
-            !links.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| idle.since.elapsed() < idle.connection.idle_timeout);
+            !connections.is_empty()
         });
     }
 
-    /// One attempt. `request` is asked for the request when a connection stands and just before its first
-    /// byte is written; `None` means that it must not be sent any more. `once` says that it must not be sent
-    /// again once it has been, `again` that this server has been sent it before.
+    /// Makes one attempt.
+    ///
+    /// `request` is called when a connection is established, just before the first byte is written; if it
+    /// returns `None`, the request must not be sent any more. `at_most_once` means that the request must not
+    /// be sent again after it has been sent, `sent_before` that this server has been sent the request before.
     ///
     /// Dropping the future gives the attempt up and closes its connection.
     pub(crate) async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
         address: SocketAddr,
-        progress: &Progress,
-        once: bool,
-        again: bool,
-        request: impl Fn(&Rc<Sent>) -> Option<Request<Outgoing>>,
-    ) -> End {
+        progress: &AttemptProgress,
+        at_most_once: bool,
+        sent_before: bool,
+        request: impl Fn(&Rc<SendProgress>) -> Option<Request<AttemptBody>>,
+    ) -> AttemptEnd {
         loop {
-            // Guards requests that can't be repeated against servers that end kept connections unsaid: a new
-            // connection costs a handshake, a reset the whole request.
-            // And against a copy of the server's answer to the same request, which bears the same id: a second
-            // refusal would pass for one of this attempt, which runs.
-            let trusted = !again && (!once || self.broke.get() < BROKE_MOST);
-            let kept = if trusted { self.idle_link(server, address).await } else { None };
-            let (link, reused) = match kept {
-                Some(link) => (link, true),
+            // A request that must not run twice takes a new connection if servers close idle connections
+            // without notice: that costs a handshake, a reset the whole request. So does a request that this
+            // server was sent before: a duplicate of the server's earlier response has the same id, and a
+            // rejection that is read twice would be taken for one of this attempt, which runs.
+            let may_reuse = !sent_before && (!at_most_once || self.reset_rate.get() < MAX_RESET_RATE);
+            let idle = if may_reuse { self.take_idle(server, address).await } else { None };
+            let (connection, is_reused) = match idle {
+                Some(connection) => (connection, true),
                 None => match self.connect(address).await {
-                    Ok(link) => (link, false),
-                    Err(outcome) => return End::bare(outcome),
+                    Ok(connection) => (connection, false),
+                    Err(outcome) => return AttemptEnd::without_response(outcome),
                 },
             };
-            // Guards against what happened while connecting: the client left, the server drains, time is up.
-            let Some(request) = request(&progress.sent) else { return End::bare(Outcome::NeverSent) };
-            progress.begin(&link.written);
-            let answer = self.exchange(server, link, reused, request).await;
-            if reused && progress.may_have_run() {
-                let broke = f64::from(u8::from(matches!(answer, Err(Broken::Lost))));
-                self.broke.set(self.broke.get() + BROKE_WEIGHT * (broke - self.broke.get()));
+            // The request is asked for only now, since meanwhile the client may have left, the server may be
+            // draining, or the time may be up.
+            let Some(request) = request(&progress.body) else {
+                return AttemptEnd::without_response(Outcome::NeverSent);
+            };
+            progress.begin(&connection.written);
+            let result = self.exchange(server, connection, is_reused, request).await;
+            if is_reused && progress.may_have_run() {
+                let was_reset = f64::from(u8::from(matches!(result, Err(ExchangeError::ConnectionLost))));
+                let rate = self.reset_rate.get();
+                self.reset_rate.set(rate + RESET_RATE_WEIGHT * (was_reset - rate));
             }
-            match answer {
+            let outcome = match result {
                 Ok(end) => return end,
-                Err(Broken::Spoilt) => return End::bare(Outcome::Unusable),
-                // The client's doing: it says nothing of the server, which never had the whole request.
-                Err(Broken::Lost) if progress.sent.broken_off.get() => return End::bare(Outcome::NeverSent),
-                Err(Broken::Lost) if progress.may_have_run() => return End::bare(Outcome::Reset),
-                // Not a byte was written, so taking another connection sends nothing again.
-                Err(Broken::Lost) if reused && !progress.has_written() => {}
-                Err(Broken::Lost) => return End::bare(Outcome::ConnectFailed),
-            }
+                Err(ExchangeError::InvalidResponse) => Outcome::Unusable,
+                // The client failed to send its body, which is no fault of the server: it never had the
+                // complete request.
+                Err(ExchangeError::ConnectionLost) if progress.body.source_failed.get() => Outcome::NeverSent,
+                Err(ExchangeError::ConnectionLost) if progress.may_have_run() => Outcome::Reset,
+                // Not a byte was written, so another connection does not send the request a second time.
+                Err(ExchangeError::ConnectionLost) if is_reused && !progress.has_written() => continue,
+                Err(ExchangeError::ConnectionLost) => Outcome::ConnectFailed,
+            };
+            return AttemptEnd::without_response(outcome);
         }
     }
 
-    /// Writes a request and reads its answer: whole, or as far as it can be passed on.
+    /// Writes a request and reads its response, completely or up to the body that is forwarded.
     async fn exchange(
         self: &Rc<Self>,
         server: ServerId,
-        mut link: Box<Link>,
-        reused: bool,
-        request: Request<Outgoing>,
-    ) -> Result<End, Broken> {
-        let echo = match &self.reading {
-            ResponsePolicy::Echo(seal) => request.headers().get(&seal.echo_header).cloned(),
+        mut connection: Box<ServerConnection>,
+        is_reused: bool,
+        request: Request<AttemptBody>,
+    ) -> Result<AttemptEnd, ExchangeError> {
+        let expected_echo = match &self.response_policy {
+            ResponsePolicy::Echo(policy) => request.headers().get(&policy.echo_header).cloned(),
             _ => None,
         };
-        let Link { sender, connection, .. } = &mut *link;
+        let ServerConnection { sender, driver, .. } = &mut *connection;
         let mut sending = pin!(sender.send_request(request));
-        let answer = poll_fn(|cx| {
-            if let Poll::Ready(answer) = sending.as_mut().poll(cx) {
-                return Poll::Ready(answer);
+        let response = poll_fn(|cx| {
+            if let Poll::Ready(response) = sending.as_mut().poll(cx) {
+                return Poll::Ready(response);
             }
-            if let Some(open) = connection {
+            if let Some(open) = driver {
                 if Pin::new(open).poll(cx).is_ready() {
-                    // As one does whose answer said so. What it brought is still to be read.
-                    *connection = None;
+                    // The connection ends after a response with `Connection: close`, which is still to be
+                    // read.
+                    *driver = None;
                 }
                 return sending.as_mut().poll(cx);
             }
             Poll::Pending
         })
         .await?;
-        link.keep = kept_for(answer.headers(), self.limits.idle_timeout);
-        match &self.reading {
+        connection.idle_timeout = idle_timeout(response.headers(), self.limits.idle_timeout);
+        match &self.response_policy {
             ResponsePolicy::Platform => {
-                let reading = pin!(read_whole(answer, MAX_BODY_BYTES));
-                let whole = drive_while(&mut link, reading).await?;
-                let end = read_answer(whole);
-                if link.stands() && link.usable().await {
-                    self.put_back(server, link);
+                let reading = pin!(read_response(response, MAX_BODY_BYTES));
+                let response = drive_while(&mut connection, reading).await?;
+                let end = platform_attempt_end(response);
+                if connection.is_open() && connection.is_reusable().await {
+                    self.add_idle(server, connection);
                 }
                 Ok(end)
             }
-            ResponsePolicy::Echo(seal) => {
-                let reading = pin!(read_whole(answer, seal.max_body_bytes));
-                let whole = drive_while(&mut link, reading).await?;
-                // Guards against a surplus answer to an earlier request, and against bytes that no server's
-                // application made. Whoever has the address by now may turn a request away without a word on
-                // which; on a connection that has carried no other there is but the one.
-                let untold = !reused
-                    && whole.status == StatusCode::MISDIRECTED_REQUEST
-                    && !whole.headers.contains_key(&seal.echo_header);
-                if whole.headers.get(&seal.echo_header) != echo.as_ref() && !untold {
-                    return Err(Broken::Spoilt);
+            ResponsePolicy::Echo(policy) => {
+                let reading = pin!(read_response(response, policy.max_body_bytes));
+                let response = drive_while(&mut connection, reading).await?;
+                // A missing or different echo marks a surplus response to an earlier request, or bytes that
+                // are not from the server's application. Another process that has the address by now may
+                // reject the request without an echo; on a connection that carried no other request it can
+                // only mean this one.
+                let is_unechoed_rejection = !is_reused
+                    && response.status == StatusCode::MISDIRECTED_REQUEST
+                    && !response.headers.contains_key(&policy.echo_header);
+                let echo = response.headers.get(&policy.echo_header);
+                if echo != expected_echo.as_ref() && !is_unechoed_rejection {
+                    return Err(ExchangeError::InvalidResponse);
                 }
-                let outcome = (seal.classify)(whole.status, &whole.headers);
+                let outcome = (policy.classify)(response.status, &response.headers);
                 if outcome == Outcome::Unusable {
-                    return Err(Broken::Spoilt);
+                    return Err(ExchangeError::InvalidResponse);
                 }
-                if link.stands() && link.usable().await {
-                    self.put_back(server, link);
+                if connection.is_open() && connection.is_reusable().await {
+                    self.add_idle(server, connection);
                 }
-                let mut end = End::bare(outcome);
+                let mut end = AttemptEnd::without_response(outcome);
                 if !outcome.never_ran() {
-                    let mut answer = Response::new(whole.body);
-                    *answer.status_mut() = whole.status;
-                    *answer.headers_mut() = whole.headers;
-                    end.answer = Some(ServerResponse::Buffered(Box::new(answer)));
+                    let mut forwarded = Response::new(response.body);
+                    *forwarded.status_mut() = response.status;
+                    *forwarded.headers_mut() = response.headers;
+                    end.response = Some(ServerResponse::Buffered(Box::new(forwarded)));
                 }
                 Ok(end)
             }
-            ResponsePolicy::Application(judge) => {
-                // Guards the connection: nobody asked for another protocol.
-                if answer.status().is_informational() {
-                    return Err(Broken::Spoilt);
+            ResponsePolicy::Application(policy) => {
+                // A change of protocol was not requested.
+                if response.status().is_informational() {
+                    return Err(ExchangeError::InvalidResponse);
                 }
-                let (parts, body) = answer.into_parts();
-                let outcome = judge.outcome(parts.status, &parts.headers);
-                let mut end = End::bare(outcome);
-                end.tell(&parts.headers);
-                let body = Streamed::new(link, body, server, self.clone(), judge.stall_timeout);
-                end.answer = (outcome != Outcome::Rejected)
+                let (parts, body) = response.into_parts();
+                let outcome = policy.outcome(parts.status, &parts.headers);
+                let mut end = AttemptEnd::without_response(outcome);
+                end.read_hints(&parts.headers);
+                let body = Streamed::new(connection, body, server, self.clone(), policy.stall_timeout);
+                end.response = (outcome != Outcome::Rejected)
                     .then(|| ServerResponse::Streamed(Box::new(Response::from_parts(parts, body))));
                 Ok(end)
             }
         }
     }
 
-    /// The idle connection last used; the others get the rest that lets them go.
-    async fn idle_link(&self, server: ServerId, address: SocketAddr) -> Option<Box<Link>> {
+    /// Takes the idle connection that was used last, so that the others can reach their idle timeout.
+    async fn take_idle(&self, server: ServerId, address: SocketAddr) -> Option<Box<ServerConnection>> {
         loop {
             let now = Instant::now();
             let idle = {
                 let mut idle = self.idle.borrow_mut();
-                let links = idle.get_mut(&server)?;
-                let last = links.len().checked_sub(1)?;
-                let rested = links.iter().rposition(|idle| now - idle.since >= self.limits.min_idle_time);
-                links.remove(rested.unwrap_or(last))
+                let connections = idle.get_mut(&server)?;
+                let last = connections.len().checked_sub(1)?;
+                let ready =
+                    connections.iter().rposition(|idle| now - idle.since >= self.limits.min_idle_time);
+                connections.remove(ready.unwrap_or(last))
             };
-            let rested = now - idle.since;
-            if rested < self.limits.min_idle_time {
-                sleep(self.limits.min_idle_time - rested).await;
+            let idle_time = now - idle.since;
+            if idle_time < self.limits.min_idle_time {
+                sleep(self.limits.min_idle_time - idle_time).await;
             }
-            let mut link = idle.link;
-            if rested < link.keep && link.address == address && link.usable().await {
-                return Some(link);
+            let mut connection = idle.connection;
+            if idle_time < connection.idle_timeout
+                && connection.address == address
+                && connection.is_reusable().await
+            {
+                return Some(connection);
             }
         }
     }
 
-    pub(crate) fn put_back(&self, server: ServerId, link: Box<Link>) {
-        let idle = Idle { link, since: Instant::now() };
+    pub(crate) fn add_idle(&self, server: ServerId, connection: Box<ServerConnection>) {
+        let idle = IdleConnection { connection, since: Instant::now() };
         let mut all = self.idle.borrow_mut();
-        let links = all.entry(server).or_default();
-        if links.len() >= self.limits.max_idle_per_server {
-            // The one that was used longest ago, which would be closed first anyway.
-            links.remove(0);
+        let connections = all.entry(server).or_default();
+        if connections.len() >= self.limits.max_idle_per_server {
+            // The least recently used one, which would expire first.
+            connections.remove(0);
         }
-        links.push(idle);
+        connections.push(idle);
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Box<Link>, Outcome> {
-        if self.open.get() >= self.limits.max_connections && !self.close_oldest() {
-            // No descriptor to spare: a want of this node's own, which tells nothing of the server.
+    async fn connect(&self, address: SocketAddr) -> Result<Box<ServerConnection>, Outcome> {
+        if self.open_connections.get() >= self.limits.max_connections && !self.close_oldest() {
+            // A shortage of descriptors in this process says nothing about the server.
             return Err(Outcome::NeverSent);
         }
-        let slot = Slot::take(&self.open);
+        let open_guard = OpenConnectionGuard::new(&self.open_connections);
         let stream = match timeout(self.limits.connect_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if out_of_descriptors(&error) => return Err(Outcome::NeverSent),
             Ok(Err(_)) | Err(_) => return Err(Outcome::ConnectFailed),
         };
-        // A hint: where the system refuses it the connection serves all the same, and the server has not failed.
+        // Only an optimization: if the system refuses it, the connection works all the same and the server
+        // has not failed.
         let _ = stream.set_nodelay(true);
         let written = Rc::new(Cell::new(0));
-        let resting = Rc::new(Cell::new(false));
-        let counted = Counted { stream, written: written.clone(), resting: resting.clone(), _slot: slot };
-        let (sender, connection) = hyper::client::conn::http1::Builder::new()
+        let expects_silence = Rc::new(Cell::new(false));
+        let counting = CountingStream {
+            stream,
+            written: written.clone(),
+            expects_silence: expects_silence.clone(),
+            _open_guard: open_guard,
+        };
+        let (sender, driver) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(self.limits.max_buffer_bytes)
-            .handshake(TokioIo::new(counted))
+            .handshake(TokioIo::new(counting))
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
-        let keep = self.limits.idle_timeout;
-        Ok(Box::new(Link { sender, connection: Some(connection), written, resting, address, keep }))
+        let idle_timeout = self.limits.idle_timeout;
+        let driver = Some(driver);
+        Ok(Box::new(ServerConnection { sender, driver, written, expects_silence, address, idle_timeout }))
     }
 
-    /// Makes room by closing the connection that has been idle longest.
+    /// Closes the connection that has been idle longest; returns whether there was one.
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|links| !links.is_empty()).min_by_key(|links| links[0].since);
-        oldest.map(|links| links.remove(0)).is_some()
-    }
-}
-
-/// How long an idle connection is kept, at most, where its server tells when it closes one: `Keep-Alive: timeout=5`, in
-/// whole seconds.
-fn kept_for(headers: &HeaderMap, most: Duration) -> Duration {
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok());
-    let told = told.and_then(|told| told.split(',').find_map(|part| part.trim().strip_prefix("timeout=")));
-    let Some(told) = told.and_then(|seconds| seconds.parse().ok()).map(Duration::from_secs) else {
-        return most;
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].since);
+        oldest.map(|connections| connections.remove(0)).is_some()
+    }
+}
+
+/// Returns the idle timeout of a connection: `limit`, or less if the server announces its own timeout in
+/// whole seconds, as in `Keep-Alive: timeout=5`.
+fn idle_timeout(headers: &HeaderMap, limit: Duration) -> Duration {
+    let header = headers.get("keep-alive").and_then(|value| value.to_str().ok());
+    let seconds =
+        header.and_then(|text| text.split(',').find_map(|part| part.trim().strip_prefix("timeout=")));
+    let Some(timeout) = seconds.and_then(|seconds| seconds.parse().ok()).map(Duration::from_secs) else {
+        return limit;
     };
-    told.saturating_sub(KEEP_WAY).max(told.mul_f64(KEEP_PART)).min(most)
+    timeout.saturating_sub(IDLE_TIMEOUT_MARGIN).max(timeout.mul_f64(IDLE_TIMEOUT_RATIO)).min(limit)
 }
 
-/// Whether an error says that this process or machine has no descriptor left (EMFILE, ENFILE).
+/// Returns whether an error means that this process or machine has no descriptor left (EMFILE, ENFILE).
 pub fn out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(23 | 24))
 }
 
-/// Whether the other side has sent something that is still unread, or has ended its sending. Asks the system itself: tokio
-/// may not have heard yet.
+/// Returns whether the peer has sent bytes that are still unread, or has closed its side. Asks the system,
+/// since tokio's readiness may be out of date.
 pub fn has_unread_input(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Why there was no whole answer.
-enum Broken {
-    /// The connection ended or broke.
-    Lost,
-    /// What came was no answer, or longer than any may be.
-    Spoilt,
+/// Error for an exchange without a complete, valid response.
+enum ExchangeError {
+    /// The connection ended or failed.
+    ConnectionLost,
+    /// The response is malformed, too long or not allowed.
+    InvalidResponse,
 }
 
-impl From<hyper::Error> for Broken {
+impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        // hyper words a chunk that cannot be read as a body error with one of these kinds in it.
-        let unreadable = |error: &io::Error| {
+        // hyper reports a malformed chunk as a body error whose source has one of these kinds.
+        let is_malformed = |error: &io::Error| {
             matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)
         };
         let source = std::error::Error::source(&error).and_then(|e| e.downcast_ref::<io::Error>());
-        if error.is_parse() || source.is_some_and(unreadable) {
-            Broken::Spoilt
+        if error.is_parse() || source.is_some_and(is_malformed) {
+            ExchangeError::InvalidResponse
         } else {
-            Broken::Lost
+            ExchangeError::ConnectionLost
         }
     }
 }
 
-/// An answer that has come whole.
-struct Whole {
+/// A response that has been received completely.
+struct BufferedResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Waits for what a connection brings while driving it.
-async fn drive_while<T>(link: &mut Link, mut reading: Pin<&mut impl Future<Output = T>>) -> T {
+/// Waits for a future that reads from a connection, and drives the connection meanwhile.
+async fn drive_while<T>(
+    connection: &mut ServerConnection,
+    mut reading: Pin<&mut impl Future<Output = T>>,
+) -> T {
     poll_fn(|cx| {
-        if let Poll::Ready(read) = reading.as_mut().poll(cx) {
-            return Poll::Ready(read);
+        if let Poll::Ready(output) = reading.as_mut().poll(cx) {
+            return Poll::Ready(output);
         }
-        link.drive(cx);
+        connection.drive(cx);
         reading.as_mut().poll(cx)
     })
     .await
 }
 
-async fn read_whole(answer: Response<Incoming>, most: usize) -> Result<Whole, Broken> {
-    let (parts, body) = answer.into_parts();
-    let length = parts.headers.contains_key(CONTENT_LENGTH);
-    let mut coding = parts.headers.get_all(TRANSFER_ENCODING).iter();
-    let chunked = coding.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    match chunked {
-        // Guards against an answer cut short that looks whole: without a length or chunks only the
-        // connection's end would mark the body's, and a server that dies ends it too.
-        None if !length && !body.is_end_stream() => return Err(Broken::Lost),
+/// Reads a response completely.
+async fn read_response(
+    response: Response<Incoming>,
+    max_body_bytes: usize,
+) -> Result<BufferedResponse, ExchangeError> {
+    let (parts, body) = response.into_parts();
+    let has_length = parts.headers.contains_key(CONTENT_LENGTH);
+    let mut codings = parts.headers.get_all(TRANSFER_ENCODING).iter();
+    let is_chunked = codings.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
+    match is_chunked {
+        // Without a length or chunks, only the end of the connection would mark the end of the body. A
+        // truncated body would then look complete, since a server that dies ends the connection too.
+        None if !has_length && !body.is_end_stream() => return Err(ExchangeError::ConnectionLost),
         None => {}
-        // Two ways to find the end of a body are two ends.
-        Some(true) if !length && coding.next().is_none() => {}
-        Some(_) => return Err(Broken::Spoilt),
+        // With both a length and chunks, or several codings, the end of the body would be ambiguous.
+        Some(true) if !has_length && codings.next().is_none() => {}
+        Some(_) => return Err(ExchangeError::InvalidResponse),
     }
-    // Guards the connection: nobody asked for another protocol.
-    if parts.status.is_informational() || body.size_hint().lower() > most as u64 {
-        return Err(Broken::Spoilt);
+    // A change of protocol was not requested.
+    if parts.status.is_informational() || body.size_hint().lower() > max_body_bytes as u64 {
+        return Err(ExchangeError::InvalidResponse);
     }
-    let body = Limited::new(body, most).collect().await.map_err(|error| {
+    let body = Limited::new(body, max_body_bytes).collect().await.map_err(|error| {
         match error.downcast::<hyper::Error>() {
-            Ok(error) => Broken::from(*error),
-            // Longer than any body may be.
-            Err(_) => Broken::Spoilt,
+            Ok(error) => ExchangeError::from(*error),
+            // The body exceeds the maximum length.
+            Err(_) => ExchangeError::InvalidResponse,
         }
     })?;
-    Ok(Whole { status: parts.status, headers: parts.headers, body: body.to_bytes() })
+    Ok(BufferedResponse { status: parts.status, headers: parts.headers, body: body.to_bytes() })
 }
 
-fn read_answer(answer: Whole) -> End {
-    let headers = &answer.headers;
-    let declined = headers.get("srv-declined").is_some_and(|v| v.as_bytes() == b"1");
-    let outcome = match answer.status {
+/// Classifies a response of the platform's protocol.
+fn platform_attempt_end(response: BufferedResponse) -> AttemptEnd {
+    let headers = &response.headers;
+    let is_declined = headers.get("srv-declined").is_some_and(|v| v.as_bytes() == b"1");
+    let outcome = match response.status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Rejected,
-        // The fault is in the request, not in the server.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_declined => Outcome::Rejected,
+        // The request is at fault, not the server.
         status if status.is_client_error() => Outcome::Unusable,
         _ => Outcome::Error,
     };
-    let mut end = End::bare(outcome);
-    end.tell(headers);
+    let mut end = AttemptEnd::without_response(outcome);
+    end.read_hints(headers);
     end.content_type = headers.get(CONTENT_TYPE).cloned();
-    end.body = answer.body;
+    end.body = response.body;
     end
 }
 
-/// The fields of a load report that a gateway takes in.
+/// The fields of a server's load report that are used.
 #[derive(Deserialize)]
 struct LoadReport {
     inflight: Option<f64>,
@@ -661,42 +701,42 @@
 
 impl LoadReport {
     fn load(self) -> Load {
-        let within = |v: Option<f64>, most: f64| v.filter(|v| (0.0..=most).contains(v));
+        let up_to = |v: Option<f64>, max: f64| v.filter(|v| (0.0..=max).contains(v));
         Load {
-            in_flight: within(self.inflight, HELD_MOST),
-            queue: within(self.queue, HELD_MOST),
-            // A little over the whole is noise.
-            utilization: within(self.util, 2.0),
-            service_time: within(self.latency_ms, f64::MAX),
+            in_flight: up_to(self.inflight, MAX_REPORTED_REQUESTS),
+            queue: up_to(self.queue, MAX_REPORTED_REQUESTS),
+            // Values somewhat above 1 are measurement noise.
+            utilization: up_to(self.util, 2.0),
+            service_time: up_to(self.latency_ms, f64::MAX),
         }
     }
 }
 
-/// Counts an open descriptor for as long as it lives.
-struct Slot(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl Slot {
-    fn take(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        Self(open.clone())
+impl OpenConnectionGuard {
+    fn new(open_connections: &Rc<Cell<usize>>) -> Self {
+        open_connections.set(open_connections.get() + 1);
+        Self(open_connections.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A stream that counts the bytes that it has taken for writing.
-struct Counted {
+/// A stream that counts the bytes written to it, and rejects input while no request is open.
+struct CountingStream {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
-    resting: Rc<Cell<bool>>,
-    _slot: Slot,
+    expects_silence: Rc<Cell<bool>>,
+    _open_guard: OpenConnectionGuard,
 }
 
-impl Counted {
+impl CountingStream {
     fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &written {
             self.written.set(self.written.get() + *bytes as u64);
@@ -705,21 +745,21 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a stray second answer that tokio has not noticed yet.
-        if self.resting.get() && has_unread_input(&self.stream) {
+        // A surplus response may have arrived that tokio has not noticed yet.
+        if self.expects_silence.get() && has_unread_input(&self.stream) {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.count(written)
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -1,5 +1,5 @@
-//! What becomes of requests whose server answers late, twice, for the one before, or half, or breaks its connection: on
-//! real sockets, with the gateway that decides about further tries.
+//! Requests whose server responds late, twice, to an earlier request or in part, or closes its connection:
+//! over real sockets, with the gateway deciding about further attempts.
 
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue};
@@ -9,7 +9,7 @@
     ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
     OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
-use ivygate_test_servers::{read_message, reset, until, Message as Read, Scripted};
+use ivygate_test_servers::{read_message, reset, until, Message as ReceivedRequest, Scripted};
 use ivygate_time::Millis;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,11 +17,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const ID: HeaderName = HeaderName::from_static("ivygate-attempt-id");
+const ATTEMPT_ID: HeaderName = HeaderName::from_static("ivygate-attempt-id");
 const SEAL: &str = "ivygate-server-seal";
 const NOT_RUN: &str = "ivygate-not-run";
 
-fn judge(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
     if headers.contains_key(NOT_RUN) {
         Outcome::Rejected
     } else if status == StatusCode::MISDIRECTED_REQUEST {
@@ -76,9 +76,10 @@
         min_idle_time: Duration::from_millis(1),
         max_buffer_bytes: 64 << 10,
     };
-    let seal = EchoPolicy { echo_header: ID, max_body_bytes: 1 << 20, classify: judge };
-    let upstream = Upstream::new(limits, ResponsePolicy::Echo(seal));
-    let driver = Driver::new(Gateway::new(settings, 7).expect("they are sound"), Clock::new(), upstream);
+    let policy = EchoPolicy { echo_header: ATTEMPT_ID, max_body_bytes: 1 << 20, classify };
+    let upstream = Upstream::new(limits, ResponsePolicy::Echo(policy));
+    let gateway = Gateway::new(settings, 7).expect("valid settings");
+    let driver = Driver::new(gateway, Clock::new(), upstream);
     let target = ListedServer {
         uid: "i-1".to_owned(),
         endpoint: Some(server),
@@ -95,14 +96,14 @@
     driver
 }
 
-async fn ask(driver: &Rc<Driver>, class: &str, id: &str) -> FinalResponse {
-    ask_for(driver, class, id, 10_000.0).await
+async fn send(driver: &Rc<Driver>, class: &str, id: &str) -> FinalResponse {
+    send_with_timeout(driver, class, id, 10_000.0).await
 }
 
-async fn ask_for(driver: &Rc<Driver>, class: &str, id: &str, wait: Millis) -> FinalResponse {
+async fn send_with_timeout(driver: &Rc<Driver>, class: &str, id: &str, timeout: Millis) -> FinalResponse {
     let mut headers = HeaderMap::new();
     headers.insert("host", HeaderValue::from_static("h"));
-    headers.insert(ID, HeaderValue::from_str(id).expect("a value"));
+    headers.insert(ATTEMPT_ID, HeaderValue::from_str(id).expect("a value"));
     let head = Head {
         id: id.into(),
         class: class.into(),
@@ -110,24 +111,24 @@
         customer: "".into(),
         units: 1.0,
         gateways: 1,
-        timeout: wait,
+        timeout,
         at_most_once: class == "once",
         zones: None,
         max_attempts: Some(5),
     };
-    let message = OutgoingRequest {
+    let outgoing = OutgoingRequest {
         method: Method::POST,
         uri: "/a/b".parse().expect("a path"),
         headers,
         body: Rc::new(RequestBody::buffered(Bytes::from_static(b"body"))),
         set_attempt_headers: None,
     };
-    let answer =
-        driver.submit(ClientRequest { head, deadline: driver.now().plus_millis(wait), outgoing: message });
-    answer.expect("no other has its id").await.expect("it is answered")
+    let deadline = driver.now().plus_millis(timeout);
+    let response = driver.submit(ClientRequest { head, deadline, outgoing });
+    response.expect("a new id").await.expect("a response")
 }
 
-/// The ids of requests that ran, in order.
+/// The ids of the requests that a server ran, in order.
 #[derive(Clone, Default)]
 struct Runs(Arc<Mutex<Vec<String>>>);
 
@@ -136,61 +137,63 @@
         self.0.lock().expect("no panic").push(id.to_owned());
     }
 
-    fn of(&self, id: &str) -> usize {
+    /// Returns the number of times that a request ran.
+    fn count(&self, id: &str) -> usize {
         self.0.lock().expect("no panic").iter().filter(|ran| *ran == id).count()
     }
 }
 
-fn id(request: &Read) -> String {
-    request.header(ID.as_str()).expect("it has an id").to_owned()
+fn attempt_id(request: &ReceivedRequest) -> String {
+    request.header(ATTEMPT_ID.as_str()).expect("an id").to_owned()
 }
 
-/// A whole answer to a request of this id, its body being the id.
-fn whole(status: &str, id: &str, more: &str) -> Vec<u8> {
+/// Returns a complete response to the request with this id; the body is the id.
+fn response(status: &str, id: &str, more_headers: &str) -> Vec<u8> {
     let echo = if id.is_empty() { String::new() } else { format!("Ivygate-Attempt-Id: {id}\r\n") };
     let length = id.len();
-    format!("HTTP/1.1 {status}\r\n{echo}{more}Content-Length: {length}\r\n\r\n{id}").into_bytes()
+    format!("HTTP/1.1 {status}\r\n{echo}{more_headers}Content-Length: {length}\r\n\r\n{id}").into_bytes()
 }
 
-const AWAY: &str = "Ivygate-Not-Run: full\r\n";
-const SEALED: &str = "Ivygate-Server-Seal: s\r\n";
+const NOT_RUN_HEADER: &str = "Ivygate-Not-Run: full\r\n";
+const SEAL_HEADER: &str = "Ivygate-Server-Seal: s\r\n";
 
-/// Runs and answers all that comes.
+/// Runs all requests on a connection and responds to them.
 fn serve(stream: &mut BufReader<TcpStream>, runs: &Runs) {
     while let Some(request) = read_message(stream) {
-        let id = id(&request);
+        let id = attempt_id(&request);
         runs.add(&id);
-        if stream.get_mut().write_all(&whole("200 OK", &id, SEALED)).is_err() {
+        if stream.get_mut().write_all(&response("200 OK", &id, SEAL_HEADER)).is_err() {
             return;
         }
     }
 }
 
 fn write(stream: &mut BufReader<TcpStream>, bytes: &[u8]) {
-    // Where the other side has left, the test sees what came of it.
+    // If the peer has closed the connection, the test sees the consequences.
     let _ = stream.get_mut().write_all(bytes);
 }
 
-/// What an answer tells a client: its status, and whose id and body it bears.
-fn told(answer: &FinalResponse) -> (u16, String) {
-    match answer {
-        FinalResponse::Buffered(answer) => {
-            let echo = answer.headers().get(ID).map_or("", |id| id.to_str().expect("it is text"));
-            assert_eq!(answer.body(), echo, "the body is that request's");
-            (answer.status().as_u16(), echo.to_owned())
+/// Returns the status of a response, and the id of the request that it belongs to.
+fn status_and_id(response: &FinalResponse) -> (u16, String) {
+    match response {
+        FinalResponse::Buffered(response) => {
+            let echo = response.headers().get(ATTEMPT_ID).map_or("", |id| id.to_str().expect("text"));
+            assert_eq!(response.body(), echo, "the body belongs to that request");
+            (response.status().as_u16(), echo.to_owned())
         }
         FinalResponse::Refused(..) => (503, String::new()),
         FinalResponse::Failed => (502, String::new()),
         FinalResponse::TimedOut => (504, String::new()),
-        FinalResponse::Served(..) | FinalResponse::Streamed(_) => panic!("answers are read whole"),
+        FinalResponse::Served(..) | FinalResponse::Streamed(_) => panic!("responses are buffered"),
     }
 }
 
 type Script = fn(&mut BufReader<TcpStream>, &Runs);
 
-/// One request that is served, and then one on the same connection, of which `script` is the server's part; other
-/// connections serve whatever comes. Tells what the second was answered and how often it ran.
-fn second(class: &str, script: Script) -> ((u16, String), usize) {
+/// Sends a request that is served, and a second one on the same connection, on which the server runs
+/// `script`. Other connections serve all requests. Returns the response to the second request and how often
+/// it ran.
+fn second_request(class: &str, script: Script) -> ((u16, String), usize) {
     let runs = Runs::default();
     let ran = runs.clone();
     let server = Scripted::start(move |stream, number| {
@@ -198,58 +201,56 @@
             return serve(stream, &ran);
         }
         let first = read_message(stream).expect("a request");
-        write(stream, &whole("200 OK", &id(&first), SEALED));
+        write(stream, &response("200 OK", &attempt_id(&first), SEAL_HEADER));
         script(stream, &ran);
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let told = tokio::task::LocalSet::new().block_on(&runtime, async {
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = driver(server.address);
-        assert_eq!(told(&ask(&driver, class, "a").await), (200, "a".to_owned()));
-        told(&ask(&driver, class, "b").await)
+        assert_eq!(status_and_id(&send(&driver, class, "a").await), (200, "a".to_owned()));
+        status_and_id(&send(&driver, class, "b").await)
     });
     drop(runtime);
-    until("the server has seen its connections end", || {
+    until("all connections of the server have ended", || {
         server.ended.load(std::sync::atomic::Ordering::SeqCst) == server.accepted()
     });
-    (told, runs.of("b"))
+    (outcome, runs.count("b"))
 }
 
-/// Reads the second request and runs it.
+/// Receives the second request and runs it.
 fn run_second(stream: &mut BufReader<TcpStream>, runs: &Runs) {
     let request = read_message(stream).expect("a second request");
-    runs.add(&id(&request));
+    runs.add(&attempt_id(&request));
 }
 
 #[test]
-fn given_a_refusal_meant_for_the_request_before_when_it_comes_in_the_next_ones_place_then_that_is_not_taken_for_unrun(
-) {
+fn rejection_of_the_previous_request_is_no_proof_that_the_next_did_not_run() {
     let scripts: [Script; 4] = [
         |stream, runs| {
             run_second(stream, runs);
-            write(stream, &whole("421 Misdirected Request", "a", ""));
+            write(stream, &response("421 Misdirected Request", "a", ""));
         },
         |stream, runs| {
             run_second(stream, runs);
-            write(stream, &whole("421 Misdirected Request", "", ""));
+            write(stream, &response("421 Misdirected Request", "", ""));
         },
         |stream, runs| {
             run_second(stream, runs);
-            write(stream, &whole("503 Service Unavailable", "a", AWAY));
+            write(stream, &response("503 Service Unavailable", "a", NOT_RUN_HEADER));
         },
         |stream, runs| {
             run_second(stream, runs);
-            write(stream, &whole("503 Service Unavailable", "", AWAY));
+            write(stream, &response("503 Service Unavailable", "", NOT_RUN_HEADER));
         },
     ];
     for script in scripts {
-        let ((status, _), ran) = second("once", script);
+        let ((status, _), ran) = second_request("once", script);
         assert_eq!((status, ran), (502, 1));
     }
 }
 
 #[test]
-fn given_another_life_at_the_address_when_it_answers_421_without_an_id_on_a_new_connection_then_the_request_goes_on(
-) {
+fn status_421_without_id_on_a_new_connection_lets_the_request_be_retried() {
     let runs = Runs::default();
     let ran = runs.clone();
     let server = Scripted::start(move |stream, number| {
@@ -257,18 +258,18 @@
             return serve(stream, &ran);
         }
         read_message(stream).expect("a request");
-        write(stream, &whole("421 Misdirected Request", "", ""));
+        write(stream, &response("421 Misdirected Request", "", ""));
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let told = tokio::task::LocalSet::new().block_on(&runtime, async {
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = driver(server.address);
-        told(&ask(&driver, "once", "a").await)
+        status_and_id(&send(&driver, "once", "a").await)
     });
-    assert_eq!((told, runs.of("a")), ((200, "a".to_owned()), 1));
+    assert_eq!((outcome, runs.count("a")), ((200, "a".to_owned()), 1));
 }
+
 #[test]
-fn given_a_server_that_turns_a_request_away_twice_when_it_gets_it_again_then_the_copy_does_not_hide_that_it_ran(
-) {
+fn duplicate_of_an_earlier_rejection_does_not_hide_that_the_retry_ran() {
     let runs = Runs::default();
     let ran = runs.clone();
     let server = Scripted::start(move |stream, number| {
@@ -276,36 +277,35 @@
             return serve(stream, &ran);
         }
         let request = read_message(stream).expect("a request");
-        let away = whole("503 Service Unavailable", &id(&request), AWAY);
-        write(stream, &away);
+        let rejection = response("503 Service Unavailable", &attempt_id(&request), NOT_RUN_HEADER);
+        write(stream, &rejection);
         if let Some(request) = read_message(stream) {
-            ran.add(&id(&request));
-            write(stream, &away);
+            ran.add(&attempt_id(&request));
+            write(stream, &rejection);
         }
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let told = tokio::task::LocalSet::new().block_on(&runtime, async {
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = driver(server.address);
-        told(&ask(&driver, "once", "a").await)
+        status_and_id(&send(&driver, "once", "a").await)
     });
-    assert_eq!((told, runs.of("a")), ((200, "a".to_owned()), 1));
+    assert_eq!((outcome, runs.count("a")), ((200, "a".to_owned()), 1));
 }
 
-/// Waits until a request lies in the socket, and leaves it there.
-fn arrived(stream: &BufReader<TcpStream>) {
+/// Waits until a request has arrived at the socket, without reading it.
+fn wait_for_request(stream: &BufReader<TcpStream>) {
     let _ = stream.get_ref().peek(&mut [0]);
 }
 
 #[test]
-fn given_a_server_in_trouble_when_a_request_must_not_run_twice_then_it_runs_once_at_most_and_is_answered_truly(
-) {
-    /// What the server does; the status then; how often the request runs, by its own answer or by another's.
+fn unsafe_request_runs_at_most_once_whatever_the_server_does() {
+    /// Description of the server's behaviour, its script, the client's status and the number of runs.
     type Row = (&'static str, Script, u16, usize);
     let rows: [Row; 12] = [
         (
-            "closes before it has read",
+            "resets before it has read the request",
             |stream, _| {
-                arrived(stream);
+                wait_for_request(stream);
                 reset(stream.get_ref());
             },
             502,
@@ -320,9 +320,9 @@
             502,
             1,
         ),
-        ("reads, runs and closes in good order", run_second, 502, 1),
+        ("reads, runs and closes", run_second, 502, 1),
         (
-            "resets after half of the answer",
+            "resets in the middle of the response body",
             |stream, runs| {
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\nIvygate-Server-Seal: s\r\n");
@@ -333,7 +333,7 @@
             1,
         ),
         (
-            "closes after half of a head",
+            "closes in the middle of the response head",
             |stream, runs| {
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\n");
@@ -342,7 +342,7 @@
             1,
         ),
         (
-            "closes within a chunk",
+            "closes in the middle of a chunked body",
             |stream, runs| {
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\nIvygate-Server-Seal: s\r\n");
@@ -352,7 +352,7 @@
             1,
         ),
         (
-            "closes an answer whose end only the close would tell",
+            "closes after a response whose length only the close would mark",
             |stream, runs| {
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\nIvygate-Server-Seal: s\r\n\r\nb");
@@ -361,27 +361,27 @@
             1,
         ),
         (
-            "answers the request before once more, and then this one",
+            "responds to the previous request again, and then to this one",
             |stream, runs| {
                 run_second(stream, runs);
-                write(stream, &whole("200 OK", "a", SEALED));
-                write(stream, &whole("200 OK", "b", SEALED));
+                write(stream, &response("200 OK", "a", SEAL_HEADER));
+                write(stream, &response("200 OK", "b", SEAL_HEADER));
             },
             502,
             1,
         ),
         (
-            "answers the one before in the same moment as it asks for it",
+            "responds to the previous request again before it reads this one",
             |stream, runs| {
-                arrived(stream);
-                write(stream, &whole("200 OK", "a", SEALED));
+                wait_for_request(stream);
+                write(stream, &response("200 OK", "a", SEAL_HEADER));
                 run_second(stream, runs);
             },
             502,
             1,
         ),
         (
-            "answers with what is no answer",
+            "sends bytes that are not HTTP",
             |stream, runs| {
                 run_second(stream, runs);
                 write(stream, b"\x16\x03\x01 no HTTP at all\r\n\r\n");
@@ -390,35 +390,35 @@
             1,
         ),
         (
-            "answers twice",
+            "responds twice",
             |stream, runs| {
                 run_second(stream, runs);
-                let answer = whole("200 OK", "b", SEALED);
-                write(stream, &[&answer[..], &answer].concat());
+                let response = response("200 OK", "b", SEAL_HEADER);
+                write(stream, &[&response[..], &response].concat());
                 serve(stream, runs);
             },
             200,
             1,
         ),
         (
-            "says that it did not run",
+            "reports that it did not run the request",
             |stream, _| {
                 read_message(stream).expect("a second request");
-                write(stream, &whole("503 Service Unavailable", "b", AWAY));
+                write(stream, &response("503 Service Unavailable", "b", NOT_RUN_HEADER));
             },
             200,
             1,
         ),
     ];
-    for (what, script, status, ran) in rows {
-        let ((told, id), runs) = second("once", script);
-        assert_eq!((told, runs), (status, ran), "{what}");
-        assert!(told != 200 || id == "b", "{what}: it bears '{id}'");
+    for (behaviour, script, expected_status, expected_runs) in rows {
+        let ((status, id), runs) = second_request("once", script);
+        assert_eq!((status, runs), (expected_status, expected_runs), "{behaviour}");
+        assert!(status != 200 || id == "b", "{behaviour}: the response has the id '{id}'");
     }
 }
 
 #[test]
-fn given_a_server_in_trouble_when_a_request_may_run_again_then_it_is_sent_anew_and_bears_its_own_answer() {
+fn safe_request_is_retried_and_gets_its_own_response() {
     let scripts: [Script; 4] = [
         |stream, runs| {
             run_second(stream, runs);
@@ -426,7 +426,7 @@
         },
         |stream, runs| {
             run_second(stream, runs);
-            write(stream, &whole("200 OK", "a", SEALED));
+            write(stream, &response("200 OK", "a", SEAL_HEADER));
         },
         |stream, runs| {
             run_second(stream, runs);
@@ -436,18 +436,18 @@
             run_second(stream, runs);
             write(
                 stream,
-                &whole("200 OK", "b", "Ivygate-Server-Seal: s\r\nContent-Encoding: gzip\r\n")[..40],
+                &response("200 OK", "b", "Ivygate-Server-Seal: s\r\nContent-Encoding: gzip\r\n")[..40],
             );
         },
     ];
     for script in scripts {
-        assert_eq!(second("often", script), ((200, "b".to_owned()), 2));
+        assert_eq!(second_request("often", script), ((200, "b".to_owned()), 2));
     }
 }
 
-/// Two requests one behind the other, with what the server does to the connection between them. Tells the answer to the
-/// second, how often it ran, and how many connections were made.
-fn between(more: &'static str, script: Script) -> ((u16, String), usize, usize) {
+/// Sends two requests in turn; between them the server runs `script` on the connection and closes it. Returns
+/// the response to the second request, how often it ran, and the number of connections.
+fn with_script_between(more_headers: &'static str, script: Script) -> ((u16, String), usize, usize) {
     let runs = Runs::default();
     let (done, is_done) = std::sync::mpsc::channel();
     let (ran, done) = (runs.clone(), Mutex::new(done));
@@ -456,38 +456,38 @@
             return serve(stream, &ran);
         }
         let first = read_message(stream).expect("a request");
-        write(stream, &whole("200 OK", &id(&first), &format!("{SEALED}{more}")));
+        write(stream, &response("200 OK", &attempt_id(&first), &format!("{SEAL_HEADER}{more_headers}")));
         script(stream, &ran);
         let closed = stream.get_ref().try_clone().expect("a handle");
         let _ = closed.shutdown(std::net::Shutdown::Both);
         done.lock().expect("no panic").send(()).expect("the test waits");
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let told = tokio::task::LocalSet::new().block_on(&runtime, async {
+    let outcome = tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = driver(server.address);
-        assert_eq!(told(&ask(&driver, "once", "a").await), (200, "a".to_owned()));
-        // The node hears nothing meanwhile: what comes is met by its look at the connection.
-        is_done.recv().expect("the server is through");
-        told(&ask(&driver, "once", "b").await)
+        assert_eq!(status_and_id(&send(&driver, "once", "a").await), (200, "a".to_owned()));
+        // Blocks the runtime, so that only the check before reuse can find out what happened to the
+        // connection.
+        is_done.recv().expect("the server has run the script");
+        status_and_id(&send(&driver, "once", "b").await)
     });
-    (told, runs.of("b"), server.accepted())
+    (outcome, runs.count("b"), server.accepted())
 }
 
 #[test]
-fn given_a_kept_connection_that_was_closed_or_brought_more_when_the_next_request_comes_then_it_takes_another()
-{
+fn idle_connection_that_was_closed_or_has_unread_input_is_not_reused() {
     let scripts: [Script; 3] = [
         |_, _| {},
         |stream, _| reset(stream.get_ref()),
-        |stream, _| write(stream, &whole("200 OK", "a", SEALED)),
+        |stream, _| write(stream, &response("200 OK", "a", SEAL_HEADER)),
     ];
     for script in scripts {
-        assert_eq!(between("", script), ((200, "b".to_owned()), 1, 2));
+        assert_eq!(with_script_between("", script), ((200, "b".to_owned()), 1, 2));
     }
 }
 
 #[test]
-fn given_a_silent_server_when_the_time_is_up_then_its_late_answer_reaches_nobody() {
+fn late_response_after_a_timeout_is_discarded() {
     let runs = Runs::default();
     let ran = runs.clone();
     let server = Scripted::start(move |stream, number| {
@@ -495,23 +495,25 @@
             return serve(stream, &ran);
         }
         run_second(stream, &ran);
-        // Ends when the node has closed the connection: whatever is written now has nobody to read it.
-        assert!(read_message(stream).is_none(), "nothing else comes on it");
-        write(stream, &whole("200 OK", "a", SEALED));
+        // Returns when the driver has closed the connection, so the response below is never read.
+        assert!(read_message(stream).is_none(), "no further request on this connection");
+        write(stream, &response("200 OK", "a", SEAL_HEADER));
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let driver = driver(server.address);
-        assert_eq!(told(&ask_for(&driver, "once", "a", 300.0).await), (504, String::new()));
-        assert_eq!(told(&ask(&driver, "often", "b").await), (200, "b".to_owned()));
+        assert_eq!(
+            status_and_id(&send_with_timeout(&driver, "once", "a", 300.0).await),
+            (504, String::new())
+        );
+        assert_eq!(status_and_id(&send(&driver, "often", "b").await), (200, "b".to_owned()));
     });
-    assert_eq!((runs.of("a"), runs.of("b")), (1, 1));
+    assert_eq!((runs.count("a"), runs.count("b")), (1, 1));
 }
 
 #[test]
-fn given_a_server_that_tells_how_long_it_keeps_a_connection_when_that_is_nearly_over_then_the_next_takes_another(
-) {
-    // What it tells; the time between two requests; the connections that they take.
+fn idle_connection_is_not_reused_after_the_timeout_that_the_server_announces() {
+    // Header of the server, milliseconds between two requests, number of connections.
     let rows = [
         ("", 59_000, 1),
         ("", 61_000, 2),
@@ -522,21 +524,24 @@
         ("Keep-Alive: timeout=90\r\n", 61_000, 2),
         ("Keep-Alive: timeout=soon\r\n", 59_000, 1),
     ];
-    for (told_time, pause, connections) in rows {
+    for (keep_alive, pause, connections) in rows {
         let server = Scripted::start(move |stream, _| {
             while let Some(request) = read_message(stream) {
-                write(stream, &whole("200 OK", &id(&request), &format!("{SEALED}{told_time}")));
+                write(
+                    stream,
+                    &response("200 OK", &attempt_id(&request), &format!("{SEAL_HEADER}{keep_alive}")),
+                );
             }
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let driver = driver(server.address);
-            assert_eq!(told(&ask(&driver, "once", "a").await), (200, "a".to_owned()));
+            assert_eq!(status_and_id(&send(&driver, "once", "a").await), (200, "a".to_owned()));
             tokio::time::pause();
             tokio::time::advance(Duration::from_millis(pause)).await;
             tokio::time::resume();
-            assert_eq!(told(&ask(&driver, "once", "b").await), (200, "b".to_owned()));
+            assert_eq!(status_and_id(&send(&driver, "once", "b").await), (200, "b".to_owned()));
         });
-        assert_eq!(server.accepted(), connections, "{told_time}{pause}");
+        assert_eq!(server.accepted(), connections, "{keep_alive}{pause}");
     }
 }
