--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! Configuration of a node.
 
 use ivygate_gateway::{Bounds, Links, Settings, Setup};
 use ivygate_runtime::ServerListUpdate;
@@ -6,34 +6,34 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A node's configuration.
+/// Configuration of a node.
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery agent.
     pub discovery: SocketAddr,
     /// Seed for random numbers.
     pub seed: u64,
-    /// Most file descriptors that the node may hold.
-    pub sockets: usize,
-    /// The list of app servers as this node last had it.
+    /// Maximum number of file descriptors that the node may use.
+    pub max_descriptors: usize,
+    /// Last known list of app servers.
     pub known: Option<ServerListUpdate>,
-    /// What the decisions rest on.
+    /// Settings of the gateway.
     pub settings: Settings,
-    /// What the settings tell of connections.
+    /// Settings of connections to app servers.
     pub links: Links,
-    /// What requests may say of themselves.
+    /// Limits on the values in request headers.
     pub bounds: Bounds,
 }
 
-/// Why a configuration cannot be used.
+/// Error for a configuration that cannot be loaded.
 #[derive(Debug)]
 pub enum ConfigError {
     /// An environment variable is missing.
     Unset(&'static str),
-    /// The file cannot be read.
+    /// A file, by its path, cannot be read.
     Unreadable(String, std::io::Error),
-    /// The file is not what it should be.
+    /// A file, by its path, is invalid, with the reason.
     Malformed(String, String),
 }
 
@@ -42,7 +42,7 @@
         match self {
             ConfigError::Unset(name) => write!(f, "the environment variable {name} is not set"),
             ConfigError::Unreadable(path, error) => write!(f, "cannot read {path}: {error}"),
-            ConfigError::Malformed(path, what) => write!(f, "{path}: {what}"),
+            ConfigError::Malformed(path, reason) => write!(f, "{path}: {reason}"),
         }
     }
 }
@@ -72,24 +72,27 @@
     }
 }
 
-/// The fewest descriptors with which a node can serve at all.
-const SOCKETS_LEAST: usize = 32;
+/// Minimum number of descriptors with which a node can serve requests.
+const MIN_DESCRIPTORS: usize = 32;
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names.
+    /// Loads the file that `RELAY_CONFIG` names.
+    ///
+    /// # Errors
+    /// If the variable is not set, or the file cannot be read or is invalid.
     pub fn load() -> Result<Self, ConfigError> {
         let path = std::env::var("RELAY_CONFIG").map_err(|_| ConfigError::Unset("RELAY_CONFIG"))?;
         let text = std::fs::read_to_string(&path).map_err(|e| ConfigError::Unreadable(path.clone(), e))?;
-        Self::parse(&text).map_err(|what| ConfigError::Malformed(path, what))
+        Self::parse(&text).map_err(|reason| ConfigError::Malformed(path, reason))
     }
 
     fn parse(text: &str) -> Result<Self, String> {
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| format!("seed: '{}' is not a hexadecimal number", file.seed))?;
-        if file.limits.sockets < SOCKETS_LEAST {
+        if file.limits.sockets < MIN_DESCRIPTORS {
             return Err(format!(
-                "limits: {} sockets are too few, {SOCKETS_LEAST} needed",
+                "limits: sockets is {}, but must be at least {MIN_DESCRIPTORS}",
                 file.limits.sockets
             ));
         }
@@ -98,7 +101,7 @@
             listen: file.listen,
             discovery: file.discovery,
             seed,
-            sockets: file.limits.sockets,
+            max_descriptors: file.limits.sockets,
             known: file.known,
             settings: file.settings.settings().map_err(|e| format!("settings: {e}"))?,
             links,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of app servers: starts from what is known, lists, watches, and comes back after failures.
+//! Discovery of app servers: starts from the known list, fetches the list, watches its changes, and retries
+//! after failures.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -14,67 +15,72 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// Longest time for a connection to the agent, which is on this machine.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longest time for an answer's head and for a whole list.
-const ANSWER: Duration = Duration::from_secs(3);
-/// A watch has an empty line every 2 s; one that is silent for this long is dead without having said so.
-const SILENCE: Duration = Duration::from_secs(5);
-/// First wait after a failure; doubles up to the last.
-const BACK_OFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
-/// Longest list or line that is believed; guards the memory against a peer that never ends its line.
-const LIST_MOST: usize = 4 << 20;
+/// Time limit for connecting to the agent, which is on this machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for the head of a response, and for a whole list.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which a watch without input is considered dead: the agent sends an empty line every 2 s.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// First delay after a failure; it doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum delay after a failure.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum length of a list or line, in bytes; limits the memory for a line that never ends.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// What went wrong with a call. The cure is the same for all: wait, and call again.
-enum Trouble {
-    /// No connection, no answer, or the answer ended.
-    Lost,
-    /// An answer or a line that cannot be read: the list must be fetched anew.
-    Unreadable,
+/// Error of a call to the agent. The call is retried after a delay in any case.
+enum DiscoveryError {
+    /// There was no connection or no response, or the response ended.
+    ConnectionLost,
+    /// A response or line is malformed: the whole list must be fetched again.
+    Malformed,
 }
 
-/// Keeps the driver informed for as long as the node runs, by the agent that was named last.
+/// Keeps the driver's server list up to date while the node runs. Follows the last address received from
+/// `agents`; `known` is the version of the list that the driver has.
 pub async fn follow(driver: Rc<Driver>, mut agents: watch::Receiver<SocketAddr>, known: Option<u64>) {
     let mut rev = known;
     loop {
         let agent = *agents.borrow_and_update();
         tokio::select! {
-            () = follow_one(&driver, agent, rev) => {}
+            () = follow_agent(&driver, agent, rev) => {}
             changed = agents.changed() => if changed.is_err() {
-                // None will be named any more, so the last one is followed to the end.
-                follow_one(&driver, agent, None).await;
+                // The sender is gone, so the address does not change any more.
+                follow_agent(&driver, agent, None).await;
             }
         }
-        // Another agent counts its versions anew. Until its list has come the old one holds.
+        // Each agent has its own version numbers. The old list stays in use until the new agent's list is
+        // received.
         rev = None;
     }
 }
 
-async fn follow_one(driver: &Rc<Driver>, agent: SocketAddr, mut rev: Option<u64>) {
-    let mut whole = true;
-    let mut wait = BACK_OFF.0;
+async fn follow_agent(driver: &Rc<Driver>, agent: SocketAddr, mut rev: Option<u64>) {
+    let mut needs_full_list = true;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        if whole {
-            if let Ok(listing) = list(agent).await {
-                rev = Some(listing.rev);
-                driver.update_servers(listing);
-                whole = false;
-                wait = BACK_OFF.0;
+        if needs_full_list {
+            if let Ok(update) = fetch_list(agent).await {
+                rev = Some(update.rev);
+                driver.update_servers(update);
+                needs_full_list = false;
+                backoff = MIN_BACKOFF;
             }
         }
-        // A watch brings the list too where fetching it failed, so it is tried all the same.
-        let mut heard = false;
-        if let Err(Trouble::Unreadable) = stream(agent, driver, &mut rev, &mut heard).await {
-            whole = true;
+        // A watch also delivers the list, so it is opened even if the list could not be fetched.
+        let mut received_line = false;
+        if let Err(DiscoveryError::Malformed) = watch_list(agent, driver, &mut rev, &mut received_line).await
+        {
+            needs_full_list = true;
         }
-        // Only a watch that has brought a line counts as a success: an agent that accepts and hangs up,
-        // or answers nonsense, is not called in a tight loop.
-        wait = if heard { BACK_OFF.0 } else { (wait * 2).min(BACK_OFF.1) };
-        sleep(wait).await;
+        // Only a watch that has delivered a line counts as a success, so an agent that accepts connections
+        // and closes them, or sends malformed responses, is not called in a tight loop.
+        backoff = if received_line { MIN_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+        sleep(backoff).await;
     }
 }
 
-/// A connection of its own for each call; it ends with this.
+/// A call with a connection of its own, which is closed on drop.
 struct Call {
     body: Incoming,
     connection: AbortHandle,
@@ -87,15 +93,15 @@
 }
 
 async fn call(agent: SocketAddr, path: &str) -> Option<Call> {
-    let stream = timeout(CONNECT, TcpStream::connect(agent)).await.ok()?.ok()?;
-    // A hint: a list that comes a little later is better than none.
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(agent)).await.ok()?.ok()?;
+    // Only an optimization: without it the list arrives a little later.
     let _ = stream.set_nodelay(true);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
     let connection = tokio::task::spawn_local(connection).abort_handle();
     let request = Request::get(path).header("host", agent.to_string()).body(Empty::<Bytes>::new()).ok()?;
-    match timeout(ANSWER, sender.send_request(request)).await {
-        Ok(Ok(answer)) if answer.status() == StatusCode::OK => {
-            Some(Call { body: answer.into_body(), connection })
+    match timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await {
+        Ok(Ok(response)) if response.status() == StatusCode::OK => {
+            Some(Call { body: response.into_body(), connection })
         }
         _ => {
             connection.abort();
@@ -104,25 +110,31 @@
     }
 }
 
-async fn list(agent: SocketAddr) -> Result<ServerListUpdate, Trouble> {
-    let mut call = call(agent, "/discovery/hosts").await.ok_or(Trouble::Lost)?;
-    let body = http_body_util::Limited::new(&mut call.body, LIST_MOST).collect();
-    let body = timeout(ANSWER, body).await.map_err(|_| Trouble::Lost)?.map_err(|_| Trouble::Lost)?;
-    serde_json::from_slice(&body.to_bytes()).map_err(|_| Trouble::Unreadable)
+async fn fetch_list(agent: SocketAddr) -> Result<ServerListUpdate, DiscoveryError> {
+    let mut call = call(agent, "/discovery/hosts").await.ok_or(DiscoveryError::ConnectionLost)?;
+    let body = http_body_util::Limited::new(&mut call.body, MAX_LIST_BYTES).collect();
+    let body = timeout(RESPONSE_TIMEOUT, body)
+        .await
+        .map_err(|_| DiscoveryError::ConnectionLost)?
+        .map_err(|_| DiscoveryError::ConnectionLost)?;
+    serde_json::from_slice(&body.to_bytes()).map_err(|_| DiscoveryError::Malformed)
 }
 
-async fn stream(
+/// Opens a watch and applies its updates until it fails. Sets `received_line` when it has delivered a line.
+async fn watch_list(
     agent: SocketAddr,
     driver: &Rc<Driver>,
     rev: &mut Option<u64>,
-    heard: &mut bool,
-) -> Result<(), Trouble> {
+    received_line: &mut bool,
+) -> Result<(), DiscoveryError> {
     let path = format!("/discovery/hosts?stream=1&index={}", rev.unwrap_or(0));
-    let mut call = call(agent, &path).await.ok_or(Trouble::Lost)?;
+    let mut call = call(agent, &path).await.ok_or(DiscoveryError::ConnectionLost)?;
     let mut text = BytesMut::new();
     loop {
-        let frame = timeout(SILENCE, call.body.frame()).await.map_err(|_| Trouble::Lost)?;
-        let frame = frame.ok_or(Trouble::Lost)?.map_err(|_| Trouble::Lost)?;
+        let frame =
+            timeout(WATCH_TIMEOUT, call.body.frame()).await.map_err(|_| DiscoveryError::ConnectionLost)?;
+        let frame =
+            frame.ok_or(DiscoveryError::ConnectionLost)?.map_err(|_| DiscoveryError::ConnectionLost)?;
         let Ok(data) = frame.into_data() else { continue };
         let mut from = text.len();
         text.extend_from_slice(&data);
@@ -131,15 +143,15 @@
             text.advance(1);
             from = 0;
             if !line.trim_ascii().is_empty() {
-                let listing: ServerListUpdate =
-                    serde_json::from_slice(&line).map_err(|_| Trouble::Unreadable)?;
-                *rev = Some(listing.rev);
-                driver.update_servers(listing);
+                let update: ServerListUpdate =
+                    serde_json::from_slice(&line).map_err(|_| DiscoveryError::Malformed)?;
+                *rev = Some(update.rev);
+                driver.update_servers(update);
             }
-            *heard = true;
+            *received_line = true;
         }
-        if text.len() > LIST_MOST {
-            return Err(Trouble::Unreadable);
+        if text.len() > MAX_LIST_BYTES {
+            return Err(DiscoveryError::Malformed);
         }
     }
 }
