--- a/crates/ivygate/tests/adapter.rs
+++ b/crates/ivygate/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on its wire: replies, and messages on malformed input.
+//! The adapter's protocol on standard input and output: replies, and errors for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -11,24 +11,24 @@
     "inbound node=0 requestId=t/a cls=c gradeOfService=p holder=h deadlineMs=3001 priceUnits=1 width=1";
 
 fn run(input: &str) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_ivygate-adapter"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_ivygate-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end before it has read everything.
-    let _ = host.stdin.take().expect("it has an input").write_all(input.as_bytes());
-    host.wait_with_output().expect("the adapter ends")
+    // The adapter may exit before it has read all input.
+    let _ = adapter.stdin.take().expect("standard input").write_all(input.as_bytes());
+    adapter.wait_with_output().expect("the adapter ends")
 }
 
-fn started(rest: &str) -> String {
+fn with_started_node(rest: &str) -> String {
     format!("mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{START}end\nmark wallMs=2.0\n{rest}\nend\n")
 }
 
 #[test]
-fn a_request_is_sent_to_the_listed_server() {
-    let output = run(&started(INBOUND));
+fn request_is_sent_to_the_listed_server() {
+    let output = run(&with_started_node(INBOUND));
     let text = String::from_utf8(output.stdout).expect("UTF-8");
     assert!(output.status.success());
     assert!(text.contains("hand_off node=0 requestId=t/a server=9 cutAtMs="), "{text}");
@@ -36,13 +36,13 @@
 }
 
 #[test]
-fn an_instance_may_stop_and_start_within_a_batch() {
-    let again = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{START}{INBOUND}");
-    assert!(run(&started(&again)).status.success());
+fn instance_can_stop_and_restart_within_a_batch() {
+    let restart = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{START}{INBOUND}");
+    assert!(run(&with_started_node(&restart)).status.success());
 }
 
 #[test]
-fn malformed_input_names_line_and_field() {
+fn errors_for_malformed_input_name_line_and_field() {
     let cases = [
         (INBOUND.replace("deadlineMs=3001", "deadlineMs=soon"), "line 8: inbound: field 'deadlineMs'"),
         (INBOUND.replace(" cls=c", ""), "line 8: inbound: field 'cls': is missing"),
@@ -59,7 +59,7 @@
         (format!("enlist node=1 salt=1 setup={}", SETUP.replace("\"refill\":5", "\"refill\":-5")), "plan p"),
     ];
     for (line, expected) in cases {
-        let output = run(&started(&line));
+        let output = run(&with_started_node(&line));
         let error = String::from_utf8(output.stderr).expect("UTF-8");
         assert!(!output.status.success() && error.contains(expected), "{line}: {error}");
         assert!(!error.contains("panicked"), "{error}");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn input_that_ends_within_a_batch_is_an_error() {
+fn end_of_input_within_a_batch_is_an_error() {
     assert!(!run("mark wallMs=1.0\n").status.success());
     assert!(run("").status.success());
 }
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -1,46 +1,49 @@
-//! Several processes of the program with faults between them, judged by what servers ran and clients got. The same plays
-//! with nodes that are told something wrong show that the judge sees it.
+//! Fleets of several processes under fault injection, checked by what servers ran and what clients received.
+//! Scenarios with seeded defects show that the oracle detects violations.
 
 use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
 use std::sync::{PoisonError, RwLock};
 
-/// Plays until the machine has had enough to spare for a verdict.
-fn played(extra: &str, steps: &str) -> Played {
-    played_by(4, 4, extra, steps)
+/// Runs a scenario with four nodes and four servers, again if the machine was too busy for a verdict.
+fn run(extra: &str, steps: &str) -> Played {
+    run_fleet(4, 4, extra, steps)
 }
 
+/// Held exclusively by scenarios with many processes.
 static MACHINE: RwLock<()> = RwLock::new(());
 
-fn played_by(nodes: usize, servers: usize, extra: &str, steps: &str) -> Played {
+fn run_fleet(nodes: usize, servers: usize, extra: &str, steps: &str) -> Played {
     let text = format!(
         "name = \"test\"\nabout = \"a test\"\nseed = 5\nlength = \"5s\"\nsettle = \"1s\"\nnodes = {nodes}\nservers = {servers}\n\
          rate = 80\ncustomers = 10\n{extra}\n{steps}"
     );
     let scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     let program = Program { program: env!("CARGO_BIN_EXE_ivygate").into(), ..Program::default() };
-    // A large fleet whose processes start by the dozen is played alone: beside others it has too little of a machine.
-    let large = nodes > 4;
-    let _alone = large.then(|| MACHINE.write().unwrap_or_else(PoisonError::into_inner));
-    let _beside = (!large).then(|| MACHINE.read().unwrap_or_else(PoisonError::into_inner));
-    let played = play_until_told(&scenario, &program).expect("a play");
-    assert_ne!(played.verdict, Verdict::Void, "five plays in turn had too little of the machine");
+    // A large fleet runs alone: it starts dozens of processes, and beside other scenarios it gets too little
+    // CPU time.
+    let is_large = nodes > 4;
+    let _exclusive = is_large.then(|| MACHINE.write().unwrap_or_else(PoisonError::into_inner));
+    let _shared = (!is_large).then(|| MACHINE.read().unwrap_or_else(PoisonError::into_inner));
+    let played = play_until_told(&scenario, &program).expect("a completed run");
+    assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
     played
 }
 
-/// Rules that were broken, without the figure of service, which a busy machine may lower.
-fn broken(played: &Played) -> Vec<&'static str> {
+/// Returns the violated rules, except for `settles`: the rate of served requests also drops on a busy
+/// machine.
+fn violated_rules(played: &Played) -> Vec<&'static str> {
     let mut rules: Vec<_> =
         played.findings.iter().map(|f| f.rule).filter(|rule| *rule != "settles").collect();
     rules.dedup();
     rules
 }
 
-fn step(at: &str, lasts: &str, does: &str) -> String {
-    format!("[[step]]\nat = \"{at}\"\nfor = \"{lasts}\"\n{does}\n")
+fn step(at: &str, duration: &str, action: &str) -> String {
+    format!("[[step]]\nat = \"{at}\"\nfor = \"{duration}\"\n{action}\n")
 }
 
 #[test]
-fn rules_hold_while_nodes_die_links_break_and_servers_drain() {
+fn rules_hold_with_killed_nodes_broken_links_and_draining_servers() {
     let steps = [
         step("1s", "500ms", "do = \"kill\"\nnodes = \"0,1\""),
         step("1s", "2s", "do = \"drain\"\nservers = \"3\""),
@@ -53,15 +56,15 @@
         step("3s", "1s", "do = \"break\"\nnodes = \"0\"\nservers = \"1\"\nways = \"back\"\nafter = 200"),
         step("3s", "500ms", "do = \"reset\"\nlink = \"clients\"\nnodes = \"2\""),
     ];
-    let played = played("", &steps.concat());
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run("", &steps.concat());
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert!(played.figures.requests > 300 && played.trace.drains.len() >= 4, "{:?}", played.figures);
 }
 
-/// Restarts, a tenth of the nodes at a time, while the list changes and discovery moves; then seven in ten are killed at
-/// once while servers come back cold.
+/// A tenth of the nodes restarts at a time while the list changes and discovery moves. Then seven in ten are
+/// killed at once while servers restart cold.
 #[test]
-fn rules_hold_through_a_release_and_a_herd() {
+fn rules_hold_through_a_rolling_restart_and_a_mass_restart() {
     let mut steps = String::new();
     for node in 0..10 {
         let at = format!("{}ms", 500 + 150 * node);
@@ -72,8 +75,8 @@
     steps += &step("2s", "1500ms", "do = \"crash\"\nservers = \"2,3\"");
     steps += &step("3200ms", "500ms", "do = \"kill\"\nnodes = \"7/10\"");
     steps += &step("3200ms", "1s", "do = \"swallow\"\nservers = \"4\"");
-    let played = played_by(10, 8, "", &steps);
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run_fleet(10, 8, "", &steps);
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert_eq!(played.trace.leaves.len(), 10);
     assert!(
         played.trace.cold.len() == 2 && played.trace.drains.len() > 20,
@@ -82,49 +85,51 @@
     );
 }
 
-/// What waits at a node that stood still is sent on by the list of now, not by the one it fell asleep with.
+/// A node that was paused must read the current server list before it sends requests that were waiting, or it
+/// would send them to a server that is draining by now.
 #[test]
-fn a_node_that_wakes_hears_of_drains_before_it_sends() {
+fn paused_node_learns_of_drains_before_it_sends_requests() {
     let steps = [
-        // Requests that came before the news wait before it, and their clients still listen.
+        // Requests that arrive before the drain is announced are read before it, and their clients still
+        // wait.
         step("500ms", "1600ms", "do = \"pause\"\nnodes = \"all\""),
         step("900ms", "3s", "do = \"drain\"\nservers = \"1\""),
     ];
-    let played = played_by(2, 2, "", &steps.concat());
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run_fleet(2, 2, "", &steps.concat());
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert!(played.trace.drains.len() >= 2);
 }
 
-/// Nodes start while discovery says nothing, some of them with a list of servers that are gone.
+/// Nodes start while discovery does not respond, some of them with a list of servers that no longer exist.
 #[test]
-fn rules_hold_for_nodes_that_start_with_no_discovery() {
+fn rules_hold_for_nodes_that_start_without_discovery() {
     let steps = [
         step("0ms", "2500ms", "do = \"unlisted\"\nnodes = \"all\""),
         step("500ms", "1s", "do = \"kill\"\nnodes = \"0,1\""),
         step("700ms", "2s", "do = \"crash\"\nservers = \"0\""),
     ];
-    let played = played("", &steps.concat());
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run("", &steps.concat());
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert!(played.figures.served > 0.6, "{:?}", played.figures);
 }
 
 #[test]
-fn repeats_of_what_must_not_run_twice_are_found() {
-    let lost = step("1s", "3s", "do = \"swallow\"\nservers = \"all\"");
-    assert_eq!(broken(&played("", &lost)), Vec::<&str>::new());
-    assert_eq!(broken(&played("plant = [\"unsafe-as-safe\"]", &lost)), ["no effect twice"]);
-    assert_eq!(broken(&played("plant = [\"keyed-everywhere\"]", &lost)), ["no effect twice"]);
+fn forbidden_retries_are_detected() {
+    let lost_responses = step("1s", "3s", "do = \"swallow\"\nservers = \"all\"");
+    assert_eq!(violated_rules(&run("", &lost_responses)), Vec::<&str>::new());
+    assert_eq!(violated_rules(&run("plant = [\"unsafe-as-safe\"]", &lost_responses)), ["no effect twice"]);
+    assert_eq!(violated_rules(&run("plant = [\"keyed-everywhere\"]", &lost_responses)), ["no effect twice"]);
 }
 
 #[test]
-fn nodes_that_take_the_whole_of_a_ceiling_each_are_found() {
-    let none = step("1s", "1s", "do = \"slow\"\nservers = \"0\"\ntimes = 1.0");
-    assert_eq!(broken(&played("ceiling = 4.0", &none)), Vec::<&str>::new());
-    assert_eq!(broken(&played("ceiling = 4.0\nplant = [\"alone\"]", &none)), ["ceilings hold"]);
+fn nodes_that_each_use_the_whole_rate_limit_are_detected() {
+    let no_fault = step("1s", "1s", "do = \"slow\"\nservers = \"0\"\ntimes = 1.0");
+    assert_eq!(violated_rules(&run("ceiling = 4.0", &no_fault)), Vec::<&str>::new());
+    assert_eq!(violated_rules(&run("ceiling = 4.0\nplant = [\"alone\"]", &no_fault)), ["ceilings hold"]);
 }
 
 #[test]
-fn rules_hold_for_sidecars_that_hear_of_drains_by_their_configuration() {
+fn rules_hold_for_sidecars_that_learn_of_drains_from_their_configuration() {
     let steps = [
         step("1s", "2s", "do = \"drain\"\nservers = \"3\""),
         step("1s", "1s", "do = \"unlisted\"\nnodes = \"1\""),
@@ -132,26 +137,26 @@
         step("3s", "500ms", "do = \"reset\"\nnodes = \"all\"\nservers = \"0\""),
         step("3s", "500ms", "do = \"term\"\nnodes = \"2\""),
     ];
-    let played = played("form = \"sidecar\"", &steps.concat());
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run("form = \"sidecar\"", &steps.concat());
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert!(played.trace.drains.len() >= 4 && played.trace.leaves.len() == 1, "{:?}", played.trace.drains);
 }
 
 #[test]
-fn a_disk_that_is_full_ends_no_sidecar_and_loses_no_record() {
+fn full_disk_stops_no_sidecar_and_loses_no_record() {
     let full = step("1s", "2s", "do = \"full-disk\"\nnodes = \"all\"");
     let killed = step("4s", "500ms", "do = \"kill\"\nnodes = \"0,1\"");
-    let played = played("form = \"sidecar\"\njournal = true", &(full + &killed));
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run("form = \"sidecar\"\njournal = true", &(full + &killed));
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert!(
         played.figures.phases[2].is_none_or(|served| served > 0.5),
-        "orders are taken again: {:?}",
+        "orders are accepted again: {:?}",
         played.figures
     );
 }
 
 #[test]
-fn a_sign_in_service_that_is_lost_lets_nobody_on() {
+fn requests_are_denied_while_the_sign_in_service_is_unreachable() {
     let steps = [
         step("1s", "1s", "do = \"cut\"\nlink = \"sign-in\"\nnodes = \"all\""),
         step(
@@ -160,8 +165,8 @@
             "do = \"break\"\nlink = \"sign-in\"\nnodes = \"0,1\"\nways = \"back\"\nafter = 300",
         ),
     ];
-    let played = played("form = \"sidecar\"\nsign-in = true", &steps.concat());
-    assert_eq!(broken(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let played = run("form = \"sidecar\"\nsign-in = true", &steps.concat());
+    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     let denied =
         played.trace.requests.iter().filter(|r| r.answer == ivygate_fault_injection::Answer::Denied).count();
     let [before, during, _] = played.figures.phases;
--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node over loopback sockets: what clients, app servers and discovery may do to it.
+//! The node over loopback sockets: behaviour towards clients, app servers and discovery.
 
 mod support;
 
@@ -13,30 +13,31 @@
     target(uid, app.address, zone, "SERVING")
 }
 
-/// An address at which nothing listens.
-fn nowhere() -> SocketAddr {
+/// Returns an address on which nothing listens.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-/// Answers the first request of all with `first` and the others with 200.
+/// Responds to the first request with `first` and to the others with 200.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&Message) -> Reply + Clone + Send + Sync + 'static {
     let count = std::sync::Arc::new(AtomicUsize::new(0));
     move |_| if count.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { Reply::ok("second") }
 }
 
-fn seen(apps: &[App]) -> usize {
+/// Returns the number of requests that all app servers have received.
+fn total_requests(apps: &[App]) -> usize {
     apps.iter().map(App::seen).sum()
 }
 
 #[test]
-fn what_goes_on_and_comes_back_is_unchanged() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let body: Vec<u8> = (0..50_000u32).map(|n| (n * 7 % 251) as u8).collect();
     let sent = body.clone();
     let app = App::start(move |_| Reply::Answer("200 OK", "Content-Type: text/x-map\r\n", sent.clone()));
     let node = Node::with(&[serving("a", &app, "north")]);
-    let answer = node.ask(&request("edit", "r1"));
-    assert_eq!((answer.status(), answer.header("content-type")), (200, Some("text/x-map")));
-    assert!(answer.body == body);
+    let response = node.ask(&request("edit", "r1"));
+    assert_eq!((response.status(), response.header("content-type")), (200, Some("text/x-map")));
+    assert!(response.body == body);
     let request = app.requests.lock().expect("no panic")[0].clone();
     assert_eq!(request.start, "POST /api?q=1 HTTP/1.1");
     assert_eq!((request.header("req-id"), request.header("idempotency-key")), (Some("r1"), Some("k1")));
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn connections_on_both_sides_are_kept_and_reused() {
+fn connections_to_clients_and_servers_are_reused() {
     let app = App::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
@@ -57,16 +58,16 @@
 }
 
 #[test]
-fn an_unsafe_request_is_not_sent_again_after_a_reset() {
+fn unsafe_request_is_not_retried_after_a_reset() {
     let apps = [App::start(|_| Reply::Close), App::start(|_| Reply::Close)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
-    // The answer may not be a refusal either: it would tell the client to try again.
+    // The response must not be a refusal either, which would tell the client to retry.
     assert!(node.ask(&request("order", "r1")).fails());
-    assert_eq!(seen(&apps), 1);
+    assert_eq!(total_requests(&apps), 1);
 }
 
 #[test]
-fn a_reused_connection_that_breaks_is_a_reset() {
+fn failure_of_a_reused_connection_counts_as_a_reset() {
     let app = App::start(|request| match request.header("req-id") {
         Some("r1") => Reply::ok("x"),
         _ => Reply::Close,
@@ -79,17 +80,17 @@
 }
 
 #[test]
-fn a_safe_request_is_sent_again_after_a_reset() {
+fn safe_request_is_retried_after_a_reset() {
     let reply = first_then_ok(|| Reply::Close);
     let apps = [App::start(reply.clone()), App::start(reply)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
-    let answer = node.ask(&request("read", "r1"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"second"[..]));
-    assert_eq!(seen(&apps), 2);
+    let response = node.ask(&request("read", "r1"));
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
+    assert_eq!(total_requests(&apps), 2);
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_building() {
+fn keyed_request_that_may_have_run_is_retried_in_the_same_zone() {
     let reply = first_then_ok(|| Reply::Close);
     let apps: Vec<_> = (0..4).map(|_| App::start(reply.clone())).collect();
     let zone = |n: usize| if n < 2 { "north" } else { "south" };
@@ -97,22 +98,22 @@
         apps.iter().enumerate().map(|(n, app)| serving(&format!("s{n}"), app, zone(n))).collect();
     let node = Node::with(&targets);
     assert_eq!(node.ask(&request("edit", "r1")).status(), 200);
-    let by_zone = [seen(&apps[..2]), seen(&apps[2..])];
+    let by_zone = [total_requests(&apps[..2]), total_requests(&apps[2..])];
     assert!(by_zone == [2, 0] || by_zone == [0, 2], "{by_zone:?}");
 }
 
 #[test]
-fn an_unsafe_request_turned_away_goes_elsewhere() {
+fn declined_unsafe_request_is_retried_on_another_server() {
     let declined = || Reply::Answer("503 Service Unavailable", "Srv-Declined: 1\r\n", Vec::new());
     let reply = first_then_ok(declined);
     let apps = [App::start(reply.clone()), App::start(reply)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
     assert_eq!(node.ask(&request("order", "r1")).status(), 200);
-    assert_eq!(seen(&apps), 2);
+    assert_eq!(total_requests(&apps), 2);
 }
 
 #[test]
-fn a_bare_503_of_an_app_server_may_have_run() {
+fn unsafe_request_is_not_retried_after_a_plain_503() {
     let app = App::start(|_| Reply::Answer("503 Service Unavailable", "", Vec::new()));
     let node = Node::with(&[serving("a", &app, "north")]);
     assert!(node.ask(&request("order", "r1")).fails());
@@ -120,20 +121,20 @@
 }
 
 #[test]
-fn a_request_that_reached_no_server_is_refused() {
-    let node = Node::with(&[target("a", nowhere(), "north", "SERVING")]);
+fn request_that_reached_no_server_is_refused() {
+    let node = Node::with(&[target("a", unused_address(), "north", "SERVING")]);
     assert!(node.ask(&request("order", "r1")).refuses());
 }
 
 #[test]
-fn answers_cut_short_or_without_an_end_are_no_200() {
-    let cut: [&'static [u8]; 4] = [
+fn truncated_responses_are_failures() {
+    let truncated: [&'static [u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
         b"HTTP/1.1 200 OK\r\n\r\nwithout an end",
         b"HTTP/1.1 2",
     ];
-    for bytes in cut {
+    for bytes in truncated {
         let app = App::start(move |_| Reply::Bytes(bytes));
         let node = Node::with(&[serving("a", &app, "north")]);
         assert!(node.ask(&request("order", "r1")).fails());
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn headers_of_an_app_server_that_cannot_be_read_are_ignored() {
+fn malformed_usage_and_load_headers_are_ignored() {
     let headers = "Api-Usage: plenty\r\nSrv-Load: {\"util\":\r\n";
     let app = App::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
     let node = Node::with(&[serving("a", &app, "north")]);
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn an_app_server_that_ends_its_connection_after_an_answer_has_answered() {
+fn response_with_connection_close_is_valid() {
     let app =
         App::start(|_| Reply::Bytes(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"));
     let node = Node::with(&[serving("a", &app, "north")]);
@@ -163,49 +164,49 @@
 }
 
 #[test]
-fn a_silent_server_costs_one_answer_and_its_connection() {
+fn unresponsive_server_causes_one_error_response_and_a_closed_connection() {
     let app = App::start(|_| Reply::Silence);
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     assert!(client.ask(&request_with("order", "r1", "large", "2500m")).fails());
     until("the attempt's connection is closed", || app.open() == 0);
     assert_eq!(app.seen(), 1);
-    // One answer only: the next thing on the connection is the next answer.
+    // There is only one response: the next one on the connection belongs to the next request.
     client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!(client.read().map(|answer| answer.body), Some(b"up".to_vec()));
+    assert_eq!(client.read().map(|response| response.body), Some(b"up".to_vec()));
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempts() {
+fn client_disconnect_cancels_its_attempts() {
     let app = App::start(|_| Reply::Silence);
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt is out", || app.seen() == 1);
+    until("the attempt has been sent", || app.seen() == 1);
     drop(client);
     until("the attempt's connection is closed", || app.open() == 0);
 }
 
 #[test]
-fn a_second_request_of_an_open_id_is_not_run() {
+fn second_request_with_the_id_of_an_open_one_is_not_run() {
     let app = App::start(|_| Reply::Slow(Duration::from_millis(500)));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt is out", || app.seen() == 1);
+    until("the attempt has been sent", || app.seen() == 1);
     assert!(node.ask(&request("order", "r1")).fails());
-    assert_eq!(client.read().map(|answer| answer.status()), Some(200));
+    assert_eq!(client.read().map(|response| response.status()), Some(200));
     assert_eq!(app.seen(), 1);
 }
 
 #[test]
-fn a_customer_over_its_quota_is_refused_at_once_and_told_when_to_come_back() {
+fn customer_over_its_quota_is_refused_with_retry_after() {
     let app = App::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
-    let answers: Vec<_> =
+    let responses: Vec<_> =
         (0..4).map(|n| node.ask(&request_with("read", &format!("r{n}"), "small", "15000m"))).collect();
-    assert_eq!(answers[0].status(), 200);
-    let refused = answers.last().expect("some answers");
+    assert_eq!(responses[0].status(), 200);
+    let refused = responses.last().expect("a response");
     assert!(refused.refuses());
     let wait = refused.header("retry-after").map(str::parse::<f64>);
     assert!(matches!(wait, Some(Ok(wait)) if wait > 0.0 && wait <= 2.0), "{wait:?}");
@@ -213,11 +214,11 @@
 }
 
 #[test]
-fn a_drain_told_while_connecting_is_kept() {
-    // A listener whose queue is full answers no connection until the queue is emptied.
+fn drain_announced_while_connecting_prevents_the_attempt() {
+    // A listener whose accept queue is full accepts no connection until the queue is emptied.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    socket.listen(0).expect("a listener");
     let listener: TcpListener = socket.into();
     let address = listener.local_addr().expect("an address");
     let mut filling = Vec::new();
@@ -231,35 +232,35 @@
     until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
     let mut client = node.client();
     client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!(client.read().map(|answer| answer.status()), Some(200));
+    assert_eq!(client.read().map(|response| response.status()), Some(200));
     let before = node.descriptors();
     client.write(request("order", "r1").as_bytes());
-    until("the node connects", || node.descriptors() > before);
+    until("the node has started to connect", || node.descriptors() > before);
     discovery.push(&listing(2, false, &[target("a", address, "north", "DRAINING")]));
-    until("the node knows of the drain", || {
+    until("the node has learned of the drain", || {
         let mut up = node.client();
         up.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        up.read().is_some_and(|answer| answer.status() == 503)
+        up.read().is_some_and(|response| response.status() == 503)
     });
     let written = std::thread::spawn(move || {
         let mut written = 0;
         let ours = filling.len();
         for stream in listener.incoming().take(ours + 1) {
-            let stream = stream.expect("it is accepted");
+            let stream = stream.expect("a connection");
             if filling.pop().is_none() {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out can be set");
+                stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
                 written += { stream }.read(&mut [0; 64]).unwrap_or(0);
             }
         }
         written
     });
-    // Nothing was written, so trying again is harmless.
-    assert!(client.read().expect("an answer").refuses());
+    // Nothing was written, so the request may be refused.
+    assert!(client.read().expect("a response").refuses());
     assert_eq!(written.join().expect("no panic"), 0);
 }
 
 #[test]
-fn a_drained_server_gets_nothing_new() {
+fn draining_server_gets_no_new_requests() {
     let apps = [App::start(|_| Reply::ok("x")), App::start(|_| Reply::ok("x"))];
     let list = listing(1, true, &[serving("a", &apps[0], "north"), serving("b", &apps[1], "north")]);
     let discovery = Discovery::start(list.clone());
@@ -279,7 +280,7 @@
 }
 
 #[test]
-fn after_a_bad_line_the_list_is_fetched_anew() {
+fn list_is_fetched_again_after_a_malformed_line() {
     let old = App::start(|_| Reply::ok("old"));
     let new = App::start(|_| Reply::ok("new"));
     let list = listing(1, true, &[serving("a", &old, "north")]);
@@ -289,12 +290,12 @@
     discovery.set(listing(2, true, &[serving("b", &new, "north")]));
     let lists = discovery.lists.load(Ordering::SeqCst);
     discovery.push(r#"{"rev":2,"all":false,"targets":[{"uid":"#);
-    until("the list is fetched anew", || discovery.lists.load(Ordering::SeqCst) > lists);
+    until("the list is fetched again", || discovery.lists.load(Ordering::SeqCst) > lists);
     until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
 }
 
 #[test]
-fn a_watch_that_ends_or_falls_silent_is_opened_again() {
+fn watch_is_reopened_when_it_ends_or_becomes_silent() {
     let app = App::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
@@ -302,33 +303,33 @@
     until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
     discovery.hang_up();
     until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
-    // It sends no empty lines.
+    // The test's agent sends no empty lines, so the watch times out.
     until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
 }
 
 #[test]
-fn sigterm_ends_the_node_once_all_is_answered() {
+fn sigterm_ends_the_node_after_all_responses() {
     let app = App::start(|_| Reply::Slow(Duration::from_millis(1500)));
     let mut node = Node::with(&[serving("a", &app, "north")]);
     let (mut open, mut idle) = (node.client(), node.client());
     idle.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!(idle.read().map(|answer| answer.status()), Some(200));
+    assert_eq!(idle.read().map(|response| response.status()), Some(200));
     open.write(request("order", "r1").as_bytes());
-    until("the attempt is out", || app.seen() == 1);
+    until("the attempt has been sent", || app.seen() == 1);
     node.terminate();
-    until("new clients are told to leave", || {
+    until("responses to new clients close the connection", || {
         let mut client = node.client();
         client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        client.read().is_some_and(|answer| answer.header("connection") == Some("close"))
+        client.read().is_some_and(|response| response.header("connection") == Some("close"))
     });
-    let answer = open.read().expect("what was taken is answered");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = open.read().expect("a response to the open request");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle.read().is_none());
     assert_eq!(node.exit_code(), Some(0));
 }
 
 #[test]
-fn a_body_over_the_limit_is_refused_as_too_large() {
+fn body_over_the_limit_is_rejected_with_413() {
     let app = App::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let head = request("order", "r1").replace("Content-Length: 4\r\n", "Content-Length: 65537\r\n");
@@ -337,29 +338,29 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_does_not_hold_the_node_up() {
+fn incomplete_body_times_out_without_delaying_other_clients() {
     let app = App::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut slow = node.client();
     slow.write(request_with("order", "r1", "large", "300m").trim_end_matches("dy").as_bytes());
     assert_eq!(node.ask(&request("order", "r2")).status(), 200);
-    assert_eq!(slow.read().map(|answer| answer.status()), Some(408));
+    assert_eq!(slow.read().map(|response| response.status()), Some(408));
     assert_eq!(app.seen(), 1);
 }
 
 #[test]
-fn idle_and_half_sent_connections_give_way_at_the_bound() {
+fn idle_and_incomplete_connections_are_closed_at_the_limit() {
     let app = App::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let mut node = Node::start(&config(discovery.address, &list, SETTINGS, 40));
-    let mut held = Vec::new();
+    let mut clients = Vec::new();
     for number in 0..60 {
         let mut client = node.client();
         if number % 2 == 0 {
             client.write(b"GET /api HTTP/1.1\r\nReq-Id: ha");
         }
-        held.push(client);
+        clients.push(client);
         assert!(node.descriptors() <= 40);
     }
     assert_eq!(node.ask(&request("read", "r1")).status(), 200);
@@ -367,7 +368,7 @@
 }
 
 #[test]
-fn attempts_stay_within_the_descriptors() {
+fn attempts_stay_within_the_descriptor_limit() {
     let app = App::start(|_| Reply::Silence);
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
@@ -379,15 +380,15 @@
     }
     for client in &mut clients {
         assert!(node.descriptors() <= 40);
-        assert!(client.read().is_some_and(|answer| answer.status() >= 400));
+        assert!(client.read().is_some_and(|response| response.status() >= 400));
     }
     drop(clients);
-    until("all its sockets are closed", || node.descriptors() <= base && app.open() == 0);
+    until("all sockets of the attempts are closed", || node.descriptors() <= base && app.open() == 0);
     assert!(node.runs());
 }
 
 #[test]
-fn connections_are_closed_before_the_app_servers_would() {
+fn idle_connections_are_closed_before_the_app_server_closes_them() {
     let app = App::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
@@ -398,28 +399,28 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_gives_one_plain_line() {
-    let good = config(nowhere(), "null", SETTINGS, 1024);
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = format!("\"listen\":\"{}\"", taken.local_addr().expect("an address"));
-    let bad = [
+fn invalid_configuration_is_reported_in_one_line() {
+    let valid = config(unused_address(), "null", SETTINGS, 1024);
+    let used_port = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let used_address = format!("\"listen\":\"{}\"", used_port.local_addr().expect("an address"));
+    let invalid = [
         None,
         Some("{".to_owned()),
-        Some(good.replace("8c1f30d27a5be964", "seed")),
-        Some(good.replace("\"rank\": 0", "\"rank\": 3")),
-        Some(good.replace("\"effect\": \"safe\"", "\"effect\": \"odd\"")),
-        Some(good.replace("\"refill\": 1000", "\"refill\": -1")),
-        Some(good.replace("\"sockets\":1024", "\"sockets\":8")),
-        Some(good.replace("\"listen\":\"127.0.0.1:0\"", &taken)),
+        Some(valid.replace("8c1f30d27a5be964", "seed")),
+        Some(valid.replace("\"rank\": 0", "\"rank\": 3")),
+        Some(valid.replace("\"effect\": \"safe\"", "\"effect\": \"odd\"")),
+        Some(valid.replace("\"refill\": 1000", "\"refill\": -1")),
+        Some(valid.replace("\"sockets\":1024", "\"sockets\":8")),
+        Some(valid.replace("\"listen\":\"127.0.0.1:0\"", &used_address)),
     ];
-    for text in bad {
+    for text in invalid {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
         command.env_remove("RELAY_CONFIG").stderr(Stdio::piped());
         let path = text.as_deref().map(scratch);
         if let Some(path) = &path {
             command.env("RELAY_CONFIG", path);
         }
-        let output = command.output().expect("it ends");
+        let output = command.output().expect("the node exits");
         let error = String::from_utf8(output.stderr).expect("UTF-8");
         assert!(!output.status.success(), "{text:?}");
         assert!(error.starts_with("ivygate: ") && error.trim_end().lines().count() == 1, "{text:?}: {error}");
@@ -430,12 +431,12 @@
 }
 
 #[test]
-fn an_unsafe_request_takes_a_new_connection_where_kept_ones_break() {
-    // Connections take one request each, and are closed by the second one.
-    let fresh = std::sync::Mutex::new(std::collections::HashSet::new());
+fn unsafe_requests_take_new_connections_if_reused_ones_are_reset() {
+    // The server responds to one request on each connection, and closes it at the second one.
+    let served_peers = std::sync::Mutex::new(std::collections::HashSet::new());
     let app = App::start(move |request| {
-        let peer = request.header("peer").expect("its connection").to_owned();
-        if fresh.lock().expect("no panic").insert(peer) {
+        let peer = request.header("peer").expect("the client's address").to_owned();
+        if served_peers.lock().expect("no panic").insert(peer) {
             Reply::ok("x")
         } else {
             Reply::Close
@@ -443,7 +444,7 @@
     });
     let node = Node::with(&[serving("a", &app, "north")]);
     for number in 0..10 {
-        // Safe to repeat, so that the node may learn.
+        // Safe requests, from which the node learns that reused connections are reset.
         node.ask(&request("read", &format!("r{number}")));
     }
     for number in 0..10 {
--- a/crates/ivygate/tests/refused_hints.rs
+++ b/crates/ivygate/tests/refused_hints.rs
@@ -1,5 +1,6 @@
-//! A node on a system that refuses what is only a hint. A library that this test compiles and loads into the node's
-//! process answers setting TCP_NODELAY with "bad file descriptor"; all else goes to the system.
+//! A node on a system that refuses socket options that are only optimizations. The test compiles a library
+//! and preloads it into the node's process: setting TCP_NODELAY fails with EBADF, and all other calls go to
+//! the system.
 
 mod support;
 
@@ -20,14 +21,14 @@
 "#;
 
 #[test]
-fn connections_that_refuse_a_hint_serve_and_eject_no_server() {
+fn refused_socket_option_breaks_no_connection_and_ejects_no_server() {
     let source = scratch(REFUSES_NO_DELAY);
     let library = source.with_extension("so");
     let mut compiler = Command::new("cc");
     compiler.args(["-shared", "-fPIC", "-x", "c", "-o"]).arg(&library).arg(&source).stdin(Stdio::null());
     assert!(compiler.status().expect("a C compiler, as the build needs one").success());
     let app = App::start(|_| Reply::ok("x"));
-    let late = App::start(|_| Reply::ok("late"));
+    let replacement = App::start(|_| Reply::ok("late"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
@@ -36,11 +37,13 @@
     for (number, class) in ["read", "edit", "order"].into_iter().enumerate() {
         assert_eq!(node.ask(&request(class, &format!("r{number}"))).status(), 200, "{class}");
     }
-    // One connection each time: nothing was taken for a failed connect and tried again.
+    // All requests used one connection: none was treated as a failed connect and retried.
     assert_eq!((app.seen(), app.accepted.load(std::sync::atomic::Ordering::SeqCst)), (3, 1));
-    // And the list is followed.
-    discovery.push(&listing(2, true, &[target("b", late.address, "north", "SERVING")]));
-    until("the new list holds", || node.ask(&request("read", &format!("l{}", late.seen()))).body == b"late");
+    // Updates of the server list arrive as well.
+    discovery.push(&listing(2, true, &[target("b", replacement.address, "north", "SERVING")]));
+    until("the new list is in use", || {
+        node.ask(&request("read", &format!("l{}", replacement.seen()))).body == b"late"
+    });
     for path in [source, library] {
         let _ = std::fs::remove_file(path);
     }
--- a/crates/ivygate/tests/spoilt.rs
+++ b/crates/ivygate/tests/spoilt.rs
@@ -1,4 +1,4 @@
-//! App servers whose answers are spoilt, or good and more than was asked for.
+//! App servers that send malformed, implausible or surplus responses.
 
 mod support;
 
@@ -6,24 +6,25 @@
 use std::sync::Mutex;
 use support::*;
 
-/// A good answer whose body names the request.
-fn named(request: &Message) -> Vec<u8> {
+/// Returns a valid response whose body is the request's id.
+fn id_response(request: &Message) -> Vec<u8> {
     let id = request.header("req-id").expect("an id").to_owned();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
 }
 
-/// An app server that gives the request `r1` these bytes and keeps its connection, and answers all others.
-fn spoils_the_first(bytes: Vec<u8>) -> App {
+/// Starts an app server that responds to request `r1` with these bytes, keeps the connection open, and
+/// responds normally to all other requests.
+fn app_with_first_response(bytes: Vec<u8>) -> App {
     App::start(move |request| match request.header("req-id") {
         Some("r1") => Reply::Raw(bytes.clone()),
-        _ => Reply::Raw(named(request)),
+        _ => Reply::Raw(id_response(request)),
     })
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_and_no_fault_of_the_server() {
+fn malformed_response_fails_the_attempt_but_does_not_eject_the_server() {
     let ok = "HTTP/1.1 200 OK\r\n";
-    let spoilt = [
+    let malformed = [
         "\u{1}\u{2}noise\r\n\r\n".to_owned(),
         "ICY 200 OK\r\nContent-Length: 1\r\n\r\nx".to_owned(),
         "HTTP/1.1 OK 200\r\nContent-Length: 1\r\n\r\nx".to_owned(),
@@ -40,13 +41,13 @@
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n".to_owned(),
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned(),
     ];
-    for answer in spoilt {
-        let start = answer.get(..60).unwrap_or(&answer).to_owned();
+    for response in malformed {
+        let start = response.get(..60).unwrap_or(&response).to_owned();
         let closes = !start.contains(" 400 ");
-        let app = spoils_the_first(answer.into_bytes());
+        let app = app_with_first_response(response.into_bytes());
         let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
         assert!(node.ask(&request("order", "r1")).fails(), "{start}");
-        // An unsafe request goes to no server whose health is in doubt.
+        // An unsafe request is only sent to healthy servers.
         assert_eq!(node.ask(&request("order", "r2")).body, b"r2", "{start}");
         assert_eq!(app.seen(), 2, "{start}");
         assert_eq!(app.accepted.load(Ordering::SeqCst) == 2, closes, "{start}");
@@ -54,12 +55,12 @@
 }
 
 #[test]
-fn a_safe_request_is_sent_again_after_a_spoilt_answer() {
+fn safe_request_is_retried_after_a_malformed_response() {
     let count = Mutex::new(0);
     let app = App::start(move |request| {
         let mut count = count.lock().expect("no panic");
         *count += 1;
-        Reply::Raw(if *count == 1 { b"noise\r\n\r\n".to_vec() } else { named(request) })
+        Reply::Raw(if *count == 1 { b"noise\r\n\r\n".to_vec() } else { id_response(request) })
     });
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     assert_eq!(node.ask(&request("read", "r1")).body, b"r1");
@@ -67,14 +68,14 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_answer() {
-    type Spoil = fn(&[u8]) -> Vec<u8>;
-    let behind: [Spoil; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
-    for (number, more) in behind.into_iter().enumerate() {
+fn surplus_bytes_after_a_response_are_not_read_as_the_next_response() {
+    type SurplusFor = fn(&[u8]) -> Vec<u8>;
+    let surpluses: [SurplusFor; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
+    for (number, surplus_for) in surpluses.into_iter().enumerate() {
         let app = App::start(move |request| {
-            let answer = named(request);
-            let more = more(&answer);
-            Reply::Raw([answer, more].concat())
+            let response = id_response(request);
+            let surplus = surplus_for(&response);
+            Reply::Raw([response, surplus].concat())
         });
         let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
         let mut client = node.client();
@@ -82,16 +83,16 @@
             let id = format!("r{n}");
             assert_eq!(client.ask(&request("order", &id)).body, id.as_bytes(), "{number}");
         }
-        // Not one of these connections was of further use.
+        // No connection was reused.
         assert_eq!((app.seen(), app.accepted.load(Ordering::SeqCst)), (10, 10), "{number}");
     }
 }
 
 #[test]
-fn answers_ahead_are_passed_over() {
+fn interim_responses_are_skipped() {
     let app = App::start(|request| {
-        let ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        Reply::Raw([ahead.to_vec(), named(request)].concat())
+        let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
+        Reply::Raw([interim.to_vec(), id_response(request)].concat())
     });
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     for n in 0..3 {
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn absurd_figures_cut_no_customer_and_bury_no_server() {
+fn implausible_usage_and_load_figures_are_ignored() {
     let headers = "Api-Usage: 1e300\r\nSrv-Load: {\"inflight\":1e300,\"util\":1e300}\r\n";
     let app = App::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
