--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -329,7 +329,7 @@
     node_routes: Vec<NodeRoutes>,
     children: HashTable<u32>,
     hasher: RandomState,
-    /// Whether there are patterns below each root.
+    /// For each root, true if there are patterns below it.
     has_patterns: Vec<bool>,
     /// Root node of each host's tree.
     roots: Vec<u32>,
--- a/crates/runtime/src/driver.rs
+++ b/crates/runtime/src/driver.rs
@@ -61,7 +61,7 @@
     pub gateways: u32,
     /// Time for which the client waits for the response.
     pub timeout: Millis,
-    /// Whether the request must not run twice.
+    /// The request must not run twice.
     pub at_most_once: bool,
     /// Zones whose servers may get the request; `None` for all.
     pub zones: Option<Zones>,
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -41,10 +41,10 @@
 /// Minimum idle time after which a connection that has carried no request is closed to make room: most
 /// clients send a request as soon as they have connected.
 const MIN_IDLE_UNUSED: Duration = Duration::from_millis(100);
-/// Additional time for such a connection before it is closed, since its first bytes may not have been read
-/// yet.
+/// Additional time for a connection that has carried no request before it is closed, since its first bytes
+/// may not have been read yet.
 const FINAL_READ_TIME: Duration = Duration::from_millis(10);
-/// Fraction of the connections that is kept free for new clients, as a divisor.
+/// Divisor of the maximum number of connections that gives the number kept free for new clients.
 const FREE_CONNECTIONS_DIVISOR: usize = 8;
 /// Interval at which overdue connections are closed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -55,8 +55,8 @@
 /// Time for which idle connections are kept after the start of a shutdown. Clients go on using open
 /// connections, and new ones arrive for up to 0.4 s.
 const SHUTDOWN_IDLE_TIME: Duration = Duration::from_millis(500);
-/// Time for which connections are still accepted after that, for requests that crossed the close of an idle
-/// connection.
+/// Time after [`SHUTDOWN_IDLE_TIME`] for which connections are still accepted, for requests that crossed the
+/// close of an idle connection.
 const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(150);
 /// Minimum time for a request that is being received, at a shutdown or when room is made.
 const MIN_RECEIVE_TIME: Duration = Duration::from_millis(500);
@@ -120,7 +120,7 @@
     pub peer_ip: Arc<str>,
     /// Time at which its first byte was received.
     pub started_at: Instant,
-    /// Whether the server is shutting down.
+    /// The server is shutting down.
     pub shutting_down: bool,
     /// Error in the framing of the request, for which it must be rejected. Only checked with
     /// [`ClientLimits::strict_head_bytes`].
--- a/crates/runtime/src/server_list.rs
+++ b/crates/runtime/src/server_list.rs
@@ -10,7 +10,7 @@
 pub struct ServerListUpdate {
     /// Version of the list.
     pub rev: u64,
-    /// Whether this is the whole list: servers that it does not contain are removed.
+    /// This is the whole list: servers that it does not contain are removed.
     pub all: bool,
     /// Entries.
     #[serde(default)]
--- a/crates/runtime/src/upstream.rs
+++ b/crates/runtime/src/upstream.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// How responses are read and classified.
+/// Policy for reading and classifying responses.
 #[derive(Clone, Debug)]
 pub enum ResponsePolicy {
     /// Responses of the platform's protocol, read completely.
@@ -281,7 +281,7 @@
     /// Reads and writes without blocking.
     pub(crate) fn drive(&mut self, cx: &mut Context<'_>) {
         if let Some(driver) = &mut self.driver {
-            // An error is also returned by the response.
+            // An error also shows in the response.
             if Pin::new(driver).poll(cx).is_ready() {
                 self.driver = None;
             }
