--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use crate::slips;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
-use ivygate_routing::{Claim, Host, Methods, PathClaim, Target};
+use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RequestTarget, RouteMatch};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
@@ -889,7 +889,7 @@
 
 /// A path to ask for, in normal form.
 fn plain_path(fields: &Fields, word: &Word) -> Option<String> {
-    match Target::parse(&word.text) {
+    match RequestTarget::parse(&word.text) {
         Ok(target) if word.text.starts_with('/') => Some(target.path_and_query()),
         _ => {
             let error = Diagnostic::error("IV0052", "this is no path", word.span, "here");
@@ -906,8 +906,8 @@
         let Some(name) = named(fields, "route", statement, &mut seen) else { continue };
         let inner = fields.inner("route", statement);
         let host = match inner.word("host") {
-            None => Some(Host::Any),
-            Some(word) => Host::parse(&word.text)
+            None => Some(HostMatch::Any),
+            Some(word) => HostMatch::parse(&word.text)
                 .map_err(|error| {
                     let error = Diagnostic::error("IV0050", format!("{error}"), word.span, "here");
                     inner.note(
@@ -938,7 +938,7 @@
         if let (Some(host), Some(path), Some(methods), Some(class), Some(pool)) =
             (host, path, methods, class, pool)
         {
-            let claim = Claim { host, path, methods };
+            let claim = RouteMatch { host, path, methods };
             routes.push(Route { name: name.text.clone(), claim, class, pool, repeat, sign_in, at });
         }
     }
@@ -964,9 +964,9 @@
     told
 }
 
-fn path(inner: &Fields) -> Option<PathClaim> {
+fn path(inner: &Fields) -> Option<PathMatch> {
     let Some(statement) = inner.one("path") else {
-        return PathClaim::prefix("/").ok();
+        return PathMatch::prefix("/").ok();
     };
     let words = inner.words(statement, 2, 2)?;
     let text = &words[1].text;
@@ -978,9 +978,9 @@
         return None;
     }
     let claim = match words[0].text.as_str() {
-        "exact" => PathClaim::exact(text),
-        "prefix" => PathClaim::prefix(text),
-        "pattern" => PathClaim::pattern(text),
+        "exact" => PathMatch::exact(text),
+        "prefix" => PathMatch::prefix(text),
+        "pattern" => PathMatch::pattern(text),
         other => {
             let error = Diagnostic::error(
                 "IV0051",
@@ -1000,13 +1000,13 @@
         .ok()
 }
 
-fn methods(inner: &Fields, class: Option<&Class>) -> Option<Methods> {
+fn methods(inner: &Fields, class: Option<&Class>) -> Option<MethodMatch> {
     let safe = class.is_some_and(|c| c.effect == Effect::Safe);
     let Some(statement) = inner.one("methods") else {
         return Some(if safe {
-            Methods::Named(SAFE_METHODS.map(str::to_owned).to_vec())
+            MethodMatch::Named(SAFE_METHODS.map(str::to_owned).to_vec())
         } else {
-            Methods::Any
+            MethodMatch::Any
         });
     };
     let words = inner.words(statement, 1, 64)?;
@@ -1032,5 +1032,5 @@
             names.push(word.text.clone());
         }
     }
-    Some(Methods::Named(names))
+    Some(MethodMatch::Named(names))
 }
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::MISUSED;
 use ivygate_config::{Model, Route};
-use ivygate_routing::{Found, Methods, Reason, Table, Target};
+use ivygate_routing::{LookupResult, MatchKind, MethodMatch, RequestTarget, RouteTable};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
         Err(code) => return code,
     };
     let Some(model) = &loaded.model else { return ExitCode::from(MISUSED) };
-    let Ok(table) = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
+    let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
         return ExitCode::from(MISUSED);
     };
     let place = |route: &Route| loaded.sources.place(route.at.0).to_string();
@@ -27,13 +27,13 @@
                 println!("\nclaimed by two routes, and taken by the first of each pair:");
             }
             for overlap in overlaps {
-                let (first, second) = (&model.routes[overlap.taken_by], &model.routes[overlap.also]);
+                let (first, second) = (&model.routes[overlap.winner], &model.routes[overlap.shadowed]);
                 println!("  {} ({}) before {} ({})", first.name, place(first), second.name, place(second));
             }
             ExitCode::SUCCESS
         }
         Some((method, url)) => {
-            let target = match Target::parse(url) {
+            let target = match RequestTarget::parse(url) {
                 Ok(target) => target,
                 Err(error) => {
                     println!("400: {error}");
@@ -43,12 +43,12 @@
             let host = target.host.clone().unwrap_or_default();
             println!("{method} {host}{}", target.path_and_query());
             match table.find(&host, &target.path, method) {
-                Found::Route(number, reason) => {
+                LookupResult::Route(number, reason) => {
                     let route = &model.routes[number];
                     let why = match reason {
-                        Reason::Exact => "its path is this one exactly",
-                        Reason::Prefix => "its prefix is the longest",
-                        Reason::Pattern => "its pattern is the first that matches",
+                        MatchKind::Exact => "its path is this one exactly",
+                        MatchKind::Prefix => "its prefix is the longest",
+                        MatchKind::Pattern => "its pattern is the first that matches",
                     };
                     println!(
                         "{}\ntaken since {why}; its host is {}",
@@ -57,11 +57,11 @@
                     );
                     ExitCode::SUCCESS
                 }
-                Found::OtherMethods(methods) => {
+                LookupResult::MethodNotAllowed(methods) => {
                     println!("405: routes claim this path for {} only", methods.join(", "));
                     ExitCode::FAILURE
                 }
-                Found::Nothing => {
+                LookupResult::NotFound => {
                     println!("404: no route claims this host and path");
                     ExitCode::FAILURE
                 }
@@ -72,8 +72,8 @@
 
 fn line(model: &Model, route: &Route, place: &str) -> String {
     let methods = match &route.claim.methods {
-        Methods::Any => "any method".to_owned(),
-        Methods::Named(names) => names.join(" "),
+        MethodMatch::Any => "any method".to_owned(),
+        MethodMatch::Named(names) => names.join(" "),
     };
     let (class, pool) = (&model.classes[route.class].name, &model.pools[route.pool].name);
     let (host, path) = (&route.claim.host, &route.claim.path);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -12,7 +12,10 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use ivygate_control_state::RequestKind;
-use ivygate_runtime::{Answer, Ask, Asked, Driver, Front, Head, Leaving, Message, Payload};
+use ivygate_runtime::{
+    ClientRequest, DisconnectGuard, Driver, FinalResponse, Head, IncomingRequest, OutgoingRequest,
+    RequestBody, RequestHandler,
+};
 use ivygate_time::{Millis, Timestamp};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -60,11 +63,11 @@
     rejections: RejectionRates,
 }
 
-impl Front for ClientFront {
+impl RequestHandler for ClientFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, begun, turn, flaw, .. } = asked;
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, started_at: begun, guard: turn, framing_error: flaw, .. } = asked;
         if flaw.is_some() {
             // The end of such a request is ambiguous, so the connection cannot be reused.
             let mut response =
@@ -72,7 +75,7 @@
             close_connection(&mut response);
             return Ok(response);
         }
-        match self.handle(request, begun, || turn.open()).await {
+        match self.handle(request, begun, || turn.mark_received()).await {
             Ok(response) => Ok(response),
             Err(rejection) => rejection.into_response(),
         }
@@ -132,33 +135,38 @@
         parts: Parts,
         body: &HeldBody,
         now: Timestamp,
-    ) -> Result<Answer, Rejection> {
+    ) -> Result<FinalResponse, Rejection> {
         let head = request_head(request);
         let id = head.id.clone();
-        let message = Message {
+        let message = OutgoingRequest {
             headers: forwarded_headers(&parts.headers, request.tenant.as_deref()),
             method: parts.method,
             uri: parts.uri,
-            body: Rc::new(Payload::whole(body.bytes.clone())),
-            tells: Some(set_attempt_headers),
+            body: Rc::new(RequestBody::buffered(body.bytes.clone())),
+            set_attempt_headers: Some(set_attempt_headers),
         };
-        let ask = Ask { head, deadline: now.plus_millis(request.wait_ms), message };
-        let Some(answer) = target.driver.arrive(ask) else {
+        let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
+        let Some(answer) = target.driver.submit(ask) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
         // hyper drops this future when the client closes its connection. Dropping `leaving` then cancels the request.
-        let leaving = Leaving::new(target.driver.clone(), id);
-        let answer = answer.await.unwrap_or(Answer::Failed);
-        leaving.answered();
+        let leaving = DisconnectGuard::new(target.driver.clone(), id);
+        let answer = answer.await.unwrap_or(FinalResponse::Failed);
+        leaving.disarm();
         Ok(answer)
     }
 
     /// Maps the outcome to a response. A request that was not sent to any server is returned to its tenant's quota.
-    fn finish(&self, target: &Target, request: &ParsedRequest, answer: Answer) -> Response<Full<Bytes>> {
-        if let (Answer::Refused(.., false), Some(tenant)) = (&answer, &request.tenant) {
+    fn finish(
+        &self,
+        target: &Target,
+        request: &ParsedRequest,
+        answer: FinalResponse,
+    ) -> Response<Full<Bytes>> {
+        if let (FinalResponse::Refused(.., false), Some(tenant)) = (&answer, &request.tenant) {
             self.proxy.quota.release(tenant);
         }
-        let was_rejected = matches!(answer, Answer::Refused(..));
+        let was_rejected = matches!(answer, FinalResponse::Refused(..));
         let rejection_rate = self.rejections.record(&target.backend, was_rejected);
         outcome_response(answer, MAX_REJECTION_RETRY_AFTER_MS * rejection_rate, runs_at_most_once(request))
     }
@@ -177,10 +185,10 @@
         plan: PLAN.into(),
         customer: request.tenant.as_ref().map_or_else(|| "".into(), |tenant| tenant.name.clone()),
         units: 1.0,
-        width: 1,
-        wait: request.wait_ms,
-        once: runs_at_most_once(request),
+        gateways: 1,
+        timeout: request.wait_ms,
+        at_most_once: runs_at_most_once(request),
         zones: request.zones.clone(),
-        tries: Some(request.route.route.tries),
+        max_attempts: Some(request.route.route.tries),
     }
 }
--- a/crates/proxy/src/response.rs
+++ b/crates/proxy/src/response.rs
@@ -4,7 +4,7 @@
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{retry_after_value, without_hop_by_hop, Answer};
+use ivygate_runtime::{retry_after_value, without_hop_by_hop, FinalResponse};
 use ivygate_time::Millis;
 
 /// Default retry-after time of a rejected request, in milliseconds.
@@ -86,29 +86,29 @@
 /// Maps the final outcome of a dispatched request to a response. `min_retry_after_ms` is the minimum retry-after time of a
 /// rejection.
 pub(crate) fn outcome_response(
-    answer: Answer,
+    answer: FinalResponse,
     min_retry_after_ms: Millis,
     runs_at_most_once: bool,
 ) -> Response<Full<Bytes>> {
     match answer {
         // The status would guarantee that the request was not executed, which the server does not: it states that with a header
         // of its own, and responses with that header are not forwarded.
-        Answer::Whole(answer) if runs_at_most_once && guarantees_not_executed(answer.status()) => {
+        FinalResponse::Buffered(answer) if runs_at_most_once && guarantees_not_executed(answer.status()) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed; it may have run", 0.0)
         }
-        Answer::Whole(answer) => {
+        FinalResponse::Buffered(answer) => {
             let (mut parts, body) = answer.into_parts();
             parts.headers = without_hop_by_hop(parts.headers);
             // hyper sets the length again from the body.
             parts.headers.remove(header::CONTENT_LENGTH);
             Response::from_parts(parts, Full::new(body))
         }
-        Answer::Refused(wait_ms, ..) => {
+        FinalResponse::Refused(wait_ms, ..) => {
             let retry_after_ms = wait_ms.max(RETRY_SOON_MS).max(min_retry_after_ms);
             plain_response(StatusCode::SERVICE_UNAVAILABLE, "refused; nothing was run", retry_after_ms)
         }
-        Answer::TimeUp => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
-        Answer::Failed | Answer::Passed(_) | Answer::Served(..) => {
+        FinalResponse::TimedOut => plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time", 0.0),
+        FinalResponse::Failed | FinalResponse::Streamed(_) | FinalResponse::Served(..) => {
             plain_response(StatusCode::BAD_GATEWAY, "failed", 0.0)
         }
     }
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -10,7 +10,7 @@
 use ivygate_control_state::Tables;
 use ivygate_quota::LeasedQuota;
 use ivygate_rpc::{serve, BootstrapSettings, ErrorKind, RpcClient, RpcError, RpcResponse, RpcServer};
-use ivygate_runtime::{listen, ClientLimits, Clients, Clock};
+use ivygate_runtime::{listen, ClientLimits, Clock, HttpServer};
 use ivygate_time::MonotonicClock;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -52,11 +52,11 @@
 
 fn client_limits(max_connections: usize) -> ClientLimits {
     let mut limits = ClientLimits::new(max_connections);
-    limits.strict_head = Some(DEFAULT_MAX_HEAD_BYTES);
-    limits.whole_request = REQUEST_TIMEOUT;
-    limits.idle = IDLE_TIMEOUT;
-    limits.idle_once = IDLE_TIMEOUT_AFTER_ONE;
-    limits.read_stall = Some(READ_STALL_TIMEOUT);
+    limits.strict_head_bytes = Some(DEFAULT_MAX_HEAD_BYTES);
+    limits.receive_timeout = REQUEST_TIMEOUT;
+    limits.idle_timeout = IDLE_TIMEOUT;
+    limits.idle_timeout_after_one = IDLE_TIMEOUT_AFTER_ONE;
+    limits.read_stall_timeout = Some(READ_STALL_TIMEOUT);
     limits
 }
 
@@ -121,12 +121,13 @@
     tasks.spawn_local(run_replication(cluster.replica.clone(), client, cluster.clone(), Tables::all()));
     tasks.spawn_local(cluster.clone().send_heartbeats());
     tasks.spawn_local(cluster.clone().report_usage(leased));
-    let clients = Clients::new(Rc::new(ClientFront::new(proxy.clone())), client_limits(connections.clients));
+    let clients =
+        HttpServer::new(Rc::new(ClientFront::new(proxy.clone())), client_limits(connections.clients));
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     let _ = terminate.recv().await;
     tracing::info!("shutting down");
     proxy.begin_shutdown();
-    clients.wind_up(accepting).await;
+    clients.shut_down(accepting).await;
     peer_server.shut_down().await;
     Ok(())
 }
--- a/crates/proxy/src/upstream_pools.rs
+++ b/crates/proxy/src/upstream_pools.rs
@@ -10,7 +10,10 @@
 };
 use ivygate_registry::ServerRecord;
 use ivygate_rpc::BootstrapSettings;
-use ivygate_runtime::{Clock, Driver, Listing, Reading, Seal, Target, TargetState, Upstream, UpstreamLimits};
+use ivygate_runtime::{
+    Clock, Driver, EchoPolicy, ListedServer, ListedServerState, ResponsePolicy, ServerListUpdate, Upstream,
+    UpstreamLimits,
+};
 use ivygate_time::{Millis, Timestamp};
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashMap};
@@ -133,7 +136,7 @@
 
     /// Returns whether any service has a server.
     pub fn has_servers(&self) -> bool {
-        self.pools.values().any(|pool| pool.driver.ready())
+        self.pools.values().any(|pool| pool.driver.is_ready())
     }
 
     /// Returns this proxy's share of the retry budget, which applies to all proxies together.
@@ -159,7 +162,9 @@
             }
         }
         // The pool of a removed service is dropped once it has no open requests.
-        self.pools.retain(|name, pool| snapshot.config.backends.contains_key(name) || pool.driver.open() > 0);
+        self.pools.retain(|name, pool| {
+            snapshot.config.backends.contains_key(name) || pool.driver.open_requests() > 0
+        });
     }
 
     /// Creates and starts the decision module of a new pool.
@@ -171,19 +176,19 @@
         let settings = decision_settings(&self.zone, classes.values().cloned().collect(), retries);
         let gateway = Gateway::new(settings, fastrand::u64(..))?;
         let limits = UpstreamLimits {
-            connections: self.max_connections,
-            connect: CONNECT_TIMEOUT,
-            keep: IDLE_TIMEOUT,
-            idle: MAX_IDLE_PER_SERVER,
-            rest: MIN_IDLE_TIME,
-            buffer: BUFFER_BYTES,
+            max_connections: self.max_connections,
+            connect_timeout: CONNECT_TIMEOUT,
+            idle_timeout: IDLE_TIMEOUT,
+            max_idle_per_server: MAX_IDLE_PER_SERVER,
+            min_idle_time: MIN_IDLE_TIME,
+            max_buffer_bytes: BUFFER_BYTES,
         };
-        let seal = Seal {
-            echo: server_protocol::ATTEMPT_ID,
-            most: MAX_RESPONSE_BYTES,
-            judge: server_protocol::outcome_of,
+        let seal = EchoPolicy {
+            echo_header: server_protocol::ATTEMPT_ID,
+            max_body_bytes: MAX_RESPONSE_BYTES,
+            classify: server_protocol::outcome_of,
         };
-        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, Reading::Sealed(seal)));
+        let driver = Driver::new(gateway, self.clock, Upstream::new(limits, ResponsePolicy::Echo(seal)));
         tokio::task::spawn_local(driver.clone().run_timers());
         Ok(driver)
     }
@@ -194,7 +199,7 @@
         let proxies = Node::all(items, Role::Proxy);
         let draining = items.live(Table::Drains).map(|(zone, _)| zone.to_owned()).collect();
         self.slow_starts.update_zones(now, draining);
-        let mut targets: HashMap<String, Vec<Target>> = HashMap::new();
+        let mut targets: HashMap<String, Vec<ListedServer>> = HashMap::new();
         for (id, body) in items.live(Table::Servers) {
             let Ok(server) = ServerRecord::deserialize(body) else { continue };
             let backend = snapshot.config.backends.get(&server.backend);
@@ -205,7 +210,7 @@
         self.slow_starts.finish_list();
         for (backend, pool) in &self.pools {
             let targets = targets.remove(backend).unwrap_or_default();
-            pool.driver.list(Listing { rev: 0, all: true, targets });
+            pool.driver.update_servers(ServerListUpdate { rev: 0, all: true, targets });
         }
     }
 
@@ -218,7 +223,7 @@
         server: &ServerRecord,
         slow_start_rate: f64,
         proxies: &[Node],
-    ) -> Target {
+    ) -> ListedServer {
         let ends_at = self.slow_starts.end_of(now, id, server);
         let is_bounded = slow_start_rate > 0.0 && now < ends_at;
         let bound = || SlowStartBound {
@@ -227,16 +232,16 @@
             until: ends_at,
         };
         let is_draining = server.draining || self.slow_starts.is_draining(&server.zone);
-        Target {
+        ListedServer {
             uid: id.to_owned(),
             endpoint: Some(server.address),
-            detour: self.distance_cost(&server.zone),
+            distance_cost: self.distance_cost(&server.zone),
             az: server.zone.clone(),
             pod_group: 0,
-            state: if is_draining { TargetState::Draining } else { TargetState::Serving },
+            state: if is_draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.capacity,
             boot_ms: 0.0,
-            fence: is_bounded.then(bound),
+            slow_start: is_bounded.then(bound),
         }
     }
 
@@ -262,13 +267,13 @@
     fn update(&mut self, classes: HashMap<String, RequestClass>, retries: RetryBudget) {
         for (name, class) in classes {
             if !self.classes.contains_key(&name) {
-                self.driver.tell(Event::Class(class.clone()));
+                self.driver.notify(Event::Class(class.clone()));
                 self.classes.insert(name, class);
             }
         }
         if self.retries != retries {
             self.retries = retries;
-            self.driver.tell(Event::RetryBudget(retries));
+            self.driver.notify(Event::RetryBudget(retries));
         }
     }
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
-use ivygate_runtime::{listen, Asked, ClientLimits, Clients, Front, WHOLE_REQUEST};
+use ivygate_runtime::{listen, ClientLimits, HttpServer, IncomingRequest, RequestHandler, RECEIVE_TIMEOUT};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::future::Future;
@@ -74,18 +74,18 @@
 
 /// Returns the time allowed to receive a complete request.
 fn request_timeout() -> Duration {
-    WHOLE_REQUEST.saturating_mul(REQUEST_TIMEOUT_FACTOR)
+    RECEIVE_TIMEOUT.saturating_mul(REQUEST_TIMEOUT_FACTOR)
 }
 
 struct RpcFront {
     handler: Handler,
 }
 
-impl Front for RpcFront {
+impl RequestHandler for RpcFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, begun, turn, peer, .. } = asked;
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, started_at: begun, guard: turn, peer, .. } = asked;
         let (head, body) = request.into_parts();
         let time_left = request_timeout().saturating_sub(begun.elapsed());
         let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
@@ -101,7 +101,7 @@
                 ))),
             },
             Ok(Ok(body)) => {
-                turn.open();
+                turn.mark_received();
                 // The request may have waited while this process was paused or the network was partitioned, and the caller may
                 // have sent it to another process since. Yielding lets the connection be polled again, which drops this future
                 // if the caller has closed it.
@@ -128,14 +128,14 @@
 
 /// Running RPC server.
 pub struct RpcServer {
-    clients: Rc<Clients<RpcFront>>,
+    clients: Rc<HttpServer<RpcFront>>,
     accepting: tokio::task::JoinHandle<()>,
 }
 
 impl RpcServer {
     /// Stops accepting connections and waits until the requests in progress are answered.
     pub async fn shut_down(self) {
-        self.clients.wind_up(self.accepting).await;
+        self.clients.shut_down(self.accepting).await;
     }
 }
 
@@ -148,8 +148,8 @@
         RpcError::new(ErrorKind::Configuration, format!("cannot listen on {address}: {error}"))
     })?;
     let mut limits = ClientLimits::new(MAX_CONNECTIONS);
-    limits.whole_request = request_timeout();
-    let clients = Clients::new(Rc::new(RpcFront { handler }), limits);
+    limits.receive_timeout = request_timeout();
+    let clients = HttpServer::new(Rc::new(RpcFront { handler }), limits);
     let accepting = tokio::task::spawn_local(clients.clone().accept(listener));
     Ok(RpcServer { clients, accepting })
 }
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use ivygate_config::Listener;
 use ivygate_forward_auth::Asked;
-use ivygate_runtime::{one, Admission, Answer, Head};
+use ivygate_runtime::{single_value, Admission, FinalResponse, Head};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -55,7 +55,7 @@
         has_body: bool,
         (peer, peer_name): (SocketAddr, &str),
         held: &mut Held,
-    ) -> Result<Answer, Unfit> {
+    ) -> Result<FinalResponse, Unfit> {
         let (target, own_host) = destination(&parts)?;
         if Some(&target.path) != listener.answers_checks.as_ref() {
             return Err(Words::new(StatusCode::NOT_FOUND, "this listener answers checks only").into());
@@ -131,16 +131,16 @@
             plan: plan.clone(),
             customer: customer.clone(),
             units: route.units,
-            width: route.pool.settings.sidecars,
-            wait: left,
-            once,
+            gateways: route.pool.settings.sidecars,
+            timeout: left,
+            at_most_once: once,
             zones: None,
-            tries: None,
+            max_attempts: None,
         });
         let server = match admission {
             Admission::Admitted(server) => server,
             Admission::Refused(wait, reason) => {
-                return Err(in_words(&Answer::Refused(wait, reason, false)).into());
+                return Err(in_words(&FinalResponse::Refused(wait, reason, false)).into());
             }
         };
         let told = [
@@ -188,7 +188,9 @@
 }
 
 fn id(parts: &Parts) -> Result<Option<String>, Words> {
-    let Some(id) = one(&parts.headers, REQUEST_ID.as_str()).map_err(bad)?.filter(|id| !id.is_empty()) else {
+    let Some(id) =
+        single_value(&parts.headers, REQUEST_ID.as_str()).map_err(bad)?.filter(|id| !id.is_empty())
+    else {
         return Ok(None);
     };
     if id.len() > ID_MOST {
--- a/crates/sidecar/src/asker.rs
+++ b/crates/sidecar/src/asker.rs
@@ -5,8 +5,8 @@
 
 use hyper::header::HeaderMap;
 use hyper::Method;
-use ivygate_routing::{host_of, Target};
-use ivygate_runtime::one;
+use ivygate_routing::{normalize_host, RequestTarget};
+use ivygate_runtime::single_value;
 
 /// A request that somebody else has and asks about.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// Its method, if that is told.
     pub method: Option<Method>,
     /// Its target, in normal form.
-    pub target: Target,
+    pub target: RequestTarget,
     /// Its host.
     pub host: String,
 }
@@ -26,8 +26,9 @@
 pub fn read(headers: &HeaderMap, host: &str) -> Result<About, String> {
     let uri = agreed(headers, "x-forwarded-uri", "x-original-uri")?;
     // How the client came says nothing of where its request goes.
-    let url = one(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
-    let parse = |text: &str| Target::parse(text).map_err(|error| format!("what is asked about: {error}"));
+    let url = single_value(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
+    let parse =
+        |text: &str| RequestTarget::parse(text).map_err(|error| format!("what is asked about: {error}"));
     let (target, named) = match (uri, url) {
         (None, None) => {
             return Err("what is asked about is not told: X-Forwarded-Uri or X-Original-URI is missing".into())
@@ -53,9 +54,9 @@
         None => None,
         Some(name) => Some(Method::from_bytes(name.as_bytes()).map_err(|_| "the method is malformed")?),
     };
-    let told = match one(headers, "x-forwarded-host")? {
+    let told = match single_value(headers, "x-forwarded-host")? {
         None => None,
-        Some(text) => Some(host_of(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
+        Some(text) => Some(normalize_host(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
     };
     let host = match (told, named) {
         (Some(told), Some(named)) if told != named => {
@@ -67,7 +68,7 @@
 }
 
 fn agreed<'a>(headers: &'a HeaderMap, first: &str, second: &str) -> Result<Option<&'a str>, String> {
-    match (one(headers, first)?, one(headers, second)?) {
+    match (single_value(headers, first)?, single_value(headers, second)?) {
         (Some(a), Some(b)) if a != b => Err(format!("{first} and {second} tell different things")),
         (a, b) => Ok(a.or(b)),
     }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -19,9 +19,10 @@
 use ivygate_forward_auth::{folded, share, Admissions};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_journal::{Order, State};
-use ivygate_routing::{host_of, Target};
+use ivygate_routing::{normalize_host, RequestTarget};
 use ivygate_runtime::{
-    millis, one, Answer, Ask, Asked, Flaw, Front, Head, Leaving, Message, Payload, Streamed,
+    duration_from_millis, single_value, ClientRequest, DisconnectGuard, FinalResponse, FramingError, Head,
+    IncomingRequest, OutgoingRequest, RequestBody, RequestHandler, Streamed,
 };
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -130,7 +131,7 @@
         let named = match &identity.plan_header {
             // What a sign-in service says is believed of whoever asked.
             Some(name) if self.origin.trusted || self.site.vouched.contains(&folded(name)) => {
-                one(headers, name).map_err(bad)?
+                single_value(headers, name).map_err(bad)?
             }
             _ => None,
         };
@@ -143,7 +144,7 @@
     /// How long a request's client will wait.
     pub(crate) fn wait(&self, seen: &Seen<'_>, headers: &header::HeaderMap) -> Result<f64, Words> {
         let told = match &seen.site.identity.deadline_header {
-            Some(name) if seen.origin.trusted => one(headers, name).map_err(bad)?,
+            Some(name) if seen.origin.trusted => single_value(headers, name).map_err(bad)?,
             _ => None,
         };
         let most = seen.route.deadline;
@@ -249,19 +250,20 @@
     Words::new(StatusCode::BAD_REQUEST, text).closing()
 }
 
-impl Front for SidecarFront {
+impl RequestHandler for SidecarFront {
     type Body = AnswerBody;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<AnswerBody>, hyper::Error> {
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<AnswerBody>, hyper::Error> {
         let site = self.shared.site.borrow().clone();
         let listener = self.listener.borrow().clone();
-        let Asked { request, peer, peer_name, flaw, turn, .. } = asked;
+        let IncomingRequest { request, peer, peer_ip: peer_name, framing_error: flaw, guard: turn, .. } =
+            asked;
         // From here on the request's own limits hold, not the connection's.
-        turn.open();
+        turn.mark_received();
         let mut held = Held { turn, place: None, bytes: None };
         if let Some(flaw) = flaw {
             let status = match flaw {
-                Flaw::TooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                FramingError::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 _ => StatusCode::BAD_REQUEST,
             };
             return Ok(Words::new(status, flaw.to_string()).closing().response(held));
@@ -294,7 +296,7 @@
                 let mut sent = Bytes::new();
                 if let Some(most) = sign_in.settings.body {
                     let (payload, bytes) = body.read(route, listener, &spoilt).await?;
-                    match payload.whole_bytes().filter(|whole| whole.len() <= most) {
+                    match payload.buffered_bytes().filter(|whole| whole.len() <= most) {
                         Some(whole) => sent = whole,
                         None => {
                             let text = "the body is too long to be checked; nothing was run";
@@ -331,45 +333,55 @@
             let orders = self.shared.orders.as_ref().filter(|orders| class.1 || keyed && orders.keyed);
             let taken = match orders {
                 None => None,
-                Some(orders) => Some(orders.taken(
-                    &id,
-                    Order {
-                        client_id: one(&headers, orders.id_header.as_str()).map_err(bad)?.map(str::to_owned),
-                        keyed,
-                        customer: orders.customer(&customer),
-                        route: route.name.to_string(),
-                        target: target.path_and_query(),
-                        taken_at: route.pool.driver.now().as_millis(),
-                        attempts: Vec::new(),
-                        ended: None,
-                    },
-                )),
+                Some(orders) => Some(
+                    orders.taken(
+                        &id,
+                        Order {
+                            client_id: single_value(&headers, orders.id_header.as_str())
+                                .map_err(bad)?
+                                .map(str::to_owned),
+                            keyed,
+                            customer: orders.customer(&customer),
+                            route: route.name.to_string(),
+                            target: target.path_and_query(),
+                            taken_at: route.pool.driver.now().as_millis(),
+                            attempts: Vec::new(),
+                            ended: None,
+                        },
+                    ),
+                ),
             };
             let deadline = wait + if payload.is_streamed() { route.upload } else { 0.0 };
-            let ask = Ask {
+            let ask = ClientRequest {
                 head: Head {
                     id: id.clone(),
-                    once: class.1,
+                    at_most_once: class.1,
                     zones: None,
-                    tries: None,
+                    max_attempts: None,
                     class: class.0,
                     plan,
                     customer,
                     units: route.units,
-                    width: route.pool.settings.sidecars,
-                    wait: deadline,
+                    gateways: route.pool.settings.sidecars,
+                    timeout: deadline,
                 },
                 deadline: route.pool.driver.now().plus_millis(deadline),
-                message: Message { method, uri, headers, body: Rc::new(payload), tells: None },
+                outgoing: OutgoingRequest {
+                    method,
+                    uri,
+                    headers,
+                    body: Rc::new(payload),
+                    set_attempt_headers: None,
+                },
             };
             let driver = route.pool.driver.clone();
-            let Some(answer) = driver.arrive(ask) else {
+            let Some(answer) = driver.submit(ask) else {
                 return Err(Words::new(StatusCode::CONFLICT, "a request of this id is open").into());
             };
             // hyper drops this future when the client closes its connection.
-            let leaving = Leaving::new(driver, id);
-            let answer = answer.await.unwrap_or(Answer::Failed);
-            leaving.answered();
+            let leaving = DisconnectGuard::new(driver, id);
+            let answer = answer.await.unwrap_or(FinalResponse::Failed);
+            leaving.disarm();
             if let Some(taken) = &taken {
                 taken.answered(&answer);
             }
@@ -381,8 +393,10 @@
         let answer = taken.await;
         let words = match answer {
             // What the server made of half a body is not told as if the request had been whole.
-            Ok(Answer::Failed | Answer::Refused(..)) if spoilt.get() => bad(Flaw::Chunk.to_string()),
-            Ok(Answer::Passed(response)) => return Ok(passed(*response, held)),
+            Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if spoilt.get() => {
+                bad(FramingError::InvalidChunk.to_string())
+            }
+            Ok(FinalResponse::Streamed(response)) => return Ok(passed(*response, held)),
             Ok(answer) => in_words(&answer),
             Err(Unfit::Words(words)) => words,
             Err(Unfit::Passed(response)) => return Ok(passed(*response, held)),
@@ -410,7 +424,7 @@
 /// A request's body, before or after it has been read.
 enum Body {
     Coming(Incoming),
-    Here(Payload, Bytewise),
+    Here(RequestBody, Bytewise),
 }
 
 impl Body {
@@ -420,13 +434,14 @@
         route: &Route,
         listener: &Listener,
         spoilt: &Rc<Cell<bool>>,
-    ) -> Result<(Payload, Bytewise), Unfit> {
+    ) -> Result<(RequestBody, Bytewise), Unfit> {
         let body = match self {
             Body::Coming(body) => body,
             Body::Here(payload, bytes) => return Ok((payload, bytes)),
         };
-        upload::read(body, &route.pool, millis(listener.body_stall), spoilt.clone()).await.map_err(|error| {
-            match error {
+        upload::read(body, &route.pool, duration_from_millis(listener.body_stall), spoilt.clone())
+            .await
+            .map_err(|error| match error {
                 Unread::Stalled => {
                     Words::new(StatusCode::REQUEST_TIMEOUT, "the body stood still").closing().into()
                 }
@@ -434,10 +449,9 @@
                     let text = "this pool holds as much of bodies as it may; nothing was run";
                     Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, FULL_RETRY_AFTER).closing().into()
                 }
-                Unread::Malformed => bad(Flaw::Chunk.to_string()).into(),
+                Unread::Malformed => bad(FramingError::InvalidChunk.to_string()).into(),
                 Unread::Lost(error) => Unfit::Lost(error),
-            }
-        })
+            })
     }
 }
 
@@ -459,27 +473,32 @@
 }
 
 /// What is told of an answer that no application gave.
-pub fn in_words(answer: &Answer) -> Words {
+pub fn in_words(answer: &FinalResponse) -> Words {
     match answer {
-        Answer::Refused(wait, RejectReason::Quota, _) => {
+        FinalResponse::Refused(wait, RejectReason::Quota, _) => {
             Words::refused(StatusCode::TOO_MANY_REQUESTS, "beyond the quota; nothing was run", *wait)
         }
-        Answer::Refused(wait, RejectReason::RateLimit, _) => {
+        FinalResponse::Refused(wait, RejectReason::RateLimit, _) => {
             Words::refused(StatusCode::TOO_MANY_REQUESTS, "at the plan's ceiling; nothing was run", *wait)
         }
-        Answer::Refused(wait, RejectReason::Overload, _) => {
+        FinalResponse::Refused(wait, RejectReason::Overload, _) => {
             let text = "no server has room for this; trying again is harmless";
             Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, *wait)
         }
-        Answer::TimeUp => Words::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run"),
-        Answer::Failed | Answer::Served(..) | Answer::Passed(_) | Answer::Whole(_) => {
+        FinalResponse::TimedOut => {
+            Words::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time; it may have run")
+        }
+        FinalResponse::Failed
+        | FinalResponse::Served(..)
+        | FinalResponse::Streamed(_)
+        | FinalResponse::Buffered(_) => {
             Words::new(StatusCode::BAD_GATEWAY, "the server failed; it may have run")
         }
     }
 }
 
 /// The normal target and host of a request.
-pub fn destination(parts: &Parts) -> Result<(Target, String), Words> {
+pub fn destination(parts: &Parts) -> Result<(RequestTarget, String), Words> {
     if parts.method == Method::CONNECT {
         return Err(Words::new(StatusCode::NOT_IMPLEMENTED, "CONNECT is not offered").closing());
     }
@@ -492,8 +511,8 @@
         return Err(Words::new(StatusCode::EXPECTATION_FAILED, text).closing());
     }
     let target = match parts.uri.path_and_query() {
-        Some(path) if parts.uri.authority().is_none() => Target::parse(path.as_str()),
-        _ => Target::parse(&parts.uri.to_string()),
+        Some(path) if parts.uri.authority().is_none() => RequestTarget::parse(path.as_str()),
+        _ => RequestTarget::parse(&parts.uri.to_string()),
     };
     let target = target.map_err(|error| bad(error.to_string()))?;
     let mut hosts = parts.headers.get_all(header::HOST).iter();
@@ -501,7 +520,7 @@
         (Some(_), Some(_)) => return Err(bad("Host is given twice")),
         (Some(host), None) => {
             let text = host.to_str().map_err(|_| bad("the host is malformed"))?;
-            Some(host_of(text).map_err(|error| bad(error.to_string()))?)
+            Some(normalize_host(text).map_err(|error| bad(error.to_string()))?)
         }
         (None, _) if parts.version == Version::HTTP_10 => None,
         (None, _) => return Err(bad("Host is missing")),
@@ -515,7 +534,12 @@
     Ok((target, host))
 }
 
-fn route<'a>(site: &'a Site, host: &str, target: &Target, method: &Method) -> Result<&'a Route, Words> {
+fn route<'a>(
+    site: &'a Site,
+    host: &str,
+    target: &RequestTarget,
+    method: &Method,
+) -> Result<&'a Route, Words> {
     site.route(host, &target.path, method.as_str()).map_err(|others| {
         if others.is_empty() {
             return Words::new(StatusCode::NOT_FOUND, "no route takes this host and path");
@@ -534,7 +558,7 @@
         return Ok((route.class.clone(), route.once));
     };
     // Two keys are none: a server may look at either.
-    Ok(match one(&parts.headers, key.as_str()).map_err(bad)? {
+    Ok(match single_value(&parts.headers, key.as_str()).map_err(bad)? {
         None | Some("") => (unkeyed.clone(), true),
         Some(_) => (route.class.clone(), false),
     })
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Response, StatusCode};
 use ivygate_config::Operator;
 use ivygate_journal::{answer, Told};
-use ivygate_runtime::{Asked, ClientLimits, Front};
+use ivygate_runtime::{ClientLimits, IncomingRequest, RequestHandler};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
@@ -73,18 +73,18 @@
 /// How its clients are bounded.
 pub fn limits() -> ClientLimits {
     ClientLimits {
-        strict_head: Some(HEAD),
-        read_stall: Some(STALL),
+        strict_head_bytes: Some(HEAD),
+        read_stall_timeout: Some(STALL),
         ..ClientLimits::new(Operator::CONNECTIONS)
     }
 }
 
-impl Front for OperatorFront {
+impl RequestHandler for OperatorFront {
     type Body = Full<Bytes>;
 
-    async fn answer(&self, asked: Asked) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let Asked { request, flaw, turn, .. } = asked;
-        turn.open();
+    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, framing_error: flaw, guard: turn, .. } = asked;
+        turn.mark_received();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
         let told = match flaw {
             Some(flaw) => Told::error(400, &flaw.to_string()),
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -7,7 +7,7 @@
     Attempt, Came, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order, Pseudonyms, State,
     Store, Update,
 };
-use ivygate_runtime::{Answer, Ledger};
+use ivygate_runtime::{AttemptRecorder, FinalResponse};
 use ivygate_time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -135,12 +135,12 @@
     }
 }
 
-impl Ledger for Orders {
-    fn wants(&self, id: &RequestId) -> bool {
+impl AttemptRecorder for Orders {
+    fn records_repeatable(&self, id: &RequestId) -> bool {
         self.keyed && self.taken.borrow().contains_key(id)
     }
 
-    fn sending<'a>(
+    fn record_send<'a>(
         &'a self,
         id: &'a RequestId,
         attempt: u32,
@@ -162,7 +162,7 @@
         })
     }
 
-    fn came(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
+    fn record_result(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
         let came = match status {
             // A server that turned it away has answered too, and the proof says more.
             _ if never_ran => Came::NotRun,
@@ -197,9 +197,9 @@
 
 impl Taken {
     /// It has its answer.
-    pub fn answered(&self, answer: &Answer) {
+    pub fn answered(&self, answer: &FinalResponse) {
         self.answered.set(true);
-        if matches!(answer, Answer::TimeUp) {
+        if matches!(answer, FinalResponse::TimedOut) {
             self.ended(Ended::GivenUp);
         }
     }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -6,7 +6,8 @@
 use ivygate_config as config;
 use ivygate_gateway::{Effect, Gateway, KeyScope, Plan, RequestClass, RetryBudget, Settings};
 use ivygate_runtime::{
-    millis, Clock, Driver, Judge, Listing, Reading, Target, TargetState, Upstream, UpstreamLimits,
+    duration_from_millis, ApplicationPolicy, Clock, Driver, ListedServer, ListedServerState, ResponsePolicy,
+    ServerListUpdate, Upstream, UpstreamLimits,
 };
 use ivygate_time::Millis;
 use std::cell::Cell;
@@ -77,23 +78,27 @@
         let settings = settings(pool, classes, plans);
         let gateway = Gateway::new(settings.clone(), fastrand::u64(..)).map_err(|error| error.to_string())?;
         let limits = UpstreamLimits {
-            connections: pool.connections,
-            connect: millis(pool.connect),
-            keep: millis(pool.keep),
-            idle: usize::MAX,
+            max_connections: pool.connections,
+            connect_timeout: duration_from_millis(pool.connect),
+            idle_timeout: duration_from_millis(pool.keep),
+            max_idle_per_server: usize::MAX,
             // What is there to be read is seen without a rest.
-            rest: Duration::ZERO,
-            buffer: BUFFER,
+            min_idle_time: Duration::ZERO,
+            max_buffer_bytes: BUFFER,
         };
         let declined = pool.declined.as_ref().and_then(|(name, value)| {
             Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?))
         });
-        let judge = Judge {
-            errors: pool.errors.iter().filter_map(|status| StatusCode::from_u16(*status).ok()).collect(),
-            declined,
-            stall: millis(pool.answer_stall),
+        let judge = ApplicationPolicy {
+            error_statuses: pool
+                .errors
+                .iter()
+                .filter_map(|status| StatusCode::from_u16(*status).ok())
+                .collect(),
+            not_run_header: declined,
+            stall_timeout: duration_from_millis(pool.answer_stall),
         };
-        let upstream = Upstream::new(limits, Reading::Application(judge));
+        let upstream = Upstream::new(limits, ResponsePolicy::Application(judge));
         let (driver, zones) = match &pool.domains {
             Some(domains) => {
                 let zones = Zones::new(pool, domains, &settings, gateway);
@@ -138,20 +143,20 @@
         let is_new = |s: &config::Server| {
             before.is_some_and(|b| !b.servers.iter().any(|o| o.name == s.name && o.address == s.address))
         };
-        let target = |server: &config::Server| Target {
+        let target = |server: &config::Server| ListedServer {
             // A server that has moved is another one.
             uid: format!("{}@{}", server.name, server.address),
             endpoint: Some(server.address),
             az: server.zone.clone(),
             pod_group: server.cell,
-            state: if server.draining { TargetState::Draining } else { TargetState::Serving },
+            state: if server.draining { ListedServerState::Draining } else { ListedServerState::Serving },
             capacity_hint: server.weight,
             boot_ms: if self.settings.cold.is_some() && is_new(server) { now.as_millis() } else { 0.0 },
-            detour: 0.0,
-            fence: None,
+            distance_cost: 0.0,
+            slow_start: None,
         };
         let targets = self.settings.servers.iter().map(target).collect();
-        self.driver.list(Listing { rev: 0, all: true, targets });
+        self.driver.update_servers(ServerListUpdate { rev: 0, all: true, targets });
     }
 
     /// A place for one more open request; `None` if the pool has as many as it may.
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -6,9 +6,9 @@
 use crate::site::Site;
 use crate::talk::{keys, Talk};
 use ivygate_config::{Listener, Model, Severity};
-use ivygate_files::Unreadable;
+use ivygate_files::ReadError;
 use ivygate_journal::JournalError;
-use ivygate_runtime::{listen, millis, ClientLimits, Clients, Clock};
+use ivygate_runtime::{duration_from_millis, listen, ClientLimits, Clock, HttpServer};
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::io::IsTerminal;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub enum StartError {
     /// The configuration's file can't be read.
-    Unreadable(Unreadable),
+    Unreadable(ReadError),
     /// A file can't be written.
     Unwritable(String, std::io::Error),
     /// It can't be used; the report says where and why.
@@ -76,7 +76,7 @@
     /// As the configuration has it; its port may be 0.
     named: SocketAddr,
     bound: SocketAddr,
-    clients: Rc<Clients<SidecarFront>>,
+    clients: Rc<HttpServer<SidecarFront>>,
     accepting: JoinHandle<()>,
 }
 
@@ -91,7 +91,7 @@
 struct Desk {
     named: SocketAddr,
     bound: SocketAddr,
-    clients: Rc<Clients<OperatorFront>>,
+    clients: Rc<HttpServer<OperatorFront>>,
     accepting: JoinHandle<()>,
 }
 
@@ -156,7 +156,7 @@
     fn open_desk(&self, model: &Model, socket: Option<(TcpListener, SocketAddr)>) {
         if let Some((operator, (socket, bound))) = model.operator.as_ref().zip(socket) {
             let front = Rc::new(OperatorFront::new(self.shared.clone()));
-            let clients = Clients::new(front, operator::limits());
+            let clients = HttpServer::new(front, operator::limits());
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
             self.desk.replace(Some(Desk { named: operator.address, bound, clients, accepting }));
         }
@@ -171,7 +171,7 @@
         for (listener, socket, address) in bound {
             let (named, limits) = (listener.address, client_limits(&listener));
             let front = Rc::new(SidecarFront::new(self.shared.clone(), listener));
-            let clients = Clients::new(front, limits);
+            let clients = HttpServer::new(front, limits);
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
             self.ports.borrow_mut().push(Port { named, bound: address, clients, accepting });
         }
@@ -215,16 +215,16 @@
                 return false;
             };
             port.clients.set_limits(client_limits(listener));
-            port.clients.front().listener.replace(Rc::new(listener.clone()));
+            port.clients.handler().listener.replace(Rc::new(listener.clone()));
             true
         });
         for (clients, accepting) in gone {
-            tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
+            tokio::task::spawn_local(async move { clients.shut_down(accepting).await });
         }
         self.open(bound);
         if kept != named {
             if let Some(Desk { clients, accepting, .. }) = self.desk.take() {
-                tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
+                tokio::task::spawn_local(async move { clients.shut_down(accepting).await });
             }
             self.open_desk(model, desk);
         }
@@ -234,7 +234,7 @@
     /// Ends in good order: finishes what has been taken and tells clients to go. Streams that take longer than
     /// the configuration allows are broken off, which their clients can tell.
     pub async fn wind_up(&self) {
-        if timeout(millis(self.drain.get()), self.finish()).await.is_err() {
+        if timeout(duration_from_millis(self.drain.get()), self.finish()).await.is_err() {
             eprintln!("ivygate: broke off what was still open after {} s", self.drain.get() / 1000.0);
         }
         if let Some(orders) = &self.shared.orders {
@@ -247,13 +247,11 @@
         let desk = self.desk.take();
         let mut ending: Vec<_> = ports
             .into_iter()
-            .map(|port| tokio::task::spawn_local(async move { port.clients.wind_up(port.accepting).await }))
+            .map(|port| tokio::task::spawn_local(async move { port.clients.shut_down(port.accepting).await }))
             .collect();
-        ending.extend(
-            desk.map(|desk| {
-                tokio::task::spawn_local(async move { desk.clients.wind_up(desk.accepting).await })
-            }),
-        );
+        ending.extend(desk.map(|desk| {
+            tokio::task::spawn_local(async move { desk.clients.shut_down(desk.accepting).await })
+        }));
         for one in ending {
             // A failure of its own changes nothing about the end.
             let _ = one.await;
@@ -266,12 +264,12 @@
 
 fn client_limits(listener: &Listener) -> ClientLimits {
     ClientLimits {
-        buffer: listener.head.max(BUFFER),
-        strict_head: Some(listener.head),
-        read_stall: Some(millis(listener.read_stall)),
-        whole_request: millis(listener.head_within),
-        idle: millis(listener.idle),
-        idle_once: millis(listener.idle),
+        max_buffer_bytes: listener.head.max(BUFFER),
+        strict_head_bytes: Some(listener.head),
+        read_stall_timeout: Some(duration_from_millis(listener.read_stall)),
+        receive_timeout: duration_from_millis(listener.head_within),
+        idle_timeout: duration_from_millis(listener.idle),
+        idle_timeout_after_one: duration_from_millis(listener.idle),
         ..ClientLimits::new(listener.connections)
     }
 }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -10,7 +10,10 @@
 use hyper::{Method, Response, StatusCode, Uri};
 use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
-use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
+use ivygate_runtime::{
+    duration_from_millis, ClientRequest, DisconnectGuard, FinalResponse, Head, OutgoingRequest, RequestBody,
+    Streamed,
+};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -91,7 +94,7 @@
     let begun = driver.now();
     let key = sign_in.remembered.key(question.route, &settings.request_headers, question.headers);
     let looking = sign_in.remembered.look(|| driver.now().as_millis(), key);
-    let asking = match timeout(millis(question.time), looking).await {
+    let asking = match timeout(duration_from_millis(question.time), looking).await {
         Ok(Ok(Remember::Yes(headers))) => return Outcome::GoOn(headers),
         Ok(Ok(Remember::No(status, headers, body))) => return Outcome::No(status, headers, body),
         Ok(Err(asking)) => asking,
@@ -158,7 +161,7 @@
     let mut headers = Vec::new();
     let mut good = 0.0;
     let input = match answer {
-        Answer::Passed(response) => {
+        FinalResponse::Streamed(response) => {
             let mut meaning = Said::of(response.status().as_u16());
             let left = time - (driver.now().millis_since(asked));
             let told =
@@ -190,13 +193,13 @@
             }
             Input::Said(meaning)
         }
-        Answer::Refused(_, _, false) => Input::Refused,
+        FinalResponse::Refused(_, _, false) => Input::Refused,
         // It was asked, and there is nobody left to ask again.
-        Answer::Refused(_, _, true)
-        | Answer::Served(..)
-        | Answer::Whole(_)
-        | Answer::Failed
-        | Answer::TimeUp => Input::Unanswered,
+        FinalResponse::Refused(_, _, true)
+        | FinalResponse::Served(..)
+        | FinalResponse::Buffered(_)
+        | FinalResponse::Failed
+        | FinalResponse::TimedOut => Input::Unanswered,
     };
     let outcome = match (gate.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
@@ -214,41 +217,41 @@
 }
 
 /// The answer of the service's pool, and how long to stay away if it refuses.
-async fn answer(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Answer, f64) {
+async fn answer(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (FinalResponse, f64) {
     let settings = &sign_in.settings;
-    let Ok(uri) = Uri::try_from(&settings.path) else { return (Answer::Failed, 0.0) };
+    let Ok(uri) = Uri::try_from(&settings.path) else { return (FinalResponse::Failed, 0.0) };
     // The check takes a place of its pool like any other request.
     let Some(_place) = sign_in.pool.place() else {
-        return (Answer::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
+        return (FinalResponse::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
     };
-    let ask = Ask {
+    let ask = ClientRequest {
         head: Head {
             id: question.id.clone(),
             class: sign_in.class.clone(),
             plan: CHECKS.into(),
             customer: question.client.clone(),
             units: 1.0,
-            width: sign_in.pool.settings.sidecars,
-            wait: time,
-            once: false,
+            gateways: sign_in.pool.settings.sidecars,
+            timeout: time,
+            at_most_once: false,
             zones: None,
-            tries: None,
+            max_attempts: None,
         },
         deadline: sign_in.pool.driver.now().plus_millis(time),
-        message: Message {
+        outgoing: OutgoingRequest {
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
             headers: headers(settings, question),
-            body: Rc::new(Payload::whole(question.body.clone())),
-            tells: None,
+            body: Rc::new(RequestBody::buffered(question.body.clone())),
+            set_attempt_headers: None,
         },
     };
     let driver = sign_in.pool.driver.clone();
-    let Some(answer) = driver.arrive(ask) else { return (Answer::Failed, 0.0) };
-    let leaving = Leaving::new(driver, question.id.clone());
-    let answer = answer.await.unwrap_or(Answer::Failed);
-    leaving.answered();
-    let wait = if let Answer::Refused(wait, ..) = &answer { *wait } else { 0.0 };
+    let Some(answer) = driver.submit(ask) else { return (FinalResponse::Failed, 0.0) };
+    let leaving = DisconnectGuard::new(driver, question.id.clone());
+    let answer = answer.await.unwrap_or(FinalResponse::Failed);
+    leaving.disarm();
+    let wait = if let FinalResponse::Refused(wait, ..) = &answer { *wait } else { 0.0 };
     (answer, wait)
 }
 
@@ -298,5 +301,5 @@
         }
         Some(read.freeze())
     };
-    timeout(millis(time), reading).await.ok().flatten()
+    timeout(duration_from_millis(time), reading).await.ok().flatten()
 }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderName;
 use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
 use ivygate_forward_auth::folded;
-use ivygate_routing::{Found, Table};
+use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_runtime::Clock;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 pub struct Site {
     /// How customers, plans and deadlines are read.
     pub identity: Identity,
-    table: Table,
+    table: RouteTable,
     routes: Vec<Route>,
     plans: Vec<Arc<str>>,
     /// The class of each route, as the configuration names it.
@@ -130,7 +130,7 @@
     /// # Errors
     /// If a decision module cannot act on its settings, or routes contradict each other.
     pub fn new(model: &Model, before: Option<&Site>, clock: Clock) -> Result<Self, String> {
-        let table = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
         let mut pools = HashMap::new();
         for (number, pool) in model.pools.iter().enumerate() {
@@ -228,7 +228,7 @@
     /// Has all pools record their requests that must not run twice.
     pub fn record_in(&self, orders: Option<&Rc<Orders>>) {
         if let Some(orders) = orders {
-            self.pools.values().for_each(|pool| pool.driver.record_in(orders.clone()));
+            self.pools.values().for_each(|pool| pool.driver.set_recorder(orders.clone()));
         }
     }
 
@@ -238,9 +238,9 @@
     /// With the methods that the path is claimed for, none if it is not claimed at all.
     pub fn route(&self, host: &str, path: &str, method: &str) -> Result<&Route, Vec<String>> {
         match self.table.find(host, path, method) {
-            Found::Route(number, _) => Ok(&self.routes[number]),
-            Found::OtherMethods(methods) => Err(methods),
-            Found::Nothing => Err(Vec::new()),
+            LookupResult::Route(number, _) => Ok(&self.routes[number]),
+            LookupResult::MethodNotAllowed(methods) => Err(methods),
+            LookupResult::NotFound => Err(Vec::new()),
         }
     }
 
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/talk.rs
@@ -3,7 +3,7 @@
 use crate::front::Shared;
 use ivygate_config as config;
 use ivygate_failure_domains::ZoneReport;
-use ivygate_peer_gossip::{Group, Key, PACKET_MOST};
+use ivygate_peer_gossip::{Key, PeerGroup, MAX_PACKET_BYTES};
 use ivygate_runtime::Clock;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -23,7 +23,7 @@
 /// This process among those that tell each other.
 pub struct Talk {
     socket: UdpSocket,
-    group: RefCell<Group>,
+    group: RefCell<PeerGroup>,
     peers: RefCell<Vec<SocketAddr>>,
     /// Packets that could not be sent.
     unsent: Cell<u64>,
@@ -49,7 +49,7 @@
         socket.set_nonblocking(true)?;
         Ok(Rc::new(Self {
             socket: UdpSocket::from_std(socket)?,
-            group: RefCell::new(Group::new(fastrand::u64(..), keys)),
+            group: RefCell::new(PeerGroup::new(fastrand::u64(..), keys)),
             peers: RefCell::new(group.peers.clone()),
             unsent: Cell::new(0),
             clock,
@@ -66,7 +66,7 @@
     pub async fn run(self: Rc<Self>, shared: Rc<Shared>) {
         let mut look = tokio::time::interval(LOOK);
         look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut packet = [0; PACKET_MOST + 1];
+        let mut packet = [0; MAX_PACKET_BYTES + 1];
         loop {
             tokio::select! {
                 _ = look.tick() => {}
@@ -119,7 +119,9 @@
         if !due {
             return;
         }
-        let Some(packet) = self.group.borrow_mut().seal(self.clock.now().as_millis(), words) else { return };
+        let Some(packet) = self.group.borrow_mut().encode_packet(self.clock.now().as_millis(), words) else {
+            return;
+        };
         for peer in self.peers.borrow().iter() {
             // What one peer or the system does not take is told anew within a second.
             if self.socket.try_send_to(&packet, *peer).is_err() {
@@ -134,12 +136,12 @@
         let group = self.group.borrow();
         let member = |member: &ivygate_peer_gossip::Member| {
             json!({
-                "member": format!("{:016x}", member.name), "heard_ms_ago": (now - member.heard_at).round(),
+                "member": format!("{:016x}", member.id), "heard_ms_ago": (now - member.heard_at).round(),
                 "packets": member.packets,
             })
         };
         let mut told: Vec<Value> = group.members(now).iter().map(member).collect();
-        let dropped: BTreeMap<&str, u64> = group.dropped().collect();
+        let dropped: BTreeMap<&str, u64> = group.drop_counts().collect();
         told.push(
             json!({ "peers": self.peers.borrow().len(), "unsent": self.unsent.get(), "dropped": dropped }),
         );
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -4,7 +4,7 @@
     At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
     Statement,
 };
-use ivygate_routing::{regions, Found, Table, TooMany};
+use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If their routes have too many regions to be decided on.
-pub fn compare(old: &Loaded, new: &Loaded) -> Result<Vec<Difference>, TooMany> {
+pub fn compare(old: &Loaded, new: &Loaded) -> Result<Vec<Difference>, TooManyClasses> {
     let (Some(before), Some(after)) = (&old.model, &new.model) else { return Ok(Vec::new()) };
     let (old, new) = (Text::new(old), Text::new(new));
     let mut found = Comparison { old, new, all: Vec::new() };
@@ -198,8 +198,8 @@
         pairs
     }
 
-    fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooMany> {
-        let table = |model: &Model| Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+    fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooManyClasses> {
+        let table = |model: &Model| RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         // Both were checked, so both build.
         let (Ok(before), Ok(after)) = (table(old), table(new)) else { return Ok(()) };
         let target = |model: &Model, route: Option<usize>| {
@@ -215,10 +215,10 @@
         let (old_targets, new_targets) = (targets(old), targets(new));
         // For each pair of routes that differ, the shortest request, and how many regions.
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
-        regions(&[&before, &after], |request| {
-            let number = |table: &Table| match table.find(request.host, request.path, request.method) {
-                Found::Route(number, _) => Some(number),
-                Found::OtherMethods(_) | Found::Nothing => None,
+        visit_equivalence_classes(&[&before, &after], |request| {
+            let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
+                LookupResult::Route(number, _) => Some(number),
+                LookupResult::MethodNotAllowed(_) | LookupResult::NotFound => None,
             };
             let (a, b) = (number(&before), number(&after));
             let (from, to) =
