--- a/crates/proxy/src/cluster_client.rs
+++ b/crates/proxy/src/cluster_client.rs
@@ -38,7 +38,7 @@
 struct QuotaProxy {
     /// Change of the replica at which the address was determined.
     change: u64,
-    /// Quota proxy; `None` if it is this proxy.
+    /// Quota proxy; `None` if no other proxy of the zone comes before this one.
     address: Option<Ipv4Addr>,
 }
 
--- a/crates/registry/src/server_list.rs
+++ b/crates/registry/src/server_list.rs
@@ -43,7 +43,7 @@
     #[serde(default)]
     pub az: String,
     /// Number of requests that it handles concurrently.
-    #[serde(default = "default_capacity")]
+    #[serde(default = "one")]
     pub capacity: f64,
     /// State, `ready` or `draining`.
     pub state: String,
@@ -52,7 +52,7 @@
     pub warm_left_s: f64,
 }
 
-fn default_capacity() -> f64 {
+fn one() -> f64 {
     1.0
 }
 
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -40,7 +40,7 @@
 }
 
 async fn call(client: &RpcClient, to: SocketAddr, path: &str) -> Result<String, RpcError> {
-    client.post(to, path, &"body", TIMEOUT).await
+    client.post(to, path, &"what", TIMEOUT).await
 }
 
 type Script = fn(&mut BufReader<TcpStream>, Message, &AtomicUsize);
@@ -181,7 +181,7 @@
     run(async {
         let client = RpcClient::default();
         let late: Result<String, RpcError> =
-            client.post(peer.address, "/first", &"body", Duration::from_millis(50)).await;
+            client.post(peer.address, "/first", &"what", Duration::from_millis(50)).await;
         assert_eq!(late.map_err(|error| error.kind), Err(ErrorKind::Timeout));
         assert_eq!(call(&client, peer.address, "/second").await.as_deref(), Ok("/second"));
         // The abandoned connection is closed by itself, not at the end of the process.
