--- a/crates/registry/src/cli/diff.rs
+++ b/crates/registry/src/cli/diff.rs
@@ -15,16 +15,16 @@
     let current = items.get(item.key.table, &item.key.name).map(|current| current.version);
     match (check_version(items, item), current, item.body.is_some()) {
         (VersionCheck::Newer, None, true) => "new".to_owned(),
-        (VersionCheck::Newer, None, false) => "removes an item that does not exist".to_owned(),
+        (VersionCheck::Newer, None, false) => "removes what was never there".to_owned(),
         (VersionCheck::Newer, Some(version), true) => format!("changes r{version}"),
         (VersionCheck::Newer, Some(version), false) => format!("removes r{version}"),
         (VersionCheck::Current, ..) => "same".to_owned(),
         (VersionCheck::Conflict, current, _) if current == Some(item.version) => {
-            "CONFLICT: the current content differs".to_owned()
+            "CONFLICT: the current content is another".to_owned()
         }
         // Only the store knows the content acknowledged under older versions.
         (_, current, _) => format!(
-            "older than r{}, changes nothing; rejected if acknowledged with different content",
+            "older than r{}, changes nothing; rejected if acknowledged with another content",
             current.unwrap_or_default()
         ),
     }
--- a/crates/registry/src/cli/explain_route.rs
+++ b/crates/registry/src/cli/explain_route.rs
@@ -17,10 +17,12 @@
 pub(super) fn describe(items: &Items, host: &str, path: &str, key: Option<&str>) -> Result<String, RpcError> {
     let config = Config::from_items(items)?;
     let Some((name, route)) = find_route(&config, host, path) else {
-        return Ok(format!("404: no route of {host} matches {path}"));
+        return Ok(format!("404: no route of {host} begins {path}"));
     };
-    let mut lines =
-        vec![format!("route {name}: longest prefix of {host} that matches {path} is {}", route.path_prefix)];
+    let mut lines = vec![format!(
+        "route {name}: the longest prefix of {host} that begins {path} is {}",
+        route.path_prefix
+    )];
     let tenant = key.and_then(|key| find_tenant(&config, key));
     let needs_tenant = !config.tenants.is_empty() && !route.public;
     if tenant.is_none() && needs_tenant {
@@ -29,14 +31,11 @@
     }
     let mut home_regions: Vec<&String> = route.home_regions.iter().collect();
     if let Some((name, tenant)) = tenant {
-        lines.push(format!(
-            "tenant {name}: {} requests per second with a burst of {}",
-            tenant.rate_per_s, tenant.burst
-        ));
+        lines.push(format!("tenant {name}: {} a second and a burst of {}", tenant.rate_per_s, tenant.burst));
         home_regions.extend(&tenant.home_regions);
     }
     if !home_regions.is_empty() {
-        lines.push(format!("restricted to the home regions of route and tenant: {home_regions:?}"));
+        lines.push(format!("bound to home regions {home_regions:?}, each of route and tenant"));
     }
     lines.extend(backend_lines(items, route));
     Ok(lines.join("\n"))
@@ -59,9 +58,9 @@
     let mut lines = Vec::new();
     for share in shares {
         let percent = 100.0 * share.weight / total.max(1e-9);
-        lines.push(format!("service {}: {percent:.0} % of requests", share.backend));
+        lines.push(format!("service {}: {percent:.0} in 100", share.backend));
         for (zone, ZoneServers { serving, draining }) in servers_by_zone(items, &share.backend) {
-            lines.push(format!("  {zone}: {serving} servers serving, {draining} draining"));
+            lines.push(format!("  {zone}: {serving} servers take requests, {draining} are draining"));
         }
     }
     lines
