--- a/crates/failure-domains/src/domain.rs
+++ b/crates/failure-domains/src/domain.rs
@@ -32,6 +32,7 @@
 const RECOVERY_PAUSE: Millis = 500.0;
 /// Factor by which a slow domain's traffic share falls in each interval, as long as the other domains have capacity.
 const DRAIN_FACTOR: f64 = 0.5;
+/// Interval at which a slow domain's traffic share changes.
 const DRAIN_INTERVAL: Millis = 500.0;
 /// Minimum traffic share of a slow domain.
 const MIN_DRAINING_SHARE: f64 = 0.05;
@@ -142,7 +143,7 @@
     /// The other domains are overloaded: requests were recently rejected for lack of capacity.
     pub is_overloaded: bool,
     /// Another domain is out of service or recovering; this one carries its load and may be slow because of it.
-    pub is_other_domain_away: bool,
+    pub is_other_domain_unavailable: bool,
     /// Too many servers are judged failing, so judgements are ignored.
     pub is_panic_mode: bool,
 }
@@ -158,6 +159,7 @@
     has_quorum: bool,
 }
 
+/// A failure domain.
 pub(crate) struct Domain {
     pub zone: Arc<str>,
     pub state: DomainState,
@@ -271,7 +273,10 @@
         } else {
             quorum
         };
-        (is_reported_failing, is_reported_failing && votes.failing >= quorum && !context.is_other_domain_away)
+        (
+            is_reported_failing,
+            is_reported_failing && votes.failing >= quorum && !context.is_other_domain_unavailable,
+        )
     }
 
     /// Takes the next step if one is due.
@@ -310,7 +315,7 @@
             && is_conclusive
             && context.automatic_ejection
             && !context.is_panic_mode
-            && (!context.is_other_domain_away || !may_be_overloaded());
+            && (!context.is_other_domain_unavailable || !may_be_overloaded());
         let (is_reported_failing, has_quorum) = self.peer_verdict(context, &assessment);
         Verdict { assessment, is_failed, is_reported_failing, has_quorum }
     }
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -302,7 +302,7 @@
             other_observations: (0, 0),
             live_peers: self.live_peers(),
             is_overloaded: self.now < self.overloaded_until,
-            is_other_domain_away: false,
+            is_other_domain_unavailable: false,
             is_panic_mode: self.in_panic_mode,
         }
     }
@@ -324,7 +324,7 @@
     pub fn evaluate(&mut self) {
         let previous: Vec<DomainState> = self.domains.values().map(|domain| domain.state).collect();
         let step_context = self.step_context();
-        let away: Vec<ZoneName> = self
+        let unavailable_zones: Vec<ZoneName> = self
             .domains
             .values()
             .filter(|domain| {
@@ -342,12 +342,12 @@
         let all = self.domains.values().map(recent).fold((0, 0), |all, one| (all.0 + one.0, all.1 + one.1));
         for domain in self.domains.values_mut() {
             domain.set_maintenance(step_context.now, self.policy.maintenance_zones.contains(&*domain.zone));
-            let is_other_domain_away = away.iter().any(|zone| *zone != domain.zone);
+            let is_other_domain_unavailable = unavailable_zones.iter().any(|zone| *zone != domain.zone);
             let (successes, failures) = recent(domain);
             let other_observations = (all.0 - successes, all.1 - failures);
             domain.step(
                 &self.profile,
-                &StepContext { is_other_domain_away, other_observations, ..step_context },
+                &StepContext { is_other_domain_unavailable, other_observations, ..step_context },
             );
         }
         let (all, failing) = self
--- a/crates/gateway/src/quota.rs
+++ b/crates/gateway/src/quota.rs
@@ -30,7 +30,7 @@
 const OWN_RATIO_WEIGHT: f64 = 0.25;
 /// Lifetime of a meter reading: some periods and the reporting delay.
 const READING_LIFETIME: Millis = 6_000.0;
-/// Minimum lifetime of a meter reading, in units that this gateway's equal share allows at the full rate.
+/// Minimum lifetime of a meter reading: the time in which this gateway's equal share of the rate allows this many units.
 const MIN_READING_LIFETIME_UNITS: f64 = 3.0;
 /// Typical delay between the end of a metered period and the arrival of its reading.
 const READING_DELAY: Millis = 800.0;
--- a/crates/gateway/src/wire_settings.rs
+++ b/crates/gateway/src/wire_settings.rs
@@ -8,22 +8,27 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireSettings {
-    allowed: Allowed,
-    az: String,
-    balancers: u32,
+    allowed: WirePermissions,
+    #[serde(rename = "az")]
+    zone: String,
+    #[serde(rename = "balancers")]
+    gateways: u32,
     classes: Vec<WireClass>,
-    contracts: Vec<Contract>,
+    #[serde(rename = "contracts")]
+    plans: Vec<WirePlan>,
     discovery: String,
-    #[serde(default)]
-    domain: Domain,
-    prices: Prices,
+    #[serde(default, rename = "domain")]
+    metering: WireMetering,
+    prices: WirePrices,
     rank: u32,
-    rules: Rules,
+    #[serde(rename = "rules")]
+    slow_start: WireSlowStart,
 }
 
+/// Actions that a gateway may take.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Allowed {
+struct WirePermissions {
     cancel: bool,
     #[serde(default)]
     connect_timeout_ms: f64,
@@ -31,71 +36,88 @@
     keepalive_ms: f64,
     #[serde(default)]
     max_retry_after_ms: f64,
-    may_probe: bool,
-    most_tries: u32,
+    #[serde(rename = "mayProbe")]
+    health_checks: bool,
+    #[serde(rename = "mostTries")]
+    max_attempts: u32,
     retry_after: bool,
-    second_copies: bool,
+    #[serde(rename = "secondCopies")]
+    hedging: bool,
 }
 
+/// A class of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireClass {
     name: String,
-    aim_ms: f64,
+    #[serde(rename = "aimMs")]
+    latency_target_ms: f64,
     deadline_ms: f64,
-    worth: f64,
-    #[serde(default)]
-    late_worth: f64,
+    #[serde(rename = "worth")]
+    value: f64,
+    #[serde(default, rename = "lateWorth")]
+    late_value: f64,
     effect: String,
     #[serde(default)]
     key_scope: String,
-    #[serde(default)]
-    window_ms: f64,
+    #[serde(default, rename = "windowMs")]
+    key_window_ms: f64,
 }
 
+/// A plan of customers.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Contract {
+struct WirePlan {
     name: String,
-    #[serde(default)]
-    refill: f64,
-    #[serde(default)]
-    most_at_once: f64,
-    #[serde(default)]
-    parallel: u32,
-    worth_factor: f64,
-    #[serde(default)]
-    extra_worth: f64,
+    #[serde(default, rename = "refill")]
+    rate: f64,
+    #[serde(default, rename = "mostAtOnce")]
+    burst: f64,
+    #[serde(default, rename = "parallel")]
+    max_in_flight: u32,
+    #[serde(rename = "worthFactor")]
+    price: f64,
+    #[serde(default, rename = "extraWorth")]
+    excess_value: f64,
     #[serde(default)]
     excess_cost: f64,
-    #[serde(default)]
-    cap_rate: f64,
-    #[serde(default)]
-    cap_depth: f64,
-    #[serde(default)]
-    tolerance: f64,
+    #[serde(default, rename = "capRate")]
+    limit_rate: f64,
+    #[serde(default, rename = "capDepth")]
+    limit_burst: f64,
+    #[serde(default, rename = "tolerance")]
+    limit_slack: f64,
 }
 
+/// The usage meter and the units of requests.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Domain {
-    use_period_ms: f64,
-    units_top: f64,
+struct WireMetering {
+    #[serde(rename = "usePeriodMs")]
+    meter_period_ms: f64,
+    #[serde(rename = "unitsTop")]
+    max_units: f64,
 }
 
+/// Costs of attempts.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Prices {
+struct WirePrices {
     cross_zone: f64,
 }
 
+/// Capacity of servers that are warming up.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Rules {
-    cold_from: f64,
-    warm_after_ms: f64,
-    fall_multiple: f64,
-    overload_for_ms: f64,
+struct WireSlowStart {
+    #[serde(rename = "coldFrom")]
+    initial_capacity: f64,
+    #[serde(rename = "warmAfterMs")]
+    duration_ms: f64,
+    #[serde(rename = "fallMultiple")]
+    overload_factor: f64,
+    #[serde(rename = "overloadForMs")]
+    overload_window_ms: f64,
 }
 
 /// Settings of connections to app servers, for the I/O layer; no decision depends on them.
@@ -159,8 +181,8 @@
     pub fn request_limits(&self) -> RequestLimits {
         let deadlines = self.classes.iter().map(|class| class.deadline_ms);
         RequestLimits {
-            nodes: self.balancers,
-            max_units: if self.domain.units_top > 0.0 { self.domain.units_top } else { f64::INFINITY },
+            nodes: self.gateways,
+            max_units: if self.metering.max_units > 0.0 { self.metering.max_units } else { f64::INFINITY },
             max_wait: 2.0 * deadlines.fold(0.0, f64::max),
         }
     }
@@ -171,14 +193,14 @@
     /// Returns an error that names the key whose value is unknown.
     pub fn into_settings(self) -> Result<Settings, WireSettingsError> {
         Ok(Settings {
-            gateways: self.balancers,
+            gateways: self.gateways,
             rank: self.rank,
-            zone: self.az,
+            zone: self.zone,
             classes: self.classes.into_iter().map(request_class).collect::<Result<_, _>>()?,
-            plans: self.contracts.into_iter().map(plan).collect(),
-            max_attempts: self.allowed.most_tries,
-            allow_hedging: self.allowed.second_copies,
-            allow_health_checks: self.allowed.may_probe,
+            plans: self.plans.into_iter().map(plan).collect(),
+            max_attempts: self.allowed.max_attempts,
+            allow_hedging: self.allowed.hedging,
+            allow_health_checks: self.allowed.health_checks,
             allow_trial_requests: false,
             retry_budget: RetryBudget::DEFAULT,
             allow_cancellation: self.allowed.cancel,
@@ -188,12 +210,12 @@
                 other => return Err(WireSettingsError::UnknownDiscovery(other.to_owned())),
             },
             max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after_ms),
-            meter_period: (self.domain.use_period_ms > 0.0).then_some(self.domain.use_period_ms),
+            meter_period: (self.metering.meter_period_ms > 0.0).then_some(self.metering.meter_period_ms),
             cross_zone_cost: self.prices.cross_zone,
-            slow_start_capacity: self.rules.cold_from,
-            slow_start_duration: self.rules.warm_after_ms,
-            overload_factor: self.rules.fall_multiple,
-            overload_window: self.rules.overload_for_ms,
+            slow_start_capacity: self.slow_start.initial_capacity,
+            slow_start_duration: self.slow_start.duration_ms,
+            overload_factor: self.slow_start.overload_factor,
+            overload_window: self.slow_start.overload_window_ms,
         })
     }
 }
@@ -214,27 +236,27 @@
     };
     Ok(RequestClass {
         name: class.name,
-        latency_target: class.aim_ms,
+        latency_target: class.latency_target_ms,
         deadline: class.deadline_ms,
-        value: class.worth,
-        late_value: class.late_worth,
+        value: class.value,
+        late_value: class.late_value,
         effect,
         initial_work: None,
-        key_window: class.window_ms,
+        key_window: class.key_window_ms,
     })
 }
 
-fn plan(contract: Contract) -> Plan {
+fn plan(plan: WirePlan) -> Plan {
     Plan {
-        name: contract.name,
-        rate: contract.refill,
-        burst: contract.most_at_once,
-        max_in_flight: contract.parallel,
-        price: contract.worth_factor,
-        excess_value: contract.extra_worth,
-        excess_cost: contract.excess_cost,
-        limit_rate: contract.cap_rate,
-        limit_burst: contract.cap_depth,
-        limit_slack: contract.tolerance,
+        name: plan.name,
+        rate: plan.rate,
+        burst: plan.burst,
+        max_in_flight: plan.max_in_flight,
+        price: plan.price,
+        excess_value: plan.excess_value,
+        excess_cost: plan.excess_cost,
+        limit_rate: plan.limit_rate,
+        limit_burst: plan.limit_burst,
+        limit_slack: plan.limit_slack,
     }
 }
