--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -506,8 +506,26 @@
     }
 }
 
-/// The attempts of a request: server, time at which it is abandoned, and outcome.
-type Attempts = Vec<(ServerId, f64, Option<Outcome>)>;
+/// An attempt of a random request.
+struct SentAttempt {
+    server: ServerId,
+    abandoned_at: f64,
+    outcome: Option<Outcome>,
+}
+
+impl SentAttempt {
+    fn never_ran(&self) -> bool {
+        self.outcome.is_some_and(Outcome::never_ran)
+    }
+}
+
+/// A request of a random event sequence.
+struct RandomRequest {
+    class: &'static str,
+    is_answered: bool,
+    attempts: Vec<SentAttempt>,
+    deadline: f64,
+}
 
 /// Each request gets exactly one final answer, effects are not repeated, and equal events lead to equal actions.
 #[test]
@@ -530,8 +548,7 @@
         settings,
         (0..6).map(|id| server_entry(id, id % 2, ServerState::Ready)).collect::<Vec<_>>(),
     );
-    // Per request: class, whether it has its final answer, attempts, deadline.
-    let mut requests: BTreeMap<RequestId, (usize, bool, Attempts, f64)> = BTreeMap::new();
+    let mut requests: BTreeMap<RequestId, RandomRequest> = BTreeMap::new();
     let (mut log, mut now, mut tick_at) = (Vec::new(), 0.0, 20.0);
     for step in 0..1_500 {
         now += rng.f64() * 8.0;
@@ -540,36 +557,41 @@
             tick_at = now + 20.0;
             actions = harness.handle(now, Event::Timer { token: 0 });
         } else if step < 1_000 && rng.u8(..4) == 0 {
-            let class = rng.usize(..3);
-            let (id, done) = harness.arrive(now, ["read", "edit", "pay"][class], "a");
-            requests.insert(id, (class, false, Vec::new(), now + 3_000.0));
-            actions = done;
+            let class = ["read", "edit", "pay"][rng.usize(..3)];
+            let (id, arrival_actions) = harness.arrive(now, class, "a");
+            let deadline = now + 3_000.0;
+            requests.insert(id, RandomRequest { class, is_answered: false, attempts: Vec::new(), deadline });
+            actions = arrival_actions;
         } else if rng.u8(..40) == 0 {
             let id = rng.u32(..6);
             states[id as usize] = if rng.bool() { ServerState::Ready } else { ServerState::Draining };
             harness.list(now, ListKind::Changes, vec![server_entry(id, id % 2, states[id as usize])]);
         } else {
-            let open: Vec<_> = requests
+            let in_flight: Vec<_> = requests
                 .iter()
-                .flat_map(|(id, r)| r.2.iter().enumerate().map(move |(n, a)| (id, n, a)))
-                .filter(|(_, _, a)| a.2.is_none())
-                .map(|(id, n, a)| (id.clone(), n, a.1))
+                .flat_map(|(id, request)| {
+                    request.attempts.iter().enumerate().map(move |(n, attempt)| (id, n, attempt))
+                })
+                .filter(|(_, _, attempt)| attempt.outcome.is_none())
+                .map(|(id, n, attempt)| (id.clone(), n, attempt.abandoned_at))
                 .collect();
-            if let Some((id, number, until)) = open.get(rng.usize(..open.len().max(1))).cloned() {
-                let kinds =
+            if let Some((id, number, abandoned_at)) =
+                in_flight.get(rng.usize(..in_flight.len().max(1))).cloned()
+            {
+                let outcomes =
                     [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
-                let outcome = if now >= until { Outcome::Timeout } else { kinds[rng.usize(..5)] };
-                let request = requests.get_mut(&id).expect("known");
-                request.2[number].2 = Some(outcome);
-                request.1 |= outcome == Outcome::Ok;
-                let closed = request.1;
+                let outcome = if now >= abandoned_at { Outcome::Timeout } else { outcomes[rng.usize(..5)] };
+                let request = requests.get_mut(&id).expect("known request");
+                request.attempts[number].outcome = Some(outcome);
+                request.is_answered |= outcome == Outcome::Ok;
+                let is_final = request.is_answered;
                 let result = AttemptResult {
                     request: id,
                     attempt: number as u32,
                     server: 0,
                     outcome,
                     elapsed: 50.0,
-                    is_final: closed,
+                    is_final,
                     metered_percent: Some(80.0),
                     load: Load::default(),
                 };
@@ -579,34 +601,40 @@
         for action in &actions {
             match action {
                 Action::Send { request, server, give_up_at } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!r.1, "sent after the final answer");
+                    let request = requests.get_mut(request).expect("known request");
+                    assert!(!request.is_answered, "sent after the final answer");
                     assert_eq!(states[*server as usize], ServerState::Ready, "sent to a draining server");
-                    assert!(give_up_at.as_millis() <= r.3, "attempt ends after the deadline");
-                    let ran: Vec<_> = r.2.iter().filter(|a| !a.2.is_some_and(Outcome::never_ran)).collect();
-                    assert!(r.0 != 2 || ran.is_empty(), "an unsafe request was repeated");
-                    if r.0 == 1 {
+                    assert!(give_up_at.as_millis() <= request.deadline, "attempt ends after the deadline");
+                    let ran: Vec<_> =
+                        request.attempts.iter().filter(|attempt| !attempt.never_ran()).collect();
+                    assert!(request.class != "pay" || ran.is_empty(), "an unsafe request was repeated");
+                    if request.class == "edit" {
                         assert!(
-                            ran.iter().all(|a| a.0 % 2 == server % 2),
+                            ran.iter().all(|attempt| attempt.server % 2 == server % 2),
                             "a keyed request was repeated outside its cell"
                         );
                     }
                     assert!(
-                        hedging || r.2.iter().all(|a| a.2.is_some()),
+                        hedging || request.attempts.iter().all(|attempt| attempt.outcome.is_some()),
                         "two attempts in flight without hedging"
                     );
-                    r.2.push((*server, give_up_at.as_millis(), None));
+                    request.attempts.push(SentAttempt {
+                        server: *server,
+                        abandoned_at: give_up_at.as_millis(),
+                        outcome: None,
+                    });
                 }
                 Action::Reject { request, .. } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!r.1, "two final answers");
-                    let safe = r.0 == 0 || r.2.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
-                    assert!(safe, "a request that may have run must not be rejected");
-                    r.1 = true;
+                    let request = requests.get_mut(request).expect("known request");
+                    assert!(!request.is_answered, "two final answers");
+                    let may_reject =
+                        request.class == "read" || request.attempts.iter().all(SentAttempt::never_ran);
+                    assert!(may_reject, "a request that may have run must not be rejected");
+                    request.is_answered = true;
                 }
                 Action::Fail { request } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!std::mem::replace(&mut r.1, true), "two final answers");
+                    let request = requests.get_mut(request).expect("known request");
+                    assert!(!std::mem::replace(&mut request.is_answered, true), "two final answers");
                 }
                 _ => {}
             }
@@ -614,8 +642,9 @@
         log.extend(actions);
     }
     // Each request without an attempt in flight has its final answer.
-    for (id, r) in &requests {
-        assert!(r.1 || r.2.iter().any(|a| a.2.is_none()), "{id} has no final answer");
+    for (id, request) in &requests {
+        let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        assert!(request.is_answered || is_in_flight, "{id} has no final answer");
     }
     log
 }
