--- a/crates/runtime/src/headers.rs
+++ b/crates/runtime/src/headers.rs
@@ -80,5 +80,5 @@
     if values.any(|other| other != value) {
         return Err("a header is repeated with another value");
     }
-    value.to_str().map(|text| Some(text.trim())).map_err(|_| "a header is not valid text")
+    value.to_str().map(|text| Some(text.trim())).map_err(|_| "a header is no text")
 }
