--- a/crates/control-state/src/config.rs
+++ b/crates/control-state/src/config.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as a whole.
+//! The operator's configuration as typed values, and its validation as a whole.
 
 use crate::error::ConfigError;
 use crate::items::Items;
@@ -9,16 +9,16 @@
 use std::collections::HashMap;
 use validator::Validate;
 
-/// The operator's current items, as typed values.
+/// The operator's current items as typed values.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     /// Routes by name.
     pub routes: HashMap<String, Route>,
     /// Tenants by name.
     pub tenants: HashMap<String, Tenant>,
-    /// Services by name.
+    /// Backends by name.
     pub backends: HashMap<String, Backend>,
-    /// Limits on clients, once set.
+    /// Limits on clients, if set.
     pub limits: Option<ClientLimits>,
 }
 
@@ -33,7 +33,7 @@
     /// Parses the current items of a replica.
     ///
     /// # Errors
-    /// Names the item that can't be parsed.
+    /// Returns an error that names the first item that can't be parsed.
     pub fn from_items(items: &Items) -> Result<Self, ConfigError> {
         Ok(Self {
             routes: parse_table(items, Table::Routes)?,
@@ -47,7 +47,7 @@
 /// Checks that the current items of a replica are valid as a whole.
 ///
 /// # Errors
-/// Names the first items that are not.
+/// Returns an error that names the first item or items that violate a rule.
 pub fn check_config(items: &Items) -> Result<Config, ConfigError> {
     let config = Config::from_items(items)?;
     check_routes(&config)?;
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// The current items of a replica, laid out as the operator sends them.
+/// Returns the current items of a replica in the format of the operator's updates.
 pub fn config_document(items: &Items) -> Value {
     let mut document = Map::new();
     for table in [Table::Routes, Table::Tenants, Table::Backends] {
--- a/crates/control-state/src/entry.rs
+++ b/crates/control-state/src/entry.rs
@@ -1,4 +1,4 @@
-//! An item as a replica holds it, ordered by its key.
+//! Entries of a replica: items ordered by their keys.
 
 use crate::item::{Item, Key};
 use crate::table::Table;
@@ -8,16 +8,16 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// An item as a replica holds it. Entries are equal if their keys are.
+/// An item in a replica. Entries are ordered and compared by their keys only.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub item: Arc<Item>,
-    /// The number of the replica's change that brought it.
+    /// The number of the replica's change that added it.
     pub change: u64,
     pub fingerprint: u64,
 }
 
-/// A key, borrowed: lets entries be looked up without making a [`Key`].
+/// A borrowed key, used to look up entries without allocating a [`Key`].
 trait BorrowedKey {
     fn key(&self) -> (Table, &str);
 }
@@ -80,18 +80,18 @@
 
 impl Eq for Entry {}
 
-/// The item of a name, also a removed one.
+/// Returns the item with this name, including tombstones.
 pub(crate) fn find<'a>(entries: &'a OrdSet<Entry>, table: Table, name: &str) -> Option<&'a Arc<Item>> {
     entries.get(&(table, name) as &dyn BorrowedKey).map(|entry| &entry.item)
 }
 
-/// Takes out the entry of a key.
+/// Removes and returns the entry with this key.
 pub(crate) fn remove(entries: &mut OrdSet<Entry>, key: &Key) -> Option<Entry> {
     entries.remove(&(key.table, key.name.as_str()) as &dyn BorrowedKey)
 }
 
-/// The items of a table, in order of their names.
-pub(crate) fn of_table(entries: &OrdSet<Entry>, table: Table) -> impl Iterator<Item = &Arc<Item>> {
+/// Iterates over the items of a table in order of their names.
+pub(crate) fn table_items(entries: &OrdSet<Entry>, table: Table) -> impl Iterator<Item = &Arc<Item>> {
     let first: &dyn BorrowedKey = &(table, "");
     entries
         .range::<_, dyn BorrowedKey>((Bound::Included(first), Bound::Unbounded))
--- a/crates/control-state/src/error.rs
+++ b/crates/control-state/src/error.rs
@@ -3,75 +3,75 @@
 use crate::table::Table;
 use ivygate_rpc::{ErrorKind, RpcError};
 
-/// Why an update can't be applied, or a configuration is not valid.
+/// An error that prevents an update from being applied, or makes a configuration invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The update can't be read as JSON of its form.
+    /// The update can't be parsed as JSON of the expected structure.
     #[error("{place}{cause}")]
-    Unreadable {
-        /// The field, with a colon and a space behind it; empty where there is none.
+    Malformed {
+        /// The path of the field followed by a colon and a space, or empty if there is no path.
         place: String,
-        /// What is wrong there, and what is expected.
+        /// The error at that place and the expected input.
         cause: String,
     },
     /// A name is empty or too long.
     #[error("{}: a name must have 1 to {max} bytes", .table.as_str())]
-    BadName {
+    InvalidName {
         /// The table.
         table: Table,
-        /// Most bytes of a name.
+        /// The maximum length of a name in bytes.
         max: usize,
     },
-    /// A version is missing or can't be read.
+    /// A version is missing or can't be parsed.
     #[error("{} '{name}': \"gen\" must be a version such as \"r12\" or 12", .table.as_str())]
-    BadVersion {
+    InvalidVersion {
         /// The table.
         table: Table,
         /// The item.
         name: String,
     },
-    /// An item breaks a rule by itself.
+    /// An item violates a rule regardless of other items.
     #[error("{} '{name}': {cause}", .table.as_str())]
     InvalidItem {
         /// The table.
         table: Table,
         /// The item.
         name: String,
-        /// The rule.
+        /// A description of the violation.
         cause: String,
     },
-    /// A route names no service.
-    #[error("route '{route}' names no service")]
+    /// A route names no backend.
+    #[error("route '{route}' names no backend")]
     NoBackend {
         /// The route.
         route: String,
     },
-    /// A route names a service that does not exist.
-    #[error("route '{route}' names the unknown service '{backend}'")]
+    /// A route names a backend that does not exist.
+    #[error("route '{route}' names the unknown backend '{backend}'")]
     UnknownBackend {
         /// The route.
         route: String,
-        /// The service.
+        /// The backend.
         backend: String,
     },
-    /// Two routes are for the same host and prefix.
+    /// Two routes have the same host and prefix.
     #[error("routes '{first}' and '{second}' share host and prefix")]
     SharedPrefix {
-        /// One of them.
+        /// The first route.
         first: String,
-        /// The other.
+        /// The second route.
         second: String,
     },
-    /// Two tenants have the same key.
+    /// Two tenants share an API key.
     #[error("tenant '{first}' shares a key with '{second}'")]
     SharedKey {
-        /// One of them.
+        /// The first tenant.
         first: String,
-        /// The other.
+        /// The second tenant.
         second: String,
     },
-    /// Another content was acknowledged under the version.
-    #[error("{} '{name}': another content was acknowledged under r{version}", .table.as_str())]
+    /// Different content was acknowledged under the version.
+    #[error("{} '{name}': different content was acknowledged under r{version}", .table.as_str())]
     VersionConflict {
         /// The table.
         table: Table,
@@ -80,8 +80,8 @@
         /// The version.
         version: u64,
     },
-    /// The version is so old that its content is not remembered.
-    #[error("{} '{name}': what r{version} carried is not remembered any more", .table.as_str())]
+    /// The version is older than the item's version history, so its content is unknown.
+    #[error("{} '{name}': the content of r{version} is no longer in the version history", .table.as_str())]
     VersionForgotten {
         /// The table.
         table: Table,
@@ -93,10 +93,12 @@
 }
 
 impl ConfigError {
-    /// The kind under which the error is told to others.
+    /// Returns the kind under which the error is reported to callers.
     pub fn kind(&self) -> ErrorKind {
         match self {
-            Self::Unreadable { .. } | Self::BadName { .. } | Self::BadVersion { .. } => ErrorKind::Malformed,
+            Self::Malformed { .. } | Self::InvalidName { .. } | Self::InvalidVersion { .. } => {
+                ErrorKind::Malformed
+            }
             Self::InvalidItem { .. }
             | Self::NoBackend { .. }
             | Self::UnknownBackend { .. }
--- a/crates/control-state/src/items.rs
+++ b/crates/control-state/src/items.rs
@@ -1,7 +1,7 @@
-//! A replica of control state: a map of items that merges. The higher version of a name holds, whatever the order of
-//! arrival, so replicas that have seen the same items are the same.
+//! A replica of control state: a map of items with a merge operation. Of two items with the same name, the one with the
+//! higher version wins regardless of the order of arrival, so replicas that have received the same items are equal.
 
-use crate::entry::{find, of_table, remove, Entry};
+use crate::entry::{find, remove, table_items, Entry};
 use crate::error::ConfigError;
 use crate::item::{Item, Key};
 use crate::table::{Table, Tables};
@@ -11,31 +11,32 @@
 use std::ops::Bound;
 use std::sync::{Arc, OnceLock};
 
-/// One replica of control state. A clone shares with it everything that neither changes: it costs the same at any size.
+/// One replica of control state. A clone shares all unchanged data with the original, so cloning takes constant time at
+/// any size.
 #[derive(Clone, Debug, Default)]
 pub struct Items {
     entries: OrdSet<Entry>,
-    /// Counts the changes of this replica.
+    /// The number of changes applied to this replica.
     last_change: u64,
-    /// The items by the change that brought them.
+    /// The items by the number of the change that added them.
     by_change: OrdMap<u64, Arc<Item>>,
-    /// Of each table, the fingerprints of its items combined by exclusive or.
+    /// The exclusive or of the fingerprints of each table's items.
     digests: [u64; Table::ALL.len()],
-    /// Whether the operator's items are valid together, once that was asked. Replicas with the same of these items share it,
-    /// so what is asked of a clone is known to the replica that it was made of.
+    /// The validation index of the operator's items, built when it is first needed. Replicas with the same operator's
+    /// items share it, so a validation requested of a clone is also available to the original.
     validation: Arc<OnceLock<ValidationIndex>>,
 }
 
 impl Items {
-    /// Takes in an item if it is newer than what is held of its name; tells whether it was.
+    /// Merges an item. Returns whether it was newer than the current item of its name, and was therefore added.
     pub fn merge(&mut self, item: Item) -> bool {
         self.merge_shared(Arc::new(item))
     }
 
-    /// The same for an item that others hold too.
+    /// Merges a shared item. Returns whether it was newer than the current item of its name, and was therefore added.
     pub fn merge_shared(&mut self, item: Arc<Item>) -> bool {
-        let held = find(&self.entries, item.key.table, &item.key.name).cloned();
-        if held.as_ref().is_some_and(|held| !is_newer(&item, held)) {
+        let current = find(&self.entries, item.key.table, &item.key.name).cloned();
+        if current.as_ref().is_some_and(|current| !is_newer(&item, current)) {
             return false;
         }
         self.last_change += 1;
@@ -47,18 +48,18 @@
             *digest ^= replaced.fingerprint;
             self.by_change.remove(&replaced.change);
         }
-        self.update_validation(held.as_ref(), Some(&item));
+        self.update_validation(current.as_ref(), Some(&item));
         true
     }
 
-    /// Keeps the validation true to the items, where there is one.
+    /// Updates the validation index after a change, if one has been built.
     fn update_validation(&mut self, before: Option<&Arc<Item>>, after: Option<&Arc<Item>>) {
         let table = before.or(after).map(|item| item.key.table);
         if !table.is_some_and(|table| Tables::CONFIG.contains(table.set())) {
             return;
         }
         if Arc::get_mut(&mut self.validation).is_none() {
-            // Another replica shares it, which stays as it is.
+            // Copies the index, since another replica shares it and must not change.
             self.validation = Arc::new(OnceLock::clone(&self.validation));
         }
         if let Some(index) = Arc::get_mut(&mut self.validation).and_then(OnceLock::get_mut) {
@@ -66,73 +67,75 @@
         }
     }
 
-    /// Whether the operator's current items are valid together, as `check_config` says of them. The first call costs what
-    /// that does; from then on each change costs what it touches, also in clones.
+    /// Checks that the operator's current items are valid together, with the same result as `check_config`. The first
+    /// call costs as much as `check_config`. After that, each change costs only as much as the items it affects, also
+    /// in clones.
     ///
     /// # Errors
-    /// Names the first item that is not valid.
+    /// Returns an error that names the first invalid item.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let build = || ValidationIndex::build(&self.entries, &self.all(Tables::CONFIG).collect::<Vec<_>>());
         self.validation.get_or_init(build).first_error(&self.entries)
     }
 
-    /// The item of a name, also a removed one.
+    /// Returns the item with this name, including tombstones.
     pub fn get(&self, table: Table, name: &str) -> Option<&Arc<Item>> {
         find(&self.entries, table, name)
     }
 
-    /// What an item says, unless it was removed.
+    /// Returns the body of an item, unless it was removed.
     pub fn body(&self, table: Table, name: &str) -> Option<&Value> {
         self.get(table, name)?.body.as_ref()
     }
 
-    /// The version held of a name; 0 for none.
+    /// Returns the current version of a name, or 0 if there is none.
     pub fn version(&self, table: Table, name: &str) -> u64 {
         self.get(table, name).map_or(0, |item| item.version)
     }
 
-    /// All items of some tables, also removed ones, in order of their keys.
+    /// Iterates over all items of some tables, including tombstones, in order of their keys.
     pub fn all(&self, tables: Tables) -> impl Iterator<Item = &Arc<Item>> {
         let wanted = Table::ALL.into_iter().filter(move |table| tables.contains(table.set()));
-        wanted.flat_map(|table| of_table(&self.entries, table))
+        wanted.flat_map(|table| table_items(&self.entries, table))
     }
 
-    /// The current items of a table, without removed ones: names and what they say.
+    /// Iterates over the names and bodies of a table's items, without tombstones.
     pub fn live(&self, table: Table) -> impl Iterator<Item = (&str, &Value)> {
-        let items = of_table(&self.entries, table);
+        let items = table_items(&self.entries, table);
         items.filter_map(|item| Some((item.key.name.as_str(), item.body.as_ref()?)))
     }
 
-    /// The number of this replica's last change.
+    /// Returns the number of this replica's last change.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// The items of some tables that changes after this one brought, in the order of the changes. It costs what came since,
-    /// not what is held.
+    /// Returns the items of some tables that were added by changes after `change`, in the order of the changes. The
+    /// cost depends on the number of later changes, not on the size of the replica.
     pub fn changes_since(&self, change: u64, tables: Tables) -> Vec<Arc<Item>> {
         let newer = self.by_change.range((Bound::Excluded(change), Bound::Unbounded));
         let items = newer.map(|(_, item)| item);
         items.filter(|item| tables.contains(item.key.table.set())).cloned().collect()
     }
 
-    /// The same for two replicas that hold the same items of some tables, and different for others, but for one case in 2^64.
+    /// Returns a digest of some tables. Replicas with the same items in these tables have the same digest; different
+    /// items have different digests except with a probability of 2^-64.
     pub fn digest(&self, tables: Tables) -> u64 {
         let wanted = Table::ALL.into_iter().filter(|table| tables.contains(table.set()));
         wanted.fold(0, |digest, table| digest ^ self.digests[table as usize])
     }
 
-    /// The items of some tables that another replica lacks.
+    /// Returns the items of some tables that are missing from another replica or outdated there.
     pub fn missing_from(&self, other: &Self, tables: Tables) -> Vec<Arc<Item>> {
         let is_missing = |item: &&Arc<Item>| {
-            other
-                .get(item.key.table, &item.key.name)
-                .is_none_or(|held| held.version < item.version || !(Arc::ptr_eq(item, held) || *item == held))
+            other.get(item.key.table, &item.key.name).is_none_or(|current| {
+                current.version < item.version || !(Arc::ptr_eq(item, current) || *item == current)
+            })
         };
         self.all(tables).filter(is_missing).cloned().collect()
     }
 
-    /// Removes items without a tombstone, as only soft state may be.
+    /// Removes items without leaving tombstones. Only soft state may be removed like this.
     pub fn purge(&mut self, keys: &[Key]) {
         for key in keys {
             if let Some(entry) = remove(&mut self.entries, key) {
@@ -143,20 +146,20 @@
         }
     }
 
-    /// How many items are held, removed ones too.
+    /// Returns the number of items, including tombstones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is held.
+    /// Returns whether the replica has no items.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 }
 
-/// Whether an item holds against another of its name. Two contents of one version are ordered, so that all replicas keep the
-/// same one.
-fn is_newer(item: &Item, held: &Item) -> bool {
-    item.version > held.version
-        || (item.version == held.version && item.canonical_body() > held.canonical_body())
+/// Returns whether an item supersedes another one of the same name. Different contents of one version are ordered, so
+/// that all replicas keep the same one.
+fn is_newer(item: &Item, current: &Item) -> bool {
+    item.version > current.version
+        || (item.version == current.version && item.canonical_body() > current.canonical_body())
 }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The control state of the system: named items, each with its own version, in replicas that merge item by item; and what
-//! makes a configuration of them valid.
+//! The control state of the system: replicas of named, versioned items that merge item by item, and the validation of
+//! configurations made of these items.
 //!
-//! Called by the store, the registry and the proxy. It does no I/O and reads no clock.
+//! Used by the store, the registry and the proxy. Does no I/O and reads no clock.
 //!
 //! ```
 //! use ivygate_control_state::{apply_update, ConfigUpdate, Items, Table};
--- a/crates/control-state/src/schema.rs
+++ b/crates/control-state/src/schema.rs
@@ -1,4 +1,4 @@
-//! The operator's items as typed and checked values. Names on the wire are those of the operators' pages.
+//! The operator's items as typed, validated values. The names on the wire are those documented for operators.
 
 use crate::error::ConfigError;
 use crate::table::Table;
@@ -6,24 +6,24 @@
 use serde_json::Value;
 use validator::{Validate, ValidationError};
 
-/// Whether a request may run again.
+/// The permitted number of executions of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestKind {
-    /// Any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// Once at most.
+    /// The request must be executed at most once.
     Mutating,
-    /// The same, with a large body.
+    /// The request must be executed at most once, and has a large body.
     Upload,
 }
 
-/// A service with its weight in a route's split.
+/// A backend with its weight in a route's split.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct WeightedBackend {
-    /// The service.
+    /// The backend.
     pub backend: String,
-    /// Its weight against the others'.
+    /// Its weight relative to the other backends.
     #[validate(range(min = 0.0, max = 1e9))]
     pub weight: f64,
 }
@@ -32,38 +32,38 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Route {
-    /// The host it is for.
+    /// The host that the route applies to.
     #[validate(length(min = 1, max = 255))]
     pub vhost: String,
-    /// What the paths begin with; it begins and ends with a slash.
+    /// The prefix of the paths that the route applies to; begins and ends with a slash.
     #[validate(custom(function = "begins_and_ends_with_slash"))]
     pub path_prefix: String,
-    /// Whether its requests may run again.
+    /// The kind of its requests, which limits their executions.
     pub kind: RequestKind,
-    /// Time after which a request has its final answer, in seconds.
+    /// Time within which a request receives its final response, in seconds.
     #[serde(default = "ten_seconds")]
     #[validate(range(min = 0.001, max = 86_400.0))]
     pub timeout_s: f64,
-    /// The latency target, in seconds: an answer within this time earns the full value.
+    /// The latency target in seconds; a response within this time earns the full value.
     #[serde(default = "one_second")]
     #[validate(range(min = 0.001, max = 86_400.0))]
     pub target_s: f64,
     /// Its priority; 0 is the highest.
     #[serde(default)]
     pub prio: u32,
-    /// The service, where there is one.
+    /// The backend that handles the requests, unless they are split.
     pub backend: Option<String>,
-    /// Or several with weights.
+    /// The backends that the requests are split between, with their weights. Takes precedence over `backend`.
     #[validate(nested)]
     pub split: Option<Vec<WeightedBackend>>,
-    /// Most servers that one request may be sent to.
+    /// The maximum number of servers that one request may be sent to.
     #[serde(default = "default_tries")]
     #[validate(range(min = 1, max = 100))]
     pub tries: u32,
-    /// Whether no key is needed.
+    /// Set if requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// The only regions in which it may be served; none for all.
+    /// The only regions in which its requests may be served; empty for all regions.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
@@ -75,36 +75,36 @@
     /// The API keys of its clients.
     #[serde(default)]
     pub api_keys: Vec<String>,
-    /// Its priority, in place of the route's.
+    /// The priority of its requests, which overrides the route's.
     pub prio: Option<u32>,
-    /// Rate limit in requests a second; 0 for none.
+    /// The rate limit in requests per second; 0 for no limit.
     #[serde(default)]
     #[validate(range(min = 0.0, max = 1e9))]
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may pass at once.
+    /// The number of requests that may exceed the rate limit in a burst.
     #[serde(default)]
     #[validate(range(min = 0.0, max = 1e9))]
     pub burst: f64,
-    /// The only regions in which it may be served; none for all.
+    /// The only regions in which the tenant's requests may be served; empty for all regions.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
-/// A service.
+/// A backend service and the limits of its servers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Backend {
-    /// The path of its servers' health checks.
+    /// The path of health checks at its servers.
     #[serde(default = "default_health_path")]
     pub health_path: String,
-    /// Connections that one server takes.
+    /// The maximum number of connections to one server.
     #[serde(default = "default_max_conns")]
     pub max_conns: u32,
-    /// Length of slow start, in seconds.
+    /// The length of slow start in seconds.
     #[serde(default)]
     #[validate(range(min = 0.0, max = 86_400.0))]
     pub warmup_s: f64,
-    /// Requests a second that a server takes while it warms up; 0 for no bound.
+    /// The maximum requests per second to a server during slow start; 0 for no limit.
     #[serde(default)]
     #[validate(range(min = 0.0, max = 1e9))]
     pub warmup_per_s: f64,
@@ -114,18 +114,18 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct ClientLimits {
-    /// Largest head, in bytes.
+    /// The maximum size of a request head in bytes.
     #[serde(default = "default_header_bytes")]
     #[validate(range(min = 256, max = 1_048_576))]
     pub hdr_bytes: usize,
-    /// Largest body, in bytes.
+    /// The maximum size of a request body in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_max_bytes: u64,
-    /// Time for a head to come in.
+    /// The time limit for receiving a request head, in seconds.
     #[serde(default = "ten_seconds")]
     #[validate(range(min = 0.001, max = 3600.0))]
     pub hdr_timeout_s: f64,
-    /// Time that a connection may stay idle.
+    /// The time after which an idle connection is closed, in seconds.
     #[serde(default = "ten_seconds")]
     #[validate(range(min = 0.001, max = 86_400.0))]
     pub idle_timeout_s: f64,
@@ -162,7 +162,7 @@
 }
 
 impl Route {
-    /// The services it names, with their weights.
+    /// Returns the backends that the route names, with their weights.
     pub fn weighted_backends(&self) -> Vec<WeightedBackend> {
         match (&self.split, &self.backend) {
             (Some(split), _) => split.clone(),
@@ -172,10 +172,10 @@
     }
 }
 
-/// Parses and checks one item by itself.
+/// Parses and validates one item regardless of other items.
 ///
 /// # Errors
-/// Names the rule that it breaks.
+/// Returns an error that names the violated rule.
 pub(crate) fn parse_body<T: serde::de::DeserializeOwned + Validate>(
     table: Table,
     name: &str,
--- a/crates/control-state/src/table.rs
+++ b/crates/control-state/src/table.rs
@@ -1,17 +1,17 @@
 //! The tables of items.
 //!
-//! The words on the wire and on disk, the order and the bits of the tables are data: replicas of other versions, disks and
-//! digests rest on them.
+//! The names on the wire and on disk, the order and the bits of the tables must not change, because replicas of other
+//! versions, stored data and digests depend on them.
 
 use bitflags::bitflags;
 use serde::{Deserialize, Serialize};
 
-/// The name of the one item in the table of memberships.
+/// The name of the only item in [`Table::Membership`].
 pub const MEMBERSHIP_ITEM: &str = "core";
 /// The singleton role of the registry that reads the platform's list of servers and allocates quota shares.
 ///
-/// The word is the key of the role's item, whose version is the fencing token: under another key the epochs would begin
-/// anew, below those already used.
+/// The value is the key of the role's item, whose version is the role's fencing token. Under a different key, the
+/// epochs would start again below those already used.
 pub const COORDINATOR_ROLE: &str = "warden";
 
 /// The tables of items.
@@ -22,23 +22,23 @@
     Routes,
     /// The operator's tenants.
     Tenants,
-    /// The operator's services.
+    /// The operator's backends.
     Backends,
-    /// The operator's limits on clients: one item.
+    /// The operator's limits on clients, a single item.
     Limits,
-    /// Zones that are being drained, by the operator's word.
+    /// Zones that the operator is draining.
     Drains,
-    /// The members of the configuration store: one item.
+    /// The members of the configuration store, a single item.
     #[serde(rename = "group")]
     Membership,
     /// Processes of the system.
     Nodes,
-    /// Servers on the platform's list.
+    /// Servers in the platform's list.
     Servers,
-    /// Singleton roles and their holders; an item's version is the role's epoch.
+    /// Singleton roles and their holders; the version of an item is the role's epoch.
     #[serde(rename = "duties")]
     SingletonRoles,
-    /// The versions that were acknowledged for an item of the operator's before the current one.
+    /// The versions acknowledged for each of the operator's items, other than the current one.
     #[serde(rename = "past")]
     VersionHistory,
 }
@@ -55,16 +55,16 @@
         const MEMBERSHIP = 0b0000_0010_0000;
         /// Singleton roles.
         const SINGLETON_ROLES = 0b0001_0000_0000;
-        /// Acknowledged versions.
+        /// Histories of acknowledged versions.
         const VERSION_HISTORY = 0b0010_0000_0000;
-        /// What the store publishes to registries and proxies.
+        /// The tables that the store publishes to registries and proxies.
         const PUBLISHED = Self::CONFIG.bits()
             | Self::DRAINS.bits()
             | Self::MEMBERSHIP.bits()
             | Self::SINGLETON_ROLES.bits();
-        /// Durable state: what the store keeps on disk.
+        /// Durable state, which the store keeps on disk.
         const DURABLE = Self::PUBLISHED.bits() | Self::VERSION_HISTORY.bits();
-        /// Soft state: what registries rebuild from those that report it.
+        /// Soft state, which registries rebuild from reports of its sources.
         const SOFT = 0b0000_1100_0000;
         /// Processes of the system.
         const NODES = 0b0000_0100_0000;
@@ -88,12 +88,12 @@
         Self::VersionHistory,
     ];
 
-    /// The set of this table alone.
+    /// Returns the set that contains only this table.
     pub fn set(self) -> Tables {
         Tables::from_bits_truncate(1 << self as u16)
     }
 
-    /// The table's word on the wire.
+    /// Returns the table's name on the wire.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Routes => "routes",
--- a/crates/control-state/src/update.rs
+++ b/crates/control-state/src/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the configuration: parsing an operator's call, and applying it to a replica.
+//! Configuration updates: parsing an operator's call and applying it to a replica.
 
 use crate::error::ConfigError;
 use crate::item::{Item, Key};
@@ -12,11 +12,11 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// The name of the one item in the table of limits.
+/// The name of the only item in [`Table::Limits`].
 pub(crate) const LIMITS_ITEM: &str = "limits";
-/// Longest name of an item, in bytes.
+/// Maximum length of an item's name, in bytes.
 const MAX_NAME_BYTES: usize = 255;
-/// Versions are below this, so that something can always come after one.
+/// Exclusive upper bound of versions, so that every version has a successor.
 const VERSION_BOUND: u64 = u64::MAX / 2;
 
 #[derive(Deserialize)]
@@ -37,7 +37,7 @@
     limits: Option<Value>,
 }
 
-/// Items by name. A name that comes twice is refused: which content its version is to carry can't be told.
+/// Items by name. A repeated name is rejected, since it is ambiguous which content its version stands for.
 #[derive(Default)]
 struct ItemsByName(Map<String, Value>);
 
@@ -55,7 +55,7 @@
                 let mut items = Map::new();
                 while let Some((name, body)) = entries.next_entry::<String, Value>()? {
                     if items.contains_key(&name) {
-                        return Err(A::Error::custom(format!("'{name}' is there twice")));
+                        return Err(A::Error::custom(format!("'{name}' appears twice")));
                     }
                     items.insert(name, body);
                 }
@@ -81,21 +81,21 @@
     r#gen: Value,
 }
 
-/// An operator's update: items, each valid by itself.
+/// An operator's update. Each of its items is valid by itself.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigUpdate {
-    /// The items; those without a body are removals.
+    /// The items of the update; an item without a body is a removal.
     pub items: Vec<Item>,
 }
 
-/// Reads `r12`, or a bare number.
+/// Parses a version such as `r12`, or a bare number.
 fn parse_version(table: Table, name: &str, value: Option<&Value>) -> Result<u64, ConfigError> {
     let version: Option<u64> = match value {
         Some(Value::String(text)) => text.strip_prefix('r').unwrap_or(text).parse().ok(),
         Some(Value::Number(number)) => number.as_u64(),
         _ => None,
     };
-    let bad_version = || ConfigError::BadVersion { table, name: name.to_owned() };
+    let bad_version = || ConfigError::InvalidVersion { table, name: name.to_owned() };
     version.filter(|version| *version < VERSION_BOUND).ok_or_else(bad_version)
 }
 
@@ -104,18 +104,18 @@
     let call: Call = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let path = error.path().to_string();
         let place = if path == "." { String::new() } else { format!("{path}: ") };
-        ConfigError::Unreadable { place, cause: error.into_inner().to_string() }
+        ConfigError::Malformed { place, cause: error.into_inner().to_string() }
     })?;
     let trailing =
-        |error: serde_json::Error| ConfigError::Unreadable { place: String::new(), cause: error.to_string() };
+        |error: serde_json::Error| ConfigError::Malformed { place: String::new(), cause: error.to_string() };
     deserializer.end().map_err(trailing)?;
     Ok(call)
 }
 
-/// Checks an item by itself, and gives it.
+/// Validates an item by itself and returns it.
 fn parse_upsert(table: Table, name: String, body: Value) -> Result<Item, ConfigError> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
-        return Err(ConfigError::BadName { table, max: MAX_NAME_BYTES });
+        return Err(ConfigError::InvalidName { table, max: MAX_NAME_BYTES });
     }
     let version = parse_version(table, &name, body.get("gen"))?;
     match table {
@@ -131,7 +131,7 @@
     /// Parses an operator's call.
     ///
     /// # Errors
-    /// Names the first error with its place.
+    /// Returns the first error together with its location.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigError> {
         let Call { upsert, remove } = parse_call(body)?;
         let limits = upsert.limits.into_iter().map(|limits| (LIMITS_ITEM.to_owned(), limits)).collect();
@@ -162,32 +162,33 @@
     }
 }
 
-/// How an item of an update compares with a replica, by its version alone.
+/// The result of comparing an item of an update with a replica by its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionCheck {
-    /// Its version is higher than the current one, or there is none.
+    /// The version is higher than the current one, or there is no current item.
     Newer,
-    /// It is the current item.
+    /// The item equals the current one.
     Current,
-    /// Its version is lower than the current one, and was acknowledged with this content.
+    /// The version is lower than the current one and was acknowledged with this content.
     Acknowledged,
-    /// Its version is lower than the current one, and was never acknowledged. It may be, once that is remembered.
+    /// The version is lower than the current one and was never acknowledged. It may be acknowledged once it is recorded
+    /// in the history.
     Superseded,
-    /// Another content was acknowledged under its version.
+    /// Different content was acknowledged under the version.
     Conflict,
-    /// Its version is so much lower than the current one that its content is not remembered.
+    /// The version is below the version history, so its content is unknown.
     Forgotten,
 }
 
-/// Compares an item with a replica by its version. A replica without [`Table::VersionHistory`] knows of no version but the
-/// current one.
+/// Compares an item with a replica by its version. A replica without [`Table::VersionHistory`] knows only the current
+/// version.
 pub fn check_version(items: &Items, item: &Item) -> VersionCheck {
-    let Some(held) = items.get(item.key.table, &item.key.name) else { return VersionCheck::Newer };
-    if item.version > held.version {
+    let Some(current) = items.get(item.key.table, &item.key.name) else { return VersionCheck::Newer };
+    if item.version > current.version {
         return VersionCheck::Newer;
     }
-    if item.version == held.version {
-        let is_same = held.canonical_body() == item.canonical_body();
+    if item.version == current.version {
+        let is_same = current.canonical_body() == item.canonical_body();
         return if is_same { VersionCheck::Current } else { VersionCheck::Conflict };
     }
     match VersionHistory::from_items(items, &item.key).lookup(item) {
@@ -198,25 +199,25 @@
     }
 }
 
-/// Remembers an item's version; gives the key of the item that keeps it.
-fn remember_version(items: &mut Items, item: &Item) -> Key {
+/// Records an item's version in its history. Returns the key of the history's item.
+fn record_version(items: &mut Items, item: &Item) -> Key {
     let mut history = VersionHistory::from_items(items, &item.key);
-    history.remember(item);
+    history.record(item);
     let history_item = history.to_item(items, &item.key);
     let key = history_item.key.clone();
     items.merge(history_item);
     key
 }
 
-/// Applies an update to a replica: all of its newer items, or none. Gives the replica and the items that are new in it, each
-/// name once: the update's, and the history of their versions.
+/// Applies all newer items of an update to a copy of a replica, or none of them. Returns the copy and its new items,
+/// each name once: the items of the update, and the histories of their versions.
 ///
 /// # Errors
-/// If a version of the update was acknowledged with another content, or that is not known any more; if the whole would not be
-/// valid. The replica given is never changed.
+/// If a version of the update was acknowledged with different content or is below the version history, or if the
+/// configuration as a whole would be invalid.
 pub fn apply_update(items: &Items, update: &ConfigUpdate) -> Result<(Items, Vec<Item>), ConfigError> {
     if update.items.iter().any(|item| check_version(items, item) == VersionCheck::Newer) {
-        // What is known of the replica is known of its clone; what comes of it does not matter yet.
+        // Builds the validation index before cloning, so that the clone shares it. The result is not needed here.
         let _ = items.validate();
     }
     let mut next = items.clone();
@@ -229,14 +230,14 @@
             VersionCheck::Current | VersionCheck::Acknowledged => {}
             VersionCheck::Newer => {
                 if let Some(replaced) = next.get(table, name).cloned() {
-                    changed.insert(remember_version(&mut next, &replaced));
+                    changed.insert(record_version(&mut next, &replaced));
                 }
                 next.merge(item.clone());
                 changed.insert(item.key.clone());
                 has_newer = true;
             }
             VersionCheck::Superseded => {
-                changed.insert(remember_version(&mut next, item));
+                changed.insert(record_version(&mut next, item));
             }
             VersionCheck::Conflict => {
                 return Err(ConfigError::VersionConflict { table, name: name.clone(), version });
--- a/crates/control-state/src/validation.rs
+++ b/crates/control-state/src/validation.rs
@@ -1,8 +1,9 @@
-//! Whether the operator's current items are valid together, kept up to date item by item: the same verdict as
-//! [`check_config`](crate::check_config), at the cost of what changed.
+//! Incremental validation of the operator's current items: the same result as [`check_config`](crate::check_config), at
+//! a cost proportional to the changes.
 //!
-//! A secondary index of what each item claims for itself (a prefix, a key) or refers to (a service), and the set of items that
-//! break a rule. It is built when an update is first checked against a replica, so replicas that check none don't pay for it.
+//! A secondary index records what each item claims exclusively (a host and prefix, or an API key) and what it refers to
+//! (a backend), together with the set of items that violate a rule. It is built when an update is first checked against
+//! a replica, so replicas that check no updates do not pay for it.
 
 use crate::entry::{find, Entry};
 use crate::error::ConfigError;
@@ -16,17 +17,18 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// One thing that an item names.
+/// A claim or reference made by an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Reference {
-    /// Host and prefix, or a key: no two items of a table may claim the same.
+    /// A host and prefix, or an API key. No two items of a table may make the same claim.
     Claim(Table, String),
-    /// A service, which has to exist.
+    /// A backend, which must exist.
     Backend(String),
 }
 
 impl Reference {
-    /// What it is found by. Whoever finds something compares the references themselves. Services have odd hashes.
+    /// Returns the hash used by the index. Since hashes may collide, users of the index must compare the references
+    /// themselves. References to backends have odd hashes, claims have even ones.
     fn hash(&self) -> u64 {
         let (table, text, odd_bit) = match self {
             Self::Claim(table, text) => (*table, text, 0),
@@ -44,10 +46,10 @@
     }
 }
 
-/// What an item names.
+/// Returns the claims and references of an item.
 ///
 /// # Errors
-/// If it breaks a rule by itself.
+/// If the item violates a rule by itself.
 fn references(item: &Item) -> Result<Vec<Reference>, ConfigError> {
     let (table, name) = (item.key.table, item.key.name.as_str());
     let Some(body) = &item.body else { return Ok(Vec::new()) };
@@ -68,18 +70,18 @@
     if backends.is_empty() {
         return Err(ConfigError::NoBackend { route: name.to_owned() });
     }
-    // The length tells where the host ends.
+    // The length marks the end of the host.
     let host = route.vhost.to_ascii_lowercase();
     let prefix = format!("{}:{host}{}", route.vhost.len(), route.path_prefix);
     let backends = backends.into_iter().map(|share| Reference::Backend(share.backend));
     Ok(std::iter::once(Reference::Claim(Table::Routes, prefix)).chain(backends).collect())
 }
 
-/// An entry of the index: an item names something.
+/// An entry of the index: an item with the hash of one of its references.
 #[derive(Clone, Debug)]
 struct IndexEntry {
     hash: u64,
-    /// `None` comes before all items of a hash.
+    /// `None` is ordered before all items with the same hash.
     item: Option<Arc<Item>>,
 }
 
@@ -109,13 +111,14 @@
 
 impl Eq for IndexEntry {}
 
-/// The index entries of an item. One that breaks a rule by itself has none: what it names does not matter then.
+/// Returns the index entries of an item. An item that violates a rule by itself has none, since its references have no
+/// effect.
 fn index_entries(item: &Arc<Item>) -> impl Iterator<Item = IndexEntry> + '_ {
     let references = references(item).unwrap_or_default();
     references.into_iter().map(|reference| IndexEntry { hash: reference.hash(), item: Some(item.clone()) })
 }
 
-/// The index, and the items that break a rule.
+/// The index and the set of items that violate a rule.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ValidationIndex {
     index: OrdSet<IndexEntry>,
@@ -123,7 +126,7 @@
 }
 
 impl ValidationIndex {
-    /// Validates all items of a replica.
+    /// Builds the index and validates all items of a replica.
     pub fn build(entries: &OrdSet<Entry>, items: &[&Arc<Item>]) -> Self {
         let index: OrdSet<IndexEntry> = items.iter().copied().flat_map(index_entries).collect();
         let mut validation = Self { index, invalid: OrdSet::new() };
@@ -133,7 +136,7 @@
         validation
     }
 
-    /// The first rule that is broken.
+    /// Returns an error for the first item that violates a rule.
     pub fn first_error(&self, entries: &OrdSet<Entry>) -> Result<(), ConfigError> {
         let Some(key) = self.invalid.get_min() else { return Ok(()) };
         let item = find(entries, key.table, &key.name);
@@ -141,12 +144,12 @@
         let unknown = || ConfigError::InvalidItem {
             table: key.table,
             name: key.name.clone(),
-            cause: "it is not valid".to_owned(),
+            cause: "the item is not valid".to_owned(),
         };
         Err(error.unwrap_or_else(unknown))
     }
 
-    /// An item of a replica has come, has changed or is gone.
+    /// Updates the index and the validity of affected items after an item was added, changed or removed.
     pub fn update(&mut self, entries: &OrdSet<Entry>, before: Option<&Arc<Item>>, after: Option<&Arc<Item>>) {
         let touched = self.reindex(before, after);
         let mut affected: Vec<Arc<Item>> = after.cloned().into_iter().collect();
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Brings the index up to date; gives the hashes whose items may be valid or invalid by that.
+    /// Updates the index. Returns the hashes whose items may have become valid or invalid.
     fn reindex(&mut self, before: Option<&Arc<Item>>, after: Option<&Arc<Item>>) -> BTreeSet<u64> {
         let mut touched: BTreeSet<u64> = BTreeSet::new();
         for entry in before.into_iter().flat_map(index_entries) {
@@ -169,7 +172,7 @@
             touched.insert(entry.hash);
             self.index.insert(entry);
         }
-        // Which other items refer to a service does not matter to one that does.
+        // Items that refer to the same backend do not affect each other.
         touched.retain(|hash| Reference::is_claim_hash(*hash));
         let is_live = |item: Option<&Arc<Item>>| item.is_some_and(|item| item.body.is_some());
         for item in [before, after].into_iter().flatten() {
@@ -181,7 +184,7 @@
         touched
     }
 
-    /// The items that may name what has this hash.
+    /// Iterates over the items that may have a reference with this hash.
     fn by_hash(&self, hash: u64) -> impl Iterator<Item = &Arc<Item>> {
         let entries = self.index.range(IndexEntry { hash, item: None }..);
         entries.take_while(move |entry| entry.hash == hash).filter_map(|entry| entry.item.as_ref())
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Checks one item against the others.
+    /// Validates one item against the others.
     fn check(&self, entries: &OrdSet<Entry>, item: &Item) -> Result<(), ConfigError> {
         for reference in references(item)? {
             match &reference {
--- a/crates/control-state/src/version_history.rs
+++ b/crates/control-state/src/version_history.rs
@@ -1,8 +1,8 @@
-//! The versions that were acknowledged for an item besides the current one, each with a digest of its content: a
-//! deduplication window. Below its low watermark nothing is known any more.
+//! History of the versions acknowledged for an item other than the current one, each with a digest of its content. It
+//! serves as a deduplication window; nothing is known about versions below its low watermark.
 //!
-//! Kept for the operator's items only, and only for those that had more than one version, as items of
-//! [`Table::VersionHistory`] that are written in the same round as what they are about.
+//! Histories exist only for the operator's items that have had more than one version. They are items of
+//! [`Table::VersionHistory`] and are written in the same round as the items they describe.
 
 use crate::item::{Item, Key};
 use crate::items::Items;
@@ -12,62 +12,62 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Most versions that are remembered of an item, besides the current one; all are below 3.5 KB.
+/// Maximum number of versions in an item's history, besides the current one; a full history takes less than 3.5 KB.
 pub const MAX_REMEMBERED_VERSIONS: usize = 64;
-/// Bytes of a content's digest: no two contents that anybody sends share one.
+/// Length of a content digest in bytes; long enough that contents do not collide in practice.
 const DIGEST_BYTES: usize = 16;
-/// In the place of a digest: the version removed the item.
+/// Recorded in place of a digest for a version that removed the item.
 const REMOVED: &str = "-";
 
-/// What is known of a version.
+/// The knowledge about a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RememberedVersion {
-    /// It was acknowledged with this content.
+    /// The version was acknowledged with this content.
     SameContent,
-    /// It was acknowledged with another content.
+    /// The version was acknowledged with different content.
     OtherContent,
-    /// It was never acknowledged.
+    /// The version was never acknowledged.
     NeverAcknowledged,
-    /// It lies below the low watermark.
+    /// The version is below the low watermark.
     Forgotten,
 }
 
-/// The window of one item.
+/// The version history of one item.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct VersionHistory {
-    /// All versions acknowledged from this one on are in the window.
+    /// All acknowledged versions from this one on are in the history.
     low_watermark: u64,
     digests: BTreeMap<u64, String>,
 }
 
-/// A digest of what an item says, of the JSON with sorted names: two contents are the same if their digests are.
+/// Returns a digest of an item's body, encoded as JSON with sorted names. Bodies are equal if their digests are.
 fn content_digest(item: &Item) -> String {
     let Some(body) = &item.body else { return REMOVED.to_owned() };
     let hash = Sha256::digest(body.to_string().as_bytes());
     hash.iter().take(DIGEST_BYTES).fold(String::with_capacity(2 * DIGEST_BYTES), |mut text, byte| {
-        // Writing to a string never fails.
+        // Writing to a string does not fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
 }
 
 impl VersionHistory {
-    /// The key of the item that keeps the window of another.
+    /// Returns the key of the item that stores the history of another item.
     pub fn key(of: &Key) -> Key {
         Key { table: Table::VersionHistory, name: format!("{}/{}", of.table.as_str(), of.name) }
     }
 
-    /// The window of an item; empty where it never had but one version.
+    /// Reads the history of an item. It is empty if the item has had at most one version.
     pub fn from_items(items: &Items, of: &Key) -> Self {
         let key = Self::key(of);
         let Some(item) = items.get(key.table, &key.name) else { return Self::default() };
-        // Of a window that can't be read nothing is known.
+        // If the history can't be parsed, every version counts as forgotten.
         let unreadable = || Self { low_watermark: u64::MAX, digests: BTreeMap::new() };
         Self::parse(item.body.as_ref()).unwrap_or_else(unreadable)
     }
 
-    /// Parses `7 9:DIGEST 12:-`: the low watermark, then versions and digests. It is one text since a list of pairs would take
-    /// an allocation for each.
+    /// Parses a history such as `7 9:DIGEST 12:-`: the low watermark, followed by versions and digests. It is stored as
+    /// one string because a list of pairs would need an allocation for each pair.
     fn parse(body: Option<&Value>) -> Option<Self> {
         let mut words = body?.as_str()?.split(' ');
         let low_watermark = words.next()?.parse().ok()?;
@@ -78,18 +78,18 @@
         Some(Self { low_watermark, digests: words.map(parse_pair).collect::<Option<_>>()? })
     }
 
-    /// What is known of an item's version.
+    /// Looks up the version of an item.
     pub fn lookup(&self, item: &Item) -> RememberedVersion {
         match self.digests.get(&item.version) {
-            Some(known) if *known == content_digest(item) => RememberedVersion::SameContent,
+            Some(digest) if *digest == content_digest(item) => RememberedVersion::SameContent,
             Some(_) => RememberedVersion::OtherContent,
             None if item.version < self.low_watermark => RememberedVersion::Forgotten,
             None => RememberedVersion::NeverAcknowledged,
         }
     }
 
-    /// Remembers an item's version; past the bound the lowest is forgotten.
-    pub fn remember(&mut self, item: &Item) {
+    /// Records an item's version, and drops the lowest versions above the limit.
+    pub fn record(&mut self, item: &Item) {
         self.digests.insert(item.version, content_digest(item));
         while self.digests.len() > MAX_REMEMBERED_VERSIONS {
             if let Some((lowest, _)) = self.digests.pop_first() {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The item that keeps the window, one version above what a replica holds.
+    /// Returns the item that stores the history, with the version after that of the item in the replica.
     pub fn to_item(&self, items: &Items, of: &Key) -> Item {
         let Key { table, name } = Self::key(of);
         let mut text = self.low_watermark.to_string();
--- a/crates/control-state/tests/items.rs
+++ b/crates/control-state/tests/items.rs
@@ -1,4 +1,4 @@
-//! Copies merge to the same whatever the order; the operator's calls are judged as a whole.
+//! Replicas merge to the same state in any order, and updates are validated as a whole.
 
 use arbtest::arbtest;
 use ivygate_control_state::{
@@ -17,12 +17,12 @@
     Ok(all)
 }
 
-fn copy(items: &[&Vec<Item>]) -> Items {
-    let mut copy = Items::default();
+fn replica(items: &[&Vec<Item>]) -> Items {
+    let mut replica = Items::default();
     for item in items.iter().copied().flatten() {
-        copy.merge(item.clone());
+        replica.merge(item.clone());
     }
-    copy
+    replica
 }
 
 #[test]
@@ -30,21 +30,22 @@
     for seed in 1..=500_u64 {
         arbtest(|u| {
             let (a, b, c) = (items(u)?, items(u)?, items(u)?);
-            let first = copy(&[&a, &b, &c]);
-            let other = copy(&[&c, &a, &b, &a, &c]);
-            assert_eq!(first.digest(Tables::all()), other.digest(Tables::all()));
-            assert!(first.missing_from(&other, Tables::all()).is_empty());
-            // What lacks brings a copy to the same, and the digest of some tables is that of their items alone.
-            let mut behind = copy(&[&b]);
-            for item in first.missing_from(&behind, Tables::all()) {
-                behind.merge_shared(item);
+            let base = replica(&[&a, &b, &c]);
+            let other = replica(&[&c, &a, &b, &a, &c]);
+            assert_eq!(base.digest(Tables::all()), other.digest(Tables::all()));
+            assert!(base.missing_from(&other, Tables::all()).is_empty());
+            // Merging the missing items makes replicas equal, and the digest of some tables depends only on their
+            // items.
+            let mut lagging = replica(&[&b]);
+            for item in base.missing_from(&lagging, Tables::all()) {
+                lagging.merge_shared(item);
             }
-            assert_eq!(first.digest(Tables::all()), behind.digest(Tables::all()));
-            let mut only = Items::default();
-            first.all(Tables::DRAINS).for_each(|item| {
-                only.merge_shared(item.clone());
+            assert_eq!(base.digest(Tables::all()), lagging.digest(Tables::all()));
+            let mut drains = Items::default();
+            base.all(Tables::DRAINS).for_each(|item| {
+                drains.merge_shared(item.clone());
             });
-            assert_eq!(first.digest(Tables::DRAINS), only.digest(Tables::all()));
+            assert_eq!(base.digest(Tables::DRAINS), drains.digest(Tables::all()));
             Ok(())
         })
         .seed(seed << 32 | 400)
@@ -52,21 +53,21 @@
     }
 }
 
-fn call(text: &str) -> ConfigUpdate {
-    ConfigUpdate::parse(text.as_bytes()).expect("each item is sound")
+fn update(text: &str) -> ConfigUpdate {
+    ConfigUpdate::parse(text.as_bytes()).expect("each item is valid")
 }
 
-fn first() -> Items {
+fn base() -> Items {
     let text = r#"{"upsert":{"backends":{"b":{"gen":"r1"},"c":{"gen":"r1"}},"tenants":{"t":{"apiKeys":["k"],"gen":"r1"}},
         "routes":{"a":{"vhost":"h","pathPrefix":"/a/","kind":"mutating","backend":"b","gen":"r3"}},
         "limits":{"hdrBytes":16384,"bodyMaxBytes":10,"hdrTimeoutS":3,"idleTimeoutS":15,"gen":"r1"}},"remove":{"routes":[]}}"#;
-    apply_update(&Items::default(), &call(text)).expect("it is sound").0
+    apply_update(&Items::default(), &update(text)).expect("the update is valid").0
 }
 
 #[test]
 fn invalid_update_is_rejected_whole() {
-    let stands = first();
-    for (text, why) in [
+    let base = base();
+    for (text, expected) in [
         (
             r#"{"upsert":{"routes":{"x":{"vhost":"h","pathPrefix":"/x/","kind":"upload","backend":"none","gen":"r1"}}}}"#,
             "unknown",
@@ -77,17 +78,17 @@
         ),
         (
             r#"{"upsert":{"routes":{"x":{"vhost":"h","pathPrefix":"/x/","kind":"upload","gen":"r1"}}}}"#,
-            "no service",
+            "no backend",
         ),
         (r#"{"upsert":{"tenants":{"u":{"apiKeys":["k"],"gen":"r1"}}}}"#, "key"),
         (r#"{"remove":{"backends":[{"name":"b","gen":"r2"}]}}"#, "unknown"),
         (
             r#"{"upsert":{"routes":{"a":{"vhost":"h","pathPrefix":"/other/","kind":"mutating","backend":"b","gen":"r3"}}}}"#,
-            "another content",
+            "different content",
         ),
     ] {
-        let fault = apply_update(&stands, &call(text)).expect_err(text);
-        assert!(fault.to_string().contains(why), "{text}: {fault}");
+        let error = apply_update(&base, &update(text)).expect_err(text);
+        assert!(error.to_string().contains(expected), "{text}: {error}");
     }
     for text in [
         r#"{"upsert":{"routes":{"x":{"vhost":"h","pathPrefix":"x/","kind":"upload","backend":"b","gen":"r1"}}}}"#,
@@ -101,18 +102,18 @@
 
 #[test]
 fn older_update_changes_nothing() {
-    let stands = first();
-    let (dropped, _) = apply_update(&stands, &call(r#"{"remove":{"routes":[{"name":"a","gen":"r9"}]}}"#))
-        .expect("it is sound");
+    let base = base();
+    let (removed, _) = apply_update(&base, &update(r#"{"remove":{"routes":[{"name":"a","gen":"r9"}]}}"#))
+        .expect("the update is valid");
     let old = r#"{"upsert":{"routes":{"a":{"vhost":"h","pathPrefix":"/a/","kind":"mutating","backend":"c","gen":"r5"}}}}"#;
-    let (after, newer) = apply_update(&dropped, &call(old)).expect("an older call is no fault");
-    // Its number was never acknowledged before: that it is now is remembered, and nothing else.
+    let (after, newer) = apply_update(&removed, &update(old)).expect("an older update is not an error");
+    // The version was never acknowledged before. Only its acknowledgment is recorded.
     assert!(newer.iter().all(|item| item.key.table == Table::VersionHistory) && newer.len() == 1);
     assert!(after.body(Table::Routes, "a").is_none());
-    assert_eq!(after.get(Table::Routes, "a"), dropped.get(Table::Routes, "a"));
-    let (again, newer) = apply_update(&after, &call(old)).expect("an older call is no fault");
-    assert!(newer.is_empty() && again.digest(Tables::all()) == after.digest(Tables::all()));
+    assert_eq!(after.get(Table::Routes, "a"), removed.get(Table::Routes, "a"));
+    let (repeated, newer) = apply_update(&after, &update(old)).expect("an older update is not an error");
+    assert!(newer.is_empty() && repeated.digest(Tables::all()) == after.digest(Tables::all()));
     assert!(check_config(&after).is_ok());
     assert_eq!(config_document(&after)["routes"], json!({}));
-    assert_eq!(config_document(&stands)["limits"]["gen"], json!("r1"));
+    assert_eq!(config_document(&base)["limits"]["gen"], json!("r1"));
 }
--- a/crates/control-state/tests/stored_names.rs
+++ b/crates/control-state/tests/stored_names.rs
@@ -1,4 +1,4 @@
-//! How items, tables and the operator's calls are spelled, on disk, between processes and at the outside.
+//! Formats of items, tables and the operator's updates on disk, between processes and in the public API.
 
 use ivygate_control_state::{apply_update, config_document, ConfigUpdate, Item, Items, Table, Tables};
 use ivygate_rpc::ErrorKind;
@@ -18,9 +18,9 @@
 ];
 
 #[test]
-fn tables_keep_their_words_order_and_bits() {
-    for (table, word, bit) in TABLES {
-        assert_eq!(serde_json::to_string(&table).expect("it can be written"), format!("\"{word}\""));
+fn tables_keep_their_names_order_and_bits() {
+    for (table, name, bit) in TABLES {
+        assert_eq!(serde_json::to_string(&table).expect("the value can be encoded"), format!("\"{name}\""));
         assert_eq!(table.set().bits(), bit);
     }
     assert!(TABLES.windows(2).all(|pair| pair[0].0 < pair[1].0));
@@ -33,18 +33,19 @@
 
 #[test]
 fn items_keep_their_stored_format() {
-    let golden = r#"{"t":"routes","k":"pay","v":12,"b":{"gen":"r12"}}"#;
-    let item: Item = serde_json::from_str(golden).expect("it is an item");
-    assert_eq!(serde_json::to_string(&item).expect("it can be written"), golden);
-    let dropped: Item = serde_json::from_str(r#"{"t":"routes","k":"pay","v":13}"#).expect("it is an item");
+    let encoded = r#"{"t":"routes","k":"pay","v":12,"b":{"gen":"r12"}}"#;
+    let item: Item = serde_json::from_str(encoded).expect("the item can be decoded");
+    assert_eq!(serde_json::to_string(&item).expect("the value can be encoded"), encoded);
+    let removed: Item =
+        serde_json::from_str(r#"{"t":"routes","k":"pay","v":13}"#).expect("the item can be decoded");
     assert_eq!(
-        serde_json::to_string(&dropped).expect("it can be written"),
+        serde_json::to_string(&removed).expect("the value can be encoded"),
         r#"{"t":"routes","k":"pay","v":13,"b":null}"#
     );
 }
 
-fn call() -> Vec<u8> {
-    let call = json!({
+fn encoded_update() -> Vec<u8> {
+    let update = json!({
         "upsert": {
             "backends": { "checkout": { "gen": "r3", "healthPath": "/ok", "maxConns": 9, "warmupS": 1, "warmupPerS": 2 } },
             "routes": { "pay": { "gen": 12, "vhost": "Shop", "pathPrefix": "/pay/", "kind": "mutating", "backend": "checkout",
@@ -56,19 +57,19 @@
             "limits": { "gen": "r6", "hdrBytes": 9000, "bodyMaxBytes": 1000, "hdrTimeoutS": 3, "idleTimeoutS": 4 }
         }
     });
-    call.to_string().into_bytes()
+    update.to_string().into_bytes()
 }
 
 #[test]
-fn calls_of_operators_are_read_and_read_back_as_they_were_sent() {
-    let call = ConfigUpdate::parse(&call()).expect("it is sound");
-    let (copy, newer) = apply_update(&Items::default(), &call).expect("it is sound as a whole");
+fn operator_updates_are_read_back_as_sent() {
+    let update = ConfigUpdate::parse(&encoded_update()).expect("the update is valid");
+    let (replica, newer) = apply_update(&Items::default(), &update).expect("the update is valid as a whole");
     assert_eq!(newer.len(), 5);
-    let dropped =
-        ConfigUpdate::parse(br#"{"remove":{"tenants":[{"name":"acme","gen":"r3"}]}}"#).expect("it is sound");
-    let (copy, newer) = apply_update(&copy, &dropped).expect("it is sound as a whole");
+    let removed = ConfigUpdate::parse(br#"{"remove":{"tenants":[{"name":"acme","gen":"r3"}]}}"#)
+        .expect("the update is valid");
+    let (replica, newer) = apply_update(&replica, &removed).expect("the update is valid as a whole");
     let newer: Vec<String> =
-        newer.iter().map(|item| serde_json::to_string(item).expect("it can be written")).collect();
+        newer.iter().map(|item| serde_json::to_string(item).expect("the value can be encoded")).collect();
     assert_eq!(
         newer,
         [
@@ -78,7 +79,7 @@
         .map(|text| text.replace("DIGEST", "67662bf6a07341401b4e4a833bdef3ae"))
     );
     assert_eq!(
-        config_document(&copy).to_string(),
+        config_document(&replica).to_string(),
         concat!(
             r#"{"backends":{"checkout":{"gen":"r3","healthPath":"/ok","maxConns":9,"warmupPerS":2,"warmupS":1}},"#,
             r#""limits":{"bodyMaxBytes":1000,"gen":"r6","hdrBytes":9000,"hdrTimeoutS":3,"idleTimeoutS":4},"#,
@@ -88,11 +89,11 @@
             r#""vhost":"shop"}},"tenants":{}}"#
         )
     );
-    assert_eq!(copy.digest(Tables::DURABLE), 11_630_465_217_288_692_553);
+    assert_eq!(replica.digest(Tables::DURABLE), 11_630_465_217_288_692_553);
 }
 
 #[test]
-fn faults_of_calls_keep_their_kinds() {
+fn update_errors_keep_their_kinds() {
     let kinds = [
         ("{", ErrorKind::Malformed),
         (r#"{"remove":{"routes":["route-5"]}}"#, ErrorKind::Malformed),
@@ -116,15 +117,21 @@
         );
     }
     let unknown = br#"{"upsert":{"routes":{"a":{"gen":1,"vhost":"h","pathPrefix":"/","kind":"idempotent","backend":"b"}}}}"#;
-    let unknown = ConfigUpdate::parse(unknown).expect("it is sound by itself");
+    let unknown = ConfigUpdate::parse(unknown).expect("the update is valid by itself");
     assert_eq!(
         apply_update(&Items::default(), &unknown).map(drop).map_err(|error| error.kind()),
         Err(ErrorKind::Invalid)
     );
-    let copy = apply_update(&Items::default(), &ConfigUpdate::parse(&call()).expect("it is sound"))
-        .expect("it is sound")
-        .0;
+    let replica = apply_update(
+        &Items::default(),
+        &ConfigUpdate::parse(&encoded_update()).expect("the update is valid"),
+    )
+    .expect("the update is valid")
+    .0;
     let other = br#"{"upsert":{"tenants":{"acme":{"gen":"r2","apiKeys":["k2"]}}}}"#;
-    let other = ConfigUpdate::parse(other).expect("it is sound by itself");
-    assert_eq!(apply_update(&copy, &other).map(drop).map_err(|error| error.kind()), Err(ErrorKind::Conflict));
+    let other = ConfigUpdate::parse(other).expect("the update is valid by itself");
+    assert_eq!(
+        apply_update(&replica, &other).map(drop).map_err(|error| error.kind()),
+        Err(ErrorKind::Conflict)
+    );
 }
--- a/crates/control-state/tests/validation.rs
+++ b/crates/control-state/tests/validation.rs
@@ -1,4 +1,4 @@
-//! What is judged item by item agrees with what is judged as a whole, and clones, changes and indexes with plain maps.
+//! Incremental validation agrees with full validation, and clones, changes and indexes agree with plain maps.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -22,7 +22,7 @@
             body["split"] =
                 json!([{ "backend": pick(u, &NAMES)?, "weight": 1 }, { "backend": "a", "weight": 0 }]);
         }
-        // A struct may also be written as a list.
+        // A struct may also be encoded as a list.
         1 => body["split"] = json!([[pick(u, &NAMES)?, 1.0]]),
         2 => body["backend"] = Value::Null,
         3 => body["split"] = json!([]),
@@ -70,79 +70,87 @@
     Ok(Item::new(table, pick(u, &NAMES)?, u.int_in_range(1..=highest)?, body(u, table)?))
 }
 
-/// A copy beside a plain map that says by which change each item came.
+/// A replica together with a plain map that records the change which added each item.
 #[derive(Clone, Default)]
-struct Beside {
-    copy: Items,
-    plain: BTreeMap<Key, (u64, Item)>,
+struct ModelledReplica {
+    replica: Items,
+    model: BTreeMap<Key, (u64, Item)>,
 }
 
-impl Beside {
+impl ModelledReplica {
     fn merge(&mut self, item: Item) {
-        if self.copy.merge(item.clone()) {
-            self.plain.insert(item.key.clone(), (self.copy.last_change(), item));
+        if self.replica.merge(item.clone()) {
+            self.model.insert(item.key.clone(), (self.replica.last_change(), item));
         }
     }
 
-    fn forget(&mut self, keys: &[Key]) {
-        self.copy.purge(keys);
-        keys.iter().for_each(|key| drop(self.plain.remove(key)));
+    fn purge(&mut self, keys: &[Key]) {
+        self.replica.purge(keys);
+        keys.iter().for_each(|key| drop(self.model.remove(key)));
     }
 
-    /// A copy that was never asked before holds the same.
-    fn anew(&self) -> Items {
-        let mut anew = Items::default();
-        self.plain.values().for_each(|(_, item)| {
-            anew.merge(item.clone());
+    /// Returns a new replica with the same items that has never been validated.
+    fn rebuilt(&self) -> Items {
+        let mut rebuilt = Items::default();
+        self.model.values().for_each(|(_, item)| {
+            rebuilt.merge(item.clone());
         });
-        anew
+        rebuilt
     }
 
-    fn judge(&self) -> bool {
-        let (item_by_item, whole) = (self.copy.validate(), check_config(&self.copy));
-        assert_eq!(item_by_item.is_ok(), whole.is_ok(), "{item_by_item:?}, {:?}", whole.err());
-        assert_eq!(self.anew().validate().is_ok(), whole.is_ok(), "the way there makes no difference");
-        whole.is_ok()
+    fn check_validity(&self) -> bool {
+        let (incremental, full) = (self.replica.validate(), check_config(&self.replica));
+        assert_eq!(incremental.is_ok(), full.is_ok(), "{incremental:?}, {:?}", full.err());
+        assert_eq!(
+            self.rebuilt().validate().is_ok(),
+            full.is_ok(),
+            "validity does not depend on the order of changes"
+        );
+        full.is_ok()
     }
 
     fn compare(&self, since: u64) {
-        let held: Vec<Item> = self.copy.all(Tables::all()).map(|item| Item::clone(item)).collect();
-        let plain: Vec<Item> = self.plain.values().map(|(_, item)| item.clone()).collect();
-        assert_eq!(held, plain);
-        assert_eq!(self.copy.len(), plain.len());
-        assert_eq!(self.copy.digest(Tables::all()), self.anew().digest(Tables::all()));
+        let items: Vec<Item> = self.replica.all(Tables::all()).map(|item| Item::clone(item)).collect();
+        let model: Vec<Item> = self.model.values().map(|(_, item)| item.clone()).collect();
+        assert_eq!(items, model);
+        assert_eq!(self.replica.len(), model.len());
+        assert_eq!(self.replica.digest(Tables::all()), self.rebuilt().digest(Tables::all()));
         for tables in [Tables::all(), Tables::CONFIG, Tables::DRAINS] {
-            let mut newer: Vec<_> = self.plain.values().filter(|(change, _)| *change > since).collect();
+            let mut newer: Vec<_> = self.model.values().filter(|(change, _)| *change > since).collect();
             newer.retain(|(_, item)| tables.contains(item.key.table.set()));
             newer.sort_by_key(|(change, _)| *change);
-            let told: Vec<Item> =
-                self.copy.changes_since(since, tables).iter().map(|i| Item::clone(i)).collect();
-            assert_eq!(told, newer.into_iter().map(|(_, item)| item.clone()).collect::<Vec<_>>());
+            let changes: Vec<Item> =
+                self.replica.changes_since(since, tables).iter().map(|i| Item::clone(i)).collect();
+            assert_eq!(changes, newer.into_iter().map(|(_, item)| item.clone()).collect::<Vec<_>>());
         }
     }
 
-    /// A call is judged against the copy; tells whether it came to that, and what came of it.
-    fn call(&mut self, call: &ConfigUpdate) -> Option<bool> {
-        let verdicts: Vec<_> = call.items.iter().map(|item| check_version(&self.copy, item)).collect();
-        if !verdicts.contains(&VersionCheck::Newer) {
+    /// Applies an update to the replica. Returns whether it was valid, or `None` if its validity was not checked.
+    fn apply(&mut self, update: &ConfigUpdate) -> Option<bool> {
+        let checks: Vec<_> = update.items.iter().map(|item| check_version(&self.replica, item)).collect();
+        if !checks.contains(&VersionCheck::Newer) {
             return None;
         }
-        let mut naive = self.copy.clone();
-        call.items.iter().for_each(|item| {
-            naive.merge(item.clone());
+        let mut merged = self.replica.clone();
+        update.items.iter().for_each(|item| {
+            merged.merge(item.clone());
         });
-        let before = self.copy.digest(Tables::all());
-        let made = apply_update(&self.copy, call);
-        assert_eq!(self.copy.digest(Tables::all()), before, "a call leaves the copy as it was");
-        match made {
+        let before = self.replica.digest(Tables::all());
+        let applied = apply_update(&self.replica, update);
+        assert_eq!(
+            self.replica.digest(Tables::all()),
+            before,
+            "an update must not change the original replica"
+        );
+        match applied {
             Ok((next, newer)) => {
-                assert!(check_config(&naive).is_ok() && check_config(&next).is_ok());
+                assert!(check_config(&merged).is_ok() && check_config(&next).is_ok());
                 newer.into_iter().for_each(|item| self.merge(item));
-                assert_eq!(self.copy.digest(Tables::all()), next.digest(Tables::all()));
+                assert_eq!(self.replica.digest(Tables::all()), next.digest(Tables::all()));
                 Some(true)
             }
-            Err(fault) if fault.kind() == ivygate_rpc::ErrorKind::Invalid => {
-                assert!(check_config(&naive).is_err(), "{fault}");
+            Err(error) if error.kind() == ivygate_rpc::ErrorKind::Invalid => {
+                assert!(check_config(&merged).is_err(), "{error}");
                 Some(false)
             }
             Err(_) => None,
@@ -160,69 +168,70 @@
     };
     for seed in 1..=150_u64 {
         arbtest(|u| {
-            let mut copies = vec![Beside::default(), Beside::default(), Beside::default()];
+            let mut replicas =
+                vec![ModelledReplica::default(), ModelledReplica::default(), ModelledReplica::default()];
             let mut highest = 3;
             while !u.is_empty() {
                 highest += 1;
                 let at = u.int_in_range(0..=2_usize)?;
                 match u.int_in_range(0..=11)? {
-                    0..=2 => copies[at].merge(item(u, highest)?),
+                    0..=2 => replicas[at].merge(item(u, highest)?),
                     3..=6 => {
                         let items = (0..=u.int_in_range(0..=2)?).map(|_| item(u, highest));
-                        let call = ConfigUpdate { items: items.collect::<Result<_>>()? };
-                        if let Some(taken) = copies[at].call(&call) {
-                            count(if taken { 2 } else { 3 });
+                        let update = ConfigUpdate { items: items.collect::<Result<_>>()? };
+                        if let Some(accepted) = replicas[at].apply(&update) {
+                            count(if accepted { 2 } else { 3 });
                         }
                     }
                     7 => {
-                        // Two operators' halves meet: what was sound in each need not be together.
-                        let from = copies[(at + 1) % 3].copy.clone();
-                        for item in from.missing_from(&copies[at].copy, Tables::all()) {
-                            copies[at].merge(Item::clone(&item));
+                        // Merges two replicas: items that are valid in each need not be valid together.
+                        let from = replicas[(at + 1) % 3].replica.clone();
+                        for item in from.missing_from(&replicas[at].replica, Tables::all()) {
+                            replicas[at].merge(Item::clone(&item));
                         }
                     }
-                    8 => copies[(at + 1) % 3] = copies[at].clone(),
+                    8 => replicas[(at + 1) % 3] = replicas[at].clone(),
                     9 => {
-                        let keys: Vec<Key> = copies[at].plain.keys().cloned().collect();
+                        let keys: Vec<Key> = replicas[at].model.keys().cloned().collect();
                         let some: Vec<Key> = keys.into_iter().filter(|_| u.ratio(1, 6) == Ok(true)).collect();
-                        copies[at].forget(&some);
+                        replicas[at].purge(&some);
                     }
-                    10 => count(usize::from(copies[at].judge())),
+                    10 => count(usize::from(replicas[at].check_validity())),
                     _ => {
-                        let since = u.int_in_range(0..=copies[at].copy.last_change() + 1)?;
-                        copies[at].compare(since);
+                        let since = u.int_in_range(0..=replicas[at].replica.last_change() + 1)?;
+                        replicas[at].compare(since);
                     }
                 }
             }
-            for copy in &copies {
-                copy.compare(0);
-                count(usize::from(copy.judge()));
+            for replica in &replicas {
+                replica.compare(0);
+                count(usize::from(replica.check_validity()));
             }
             Ok(())
         })
         .seed(seed << 32 | 3_000)
         .run();
     }
-    let [unsound, sound, taken, refused] = counts.get();
-    assert!(unsound > 500 && sound > 500, "{unsound} copies were unsound, {sound} sound");
-    assert!(taken > 500 && refused > 500, "{taken} calls were taken, {refused} refused");
+    let [invalid, valid, accepted, rejected] = counts.get();
+    assert!(invalid > 500 && valid > 500, "{invalid} replicas were invalid, {valid} valid");
+    assert!(accepted > 500 && rejected > 500, "{accepted} updates were applied, {rejected} rejected");
 }
 
 #[test]
 fn changing_a_clone_leaves_the_original() {
-    let mut copy = Items::default();
-    copy.merge(Item::new(Table::Backends, "b", 1, Some(json!({}))));
+    let mut replica = Items::default();
+    replica.merge(Item::new(Table::Backends, "b", 1, Some(json!({}))));
     let body = json!({ "vhost": "h", "pathPrefix": "/", "kind": "upload", "backend": "b" });
-    copy.merge(Item::new(Table::Routes, "r", 1, Some(body.clone())));
-    let early = copy.clone();
-    assert!(copy.validate().is_ok());
-    let mut next = copy.clone();
+    replica.merge(Item::new(Table::Routes, "r", 1, Some(body.clone())));
+    let original = replica.clone();
+    assert!(replica.validate().is_ok());
+    let mut next = replica.clone();
     next.merge(Item::new(Table::Backends, "b", 2, None));
-    assert!(next.validate().is_err_and(|fault| fault.to_string().contains("unknown service 'b'")));
-    assert!(copy.validate().is_ok() && early.validate().is_ok());
-    copy.merge(Item::new(Table::Routes, "s", 1, Some(body)));
-    assert!(copy.validate().is_err_and(|fault| fault.to_string().contains("share host and prefix")));
-    assert!(early.validate().is_ok());
-    copy.merge(Item::new(Table::Routes, "r", 2, None));
-    assert!(copy.validate().is_ok(), "what broke it is gone");
+    assert!(next.validate().is_err_and(|error| error.to_string().contains("unknown backend 'b'")));
+    assert!(replica.validate().is_ok() && original.validate().is_ok());
+    replica.merge(Item::new(Table::Routes, "s", 1, Some(body)));
+    assert!(replica.validate().is_err_and(|error| error.to_string().contains("share host and prefix")));
+    assert!(original.validate().is_ok());
+    replica.merge(Item::new(Table::Routes, "r", 2, None));
+    assert!(replica.validate().is_ok(), "the conflicting item was removed");
 }
