--- a/crates/config-store/examples/at_size.rs
+++ b/crates/config-store/examples/at_size.rs
@@ -1,6 +1,7 @@
-//! Measures the store at the size of the target: what a change costs while one member is away, and what it takes that one,
-//! and an empty machine, to hold all again. `cargo run --profile system -p ivygate-config-store --example at_size [CHANGES]`; one process,
-//! messages handed over as the bytes that they are on the wire, no clock but the processor's own.
+//! Measures the store at its target size: the cost of an update while one member is down, and the cost for that member
+//! and for an empty machine to catch up. Run it with `cargo run --profile system -p ivygate-config-store --example
+//! at_size [CHANGES]`. All stores run in one process and exchange encoded messages; no clock is used except to measure
+//! processor time.
 
 use ivygate_config_store::{Command, CommandId, Disk, DurableState, Effect, Store};
 use ivygate_control_state::{ConfigUpdate, Tables};
@@ -17,62 +18,62 @@
 
 type Bytes = Vec<u8>;
 
-/// From, to, the number of the question, whether it is an answer, the message.
+/// Sender, receiver, number of the request, whether it is a reply, and the encoded message.
 type Message = (usize, usize, u64, bool, Bytes);
 
-struct Fleet {
+struct Cluster {
     now: f64,
     stores: Vec<Option<Store>>,
     saved: Vec<DurableState>,
-    /// Of the first store.
+    /// The disk of the first store.
     disk: Option<Disk>,
-    save: Duration,
+    save_time: Duration,
     saves: u32,
     messages: VecDeque<Message>,
-    answered: Option<CommandId>,
-    /// Bytes from and to each store, and its processor time.
+    last_completed: Option<CommandId>,
+    /// Bytes sent and received by each store; `busy` is its processor time.
     bytes: Vec<usize>,
     busy: Vec<Duration>,
-    largest: usize,
+    largest_message: usize,
 }
 
 fn ip(n: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, n as u8 + 1)
 }
 
-impl Fleet {
+impl Cluster {
     fn start(&mut self, n: usize, bootstrap: bool) {
         let seeds = vec![ip(0), ip(1), ip(2)];
         let store = Store::new(ip(n), seeds, bootstrap, self.saved[n].clone(), n as u64 + 77);
         self.stores[n] = Some(store);
     }
 
-    fn timed<T>(&mut self, n: usize, act: impl FnOnce(&mut Store, f64) -> T) -> Option<T> {
+    fn run_step<T>(&mut self, n: usize, act: impl FnOnce(&mut Store, f64) -> T) -> Option<T> {
         let now = self.now;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let store = self.stores[n].as_mut()?;
         let value = act(store, now);
-        let outputs = store.take_effects();
-        self.busy[n] += begun.elapsed();
-        for output in outputs {
-            match output {
+        let effects = store.take_effects();
+        self.busy[n] += started_at.elapsed();
+        for effect in effects {
+            match effect {
                 Effect::Save => {
                     let Some(store) = &self.stores[n] else { continue };
                     self.saved[n] = store.state().clone();
                     if let (0, Some(disk)) = (n, &mut self.disk) {
-                        let begun = Instant::now();
-                        disk.save(store.state()).expect("the disk takes it");
-                        self.save += begun.elapsed();
+                        let started_at = Instant::now();
+                        disk.save(store.state()).expect("the save succeeds");
+                        self.save_time += started_at.elapsed();
                         self.saves += 1;
                     }
                 }
-                Effect::Send { to, number, request: ask } => {
-                    let begun = Instant::now();
-                    let bytes = serde_json::to_vec(&ask).expect("it is JSON");
-                    self.busy[n] += begun.elapsed();
+                Effect::Send { to, number, request } => {
+                    let started_at = Instant::now();
+                    let bytes = serde_json::to_vec(&request).expect("the message is JSON");
+                    self.busy[n] += started_at.elapsed();
                     self.send((n, usize::from(to.octets()[3]) - 1, number, false, bytes));
                 }
-                Effect::Complete { command: call, .. } => self.answered = Some(call),
+                Effect::Complete { command, .. } => self.last_completed = Some(command),
             }
         }
         Some(value)
@@ -81,47 +82,47 @@
     fn send(&mut self, message: Message) {
         self.bytes[message.0] += message.4.len();
         self.bytes[message.1] += message.4.len();
-        self.largest = self.largest.max(message.4.len());
+        self.largest_message = self.largest_message.max(message.4.len());
         self.messages.push_back(message);
     }
 
-    fn pass(&mut self, time: f64) {
+    fn advance(&mut self, time: f64) {
         let end = self.now + time;
         while self.now < end {
             self.now += 10.0;
             for n in 0..self.stores.len() {
-                self.timed(n, |store, now| store.tick(Timestamp::from_millis(now)));
+                self.run_step(n, |store, now| store.tick(Timestamp::from_millis(now)));
             }
             self.deliver();
         }
     }
 
     fn deliver(&mut self) {
-        while let Some((from, to, number, is_answer, bytes)) = self.messages.pop_front() {
-            if is_answer {
-                self.timed(to, |store, now| {
-                    let reply = serde_json::from_slice(&bytes).expect("it is JSON");
+        while let Some((from, to, number, is_reply, bytes)) = self.messages.pop_front() {
+            if is_reply {
+                self.run_step(to, |store, now| {
+                    let reply = serde_json::from_slice(&bytes).expect("the message is JSON");
                     store.handle_response(Timestamp::from_millis(now), number, Some(reply));
                 });
                 continue;
             }
-            let answer = self.timed(to, |store, now| {
-                let ask = serde_json::from_slice(&bytes).expect("it is JSON");
-                serde_json::to_vec(&store.handle_request(Timestamp::from_millis(now), ip(from), ask))
-                    .expect("it is JSON")
+            let reply = self.run_step(to, |store, now| {
+                let request = serde_json::from_slice(&bytes).expect("the message is JSON");
+                serde_json::to_vec(&store.handle_request(Timestamp::from_millis(now), ip(from), request))
+                    .expect("the message is JSON")
             });
-            if let Some(answer) = answer {
-                self.send((to, from, number, true, answer));
+            if let Some(reply) = reply {
+                self.send((to, from, number, true, reply));
             }
         }
     }
 
-    fn call(&mut self, n: usize, id: CommandId, change: Command) {
-        self.timed(n, |store, now| store.submit(Timestamp::from_millis(now), id, change));
-        while self.answered != Some(id) {
+    fn submit_and_wait(&mut self, n: usize, id: CommandId, change: Command) {
+        self.run_step(n, |store, now| store.submit(Timestamp::from_millis(now), id, change));
+        while self.last_completed != Some(id) {
             self.deliver();
-            if self.answered != Some(id) {
-                self.pass(10.0);
+            if self.last_completed != Some(id) {
+                self.advance(10.0);
             }
         }
     }
@@ -130,13 +131,14 @@
         self.stores[n].as_ref().map(|store| store.state().items.digest(Tables::DURABLE))
     }
 
-    /// Lets time pass until a store holds what the first one does; tells how long that took, and with how many bytes.
+    /// Advances the time until a store has the same items as the first one. Returns the simulated duration, the bytes
+    /// transferred and the processor time of the store.
     fn catch_up(&mut self, n: usize) -> (f64, usize, Duration) {
-        let (begun, bytes, busy) = (self.now, self.bytes[n], self.busy[n]);
+        let (started_at, bytes, busy) = (self.now, self.bytes[n], self.busy[n]);
         while self.digest(n) != self.digest(0) {
-            self.pass(10.0);
+            self.advance(10.0);
         }
-        (self.now - begun, self.bytes[n] - bytes, self.busy[n] - busy)
+        (self.now - started_at, self.bytes[n] - bytes, self.busy[n] - busy)
     }
 }
 
@@ -149,30 +151,32 @@
 
 fn apply_update(upsert: serde_json::Value) -> Command {
     let call = json!({ "upsert": upsert });
-    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(
+        ConfigUpdate::parse(call.to_string().as_bytes()).expect("the update is valid by itself"),
+    )
 }
 
 fn main() {
     let changes: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(2_500);
     let folder = std::env::temp_dir().join(format!("ivygate-at-size-{}", std::process::id()));
-    let (disk, kept) = Disk::open(&folder, 1).map(|opened| (opened.0, opened.1)).expect("a folder");
+    let (disk, state) = Disk::open(&folder, 1).map(|opened| (opened.0, opened.1)).expect("the disk opens");
     let mut saved: Vec<DurableState> = (0..=STORES).map(|n| DurableState::new(n as u64 + 1)).collect();
-    saved[0] = kept;
-    let mut fleet = Fleet {
+    saved[0] = state;
+    let mut cluster = Cluster {
         now: 0.0,
         stores: vec![None; STORES + 1],
         saved,
         disk: Some(disk),
-        save: Duration::ZERO,
+        save_time: Duration::ZERO,
         saves: 0,
         messages: VecDeque::new(),
-        answered: None,
+        last_completed: None,
         bytes: vec![0; STORES + 1],
         busy: vec![Duration::ZERO; STORES + 1],
-        largest: 0,
+        largest_message: 0,
     };
-    (0..STORES).for_each(|n| fleet.start(n, true));
-    fleet.pass(4_000.0);
+    (0..STORES).for_each(|n| cluster.start(n, true));
+    cluster.advance(4_000.0);
     let services: serde_json::Map<_, _> =
         (0..SERVICES).map(|n| (format!("b{n}"), json!({ "gen": "r1", "maxConns": 100 }))).collect();
     let routes: serde_json::Map<_, _> = (0..ROUTES).map(|n| route(n, 1)).collect();
@@ -183,41 +187,49 @@
             (format!("t-{n:05}"), body)
         })
         .collect();
-    let begun = Instant::now();
-    fleet.call(0, 1, apply_update(json!({ "backends": services, "routes": routes, "tenants": tenants })));
-    println!("first call, all items: {:?}, largest message {} B", begun.elapsed(), fleet.largest);
-    fleet.pass(3_000.0);
-    // One is away while the others go on.
-    fleet.stores[STORES - 1] = None;
-    let (bytes, busy) = (fleet.bytes.clone(), fleet.busy.clone());
-    (fleet.save, fleet.saves, fleet.largest) = (Duration::ZERO, 0, 0);
+    let started_at = Instant::now();
+    cluster.submit_and_wait(
+        0,
+        1,
+        apply_update(json!({ "backends": services, "routes": routes, "tenants": tenants })),
+    );
+    println!(
+        "initial update with all items: {:?}, largest message {} B",
+        started_at.elapsed(),
+        cluster.largest_message
+    );
+    cluster.advance(3_000.0);
+    // One store is down while the others continue.
+    cluster.stores[STORES - 1] = None;
+    let (bytes, busy) = (cluster.bytes.clone(), cluster.busy.clone());
+    (cluster.save_time, cluster.saves, cluster.largest_message) = (Duration::ZERO, 0, 0);
     for n in 0..changes {
         let (name, body) = route(n % ROUTES, 2 + n / ROUTES);
-        fleet.call(n % 3, 2 + n as u64, apply_update(json!({ "routes": { name: body } })));
+        cluster.submit_and_wait(n % 3, 2 + n as u64, apply_update(json!({ "routes": { name: body } })));
     }
-    let of = |n: usize| (fleet.bytes[n] - bytes[n], fleet.busy[n] - busy[n]);
-    let all: (usize, Duration) =
-        (0..STORES - 1).map(of).fold((0, Duration::ZERO), |a, b| (a.0 + b.0, a.1 + b.1));
-    let per = |time: Duration| time.as_secs_f64() * 1e6 / changes as f64;
+    let cost_of = |n: usize| (cluster.bytes[n] - bytes[n], cluster.busy[n] - busy[n]);
+    let total: (usize, Duration) =
+        (0..STORES - 1).map(cost_of).fold((0, Duration::ZERO), |a, b| (a.0 + b.0, a.1 + b.1));
+    let micros_per_change = |time: Duration| time.as_secs_f64() * 1e6 / changes as f64;
     println!(
-        "a change, of {changes}, with one of {STORES} away: {} B over all links, {:.0} us at all stores together, largest message {} B",
-        all.0 / 2 / changes,
-        per(all.1),
-        fleet.largest
+        "per update, {changes} updates with one of {STORES} stores down: {} B over all links, {:.0} us of processor time in total, largest message {} B",
+        total.0 / 2 / changes,
+        micros_per_change(total.1),
+        cluster.largest_message
     );
     println!(
-        "a save at the first store: {:.0} us, {:.2} a change",
-        fleet.save.as_secs_f64() * 1e6 / f64::from(fleet.saves.max(1)),
-        f64::from(fleet.saves) / changes as f64
+        "per save at the first store: {:.0} us, {:.2} saves per update",
+        cluster.save_time.as_secs_f64() * 1e6 / f64::from(cluster.saves.max(1)),
+        f64::from(cluster.saves) / changes as f64
     );
-    fleet.pass(2_000.0);
-    fleet.start(STORES - 1, false);
-    let (time, bytes, busy) = fleet.catch_up(STORES - 1);
-    println!("the one that was away holds all after {time:.0} ms: {bytes} B, {busy:?} of its processor");
-    // One is gone for good, and an empty one comes.
-    fleet.stores[STORES - 1] = None;
-    fleet.start(STORES, false);
-    let (time, bytes, busy) = fleet.catch_up(STORES);
-    println!("an empty one holds all after {time:.0} ms: {bytes} B, {busy:?} of its processor");
+    cluster.advance(2_000.0);
+    cluster.start(STORES - 1, false);
+    let (time, bytes, busy) = cluster.catch_up(STORES - 1);
+    println!("the restarted store has caught up after {time:.0} ms: {bytes} B, {busy:?} of processor time");
+    // One store fails permanently, and an empty one joins.
+    cluster.stores[STORES - 1] = None;
+    cluster.start(STORES, false);
+    let (time, bytes, busy) = cluster.catch_up(STORES);
+    println!("an empty store has caught up after {time:.0} ms: {bytes} B, {busy:?} of processor time");
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/config-store/examples/write_stored_state.rs
+++ b/crates/config-store/examples/write_stored_state.rs
@@ -1,5 +1,6 @@
-//! Writes a store's folder and what it holds, as test data for later versions: `cargo run -p ivygate-config-store --example
-//! write_stored_state FOLDER`. The fixture in `tests/data` was written once and must not be written again.
+//! Writes a store's folder and its decoded contents, as test data for later versions. Run it with `cargo run -p
+//! ivygate-config-store --example write_stored_state FOLDER`. The fixture in `tests/data` was written once and must not
+//! be written again.
 
 use ivygate_config_store::{AcceptedProposal, Ballot, Disk};
 use ivygate_control_state::{Item, Table, Tables};
@@ -17,16 +18,16 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let folder = std::env::args().nth(1).ok_or("name a folder")?;
+    let folder = std::env::args().nth(1).ok_or("missing argument FOLDER")?;
     let folder = Path::new(&folder);
-    let (mut disk, mut kept) = Disk::open(folder, 7)?;
-    let group =
+    let (mut disk, mut state) = Disk::open(folder, 7)?;
+    let membership =
         json!({ "members": ["10.1.0.5", "10.2.0.5", "10.3.0.5"], "incarnations": [7, 8, 9], "size": 3 });
-    kept.promised = ballot(1);
-    kept.apply_chosen(ballot(1), [item(Table::Membership, "core", 1, Some(group))]);
-    disk.save(&kept)?;
-    kept.promised = ballot(4);
-    kept.apply_chosen(
+    state.promised = ballot(1);
+    state.apply_chosen(ballot(1), [item(Table::Membership, "core", 1, Some(membership))]);
+    disk.save(&state)?;
+    state.promised = ballot(4);
+    state.apply_chosen(
         ballot(4),
         [
             item(
@@ -59,8 +60,8 @@
             ),
         ],
     );
-    disk.save(&kept)?;
-    kept.apply_chosen(
+    disk.save(&state)?;
+    state.apply_chosen(
         ballot(5),
         [
             item(Table::Drains, "zone-a", 1, Some(json!({}))),
@@ -68,17 +69,17 @@
             item(Table::SingletonRoles, "warden", 17, Some(json!({ "holder": "10.1.0.5" }))),
         ],
     );
-    kept.promised = ballot(9);
+    state.promised = ballot(9);
     let next = json!({ "gen": "r13", "vhost": "shop", "pathPrefix": "/pay/", "kind": "upload", "backend": "checkout" });
-    kept.accepted = Some(AcceptedProposal {
+    state.accepted = Some(AcceptedProposal {
         ballot: ballot(8),
         items: vec![item(Table::Routes, "pay", 13, Some(next)), item(Table::Routes, "gone", 2, None)],
     });
-    disk.save(&kept)?;
+    disk.save(&state)?;
     disk.close();
-    let items: Vec<_> = kept.items.all(Tables::DURABLE).collect();
-    let holds = json!({ "incarnation": kept.incarnation, "promised": kept.promised, "chosen": kept.chosen,
-        "accepted": kept.accepted, "items": items });
-    std::fs::write(folder.join("expected.json"), serde_json::to_string_pretty(&holds)?)?;
+    let items: Vec<_> = state.items.all(Tables::DURABLE).collect();
+    let contents = json!({ "incarnation": state.incarnation, "promised": state.promised, "chosen": state.chosen,
+        "accepted": state.accepted, "items": items });
+    std::fs::write(folder.join("expected.json"), serde_json::to_string_pretty(&contents)?)?;
     Ok(())
 }
--- a/crates/config-store/src/acceptor.rs
+++ b/crates/config-store/src/acceptor.rs
@@ -1,6 +1,7 @@
 //! The acceptor: promises and accepts rounds ("Paxos Made Simple", section 2.2).
 //!
-//! Invariant: a promise and an acceptance are saved before the reply goes out, since the proposer counts on them for good.
+//! Invariant: promises and acceptances are saved before the reply is sent, since the proposer relies on them
+//! permanently.
 
 use crate::effect::Effect;
 use crate::messages::{AcceptedProposal, Ballot, PeerResponse};
@@ -10,15 +11,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An accepted proposal that is not heard to be chosen is proposed again by whoever holds it, after a time drawn between
-/// these: all that hold it begin to wait at once.
+/// Bounds of the randomized delay after which a replica proposes again what it accepted but has not learned to be
+/// chosen. The delay is randomized because all replicas that accepted the proposal start to wait at the same time.
 const MIN_RECOVERY_DELAY: Duration = Duration::from_millis(350);
 const MAX_RECOVERY_DELAY: Duration = Duration::from_millis(1_800);
-/// Most items that a promise carries; a proposer that lags by more catches up first.
+/// Maximum items in a promise; a proposer that lags by more catches up first.
 const MAX_PROMISE_ITEMS: usize = 256;
 
 impl Store {
-    /// Phase 1b: promises to take part in no round below `ballot`.
+    /// Handles phase 1b: promises to take part in no round below `ballot`.
     pub(crate) fn handle_prepare(&mut self, ballot: Ballot, chosen: Ballot) -> PeerResponse {
         let highest_seen = self.state.highest_seen_ballot();
         if ballot <= highest_seen {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Phase 2b: accepts the round's items, unless a higher round was promised or chosen.
+    /// Handles phase 2b: accepts the round's items, unless a higher round was promised or chosen.
     pub(crate) fn handle_accept(
         &mut self,
         now: Timestamp,
@@ -56,10 +57,10 @@
 
     pub(crate) fn promise(&mut self, ballot: Ballot) {
         self.state.promised = self.state.promised.max(ballot);
-        self.proposer.note_counter(ballot);
+        self.proposer.record_ballot(ballot);
     }
 
-    /// Sees to it that what is accepted and not known to be chosen is proposed again in time.
+    /// Schedules a recovery round for an accepted proposal that is not known to be chosen.
     pub(crate) fn schedule_recovery(&mut self, now: Timestamp) {
         if self.state.accepted.is_some() && self.proposer.recovery_deadline.is_none() {
             self.proposer.recovery_deadline = Some(self.draw_recovery_deadline(now));
--- a/crates/config-store/src/commands.rs
+++ b/crates/config-store/src/commands.rs
@@ -1,4 +1,4 @@
-//! Evaluation of commands against the register, within a round.
+//! Evaluation of commands against the register within a round.
 
 use crate::member::Member;
 use crate::membership::Membership;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 impl Store {
-    /// The membership that the first pending command asks for.
+    /// Returns the membership that the first pending command would produce, if it replaces a member.
     pub(crate) fn first_pending_change(&self, now: Timestamp, register: &Items) -> Option<Membership> {
         let pending =
             self.proposer.pending.front().filter(|pending| now <= pending.since + COMMAND_TIMEOUT)?;
@@ -24,9 +24,10 @@
         Membership::from_items(register)?.with_replacement(leaving, joining)
     }
 
-    /// Evaluates the pending commands in order, each against what those before it leave in the draft.
+    /// Evaluates the pending commands in order, each against the draft as left by the commands before it.
     ///
-    /// A change of the membership is proposed alone: what comes after it is accepted by the new members.
+    /// A membership change is proposed in a round of its own, because the commands after it are accepted by the new
+    /// members.
     pub(crate) fn evaluate_commands(
         &mut self,
         now: Timestamp,
@@ -37,18 +38,19 @@
         let (mut evaluated, mut later) = (Vec::new(), Vec::new());
         while let Some(mut pending) = self.proposer.pending.pop_front() {
             if now > pending.since + COMMAND_TIMEOUT {
-                // Its caller has gone elsewhere, and may have taken it back there.
+                // Its caller has retried at another replica, and may have reverted the command there.
                 self.reject_for_lack_of_quorum(pending.id);
                 continue;
             }
             let replaces_member = matches!(pending.command, Command::ReplaceMember { .. });
             let is_first = draft.items.is_empty() && evaluated.is_empty();
-            if (replaces_member && !is_first) || Self::change_membership(&draft.items) {
+            if (replaces_member && !is_first) || Self::contains_membership_change(&draft.items) {
                 self.proposer.pending.push_front(pending);
                 break;
             }
             if matches!(pending.command, Command::DrainZone { .. }) && pending.since > begun {
-                // The promises may be older than it: what came into force in between would be taken for its own.
+                // The promises may predate the command, so a change made in between would be mistaken for the command's
+                // own effect.
                 later.push(pending);
                 continue;
             }
@@ -87,18 +89,19 @@
     Ok(CommandOutcome::Applied)
 }
 
-/// Drains a zone or ends that; gives the version that this brought when the command was first evaluated.
+/// Begins or ends draining a zone and returns the version that this produced when the command was first evaluated.
 ///
-/// An earlier round may have had the command chosen, and another command may have taken it back since. Only a change has a
-/// version, so drains and their ends alternate: under its first version, the zone stood as wanted after the command came.
+/// An earlier round may have had the command chosen, and another command may have reverted it since. Only a change
+/// creates a version, so drains and their ends alternate: once the first version is reached, the zone was in the wanted
+/// state at some time after the command arrived.
 fn evaluate_drain(zone: &str, drained: bool, first_version: Option<u64>, draft: &mut Draft) -> Option<u64> {
-    let held = draft.register.version(Table::Drains, zone);
-    let was_in_force = first_version.is_some_and(|first| held >= first);
+    let current = draft.register.version(Table::Drains, zone);
+    let was_in_force = first_version.is_some_and(|first| current >= first);
     let is_drained = draft.register.body(Table::Drains, zone).is_some();
     if was_in_force || is_drained == drained {
         return first_version;
     }
-    let version = held + 1;
+    let version = current + 1;
     draft.put(Item::new(Table::Drains, zone, version, drained.then(|| json!({}))));
     Some(version)
 }
@@ -116,7 +119,7 @@
     }
 }
 
-/// Gives a role to a registry under the next epoch, which is the version of the role's item.
+/// Assigns a role to a registry under the next epoch, which is the version of the role's item.
 fn evaluate_role(role: &str, holder: Ipv4Addr, draft: &mut Draft) -> CommandOutcome {
     let epoch = draft.register.version(Table::SingletonRoles, role) + 1;
     draft.put(Item::new(Table::SingletonRoles, role, epoch, Some(json!({ "holder": holder }))));
--- a/crates/config-store/src/disk/chunks.rs
+++ b/crates/config-store/src/disk/chunks.rs
@@ -1,39 +1,39 @@
-//! Values cut into chunks, so that sled makes no files beside its log.
+//! Storage of values in chunks, so that sled creates no files besides its log.
 //!
-//! The key of a chunk is the value's key, a byte 0 and the chunk's number; each chunk begins with how many there are. No
-//! key of a value has a byte 0: it is text in JSON or digits.
+//! A chunk's key is the value's key, a zero byte and the chunk's number. Each chunk begins with the value's number of
+//! chunks. Keys of values contain no zero byte, since they are JSON text or digits.
 
 use crate::disk::error::StorageError;
 use crate::disk::read_error::ReadError;
 use std::collections::HashMap;
 
-/// Most bytes of one chunk; sled puts up to 17 into a page, and pages above 128 KiB into files of their own.
+/// Maximum size of a chunk in bytes. sled puts up to 17 chunks into a page, and stores pages above 128 KiB in separate
+/// files.
 const MAX_CHUNK_BYTES: usize = 4 << 10;
-/// What an entry costs in a batch besides its key and value, in bytes.
+/// Overhead of an entry in a batch in addition to its key and value, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// Bytes of a chunk's number, and of the byte 0 before it, at the end of a key.
+/// Length in bytes of a chunk key's suffix: the zero byte and the chunk's number.
 const KEY_SUFFIX_BYTES: usize = 3;
 
-/// An entry to be written, or removed where there is no value.
+/// A key with the value to write, or `None` to remove the key.
 pub(crate) type Entry = (Vec<u8>, Option<Vec<u8>>);
 
-/// Writes and removals that are made together.
+/// Writes and removals that are applied atomically.
 #[derive(Default)]
 pub(crate) struct WriteBatch {
-    /// In order.
     pub entries: Vec<Entry>,
-    /// What they come to, in bytes.
+    /// The estimated size of the entries, in bytes.
     pub bytes: usize,
 }
 
 impl WriteBatch {
-    /// Adds a write, or a removal where there is no value.
+    /// Adds a write, or a removal if there is no value.
     pub fn add(&mut self, key: Vec<u8>, value: Option<Vec<u8>>) {
         self.bytes += key.len() + value.as_ref().map_or(0, Vec::len) + ENTRY_OVERHEAD_BYTES;
         self.entries.push((key, value));
     }
 
-    /// The batch as sled takes it.
+    /// Converts the batch to sled's type.
     pub fn into_sled(self) -> sled::Batch {
         let mut batch = sled::Batch::default();
         for (key, value) in self.entries {
@@ -46,7 +46,7 @@
     }
 }
 
-/// How many chunks each stored value has, where that is more than one.
+/// The number of chunks of each stored value that has more than one.
 #[derive(Default, Clone)]
 pub(crate) struct ChunkCounts(HashMap<Vec<u8>, u16>);
 
@@ -55,7 +55,7 @@
         [key, &[0], &chunk.to_be_bytes()].concat()
     }
 
-    /// Adds the writes for a value.
+    /// Adds the writes for a value's chunks, and the removals of its excess chunks.
     pub fn put(&mut self, batch: &mut WriteBatch, key: Vec<u8>, value: &[u8]) -> Result<(), StorageError> {
         let count = value.len().div_ceil(MAX_CHUNK_BYTES);
         let count = u16::try_from(count).map_err(|_| StorageError::ItemTooLarge)?;
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Adds the removals of a value.
+    /// Adds the removals of a value's chunks.
     pub fn remove(&mut self, batch: &mut WriteBatch, key: Vec<u8>) {
         batch.add(Self::chunk_key(&key, 0), None);
         self.remove_chunks_from(batch, key, 1);
@@ -83,18 +83,18 @@
         }
     }
 
-    /// Reads the values whose keys begin with a byte, in order of their keys.
+    /// Reads the values whose keys begin with `prefix`, in order of their keys.
     pub fn read_all(&mut self, tree: &sled::Tree, prefix: u8) -> Result<Vec<Vec<u8>>, ReadError> {
         let mut values: Vec<Vec<u8>> = Vec::new();
         let mut missing = 0;
         for entry in tree.scan_prefix([prefix]) {
             let (key, bytes) = entry?;
             let (key, chunk) = split_key(&key)?;
-            let (count, bytes) = bytes.split_first_chunk::<2>().ok_or_else(torn_value)?;
+            let (count, bytes) = bytes.split_first_chunk::<2>().ok_or_else(missing_chunk)?;
             let count = u16::from_be_bytes(*count);
             if chunk == 0 {
                 if missing != 0 {
-                    return Err(torn_value());
+                    return Err(missing_chunk());
                 }
                 missing = count;
                 values.push(Vec::new());
@@ -103,28 +103,28 @@
                 }
             }
             if missing == 0 || chunk != count - missing {
-                return Err(torn_value());
+                return Err(missing_chunk());
             }
             missing -= 1;
-            values.last_mut().ok_or_else(torn_value)?.extend_from_slice(bytes);
+            values.last_mut().ok_or_else(missing_chunk)?.extend_from_slice(bytes);
         }
         if missing != 0 {
-            return Err(torn_value());
+            return Err(missing_chunk());
         }
         Ok(values)
     }
 }
 
-/// Takes a chunk's key apart: the value's key, and the chunk's number.
+/// Splits a chunk's key into the value's key and the chunk's number.
 fn split_key(key: &[u8]) -> Result<(&[u8], u16), ReadError> {
     let split = key.split_at_checked(key.len().saturating_sub(KEY_SUFFIX_BYTES));
-    let (key, suffix) = split.ok_or_else(torn_value)?;
+    let (key, suffix) = split.ok_or_else(missing_chunk)?;
     match *suffix {
         [0, high, low] => Ok((key, u16::from_be_bytes([high, low]))),
-        _ => Err(torn_value()),
+        _ => Err(missing_chunk()),
     }
 }
 
-fn torn_value() -> ReadError {
-    ReadError::Corrupt("a value lacks a chunk".to_owned())
+fn missing_chunk() -> ReadError {
+    ReadError::Corrupt("a stored value is missing a chunk".to_owned())
 }
--- a/crates/config-store/src/disk/error.rs
+++ b/crates/config-store/src/disk/error.rs
@@ -1,48 +1,48 @@
-//! Errors of the disk.
+//! Errors of the disk storage.
 
 use ivygate_rpc::{ErrorKind, RpcError};
 use std::io;
 use std::path::PathBuf;
 
-/// Why the disk could not be read or written.
+/// An error from reading or writing the disk.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The system refused an operation on a file or folder.
+    /// The operating system failed an operation on a file or folder.
     #[error("can't {action} {}", .path.display())]
     Io {
-        /// What was attempted.
+        /// The attempted operation.
         action: &'static str,
-        /// On what.
+        /// The file or folder.
         path: PathBuf,
-        /// Why it failed.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// The embedded database failed.
-    #[error("the database failed")]
+    /// The embedded database returned an error.
+    #[error("database error")]
     Database(#[from] sled::Error),
-    /// The embedded database panicked, as it does on some failures of the system and on logs that it did not expect.
+    /// The embedded database panicked, as it does on some I/O errors and on unexpected log contents.
     #[error("the database panicked: {0}")]
     DatabasePanicked(String),
-    /// A record can't be encoded.
-    #[error("a record can't be encoded")]
+    /// A record could not be encoded.
+    #[error("failed to encode a record")]
     Encode(#[from] serde_json::Error),
-    /// A value has more chunks than can be counted.
+    /// A value has more chunks than the chunk count can represent.
     #[error("an item is larger than 256 MiB")]
     ItemTooLarge,
-    /// An earlier save has failed: what the disk holds must be read again first.
-    #[error("an earlier save has failed and the disk was not opened again")]
+    /// An earlier save failed; the disk must be reopened first.
+    #[error("an earlier save failed and the disk has not been reopened")]
     NotReopened,
 }
 
 impl StorageError {
-    /// Says on what an operation of the system failed.
+    /// Returns a function that converts an I/O error, adding the operation and the path.
     pub(crate) fn io(action: &'static str, path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
         move |source| Self::Io { action, path, source }
     }
 
-    /// The error and its causes in one line.
+    /// Formats the error and its causes on one line.
     pub fn with_causes(&self) -> String {
         let mut text = self.to_string();
         let mut cause = std::error::Error::source(self);
--- a/crates/config-store/src/disk/folder.rs
+++ b/crates/config-store/src/disk/folder.rs
@@ -1,4 +1,4 @@
-//! Folders of the state on disk: finding, reading, writing and removing them.
+//! Finds, reads, writes and removes the folders of stored state.
 
 use crate::disk::chunks::{Entry, WriteBatch};
 use crate::disk::error::StorageError;
@@ -14,12 +14,13 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// What sled may keep in memory, in bytes.
+/// sled's cache capacity in bytes.
 const DATABASE_CACHE_BYTES: u64 = 8 << 20;
-/// How much of a new folder is written at a time, in bytes.
+/// Size in bytes at which a batch is flushed while a new folder is written.
 const WRITE_STEP_BYTES: usize = 1 << 20;
 
-/// Runs an operation of sled, which panics on some failures of the system and on logs that it did not expect.
+/// Runs a sled operation and converts a panic to an error. sled panics on some I/O errors and on unexpected log
+/// contents.
 pub(crate) fn catch_database_panic<T, E>(
     operation: impl FnOnce() -> Result<T, E>,
     to_error: impl FnOnce(String) -> E,
@@ -27,7 +28,7 @@
     catch_unwind(AssertUnwindSafe(operation)).unwrap_or_else(|payload| {
         let text = payload.downcast_ref::<String>().cloned();
         let text = text.or_else(|| payload.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-        Err(to_error(text.unwrap_or_else(|| "no message".to_owned())))
+        Err(to_error(text.unwrap_or_else(|| "unknown panic payload".to_owned())))
     })
 }
 
@@ -35,7 +36,7 @@
     sled::Config::new().path(folder).cache_capacity(DATABASE_CACHE_BYTES).flush_every_ms(None).open()
 }
 
-/// The numbered folders of a store, in order.
+/// Lists the numbered folders of a store in ascending order.
 pub(crate) fn numbered_folders(parent: &Path) -> io::Result<Vec<(u64, PathBuf)>> {
     let mut folders = Vec::new();
     for entry in fs::read_dir(parent)? {
@@ -50,8 +51,8 @@
     Ok(folders)
 }
 
-/// Keeps a folder that could not be understood, for people; an earlier one is removed.
-pub(crate) fn put_aside(parent: &Path, folder: &Path) -> io::Result<()> {
+/// Renames a folder that can't be decoded so that an operator can inspect it, and removes any folder renamed earlier.
+pub(crate) fn quarantine_folder(parent: &Path, folder: &Path) -> io::Result<()> {
     for entry in fs::read_dir(parent)? {
         let entry = entry?;
         if entry.file_name().to_string_lossy().starts_with(UNREADABLE_PREFIX) {
@@ -62,7 +63,7 @@
     fs::rename(folder, parent.join(name.replace(FOLDER_PREFIX, UNREADABLE_PREFIX)))
 }
 
-/// Removes the folder that others are copied to for reading.
+/// Removes the scratch folder to which other folders are copied for reading.
 pub(crate) fn remove_scratch(parent: &Path) -> Result<(), StorageError> {
     let scratch = parent.join(SCRATCH_FOLDER);
     match fs::remove_dir_all(&scratch) {
@@ -73,8 +74,8 @@
     }
 }
 
-/// Copies what sled needs of a folder; not its snapshots of the page table, of which it takes a half-written one for a
-/// complete one.
+/// Copies the files that sled needs. Its snapshots of the page table are left out, since sled takes a partially written
+/// snapshot for a complete one.
 fn copy_database(from: &Path, to: &Path) -> io::Result<()> {
     if to.exists() {
         fs::remove_dir_all(to)?;
@@ -89,28 +90,28 @@
     Ok(())
 }
 
-/// Reads a complete folder by way of a copy: sled writes as it opens, does not find its way again through what a crash
-/// leaves of that, and takes what the system fails to read for the end of its log.
+/// Reads a complete folder through a copy. sled writes while opening a database, cannot recover if a crash interrupts
+/// these writes, and treats read errors of the system as the end of its log.
 pub(crate) fn read_folder(parent: &Path, folder: &Path) -> Result<StoredState, ReadError> {
     let scratch = parent.join(SCRATCH_FOLDER);
     let read = || {
         copy_database(folder, &scratch)
-            .map_err(|error| ReadError::Refused(StorageError::io("copy", folder)(error)))?;
+            .map_err(|error| ReadError::Io(StorageError::io("copy", folder)(error)))?;
         read_state(&open_database(&scratch)?)
     };
     catch_database_panic(read, ReadError::Corrupt)
 }
 
-/// The names in a folder and in that of sled's large values, as last synced.
+/// The file names in the folder of sled's large values and in the state's folder, as last synced.
 pub(crate) type SyncedNames = [BTreeSet<String>; 2];
 
-/// An open folder.
+/// An open state folder.
 pub(crate) struct OpenFolder {
     pub db: sled::Db,
     pub names: SyncedNames,
 }
 
-/// Writes a new folder.
+/// Writes a new state folder.
 pub(crate) struct FolderWriter<'a> {
     pub parent: &'a Path,
     pub fsync: &'a mut dyn Fsync,
@@ -118,7 +119,8 @@
 }
 
 impl FolderWriter<'_> {
-    /// Writes all entries, and removes the other folders once this one is complete. One that failed is removed.
+    /// Writes all entries, and removes the other folders once this one is complete. Removes this folder if writing it
+    /// fails.
     pub fn write(
         &mut self,
         entries: impl Iterator<Item = Result<Entry, StorageError>>,
@@ -127,11 +129,11 @@
         let written = catch_database_panic(|| self.fill(&folder, entries), StorageError::DatabasePanicked);
         match &written {
             Ok(_) => self.remove_other_folders(),
-            // One that may be complete already stays: all that it holds was synced before.
+            // The folder may already be complete; its contents were synced before the marker was created, so it stays.
             Err(_) if folder.join(COMPLETE_MARKER).exists() => {}
             Err(_) => {
                 if let Err(error) = fs::remove_dir_all(&folder) {
-                    tracing::debug!(folder = %folder.display(), %error, "incomplete folder not removed");
+                    tracing::debug!(folder = %folder.display(), %error, "failed to remove incomplete folder");
                 }
             }
         }
@@ -153,7 +155,7 @@
         Ok(OpenFolder { db, names })
     }
 
-    /// Syncs everything, and only then makes the file that marks the folder as complete.
+    /// Syncs everything, and only then creates the file that marks the folder as complete.
     fn mark_complete(&mut self, folder: &Path) -> io::Result<SyncedNames> {
         let mut names = SyncedNames::default();
         sync_names(self.fsync, folder, &mut names)?;
@@ -164,12 +166,13 @@
         Ok(names)
     }
 
-    /// Should one of them come back after a loss of power, the folder with the highest number counts.
+    /// Removes the other folders. If one reappears after a power loss, the folder with the highest number takes
+    /// precedence.
     fn remove_other_folders(&self) {
         for (number, folder) in numbered_folders(self.parent).unwrap_or_default() {
             if number != self.number {
                 if let Err(error) = fs::remove_dir_all(&folder) {
-                    tracing::warn!(folder = %folder.display(), %error, "old folder not removed");
+                    tracing::warn!(folder = %folder.display(), %error, "failed to remove old folder");
                 }
             }
         }
@@ -194,7 +197,7 @@
     Ok(())
 }
 
-/// Syncs files that are new, other than the log, and folders whose names have changed.
+/// Syncs new files other than the log, and folders in which file names have changed.
 pub(crate) fn sync_names(fsync: &mut dyn Fsync, folder: &Path, synced: &mut SyncedNames) -> io::Result<()> {
     for (folder, synced) in [folder.join(LARGE_VALUES_FOLDER), folder.to_owned()].iter().zip(synced) {
         let mut names = BTreeSet::new();
--- a/crates/config-store/src/disk/format.rs
+++ b/crates/config-store/src/disk/format.rs
@@ -1,7 +1,7 @@
-//! The stored spelling: names of folders and files, keys, and the JSON of records.
+//! The storage format: names of folders and files, keys, and the JSON encoding of records.
 //!
-//! Disks outlive every version, so nothing here may change but by reading the old form too. The names are those of the
-//! first release.
+//! Stored data outlives every version, so a change must keep reading the old format. The names are those of the first
+//! release.
 
 use crate::disk::chunks::{ChunkCounts, WriteBatch};
 use crate::disk::error::StorageError;
@@ -13,57 +13,57 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A folder of the state is this and a number.
+/// Prefix of the name of a state folder; a number follows.
 pub(crate) const FOLDER_PREFIX: &str = "cairn.";
-/// A folder that could not be understood is kept for people under this and its number.
+/// Prefix of the name under which a folder that can't be decoded is kept for inspection; its number follows.
 pub(crate) const UNREADABLE_PREFIX: &str = "unread.";
-/// Where a folder is copied to be read.
+/// The folder to which a state folder is copied for reading.
 pub(crate) const SCRATCH_FOLDER: &str = "scratch";
 /// The file that marks a folder as complete.
 pub(crate) const COMPLETE_MARKER: &str = "whole";
-/// Sled's log.
+/// sled's log file.
 pub(crate) const LOG_FILE: &str = "db";
-/// Sled's settings.
+/// sled's settings file.
 pub(crate) const DATABASE_SETTINGS_FILE: &str = "conf";
-/// Where sled would put large values.
+/// The folder in which sled would store large values.
 pub(crate) const LARGE_VALUES_FOLDER: &str = "blobs";
 
-/// The key of the header; no item's key has one byte.
+/// The key of the header. Keys of items are longer than one byte.
 const HEADER_KEY: &[u8] = b"m";
-/// What keys of items begin with.
+/// The first byte of the keys of items.
 const ITEM_PREFIX: u8 = b'i';
-/// What keys of accepted items begin with.
+/// The first byte of the keys of accepted items.
 const ACCEPTED_PREFIX: u8 = b'a';
 
-/// Most watermarks that are restored.
+/// Maximum number of watermarks restored.
 const MAX_RESTORED_WATERMARKS: usize = 512;
 
-/// The folder of a number.
+/// Returns the path of the folder with this number.
 pub(crate) fn numbered_folder(parent: &Path, number: u64) -> PathBuf {
     parent.join(format!("{FOLDER_PREFIX}{number}"))
 }
 
-/// All of the state but its items.
+/// The state without its items.
 #[derive(Serialize, Deserialize)]
 struct Header {
     incarnation: u64,
     promised: Ballot,
     chosen: Ballot,
-    /// The round of what is accepted, and how many items that has.
+    /// The ballot of the accepted proposal and its number of items.
     accepted: Option<(Ballot, usize)>,
 }
 
 /// A stored item.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct ItemRecord {
-    /// The round in which it was chosen, or a later one.
+    /// The round in which the item was chosen, or a later one.
     #[serde(rename = "at")]
     pub chosen: Ballot,
     /// The item.
     pub item: Arc<Item>,
 }
 
-/// Adds the writes for an item.
+/// Adds the writes for a chosen item.
 pub(crate) fn put_item(
     chunks: &mut ChunkCounts,
     batch: &mut WriteBatch,
@@ -78,7 +78,8 @@
     format!("{}{index:08}", char::from(ACCEPTED_PREFIX)).into_bytes()
 }
 
-/// Adds the writes for what is accepted, where it differs from what was saved: a promise does not write it again.
+/// Adds the writes for the accepted proposal's items that differ from the saved ones, so that a promise does not
+/// rewrite them.
 pub(crate) fn put_accepted(
     chunks: &mut ChunkCounts,
     batch: &mut WriteBatch,
@@ -100,7 +101,7 @@
     Ok(())
 }
 
-/// Adds the write of the header.
+/// Adds the write for the header.
 pub(crate) fn put_header(batch: &mut WriteBatch, state: &DurableState) -> Result<(), StorageError> {
     let accepted = state.accepted.as_ref().map(|accepted| (accepted.ballot, accepted.items.len()));
     let header =
@@ -109,17 +110,17 @@
     Ok(())
 }
 
-/// A state as it is stored: without its items, and these.
+/// A stored state: the state without its items, and the item records.
 pub(crate) struct StoredState {
-    /// All but the items.
+    /// The state without its items.
     pub state: DurableState,
-    /// The items.
+    /// The item records.
     pub records: Vec<ItemRecord>,
 }
 
-/// Reads a state from an open database.
+/// Reads the state from an open database.
 pub(crate) fn read_state(db: &sled::Db) -> Result<StoredState, ReadError> {
-    let header = db.get(HEADER_KEY)?.ok_or_else(|| ReadError::Corrupt("there is no header".to_owned()))?;
+    let header = db.get(HEADER_KEY)?.ok_or_else(|| ReadError::Corrupt("the header is missing".to_owned()))?;
     let header: Header = serde_json::from_slice(&header)?;
     let mut chunks = ChunkCounts::default();
     let mut records = Vec::new();
@@ -161,7 +162,7 @@
     }
 }
 
-/// Drops every second watermark until there are few enough: a peer that lags is sent a little more than it lacks.
+/// Drops every second watermark until the limit is met. A lagging peer then receives slightly more than it is missing.
 fn thinned(mut watermarks: Vec<Watermark>) -> Vec<Watermark> {
     while watermarks.len() > MAX_RESTORED_WATERMARKS {
         let mut position = 0;
--- a/crates/config-store/src/disk/fsync.rs
+++ b/crates/config-store/src/disk/fsync.rs
@@ -1,25 +1,25 @@
-//! How files and folders are made safe against a loss of power.
+//! Syncing of files and folders to stable storage.
 
 use std::fs::File;
 use std::io;
 use std::path::Path;
 
-/// Makes files and folders safe against a loss of power. Tests put a simulated disk in its place.
+/// Syncs files and folders to stable storage. Tests substitute a simulated disk.
 pub trait Fsync {
-    /// Syncs all that was written to a file.
+    /// Syncs everything written to a file.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the I/O errors of the system.
     fn file(&mut self, path: &Path) -> io::Result<()>;
 
-    /// Syncs the names in a folder.
+    /// Syncs the file names in a folder.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the I/O errors of the system.
     fn folder(&mut self, path: &Path) -> io::Result<()>;
 }
 
-/// The system's own `fdatasync` and `fsync`.
+/// Syncs with the operating system's `fdatasync` and `fsync`.
 #[derive(Debug, Default)]
 pub struct SystemFsync;
 
--- a/crates/config-store/src/disk/mod.rs
+++ b/crates/config-store/src/disk/mod.rs
@@ -1,18 +1,20 @@
-//! A replica's durable state: written and synced before anything is said that rests on it.
+//! A replica's durable state, which is written and synced before any message that depends on it is sent.
 //!
-//! The state lies in a numbered folder, a `sled` database. Three rules keep it intact whatever a loss of power leaves of
-//! writes and names that were not synced:
+//! The state is stored in a numbered folder, which is a `sled` database. Three rules keep it intact regardless of which
+//! unsynced writes and file names a power loss discards:
 //!
-//! - **A folder counts once it has the file that marks it as complete**, which is made when everything else in it is
-//!   synced. [`Disk::open`] reads the highest such folder, by way of a copy, and writes what it read into the next one: no
-//!   log is carried on that a crash has torn, and nothing is believed that a failed sync left in memory only. The old folder
-//!   is never written again, and is removed once the new one is complete.
-//! - **A save in place is one batch**, header and items together. A large batch makes the next folder, and so does a log
-//!   that has grown much. Values are cut into chunks, so that sled makes no files beside its log.
-//! - **After each save the log is synced**, and each folder whose names have changed.
+//! - **A folder is valid once it contains the file that marks it as complete.** The file is created after everything
+//!   else in the folder is synced. [`Disk::open`] reads a copy of the valid folder with the highest number and writes
+//!   the state into the next folder. Therefore, a log that a crash has torn is never appended to, and contents that a
+//!   failed sync left in memory only are never trusted. The old folder is never written again, and is removed once the
+//!   new one is complete.
+//! - **A save in place is one batch**, which holds the header and the items. A large batch is written to the next
+//!   folder instead, and so is any save once the log has grown too much. Values are split into chunks, so that sled
+//!   creates no files besides its log.
+//! - **After each save the log is synced**, and so is each folder in which file names have changed.
 //!
-//! State that can't be understood counts as lost, and is rebuilt from the other replicas. State that can't be read or
-//! written *now* does not: the folder is left as it is.
+//! State that can't be decoded counts as lost and is rebuilt from the other replicas. State that can't be read or
+//! written because of an I/O error does not: its folder is left unchanged.
 
 mod chunks;
 mod error;
@@ -28,8 +30,8 @@
 use crate::messages::AcceptedProposal;
 use chunks::{ChunkCounts, WriteBatch};
 use folder::{
-    catch_database_panic, numbered_folders, put_aside, read_folder, remove_scratch, sync_names, FolderWriter,
-    OpenFolder, SyncedNames,
+    catch_database_panic, numbered_folders, quarantine_folder, read_folder, remove_scratch, sync_names,
+    FolderWriter, OpenFolder, SyncedNames,
 };
 use format::{
     numbered_folder, put_accepted, put_header, put_item, ItemRecord, StoredState, COMPLETE_MARKER, LOG_FILE,
@@ -40,15 +42,16 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Most bytes of a batch in place: sled holds it in memory until it is complete. Until then, the stable end that sled notes
-/// at the head of each segment stays before the batch, so that a tear anywhere in it is found.
+/// Maximum size in bytes of a batch written in place. sled keeps a batch in memory until it is complete, and the stable
+/// end recorded at the head of each segment stays before the batch until then, so that a torn write anywhere in it is
+/// detected.
 const MAX_BATCH_BYTES: usize = 4 << 20;
-/// The log may grow to this many times what it was when its folder was made ...
+/// The log may grow to its initial size multiplied by this factor, plus `MAX_LOG_GROWTH_BYTES`.
 const MAX_LOG_GROWTH_FACTOR: u64 = 2;
-/// ... and this much more, in bytes.
+/// Growth of the log in bytes that is allowed in addition to `MAX_LOG_GROWTH_FACTOR`.
 const MAX_LOG_GROWTH_BYTES: u64 = 16 << 20;
 
-/// The files of a replica.
+/// The durable storage of a replica.
 pub struct Disk {
     parent: PathBuf,
     fsync: Box<dyn Fsync>,
@@ -56,29 +59,29 @@
     db: sled::Db,
     chunks: ChunkCounts,
     names: SyncedNames,
-    /// The length of the log when its folder was made.
+    /// The size of the log when its folder was created, in bytes.
     initial_log_bytes: u64,
-    /// The last change of the items that is saved.
+    /// The number of the last saved change of the items.
     saved_change: u64,
     saved_accepted: Option<AcceptedProposal>,
-    /// Whether a save has failed: what the disk holds must be read again.
+    /// Set once a save has failed, after which the disk must be reopened.
     has_failed: bool,
 }
 
 impl Disk {
-    /// Opens a replica's folder and reads its state, or draws up a new one with this incarnation. Either is safe on disk
-    /// when this returns. State that can't be understood is put aside and counts as lost.
+    /// Opens a replica's folder and reads its state, or creates a new state with this incarnation. Either is durable
+    /// when this returns. A stored state that can't be decoded is quarantined and counts as lost.
     ///
     /// # Errors
-    /// If the folder can't be read or written now; what it holds is left there.
+    /// If the folder can't be read or written; its contents are left unchanged.
     pub fn open(folder: &Path, incarnation: u64) -> Result<(Self, DurableState), StorageError> {
         Self::open_with(folder, incarnation, Box::new(SystemFsync))
     }
 
-    /// The same with another way of syncing.
+    /// Opens a replica's folder like [`Disk::open`], syncing through `fsync`.
     ///
     /// # Errors
-    /// If the folder can't be read or written now.
+    /// If the folder can't be read or written.
     pub fn open_with(
         folder: &Path,
         incarnation: u64,
@@ -89,7 +92,7 @@
         let last_number = folders.last().map_or(0, |(number, _)| *number);
         let complete = folders.into_iter().rev().find(|(_, path)| path.join(COMPLETE_MARKER).is_file());
         let stored = match complete {
-            Some((_, complete)) => read_or_put_aside(folder, &complete, incarnation)?,
+            Some((_, complete)) => read_or_quarantine(folder, &complete, incarnation)?,
             None => new_state(incarnation),
         };
         remove_scratch(folder)?;
@@ -117,11 +120,11 @@
         Ok((disk, state))
     }
 
-    /// Saves a state, all of it or nothing, and returns when it is safe against a loss of power.
+    /// Saves a state atomically and returns when it is durable.
     ///
     /// # Errors
-    /// If the disk fails. Nothing may then be said that rests on the state, and the disk must be opened again: it holds
-    /// either what was saved last or this state.
+    /// If the disk fails. No message that depends on the state may then be sent, and the disk must be reopened: it holds
+    /// either the state saved before or this state.
     pub fn save(&mut self, state: &DurableState) -> Result<(), StorageError> {
         if std::mem::replace(&mut self.has_failed, true) {
             return Err(StorageError::NotReopened);
@@ -143,15 +146,15 @@
         Ok(())
     }
 
-    /// Closes the files, whatever state they are in.
+    /// Closes the files, even after a failure.
     pub fn close(self) {
         let close = || {
             drop(self);
             Ok(())
         };
-        // What sled can't write any more was not saved.
+        // Anything that sled fails to write here was never reported as saved.
         if let Err(cause) = catch_database_panic(close, |cause| cause) {
-            tracing::debug!(%cause, "database not closed");
+            tracing::debug!(%cause, "failed to close the database");
         }
     }
 
@@ -179,7 +182,7 @@
         self.fsync.file(&log).map_err(StorageError::io("sync", &log))
     }
 
-    /// Writes what is on disk, with changes, into the next folder.
+    /// Writes the state on disk, with the changes applied, into the next folder.
     fn save_in_new_folder(&mut self, batch: WriteBatch) -> Result<(), StorageError> {
         let number = self.number + 1;
         let changed: BTreeSet<Vec<u8>> = batch.entries.iter().map(|(key, _)| key.clone()).collect();
@@ -207,14 +210,14 @@
     StoredState { state: DurableState::new(incarnation), records: Vec::new() }
 }
 
-/// Reads a complete folder; one that can't be understood is put aside, and its state counts as lost.
-fn read_or_put_aside(parent: &Path, folder: &Path, incarnation: u64) -> Result<StoredState, StorageError> {
+/// Reads a complete folder. A folder that can't be decoded is quarantined, and its state counts as lost.
+fn read_or_quarantine(parent: &Path, folder: &Path, incarnation: u64) -> Result<StoredState, StorageError> {
     match read_folder(parent, folder) {
         Ok(stored) => Ok(stored),
-        Err(ReadError::Refused(error)) => Err(error),
+        Err(ReadError::Io(error)) => Err(error),
         Err(ReadError::Corrupt(cause)) => {
-            tracing::warn!(folder = %folder.display(), %cause, "stored state unreadable, counted as lost");
-            put_aside(parent, folder).map_err(StorageError::io("put aside", folder))?;
+            tracing::warn!(folder = %folder.display(), %cause, "stored state can't be decoded, treating it as lost");
+            quarantine_folder(parent, folder).map_err(StorageError::io("quarantine", folder))?;
             Ok(new_state(incarnation))
         }
     }
--- a/crates/config-store/src/disk/read_error.rs
+++ b/crates/config-store/src/disk/read_error.rs
@@ -1,13 +1,13 @@
-//! Why a stored folder was not read.
+//! Errors from reading a stored folder.
 
 use crate::disk::error::StorageError;
 use std::io;
 
-/// Why a folder was not read.
+/// The reason for which a folder could not be read.
 pub(crate) enum ReadError {
-    /// The system refuses just now; what is there may be intact.
-    Refused(StorageError),
-    /// What is there can't be understood.
+    /// The system returned an I/O error; the stored state may be intact.
+    Io(StorageError),
+    /// The stored state can't be decoded.
     Corrupt(String),
 }
 
@@ -16,7 +16,7 @@
         use io::ErrorKind::{InvalidData, NotFound, UnexpectedEof};
         match &error {
             sled::Error::Io(cause) if !matches!(cause.kind(), InvalidData | NotFound | UnexpectedEof) => {
-                Self::Refused(StorageError::Database(error))
+                Self::Io(StorageError::Database(error))
             }
             _ => Self::Corrupt(error.to_string()),
         }
--- a/crates/config-store/src/disk_supervisor.rs
+++ b/crates/config-store/src/disk_supervisor.rs
@@ -1,10 +1,11 @@
-//! Whether a replica may act: its disk, and what becomes of the replica when that fails.
+//! Supervision of a replica's disk: a replica may act only while its disk is healthy.
 //!
-//! A save that fails is to the replica what its own end would be: everything that it has in memory is dropped, commands are
-//! rejected at once, and it starts again with what the disk surely holds, as soon as that can be read and written. So
-//! nothing is ever said that rests on a save that failed, and what holds for a replica that is killed holds here.
+//! A failed save is treated like a crash of the replica: its memory is discarded, commands are rejected immediately,
+//! and the replica restarts from the state on disk as soon as the disk can be read and written. Therefore no message
+//! ever depends on a failed save, and the guarantees for a killed replica hold here too.
 //!
-//! Called by the program before each step of the [`Store`](crate::Store). It does no I/O but through [`StateStorage`].
+//! The program calls it before each step of the [`Store`](crate::Store). It does no I/O except through
+//! [`StateStorage`].
 
 use crate::disk::{Disk, StorageError};
 use crate::durable_state::DurableState;
@@ -12,18 +13,18 @@
 use ivygate_time::Timestamp;
 use std::time::Duration;
 
-/// Pause between two attempts to open a disk.
+/// Interval between two attempts to open a disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What saves a replica's state.
+/// Storage for a replica's state.
 pub trait StateStorage {
-    /// Saves a state, or fails: it then holds this state or the one saved before.
+    /// Saves a state. After an error, the storage holds this state or the one saved before.
     ///
     /// # Errors
-    /// If it fails; it must then be closed and opened again.
+    /// If the save fails; the storage must then be closed and reopened.
     fn save(&mut self, state: &DurableState) -> Result<(), StorageError>;
 
-    /// Closes it, also after a failure.
+    /// Closes the storage, even after a failure.
     fn close(self);
 }
 
@@ -39,27 +40,27 @@
 
 /// The status of a replica's disk.
 pub enum DiskStatus<D> {
-    /// The last save is safe.
+    /// The disk is open and the last save succeeded.
     Healthy(D),
-    /// It could not be opened, or a save has failed.
+    /// The disk could not be opened, or a save has failed.
     Failed {
-        /// Since when.
+        /// The time of the failure.
         since: Timestamp,
-        /// When it is opened again.
+        /// The time of the next attempt to reopen the disk.
         reopen_at: Timestamp,
         /// The last error.
         cause: String,
     },
 }
 
-/// A replica's disk, healthy or not.
+/// A replica's disk and its status.
 pub struct DiskSupervisor<D> {
     status: DiskStatus<D>,
     generation: u64,
 }
 
 impl<D: StateStorage> DiskSupervisor<D> {
-    /// Supervises a disk that was opened, or could not be. Gives the state that it holds.
+    /// Creates a supervisor from the result of opening the disk, and returns the state on disk.
     pub fn new(
         now: Timestamp,
         opened: Result<(D, DurableState), StorageError>,
@@ -70,12 +71,12 @@
         (supervisor, state)
     }
 
-    /// The disk's status.
+    /// Returns the disk's status.
     pub fn status(&self) -> &DiskStatus<D> {
         &self.status
     }
 
-    /// What each call is answered while the replica may not act.
+    /// Returns the error with which calls are rejected while the disk has failed.
     pub fn error(&self) -> Option<RpcError> {
         match &self.status {
             DiskStatus::Healthy(_) => None,
@@ -83,23 +84,27 @@
         }
     }
 
-    /// Counts openings. A reply to a request of one generation must not be handed to the replica of another.
+    /// Returns the number of times the disk was opened. A reply to a request from one generation must not be passed to
+    /// the replica of another.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Whether the disk is to be opened again.
+    /// Returns whether the disk is due to be reopened.
     pub fn is_reopen_due(&self, now: Timestamp) -> bool {
         matches!(&self.status, DiskStatus::Failed { reopen_at, .. } if now >= *reopen_at)
     }
 
-    /// Saves a state, before anything is said that rests on it.
+    /// Saves a state. Must be called before any message that depends on it is sent.
     ///
     /// # Errors
-    /// If the disk fails, or has failed: the replica's memory is then void, and so are the effects of its last step.
+    /// If the disk fails or has failed before. The replica's memory and the effects of its last step must then be
+    /// discarded.
     pub fn save(&mut self, now: Timestamp, state: &DurableState) -> Result<(), RpcError> {
         let DiskStatus::Healthy(disk) = &mut self.status else {
-            return Err(self.error().unwrap_or_else(|| RpcError::new(ErrorKind::Disk, "the disk is closed")));
+            return Err(self
+                .error()
+                .unwrap_or_else(|| RpcError::new(ErrorKind::Disk, "the disk is not open")));
         };
         match disk.save(state) {
             Ok(()) => Ok(()),
@@ -117,11 +122,11 @@
         if let DiskStatus::Healthy(disk) = std::mem::replace(&mut self.status, failed) {
             disk.close();
         }
-        // Last: what writes logs may fail with the disk.
-        tracing::error!(%error, "disk failed, replica stopped until it can be opened again");
+        // Logs last, since logging may fail together with the disk.
+        tracing::error!(%error, "disk failed, replica stopped until the disk can be reopened");
     }
 
-    /// The disk was opened again, or still can't be. Gives the state that it holds, for a new replica.
+    /// Handles the result of reopening the disk. Returns the state on disk from which a new replica starts.
     pub fn handle_opened(
         &mut self,
         now: Timestamp,
@@ -132,7 +137,7 @@
             Ok((disk, state)) => {
                 if self.generation > 0 {
                     let down_ms = now.millis_since(*since).round();
-                    tracing::warn!(down_ms, "disk opened again");
+                    tracing::warn!(down_ms, "disk reopened");
                 }
                 self.generation += 1;
                 self.status = DiskStatus::Healthy(disk);
@@ -141,7 +146,7 @@
             Err(error) => {
                 let error = error.with_causes();
                 if error != *cause {
-                    tracing::error!(%error, "disk can't be opened");
+                    tracing::error!(%error, "failed to open the disk");
                 }
                 *reopen_at = now + REOPEN_INTERVAL;
                 *cause = error;
--- a/crates/config-store/src/durable_state.rs
+++ b/crates/config-store/src/durable_state.rs
@@ -1,43 +1,43 @@
-//! What a replica keeps on disk.
+//! The durable state of a replica.
 
 use crate::membership::Membership;
 use crate::messages::{AcceptedProposal, Ballot};
 use ivygate_control_state::{Item, Items, Tables};
 use std::sync::Arc;
 
-/// Most watermarks that are remembered: some days of rounds, in 0.4 MB.
+/// Maximum number of watermarks kept: several days of rounds in 0.4 MB.
 const MAX_WATERMARKS: usize = 8_192;
 
-/// A round, and the change of [`DurableState::items`] at which all that was chosen up to it was held.
+/// A round and the number of the change in [`DurableState::items`] that completed everything chosen up to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watermark {
     /// The round.
     pub ballot: Ballot,
-    /// The change.
+    /// The number of the change.
     pub change: u64,
 }
 
-/// What a replica keeps on disk: the acceptor's state and the register.
+/// The durable state of a replica: the acceptor's state and the register.
 ///
 /// Invariants: `accepted`, if any, is above `chosen`; `items` holds exactly what was chosen up to `chosen`.
 #[derive(Clone, Debug)]
 pub struct DurableState {
-    /// Drawn when the disk was empty, see [`Member`](crate::Member).
+    /// The incarnation drawn when the disk was empty, see [`Member`](crate::Member).
     pub incarnation: u64,
     /// The highest round promised.
     pub promised: Ballot,
-    /// What was accepted and is not known to be chosen or superseded.
+    /// The accepted proposal, while it is not known to be chosen or superseded.
     pub accepted: Option<AcceptedProposal>,
     /// The highest round known to be chosen.
     pub chosen: Ballot,
-    /// All that was chosen up to that round.
+    /// Everything chosen up to that round.
     pub items: Items,
-    /// In order of rounds; lets a peer that lags be sent only what it lacks.
+    /// Watermarks in order of rounds, used to send a lagging peer only the items it is missing.
     pub watermarks: Vec<Watermark>,
 }
 
 impl DurableState {
-    /// The state of an empty disk.
+    /// Creates the state of an empty disk.
     pub fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -49,17 +49,17 @@
         }
     }
 
-    /// The highest ballot promised or known to be chosen: the acceptor takes part in no round up to it.
+    /// Returns the highest ballot promised or known to be chosen; the acceptor takes part in no round up to it.
     pub fn highest_seen_ballot(&self) -> Ballot {
         self.promised.max(self.chosen)
     }
 
-    /// The membership that was chosen last, if any.
+    /// Returns the last chosen membership, if any.
     pub fn membership(&self) -> Option<Membership> {
         Membership::from_items(&self.items)
     }
 
-    /// Applies a chosen round. With what is held, `items` must be all that was chosen up to it.
+    /// Applies a chosen round. Together with the current items, `items` must be everything chosen up to that round.
     pub fn apply_chosen(&mut self, chosen: Ballot, items: impl IntoIterator<Item = Arc<Item>>) {
         for item in items {
             if Tables::DURABLE.contains(item.key.table.set()) {
@@ -70,7 +70,7 @@
             self.chosen = chosen;
             self.add_watermark();
         }
-        // What was accepted in a lower round is contained in what is chosen, or superseded by it.
+        // A proposal accepted in a lower round is contained in the chosen state or superseded by it.
         if self.accepted.as_ref().is_some_and(|accepted| accepted.ballot <= self.chosen) {
             self.accepted = None;
         }
@@ -83,7 +83,8 @@
         self.watermarks.push(Watermark { ballot: self.chosen, change: self.items.last_change() });
     }
 
-    /// Drops every second one of the older half: a peer that lags as far is sent a little more than it lacks.
+    /// Drops every second watermark of the older half. A peer that lags that far receives slightly more than it is
+    /// missing.
     fn thin_older_watermarks(&mut self) {
         let half = self.watermarks.len() / 2;
         let mut position = 0;
@@ -93,7 +94,7 @@
         });
     }
 
-    /// All that was chosen after a round, and perhaps some that was chosen before.
+    /// Returns all items chosen after a round, possibly with some chosen earlier.
     pub fn items_since(&self, chosen: Ballot) -> Vec<Arc<Item>> {
         if chosen >= self.chosen {
             return Vec::new();
--- a/crates/config-store/src/effect.rs
+++ b/crates/config-store/src/effect.rs
@@ -1,15 +1,15 @@
-//! What a replica wants done by whoever runs it.
+//! Effects that a replica requests from its runtime.
 
 use crate::messages::{CommandId, CommandOutcome, PeerRequest};
 use ivygate_rpc::RpcError;
 use std::net::Ipv4Addr;
 
-/// An effect of a step. Effects must be carried out in order: what comes after a save rests on it.
+/// An effect of a step. Effects must be executed in order, since those after a save depend on it.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Save the durable state, safe against a loss of power, before anything that follows.
+    /// Save the durable state to stable storage before any following effect.
     Save,
-    /// Send a request to a peer; its reply, if any, is handed back with the number.
+    /// Send a request to a peer. Its reply, if any, is passed back together with the number.
     Send {
         /// The peer.
         to: Ipv4Addr,
@@ -18,11 +18,11 @@
         /// The request.
         request: PeerRequest,
     },
-    /// Answer a command.
+    /// Report the result of a command to its submitter.
     Complete {
-        /// The command.
+        /// The id of the command.
         command: CommandId,
-        /// What came of it.
+        /// The result.
         result: Result<CommandOutcome, RpcError>,
     },
 }
--- a/crates/config-store/src/learner.rs
+++ b/crates/config-store/src/learner.rs
@@ -1,4 +1,4 @@
-//! The learner: takes in what is chosen, and fetches what it lacks from a peer.
+//! The learner: applies chosen rounds, and fetches missing items from a peer.
 
 use crate::effect::Effect;
 use crate::learner_state::CatchUp;
@@ -12,25 +12,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What was learned is saved within this time also where nothing rests on it, so that a restart does not lag far behind.
+/// Maximum time until learned items are saved even if no reply depends on them, so that a restarted replica does not
+/// lag far behind.
 const LAZY_SAVE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Another peer is asked where the next chunk takes longer than this.
+/// Time to wait for a further chunk before another peer is asked.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// For the first chunk ...
+/// Time to wait for the first chunk from a peer that has answered before.
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_millis(800);
-/// ... and for the first chunk of a peer that has not answered anything yet.
+/// Time to wait for the first chunk from a peer that has never answered.
 const UNKNOWN_PEER_CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl Store {
-    /// Remembers who sends requests while this replica is no member.
-    pub(crate) fn note_requester(&mut self, peer: Ipv4Addr) {
+    /// Records the senders of requests while this replica is not a member.
+    pub(crate) fn record_requester(&mut self, peer: Ipv4Addr) {
         if self.status() == MembershipStatus::Learner && self.learner.requesters.len() < MAX_MEMBERS {
             self.learner.requesters.insert(peer);
         }
     }
 
-    /// A round is chosen. Where what it builds on is lacking, that is fetched: with these items alone, the register would
-    /// be in a state that never was.
+    /// Applies a chosen round. If the rounds it builds on are missing, fetches them instead: with this round's items
+    /// alone, the register would be in a state that never existed.
     pub(crate) fn handle_learn(
         &mut self,
         now: Timestamp,
@@ -48,7 +49,7 @@
         PeerResponse::Learned
     }
 
-    /// Gives the next chunk of what was chosen after a round.
+    /// Returns the next chunk of the items chosen after a round.
     pub(crate) fn handle_catch_up(&self, chosen: Ballot, after: Option<Key>) -> PeerResponse {
         let mut items = self.state.items_since(chosen);
         items.retain(|item| after.as_ref().is_none_or(|after| item.key > *after));
@@ -64,10 +65,10 @@
         }
     }
 
-    /// Applies a chosen round, and a change of the membership in it.
+    /// Applies a chosen round, including any membership change in it.
     pub(crate) fn apply_chosen(&mut self, chosen: Ballot, items: Vec<Arc<Item>>) {
-        self.proposer.note_counter(chosen);
-        let changes_membership = Self::change_membership(&items);
+        self.proposer.record_ballot(chosen);
+        let changes_membership = Self::contains_membership_change(&items);
         self.state.apply_chosen(chosen, items);
         if self.state.accepted.is_none() {
             self.proposer.recovery_deadline = None;
@@ -78,17 +79,17 @@
     }
 
     fn apply_membership(&mut self) {
-        let had_place = self.is_member() || self.change.was_replaced();
-        // Until a quorum of the new membership has it on disk, a quorum of the old one is needed.
+        let was_member = self.is_member() || self.change.was_replaced();
+        // A quorum of the old membership is needed until a quorum of the new one has the change on disk.
         self.effects.push(Effect::Save);
         self.membership = self.state.membership();
         let membership = self.membership.as_ref();
         self.peers.retain_contacts(|member| membership.is_some_and(|membership| membership.contains(member)));
-        let was_replaced = had_place && self.status() == MembershipStatus::Learner;
+        let was_replaced = was_member && self.status() == MembershipStatus::Learner;
         self.change.set_successor(self.membership.clone().filter(|_| was_replaced));
     }
 
-    /// Fetches what was chosen from a peer that knows more, unless a transfer is in progress.
+    /// Starts to fetch chosen items from a peer that is ahead, unless a transfer is in progress.
     pub(crate) fn start_catch_up(&mut self, now: Timestamp, from: Ipv4Addr) {
         if self.learner.is_catching_up(now) {
             return;
@@ -104,7 +105,8 @@
         self.request_chunk(now, request);
     }
 
-    /// The peer of a transfer that is over time did not answer: it is among the last to be asked again.
+    /// Discards the latency of the source of a timed-out transfer, so that it is among the last peers to be asked
+    /// again.
     fn forget_latency_of_source(&mut self) {
         if let Some(catch_up) = &self.learner.catch_up {
             self.peers.forget_latency(catch_up.transfer.request().from);
@@ -117,7 +119,7 @@
         self.learner.chunk_request = self.peers.last_number();
     }
 
-    /// A chunk has come, for the request of this number.
+    /// Handles the chunk that answers the request with this number.
     pub(crate) fn handle_snapshot_chunk(
         &mut self,
         now: Timestamp,
@@ -145,21 +147,21 @@
         }
     }
 
-    /// A replica that is no member fetches from one of these peers, unless a transfer is in progress: from the nearest that
-    /// has answered, or from one after the other where none has.
+    /// Starts to fetch chosen items from one of the sources, unless a transfer is in progress. Chooses the source with
+    /// the lowest latency, or takes the sources in turn while none has answered. Used by replicas that are not members.
     pub(crate) fn catch_up_from_any(&mut self, now: Timestamp, sources: &[Ipv4Addr]) {
         if self.learner.is_catching_up(now) {
             return;
         }
         self.forget_latency_of_source();
-        let measured = sources.iter().filter_map(|source| Some((self.peers.latency_ms(*source)?, *source)));
-        let nearest = measured.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, source)| source);
+        let by_latency = sources.iter().filter_map(|source| Some((self.peers.latency_ms(*source)?, *source)));
+        let nearest = by_latency.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, source)| source);
         self.learner.next_source = (self.learner.next_source + 1) % sources.len();
         let source = nearest.unwrap_or(sources[self.learner.next_source]);
         self.start_catch_up(now, source);
     }
 
-    /// The peers that a replica which is no member may fetch from.
+    /// Returns the peers from which a replica that is not a member may fetch items.
     pub(crate) fn snapshot_sources(&self) -> Vec<Ipv4Addr> {
         let mut sources = self.members();
         sources.extend(&self.seeds);
@@ -170,8 +172,8 @@
         sources
     }
 
-    /// Has what was learned saved now and then.
-    pub(crate) fn save_learned(&mut self, now: Timestamp) {
+    /// Saves learned items periodically.
+    pub(crate) fn save_learned_if_due(&mut self, now: Timestamp) {
         let is_due = now > self.learner.lazily_saved_at + LAZY_SAVE_INTERVAL;
         if self.state.chosen > self.learner.lazily_saved && is_due {
             self.learner.lazily_saved = self.state.chosen;
--- a/crates/config-store/src/learner_state.rs
+++ b/crates/config-store/src/learner_state.rs
@@ -1,4 +1,4 @@
-//! The state of the learner: a snapshot transfer under way, and what was known to be chosen.
+//! The state of the learner: the snapshot transfer in progress and the rounds known to be chosen.
 
 use crate::messages::Ballot;
 use crate::snapshot_transfer::SnapshotTransfer;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// A snapshot transfer in progress, with the deadline after which another peer is tried.
+/// A snapshot transfer in progress, and the deadline after which another peer is tried.
 #[derive(Clone, Debug)]
 pub(crate) struct CatchUp {
     pub transfer: SnapshotTransfer,
@@ -17,16 +17,17 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Learner {
     pub catch_up: Option<CatchUp>,
-    /// The number of the last request for a chunk: a reply to an earlier one is not taken for its reply.
+    /// The number of the last chunk request; replies to earlier chunk requests are ignored.
     pub chunk_request: u64,
-    /// Peers that sent requests while this replica was no member: they may know the membership.
+    /// Peers that sent requests while this replica was not a member. They may know the membership.
     pub requesters: BTreeSet<Ipv4Addr>,
-    /// Which source of snapshots is asked next where none has answered yet.
+    /// The index of the snapshot source to ask next while none has answered yet.
     pub next_source: usize,
-    /// The round up to which the state was last saved for its own sake, and when.
+    /// The round up to which the state was last saved by a periodic save; `lazily_saved_at` is the time of that save.
     pub lazily_saved: Ballot,
     pub lazily_saved_at: Timestamp,
-    /// What was known to be chosen at the last ping and at the one before: a candidate must not lag behind the older.
+    /// The round known to be chosen at the ping before the last and at the last one. A join candidate must have reached
+    /// the former.
     pub chosen_at_pings: [Ballot; 2],
 }
 
@@ -45,17 +46,17 @@
 }
 
 impl Learner {
-    /// A peer can't be reached: a transfer from it is given up.
+    /// Aborts a transfer from a peer that can't be reached.
     pub fn abort_transfer_from(&mut self, peer: Ipv4Addr) {
         self.catch_up.take_if(|catch_up| catch_up.transfer.request().from == peer);
     }
 
-    /// The members are being pinged.
-    pub fn note_ping(&mut self, chosen: Ballot) {
+    /// Records the round known to be chosen when the members are pinged.
+    pub fn record_ping(&mut self, chosen: Ballot) {
         self.chosen_at_pings = [self.chosen_at_pings[1], chosen];
     }
 
-    /// What was known to be chosen at the ping before the last.
+    /// Returns the round known to be chosen at the ping before the last.
     pub fn chosen_before_last_ping(&self) -> Ballot {
         self.chosen_at_pings[0]
     }
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The configuration store: a replicated register of items that any of its members may write.
+//! The configuration store: a replicated register of items with no leader; every member accepts writes.
 //!
-//! [`Store`] is one replica as a state machine without I/O; [`Disk`] keeps its state; [`DiskSupervisor`] decides whether it
-//! may act. The program `ivygate-config-store` ([`run`]) carries messages between the network, the disk and the store, and
-//! never decides anything.
+//! [`Store`] is one replica as a state machine without I/O. [`Disk`] persists its state, and [`DiskSupervisor`] stops
+//! the replica while the disk fails. The program `ivygate-config-store` ([`run`]) transports messages between the
+//! network, the disk and the store, and makes no decisions of its own.
 //!
 //! ```
 //! use ivygate_config_store::{DurableState, MembershipStatus, Store};
@@ -10,7 +10,7 @@
 //!
 //! let address = "10.0.0.1".parse().unwrap();
 //! let mut store = Store::new(address, vec![address], true, DurableState::new(7), 42);
-//! // A store of one machine is founded once no other machine has announced itself for a while.
+//! // A single-machine store is founded after a period in which no other machine announces itself.
 //! for tick in 0..40 {
 //!     store.tick(Timestamp::from_millis(50.0 * f64::from(tick)));
 //! }
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,11 +1,11 @@
-//! The program of the configuration store: reads arguments and settings, and runs the service.
+//! The configuration store's program: parses the arguments, loads the settings and runs the service.
 
 use argh::FromArgs;
 
-/// Keeps the configuration together with the other stores.
+/// Replicates the configuration with the other stores.
 #[derive(FromArgs)]
 struct Arguments {
-    /// log details too
+    /// log debug details too
     #[argh(switch)]
     verbose: bool,
 }
--- a/crates/config-store/src/membership.rs
+++ b/crates/config-store/src/membership.rs
@@ -1,7 +1,8 @@
-//! The members of the store: which incarnation of which machine is an acceptor, and what makes a quorum of them.
+//! The members of the store: the incarnations of machines that act as acceptors, and their quorums.
 //!
-//! The membership is an item of the replicated register itself, so it changes by the same rounds as everything else. Two
-//! consecutive memberships differ by one machine, and a round that changes it needs a quorum of both (joint consensus).
+//! The membership is an item of the replicated register itself, so it is changed by the same rounds as any other item.
+//! Two consecutive memberships differ by one machine, and a round that changes the membership needs a quorum of both
+//! (joint consensus).
 
 use crate::member::Member;
 use ivygate_control_state::{Item, Items, Table, MEMBERSHIP_ITEM};
@@ -9,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// Most members of a store.
+/// Maximum number of members of a store.
 pub(crate) const MAX_MEMBERS: usize = 31;
 
 /// The membership at one version.
@@ -17,24 +18,24 @@
 pub struct Membership {
     /// The version of its item.
     pub version: u64,
-    /// The incarnation that is a member, by machine.
+    /// The member incarnation of each machine.
     pub members: BTreeMap<Ipv4Addr, u64>,
-    /// How many members there may be.
+    /// The maximum number of members in this membership.
     pub capacity: usize,
 }
 
 impl Membership {
-    /// The membership of a first start.
+    /// Creates the first membership of a new store.
     pub fn founded(members: BTreeMap<Ipv4Addr, u64>) -> Self {
         Self { version: 1, capacity: members.len(), members }
     }
 
-    /// The membership that a replica of the register holds.
+    /// Decodes the membership from a replica of the register.
     pub fn from_items(items: &Items) -> Option<Self> {
         Self::from_item(items.get(Table::Membership, MEMBERSHIP_ITEM)?)
     }
 
-    /// Decodes the membership's item; `None` for one that was removed or can't be read.
+    /// Decodes the membership's item. Returns `None` if the item is a tombstone or can't be decoded.
     pub fn from_item(item: &Item) -> Option<Self> {
         let body = item.body.as_ref()?;
         let machines: Vec<Ipv4Addr> = serde_json::from_value(body.get("members")?.clone()).ok()?;
@@ -55,29 +56,29 @@
         Item::new(Table::Membership, MEMBERSHIP_ITEM, self.version, Some(body))
     }
 
-    /// The members, in order of their addresses.
+    /// Iterates over the members in order of their addresses.
     pub fn iter(&self) -> impl Iterator<Item = Member> + '_ {
         self.members.iter().map(|(address, incarnation)| Member::new(*address, *incarnation))
     }
 
-    /// Whether this incarnation of this machine is a member.
+    /// Returns whether this incarnation of this machine is a member.
     pub fn contains(&self, member: Member) -> bool {
         self.members.get(&member.address) == Some(&member.incarnation)
     }
 
-    /// Whether some acceptors include more than half of the members.
+    /// Returns whether the acceptors include a majority of the members.
     pub fn is_quorum(&self, acceptors: &BTreeSet<Member>) -> bool {
         let count = acceptors.iter().filter(|member| self.contains(**member)).count();
         2 * count > self.members.len()
     }
 
-    /// The members that are not members of another membership.
+    /// Returns the members that are not in the other membership.
     pub fn difference(&self, other: &Self) -> Vec<Member> {
         self.iter().filter(|member| !other.contains(*member)).collect()
     }
 
-    /// The next membership, in which one machine takes the place of another, or a free place. `None` if that is not
-    /// possible: `leaving` is no member, no place is free, or `joining` would have two.
+    /// Returns the next membership, in which one machine replaces another or takes a free slot. Returns `None` if
+    /// `leaving` is not a member, no slot is free, or `joining` is already a member.
     pub fn with_replacement(&self, leaving: Option<Member>, joining: Member) -> Option<Self> {
         let mut next = self.clone();
         match leaving {
--- a/crates/config-store/src/membership_change.rs
+++ b/crates/config-store/src/membership_change.rs
@@ -1,12 +1,13 @@
-//! Changes of the membership: founding, joining, replacement of failed members, planned leave.
+//! Membership changes: founding, joining, replacement of failed members, and planned leave.
 //!
-//! A machine that is no member catches up as a learner and asks all for a place. The first member in order that is in
-//! contact then proposes a replacement; the change itself is a command like others, see `commands`.
+//! A machine that is not a member catches up as a learner and sends join requests to all members. The first member in
+//! address order that is in contact then proposes a replacement. The change itself is a command like any other, see
+//! `commands`.
 
 use crate::effect::Effect;
 use crate::member::Member;
 use crate::membership::{Membership, MAX_MEMBERS};
-use crate::membership_change_state::{Place, WaitingCandidate, CANDIDATE_TIMEOUT};
+use crate::membership_change_state::{MemberSlot, WaitingCandidate, CANDIDATE_TIMEOUT};
 use crate::messages::{Ballot, Command, JoinCandidate, PeerRequest, PeerResponse};
 use crate::peers::CONTACT_TIMEOUT;
 use crate::pending_command::PendingCommand;
@@ -17,13 +18,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The store is founded when no new machine has announced itself for this long.
+/// Time without a new announcement after which the store is founded.
 const FOUNDING_QUIET_PERIOD: Duration = Duration::from_millis(1_200);
-/// A member that has answered nothing for this long has failed, if a candidate waits for its place.
+/// Time without any reply after which a member counts as failed and is replaced if a candidate is waiting.
 const MEMBER_FAILURE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Least time between two changes of the membership that one member proposes.
+/// Minimum time between two membership changes proposed by one member.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(600);
-/// The id of commands that nobody waits for.
+/// The id of internal commands, which have no submitter.
 const INTERNAL_COMMAND: u64 = 0;
 
 impl Store {
@@ -33,7 +34,7 @@
         self.status() == MembershipStatus::Founding && self.seeds.iter().min() == Some(&self.address)
     }
 
-    /// At the first start of the system a machine announces itself to the founder.
+    /// Handles the announcement of a machine at the first start of the system.
     pub(crate) fn handle_announce(
         &mut self,
         now: Timestamp,
@@ -54,8 +55,8 @@
         PeerResponse::NotAMember
     }
 
-    /// At the first start of the system: the founder waits for machines to announce themselves and founds the store; the
-    /// others announce themselves.
+    /// Drives the first start of the system: the founder waits for machines to announce themselves and then founds the
+    /// store; all other machines announce themselves.
     pub(crate) fn found_or_announce(&mut self, now: Timestamp) {
         if !self.is_founder() {
             return self.announce(now);
@@ -90,8 +91,8 @@
 
     // Joining.
 
-    /// A replica that is no member catches up, and asks all for a place once it knows the membership.
-    pub(crate) fn ask_for_place(&mut self, now: Timestamp) {
+    /// Makes a replica that is not a member catch up and, once it knows the membership, send join requests.
+    pub(crate) fn request_membership(&mut self, now: Timestamp) {
         let sources = self.snapshot_sources();
         if sources.is_empty() {
             return;
@@ -123,7 +124,8 @@
         PeerResponse::Learned
     }
 
-    /// A candidate that holds all but the newest rounds. A machine that lost its disk takes its own place before others come.
+    /// Returns a candidate that has everything except the newest rounds. A machine that lost its disk takes precedence,
+    /// so that it gets its own slot back before other machines are considered.
     fn eligible_candidate(&self, now: Timestamp) -> Option<Member> {
         let membership = self.membership.as_ref()?;
         let required = self.learner.chosen_before_last_ping().min(self.state.chosen);
@@ -142,8 +144,9 @@
 
     // Replacement.
 
-    /// Proposes to give a place to a candidate: its own of an earlier incarnation, a free one, that of a member that has
-    /// failed, or this member's when it leaves. Of several members that could, the first one that is in contact does.
+    /// Proposes to give a slot to a candidate: the slot of its own earlier incarnation, a free one, the slot of a
+    /// failed member, or this member's own if it is leaving. Among the members able to propose the change, only the
+    /// first one that is in contact does.
     pub(crate) fn replace_member_if_due(&mut self, now: Timestamp) {
         self.change.drop_stale_candidates(now);
         let is_due = !self.change.candidates.is_empty() && now >= self.change.next_change_at;
@@ -151,9 +154,9 @@
             return;
         }
         let Some(joining) = self.eligible_candidate(now) else { return };
-        let leaving = match self.place_for(now, joining) {
-            Some(Place::Free) => None,
-            Some(Place::Of(member)) => Some(member),
+        let leaving = match self.slot_for(now, joining) {
+            Some(MemberSlot::Free) => None,
+            Some(MemberSlot::OccupiedBy(member)) => Some(member),
             None => return,
         };
         self.change.next_change_at = now + MIN_CHANGE_INTERVAL;
@@ -165,27 +168,27 @@
         });
     }
 
-    /// The place that a candidate takes; `None` if this member is not to propose it.
-    fn place_for(&self, now: Timestamp, joining: Member) -> Option<Place> {
+    /// Returns the slot that a candidate is to take, or `None` if this member does not propose the change.
+    fn slot_for(&self, now: Timestamp, joining: Member) -> Option<MemberSlot> {
         let membership = self.membership.as_ref()?;
         let is_first = self.first_member_in_contact(now, membership) == Some(self.address);
         if let Some(earlier) = membership.iter().find(|member| member.address == joining.address) {
-            return is_first.then_some(Place::Of(earlier));
+            return is_first.then_some(MemberSlot::OccupiedBy(earlier));
         }
         if self.change.leaving {
-            return Some(Place::Of(self.own_member()));
+            return Some(MemberSlot::OccupiedBy(self.own_member()));
         }
         if !is_first {
             return None;
         }
         if membership.members.len() < membership.capacity {
-            return Some(Place::Free);
+            return Some(MemberSlot::Free);
         }
-        self.failed_member(now, membership).map(Place::Of)
+        self.failed_member(now, membership).map(MemberSlot::OccupiedBy)
     }
 
-    /// When a member was last heard, at the earliest since this process has run without a pause.
-    fn heard_at(&self, now: Timestamp, member: Member) -> Timestamp {
+    /// Returns the time of the last contact with a member, but no earlier than the end of this process's last pause.
+    fn last_contact_at(&self, now: Timestamp, member: Member) -> Timestamp {
         if member.address == self.address {
             return now;
         }
@@ -194,20 +197,22 @@
     }
 
     fn first_member_in_contact(&self, now: Timestamp, membership: &Membership) -> Option<Ipv4Addr> {
-        let is_in_contact = |member: &Member| now < self.heard_at(now, *member) + CONTACT_TIMEOUT;
+        let is_in_contact = |member: &Member| now < self.last_contact_at(now, *member) + CONTACT_TIMEOUT;
         membership.iter().find(is_in_contact).map(|member| member.address)
     }
 
-    /// The member that has been silent longest, if that is long enough.
+    /// Returns the member without contact for the longest time, if that exceeds the failure timeout.
     fn failed_member(&self, now: Timestamp, membership: &Membership) -> Option<Member> {
-        let failed =
-            membership.iter().filter(|member| now > self.heard_at(now, *member) + MEMBER_FAILURE_TIMEOUT);
-        failed.min_by(|a, b| self.heard_at(now, *a).total_cmp(&self.heard_at(now, *b)))
+        let failed = membership
+            .iter()
+            .filter(|member| now > self.last_contact_at(now, *member) + MEMBER_FAILURE_TIMEOUT);
+        failed.min_by(|a, b| self.last_contact_at(now, *a).total_cmp(&self.last_contact_at(now, *b)))
     }
 
     // Planned leave.
 
-    /// The process is about to end: its place goes to a candidate, if there is one. Tells whether that is worth waiting for.
+    /// Begins a planned leave: this member's slot goes to a candidate, if there is one. Returns whether the process
+    /// should wait for that.
     pub fn leave(&mut self, now: Timestamp) -> bool {
         self.change.leaving = true;
         self.replace_member_if_due(now);
@@ -219,8 +224,8 @@
         }
     }
 
-    /// Whether nothing rests on this replica any more: it is no member, and a quorum of the members that replaced it has the
-    /// new membership on disk.
+    /// Returns whether the store no longer depends on this replica: it is not a member, and a quorum of the membership
+    /// that replaced it has that membership on disk.
     pub fn can_stop(&self) -> bool {
         self.status() == MembershipStatus::Learner
             && !self.has_accepted_own_membership()
@@ -231,7 +236,8 @@
                 .is_none_or(|successor| successor.membership.is_quorum(&successor.informed))
     }
 
-    /// Whether it has accepted a membership in which it is a member: that may be chosen by now.
+    /// Returns whether the replica has accepted, without knowing it to be chosen, a membership that includes it. Such a
+    /// membership may have been chosen.
     fn has_accepted_own_membership(&self) -> bool {
         let accepted = self.state.accepted.iter().flat_map(|accepted| &accepted.items);
         let changes = accepted.filter(|item| item.key.table == Table::Membership);
--- a/crates/config-store/src/membership_change_state.rs
+++ b/crates/config-store/src/membership_change_state.rs
@@ -1,4 +1,4 @@
-//! The state of membership changes: announcements, candidates, and the membership that replaced this member.
+//! The state of membership changes: announcements, join candidates, and the membership that replaced this member.
 
 use crate::member::Member;
 use crate::membership::Membership;
@@ -8,44 +8,44 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Interval in which a replica that is no member asks its peers.
+/// Interval at which a replica that is not a member sends its requests to join.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// A candidate asks again and again; one that has not asked for this long has given up.
+/// Time after its last request at which a join candidate is dropped. Candidates repeat their request periodically.
 pub(crate) const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A candidate, and when it last asked.
+/// A join candidate with the time of its last request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingCandidate {
     pub asked_at: Timestamp,
     pub candidate: JoinCandidate,
 }
 
-/// The membership that replaced this member, and who of it is known to have it on disk.
+/// The membership that replaced this member, and those of its members known to have it on disk.
 #[derive(Clone, Debug)]
 pub(crate) struct Successor {
     pub membership: Membership,
     pub informed: BTreeSet<Member>,
 }
 
-/// A place among the members.
+/// A membership slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Place {
-    /// One that nobody has.
+pub(crate) enum MemberSlot {
+    /// An unoccupied slot.
     Free,
-    /// The place of a member.
-    Of(Member),
+    /// The slot of a member.
+    OccupiedBy(Member),
 }
 
 /// The state of membership changes.
 #[derive(Clone, Debug)]
 pub(crate) struct MembershipChange {
-    /// Machines that have announced themselves, at the founder.
+    /// Incarnations of the machines that have announced themselves to this founder.
     pub announced: BTreeMap<Ipv4Addr, u64>,
     pub last_announced_at: Timestamp,
     pub candidates: BTreeMap<Ipv4Addr, WaitingCandidate>,
     pub next_change_at: Timestamp,
     pub next_retry_at: Timestamp,
-    /// Whether the process is about to end, and gives its place to a candidate.
+    /// Set while the process is shutting down and hands its slot to a candidate.
     pub leaving: bool,
     pub successor: Option<Successor>,
 }
@@ -65,23 +65,23 @@
 }
 
 impl MembershipChange {
-    /// Whether another machine has taken this member's place.
+    /// Returns whether another machine has taken this member's slot.
     pub fn was_replaced(&self) -> bool {
         self.successor.is_some()
     }
 
-    /// Whether the process is about to end.
+    /// Returns whether the process is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// A membership is in force; it is given where it replaced this member.
+    /// Sets the membership that replaced this member; `None` if this member was not replaced.
     pub fn set_successor(&mut self, membership: Option<Membership>) {
         self.successor = membership.map(|membership| Successor { membership, informed: BTreeSet::new() });
     }
 
-    /// A peer has told which membership it has on disk.
-    pub fn note_reply(&mut self, from: Member, membership_version: Option<u64>) {
+    /// Records the version of the membership that a peer has on disk.
+    pub fn record_reply(&mut self, from: Member, membership_version: Option<u64>) {
         if let Some(successor) = &mut self.successor {
             if membership_version.is_some_and(|version| version >= successor.membership.version) {
                 successor.informed.insert(from);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether peers are to be asked again; if so, the next time is scheduled.
+    /// Returns whether peers are due to be asked again. If so, the next time is scheduled.
     pub fn is_retry_due(&mut self, now: Timestamp) -> bool {
         let is_due = now >= self.next_retry_at;
         if is_due {
--- a/crates/config-store/src/messages.rs
+++ b/crates/config-store/src/messages.rs
@@ -1,7 +1,7 @@
-//! What replicas of the store say to each other, and the commands that they carry out together.
+//! Messages between replicas of the store, and the commands that they execute.
 //!
-//! The names on the wire and on disk are those of the first release and are pinned here with `rename`: a fleet is
-//! upgraded one machine at a time, and disks outlive every version.
+//! The names on the wire and on disk are those of the first release, pinned here with `rename`: clusters are upgraded
+//! one machine at a time, and stored data outlives every version.
 
 use crate::member::Member;
 use ivygate_control_state::{ConfigUpdate, Item, Items, Key};
@@ -9,28 +9,28 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// The path at which a replica takes its peers' requests.
+/// The path at which a replica receives requests of its peers.
 pub const PEER_PATH: &str = "/round";
 
-/// The number of a round: unique to one proposer and one incarnation of it, and totally ordered.
+/// The number of a round: totally ordered, and unique to one incarnation of one proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts up; the most significant part of the order.
+    /// Increases with each round; the most significant part of the order.
     pub counter: u64,
     /// The replica that started the round.
     #[serde(rename = "by")]
     pub proposer: Ipv4Addr,
-    /// The proposer's incarnation: one whose disk was lost does not know which ballots it used before.
+    /// The proposer's incarnation: a proposer that lost its disk no longer knows which ballots it has used.
     #[serde(default)]
     pub incarnation: u64,
 }
 
 impl Ballot {
-    /// Below every ballot of a round.
+    /// Lower than the ballot of any round.
     pub const NONE: Self = Self { counter: 0, proposer: Ipv4Addr::UNSPECIFIED, incarnation: 0 };
 }
 
-/// What an acceptor has accepted in a round, on top of what was chosen before it.
+/// The items that an acceptor accepted in a round, on top of everything chosen before it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedProposal {
     /// The round.
@@ -39,10 +39,10 @@
     pub items: Vec<Arc<Item>>,
 }
 
-/// A request on the wire, with its sender.
+/// A request on the wire together with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerEnvelope {
-    /// The replica that asks.
+    /// The requesting replica.
     pub from: Ipv4Addr,
     /// Its request.
     #[serde(rename = "ask")]
@@ -53,29 +53,29 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerRequest {
-    /// Phase 1a: take part in this round, and in none below it.
+    /// Phase 1a: asks the acceptor to take part in this round and in no lower one.
     Prepare {
         /// The round.
         ballot: Ballot,
-        /// The incarnation that is asked; another incarnation is another acceptor.
+        /// The incarnation addressed; another incarnation of the machine is a different acceptor.
         incarnation: u64,
         /// The highest round that the proposer knows to be chosen.
         chosen: Ballot,
     },
-    /// Phase 2a: accept the round's items, durably.
+    /// Phase 2a: asks the acceptor to accept the round's items durably.
     Accept {
         /// The round.
         ballot: Ballot,
-        /// The incarnation that is asked.
+        /// The incarnation addressed.
         incarnation: u64,
-        /// The highest round known to be chosen, on which this one builds.
+        /// The highest round known to be chosen, on which this round builds.
         base: Ballot,
-        /// All items chosen up to `base` that the acceptor lacks.
+        /// All items chosen up to `base` that the acceptor does not have.
         missing: Vec<Arc<Item>>,
         /// The round's items.
         items: Vec<Arc<Item>>,
     },
-    /// The round is chosen.
+    /// Announces that a round is chosen.
     Learn {
         /// The round.
         ballot: Ballot,
@@ -84,138 +84,138 @@
         /// The round's items.
         items: Vec<Arc<Item>>,
     },
-    /// Asks for the highest round that the peer knows to be chosen; the answer is also proof of contact.
+    /// Asks for the highest round that the peer knows to be chosen; the reply also proves contact.
     Ping {
         /// The highest round that the sender knows to be chosen.
         chosen: Ballot,
     },
-    /// Asks for the next chunk of all that was chosen after a round.
+    /// Asks for the next chunk of everything chosen after a round.
     CatchUp {
-        /// The round up to which the sender holds everything.
+        /// The round up to which the sender has everything.
         chosen: Ballot,
-        /// The last item of the chunk before; `None` for the first chunk.
+        /// The key of the previous chunk's last item; `None` for the first chunk.
         after: Option<Key>,
     },
-    /// At the first start of the system: a machine announces itself to the founder.
+    /// Announces a machine to the founder at the first start of the system.
     #[serde(rename = "hello")]
     Announce {
         /// The sender's incarnation.
         incarnation: u64,
     },
-    /// A machine that is no member asks to become one.
+    /// Asks for membership on behalf of a machine that is not a member.
     Join(JoinCandidate),
 }
 
-/// A machine that waits to become a member.
+/// A machine that is waiting to become a member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JoinCandidate {
     /// Its incarnation.
     pub incarnation: u64,
-    /// The version of the membership that it knows.
+    /// The version of the membership known to it.
     #[serde(rename = "group")]
     pub membership_version: u64,
-    /// It holds all that was chosen up to this round.
+    /// The round up to which it has everything that was chosen.
     pub chosen: Ballot,
 }
 
-/// The answer to a request, with who answers.
+/// A reply on the wire together with the incarnation that sends it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerReply {
-    /// The incarnation that answers.
+    /// The replying replica's incarnation.
     pub incarnation: u64,
-    /// The version of the membership that the answering replica knows, if it is a member by that.
+    /// The version of the membership known to the replying replica, if it is a member of that membership.
     #[serde(rename = "group")]
     pub membership_version: Option<u64>,
-    /// The answer.
+    /// The response.
     #[serde(rename = "answer")]
     pub response: PeerResponse,
 }
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerResponse {
-    /// Phase 1b: the acceptor takes part in the round.
+    /// Phase 1b: the acceptor promises to take part in the round.
     Promised {
-        /// What it has accepted and does not know to be chosen or superseded.
+        /// The proposal it has accepted and does not know to be chosen or superseded.
         accepted: Option<AcceptedProposal>,
-        /// The highest round that it knows to be chosen.
+        /// The highest round it knows to be chosen.
         chosen: Ballot,
-        /// All that was chosen after the proposer's highest; `None` where that is more than a promise carries.
+        /// Everything chosen after the round named in the request; `None` if that exceeds the limit of a promise.
         items: Option<Vec<Arc<Item>>>,
     },
-    /// The acceptor has promised a higher round, or knows a higher one to be chosen.
+    /// The acceptor has promised a higher round or knows a higher round to be chosen.
     Nack {
-        /// That round.
+        /// The higher round.
         promised: Ballot,
     },
-    /// Phase 2b: the items are accepted, durably.
+    /// Phase 2b: the items are durably accepted.
     Accepted,
-    /// The message was taken in; what is lacking will be asked for.
+    /// The message was processed; missing items will be requested separately.
     Learned,
-    /// Answers a ping.
+    /// The response to a ping.
     Pong {
         /// The highest round that the peer knows to be chosen.
         chosen: Ballot,
     },
-    /// The next chunk of all that was chosen up to a round, without what the asker holds.
+    /// The next chunk of everything chosen up to a round, without the items that the requester already has.
     #[serde(rename = "snapshot")]
     SnapshotChunk {
-        /// The round; chunks of one transfer may be of different rounds.
+        /// The round; chunks of one transfer may belong to different rounds.
         chosen: Ballot,
         /// The items, in order of their keys.
         items: Vec<Arc<Item>>,
-        /// Whether more follow.
+        /// Set if more chunks follow.
         more: bool,
     },
-    /// The replica has no say: it is no member, or another incarnation was asked.
+    /// The replica does not vote: it is not a member, or another incarnation was addressed.
     #[serde(rename = "blank")]
     NotAMember,
 }
 
-/// Names a command to whoever submitted it.
+/// Identifies a command to its submitter.
 pub type CommandId = u64;
 
-/// A command that the members carry out together, in one round.
+/// A command that the members execute in one round.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Applies an operator's update of the configuration.
+    /// Applies an operator's configuration update.
     ApplyUpdate(ConfigUpdate),
     /// Begins or ends draining a zone.
     DrainZone {
         /// The zone.
         zone: String,
-        /// Whether it is to be drained.
+        /// `true` to begin draining, `false` to end it.
         drained: bool,
     },
-    /// Gives a singleton role to a registry, under the role's next epoch.
+    /// Assigns a singleton role to a registry under the role's next epoch.
     AcquireRole {
         /// The role.
         role: String,
         /// The registry.
         holder: Ipv4Addr,
     },
-    /// Makes a machine a member, in the place of another or in a free one.
+    /// Adds a member, in place of another one or in a free slot.
     ReplaceMember {
-        /// The member that goes; `None` where a place is free.
+        /// The member to remove; `None` to use a free slot.
         leaving: Option<Member>,
-        /// The member that comes.
+        /// The member to add.
         joining: Member,
     },
-    /// Reads the register, linearizably.
+    /// Reads the register with linearizable consistency.
     Read,
 }
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug)]
 pub enum CommandOutcome {
-    /// It is in force, or changes nothing.
+    /// The command is in force or changed nothing.
     Applied,
-    /// The role was acquired under this epoch, which no other command was ever given: the role's fencing token.
+    /// The role was acquired under this epoch, its fencing token. No other command ever receives the same epoch.
     RoleAcquired {
         /// The epoch.
         epoch: u64,
     },
-    /// The register at some moment while the command was under way.
+    /// The register at some point in time between the command's submission and its completion.
     Read(Items),
 }
--- a/crates/config-store/src/peers.rs
+++ b/crates/config-store/src/peers.rs
@@ -1,4 +1,4 @@
-//! Contact with a quorum, and pings.
+//! Contact with a quorum, and pings of the members.
 
 use crate::member::Member;
 use crate::messages::{Ballot, PeerRequest};
@@ -8,16 +8,18 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Contact that is older than this is none.
+/// Age at which contact with a member or a quorum expires.
 pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Commands are rejected after this time if no quorum has answered anything that was asked since they came ...
+/// Minimum time after which a command is rejected if no quorum has answered any request sent since the command arrived.
 const MIN_NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(300);
-/// The time without a quorum is this many times the latency of a quorum, and a little more.
+/// Commands are rejected once contact with a quorum has been missing for the quorum's latency multiplied by this
+/// factor, plus `NO_QUORUM_MARGIN_MS`.
 const NO_QUORUM_LATENCY_FACTOR: f64 = 2.0;
 const NO_QUORUM_MARGIN_MS: f64 = 50.0;
 
 impl Store {
-    /// The last moment at which a quorum was surely there: each of it has answered a request that was sent then or later.
+    /// Returns the latest time at which a quorum was certainly reachable: each of its members has answered a request
+    /// sent at that time or later.
     pub(crate) fn quorum_contact_at(&self, now: Timestamp) -> Timestamp {
         let Some(membership) = &self.membership else { return Timestamp::DISTANT_PAST };
         let contact = |member: Member| {
@@ -32,20 +34,20 @@
         contacts.get(membership.members.len() / 2).copied().unwrap_or(Timestamp::DISTANT_PAST)
     }
 
-    /// How long ago a quorum was surely in contact with this member, in milliseconds; `None` if that is too long ago, or
-    /// if it is no member.
+    /// Returns how long ago a quorum was certainly reachable from this member, in milliseconds. Returns `None` if the
+    /// contact has expired or this replica is not a member.
     pub fn contact_age_ms(&self, now: Timestamp) -> Option<f64> {
         let age_ms = now.millis_since(self.quorum_contact_at(now));
         (self.is_member() && age_ms < millis(CONTACT_TIMEOUT)).then_some(age_ms)
     }
 
-    /// After which time without contact with a quorum a command is rejected, in milliseconds.
+    /// Returns the time without contact to a quorum after which a command is rejected, in milliseconds.
     pub(crate) fn no_quorum_timeout_ms(&self) -> f64 {
         let timeout = NO_QUORUM_LATENCY_FACTOR * self.quorum_latency_ms() + NO_QUORUM_MARGIN_MS;
         timeout.clamp(millis(MIN_NO_QUORUM_TIMEOUT), millis(MAX_NO_QUORUM_TIMEOUT))
     }
 
-    /// How long it has lately taken until a quorum had answered, in milliseconds.
+    /// Returns the recent response latency of a quorum, in milliseconds.
     fn quorum_latency_ms(&self) -> f64 {
         let members = self.members();
         let latency = |member: &Ipv4Addr| {
@@ -60,7 +62,7 @@
         latencies.get(members.len() / 2).copied().unwrap_or(0.0)
     }
 
-    /// Asks all other members who is there, and what each knows to be chosen.
+    /// Pings all other members, to detect those that are reachable and the rounds that each knows to be chosen.
     pub(crate) fn ping_members(&mut self, now: Timestamp) {
         self.peers.last_probe_at = now;
         let chosen = self.state.chosen;
--- a/crates/config-store/src/pending_command.rs
+++ b/crates/config-store/src/pending_command.rs
@@ -1,21 +1,21 @@
-//! Commands that wait for a round, and what came of them in one.
+//! Pending commands, and commands evaluated in a round.
 
 use crate::messages::{Command, CommandId, CommandOutcome};
 use ivygate_rpc::RpcError;
 use ivygate_time::Timestamp;
 
-/// A command that waits for a round, or is in one.
+/// A command that waits for a round or is being executed in one.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCommand {
     pub id: CommandId,
     pub command: Command,
     pub since: Timestamp,
-    /// The version that a drain would have brought when it was first evaluated: nothing else tells whether it came into
-    /// force in a round that was abandoned.
+    /// The version that a drain produced when it was first evaluated. It is the only way to tell whether the drain came
+    /// into force in a round that was abandoned.
     pub first_version: Option<u64>,
 }
 
-/// A command with its outcome, which holds once the round's items are chosen.
+/// A command and its result, which becomes valid once the round's items are chosen.
 #[derive(Clone, Debug)]
 pub(crate) struct EvaluatedCommand {
     pub pending: PendingCommand,
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -1,10 +1,11 @@
-//! The proposer: pending commands, and the round that carries them out.
+//! The proposer: executes pending commands in rounds.
 //!
-//! A replica has at most one round of its own under way. A round that is preempted by a higher ballot, or that times out,
-//! is abandoned; its commands wait for the next one, which starts after a random backoff.
+//! A replica proposes at most one round at a time. A round that is preempted by a higher ballot, or that times out, is
+//! abandoned; its commands wait for the next round, which starts after a random backoff.
 //!
-//! Safety: a proposal contains what the highest accepted proposal of the promises contains ("Paxos Made Simple", P2c), and
-//! a proposal that changes the membership, or may follow one that does, has a quorum of both memberships promise first.
+//! Safety: a proposal contains the contents of the highest accepted proposal among the promises ("Paxos Made Simple",
+//! P2c). Before a proposal that changes the membership, or that may follow such a proposal, is sent out, quorums of
+//! both memberships must promise.
 
 use crate::member::Member;
 use crate::membership::Membership;
@@ -22,16 +23,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A command that has been pending for longer is rejected: operators go elsewhere after a second.
+/// Time after which a pending command is rejected. Operators retry at another replica after a second.
 pub(crate) const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Backoff after a preempted round, drawn between these and doubled for each that was preempted since: two ways there and
-/// back over the farthest regions have to fit between the rounds of two proposers.
+/// Bounds of the random backoff after a preempted round, which is doubled for each preemption since the last chosen
+/// round. Two round trips between the most distant regions must fit between the rounds of two proposers.
 const MIN_ROUND_BACKOFF: Duration = Duration::from_millis(40);
 const MAX_ROUND_BACKOFF: Duration = Duration::from_millis(300);
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Store {
-    /// Starts a round if there is something to do and none is under way.
+    /// Starts a round if there is work and no round is in progress.
     pub(crate) fn start_round(&mut self, now: Timestamp) {
         let Some(membership) = self.membership.clone().filter(|_| self.is_member()) else { return };
         let is_recovery_due = self.state.accepted.is_some()
@@ -64,7 +65,8 @@
         }
     }
 
-    /// An acceptor has promised a round. `items` is complete for whoever held all up to the round that its request named.
+    /// Handles an acceptor's promise. `items` is complete for a proposer that has everything up to the round named in
+    /// its request.
     pub(crate) fn handle_promised(
         &mut self,
         now: Timestamp,
@@ -83,7 +85,7 @@
                 self.add_promise(now, from, ballot, Promise { accepted, chosen });
             }
             None if chosen > self.state.chosen => {
-                // A proposer that lags so far may not evaluate commands.
+                // A proposer that lags this far must not evaluate commands.
                 self.start_catch_up(now, from.address);
                 self.abandon_round(now);
             }
@@ -109,15 +111,15 @@
         }
     }
 
-    /// An acceptor has promised a higher round, or knows one to be chosen.
+    /// Handles the rejection by an acceptor that has promised a higher round, or knows one to be chosen.
     pub(crate) fn handle_nack(&mut self, now: Timestamp, ballot: Ballot, promised: Ballot) {
-        self.proposer.note_counter(promised);
+        self.proposer.record_ballot(promised);
         if self.proposer.round.ballot() == Some(ballot) && promised > ballot {
             self.abandon_round(now);
         }
     }
 
-    /// Asks an acceptor that has promised the round, and holds all that was chosen up to `chosen`, to accept.
+    /// Sends phase 2a to an acceptor that has promised the round and has everything chosen up to `chosen`.
     fn send_accept(
         &mut self,
         now: Timestamp,
@@ -128,20 +130,21 @@
     ) {
         let (base, missing) = (self.state.chosen, self.state.items_since(chosen));
         if missing.len() > MAX_CHUNK_ITEMS {
-            // An acceptor that lags so far catches up at the next ping.
+            // An acceptor that lags this far catches up after the next ping.
             return;
         }
         let incarnation = to.incarnation;
         self.send(now, to.address, ballot, PeerRequest::Accept { ballot, incarnation, base, missing, items });
     }
 
-    /// A quorum takes part: evaluates the commands against all that is chosen or may be, and proposes what comes of it.
+    /// Evaluates the commands against everything that is or may be chosen, and proposes the result. Called once a
+    /// quorum has promised.
     fn propose(&mut self, now: Timestamp) {
         let Round::Preparing(preparation) = std::mem::replace(&mut self.proposer.round, Round::Idle) else {
             return;
         };
         if self.membership.as_ref() != Some(&preparation.membership) {
-            // A quorum of another membership has to promise.
+            // The promises must come from a quorum of the new membership.
             return self.start_round(now);
         }
         let recovered = preparation.highest_accepted(self.state.chosen);
@@ -159,8 +162,8 @@
         self.start_accepting(now, preparation, draft, commands);
     }
 
-    /// The register with what an earlier round may have had chosen. Items that are held already are proposed too: those that
-    /// accept this proposal in place of the earlier one may not hold them.
+    /// Returns the register with the items that an earlier round may have had chosen. Items that this replica already
+    /// has are proposed too: acceptors of this proposal that did not accept the earlier one may not have them.
     fn recovered_draft(&self, recovered: Option<&AcceptedProposal>) -> Draft {
         let mut draft = Draft { register: self.state.items.clone(), items: Vec::new() };
         for item in recovered.iter().flat_map(|accepted| &accepted.items) {
@@ -172,9 +175,9 @@
         draft
     }
 
-    /// Another membership, a quorum of which has to promise too: that of an earlier round, which may have gone on by itself,
-    /// or that of an own change before anybody accepts it. Once it is accepted, no round can do without it, nor without both
-    /// memberships.
+    /// Returns another membership a quorum of which must promise too: the membership of an earlier round that may have
+    /// been chosen, or the membership proposed by this replica's own change, before any acceptor accepts it. Once a
+    /// membership change is accepted anywhere, every later round must include it and needs quorums of both memberships.
     fn other_membership(
         &self,
         now: Timestamp,
@@ -189,16 +192,16 @@
         }
     }
 
-    /// Goes on with the first phase until a quorum of another membership has promised too.
+    /// Extends phase 1 until a quorum of another membership has promised too.
     fn prepare_also(&mut self, now: Timestamp, preparation: Preparation, other: Membership) {
-        let newcomers = other.difference(&preparation.membership);
+        let joining_members = other.difference(&preparation.membership);
         let ballot = preparation.ballot;
         self.proposer.round = Round::Preparing(Preparation { next: Some(other), ..preparation });
-        self.send_prepares(now, ballot, newcomers);
+        self.send_prepares(now, ballot, joining_members);
     }
 
-    /// Ends a round that changes nothing. It says what stood when the promises were given: a command that came after the
-    /// round began may have come after that, and waits for the next.
+    /// Ends a round that changes nothing. Its result reflects the time at which the promises were given. A command that
+    /// arrived after the round began may be newer than the promises, so it waits for the next round.
     fn complete_without_items(&mut self, now: Timestamp, begun: Timestamp, commands: Vec<EvaluatedCommand>) {
         let (completed, later): (Vec<_>, Vec<_>) =
             commands.into_iter().partition(|evaluated| evaluated.pending.since <= begun);
@@ -215,11 +218,11 @@
     ) {
         let Preparation { ballot, membership, promises, .. } = preparation;
         let Draft { register, mut items } = draft;
-        // Of two items of one name the newer is enough.
+        // Drops items that a newer item of the same name supersedes.
         items.retain(|item| register.version(item.key.table, &item.key.name) == item.version);
         let next = Membership::from_items(&register).unwrap_or_else(|| membership.clone());
-        let mut newcomers = next.difference(&membership);
-        newcomers.retain(|member| !promises.contains_key(member));
+        let mut joining_members = next.difference(&membership);
+        joining_members.retain(|member| !promises.contains_key(member));
         self.proposer.round = Round::Accepting(Box::new(Proposal {
             ballot,
             since: now,
@@ -232,11 +235,12 @@
         for (member, promise) in promises {
             self.send_accept(now, member, ballot, promise.chosen, items.clone());
         }
-        // Members that come with this round tell what they hold, and are then sent the rest with the items.
-        self.send_prepares(now, ballot, newcomers);
+        // Joining members first report the items they have, and then receive the missing ones together with the round's
+        // items.
+        self.send_prepares(now, ballot, joining_members);
     }
 
-    /// An acceptor has accepted a round's items.
+    /// Handles an acceptor's acceptance of the round's items.
     pub(crate) fn handle_accepted(&mut self, now: Timestamp, from: Member, ballot: Ballot) {
         match &mut self.proposer.round {
             Round::Accepting(proposal) if proposal.ballot == ballot => {
@@ -247,7 +251,7 @@
         self.finish_round_if_chosen(now);
     }
 
-    /// Ends the round if its items are chosen: tells the other members, and completes the commands.
+    /// Ends the round if its items are chosen: informs the other members and completes the commands.
     fn finish_round_if_chosen(&mut self, now: Timestamp) {
         let Round::Accepting(proposal) = &self.proposer.round else { return };
         if !proposal.is_chosen() || proposal.waits_for_joining_member(now) {
@@ -280,7 +284,7 @@
         self.start_round(now);
     }
 
-    /// Gives the round up; its commands wait for the next, which starts after a backoff.
+    /// Abandons the round. Its commands wait for the next round, which starts after a backoff.
     fn abandon_round(&mut self, now: Timestamp) {
         if let Round::Accepting(proposal) = std::mem::replace(&mut self.proposer.round, Round::Idle) {
             self.proposer.requeue(proposal.commands.into_iter().map(|evaluated| evaluated.pending));
@@ -292,14 +296,14 @@
         self.proposer.preempted_rounds += 1;
     }
 
-    /// Ends the round if it is chosen or out of time.
+    /// Finishes the round if it is chosen, or abandons it if it has timed out.
     pub(crate) fn tick_round(&mut self, now: Timestamp) {
         let deadline = self.proposer.round.deadline();
         self.finish_round_if_chosen(now);
         if deadline.is_some_and(|deadline| now > deadline) && !self.proposer.is_idle() {
             self.abandon_round(now);
-            // A membership change that its own new members do not answer must not hold up others; it is begun again if
-            // it is still needed.
+            // A membership change whose new members do not respond must not block other commands; it is started again
+            // if it is still needed.
             self.proposer.pending.retain(|pending| !matches!(pending.command, Command::ReplaceMember { .. }));
         }
         let is_outdated = match &self.proposer.round {
@@ -307,13 +311,13 @@
             _ => false,
         };
         if is_outdated {
-            // A quorum of another membership has to promise.
+            // The promises must come from a quorum of the new membership.
             self.proposer.round = Round::Idle;
             self.start_round(now);
         }
     }
 
-    /// Rejects pending commands that have waited too long, or that no quorum can be reached for.
+    /// Rejects pending commands that have waited too long or for which no quorum is reachable.
     pub(crate) fn reject_expired_commands(&mut self, now: Timestamp) {
         let contact = self.quorum_contact_at(now);
         let timeout_ms = self.no_quorum_timeout_ms();
--- a/crates/config-store/src/proposer_state.rs
+++ b/crates/config-store/src/proposer_state.rs
@@ -1,4 +1,4 @@
-//! The state of the proposer: pending commands, and the round under way.
+//! The state of the proposer: pending commands and the round in progress.
 
 use crate::messages::{Ballot, Command, CommandId};
 use crate::pending_command::PendingCommand;
@@ -6,7 +6,7 @@
 use ivygate_time::Timestamp;
 use std::collections::VecDeque;
 
-/// Most pending commands.
+/// Maximum number of pending commands.
 const MAX_PENDING_COMMANDS: usize = 256;
 
 /// The proposer's state.
@@ -14,18 +14,18 @@
 pub(crate) struct Proposer {
     pub round: Round,
     pub pending: VecDeque<PendingCommand>,
-    /// The highest counter of a ballot seen.
+    /// The highest ballot counter seen.
     pub highest_counter: u64,
-    /// No round starts before.
+    /// The time before which no new round starts.
     pub paused_until: Timestamp,
-    /// Rounds abandoned since the last that was chosen.
+    /// Rounds abandoned since a round was last chosen.
     pub preempted_rounds: u32,
-    /// When an accepted proposal that is not known to be chosen is proposed again.
+    /// The time at which an accepted proposal that is not known to be chosen is proposed again.
     pub recovery_deadline: Option<Timestamp>,
 }
 
 impl Proposer {
-    /// No round is under way; ballots go on above `highest_counter`.
+    /// Creates an idle proposer whose next ballot counter is above `highest_counter`.
     pub fn new(highest_counter: u64) -> Self {
         Self {
             round: Round::Idle,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds a command to the pending ones; `false` if there are too many.
+    /// Enqueues a command. Returns `false` if too many commands are pending.
     pub fn enqueue(&mut self, now: Timestamp, id: CommandId, command: Command) -> bool {
         if self.pending.len() >= MAX_PENDING_COMMANDS {
             return false;
@@ -46,12 +46,12 @@
         true
     }
 
-    /// A ballot was seen: own ones must be higher.
-    pub fn note_counter(&mut self, ballot: Ballot) {
+    /// Records a ballot that was seen, so that this proposer's next ballot is higher.
+    pub fn record_ballot(&mut self, ballot: Ballot) {
         self.highest_counter = self.highest_counter.max(ballot.counter);
     }
 
-    /// Whether a round has started at this very time.
+    /// Returns whether phase 1 of a round was started at exactly this time.
     pub fn has_prepared_at(&self, now: Timestamp) -> bool {
         matches!(&self.round, Round::Preparing(preparation) if preparation.since == now)
     }
@@ -60,7 +60,7 @@
         matches!(self.round, Round::Idle)
     }
 
-    /// Puts commands back to the front of the pending ones, in their order.
+    /// Puts commands back at the front of the queue, preserving their order.
     pub fn requeue(&mut self, commands: impl DoubleEndedIterator<Item = PendingCommand>) {
         for command in commands.rev() {
             self.pending.push_front(command);
--- a/crates/config-store/src/round.rs
+++ b/crates/config-store/src/round.rs
@@ -1,4 +1,4 @@
-//! A round of the proposer, as an explicit state: idle, preparing (phase 1) or accepting (phase 2).
+//! The proposer's round as an explicit state: idle, preparing (phase 1) or accepting (phase 2).
 
 use crate::member::Member;
 use crate::membership::Membership;
@@ -10,18 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A phase of a round that takes longer has failed: several ways there and back.
+/// Time after which a phase of a round fails. It allows for several round trips.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(900);
-/// A phase takes so much longer for each item that it carries: far links have small windows.
+/// Extra time allowed for each item in a phase: long-distance links have small windows.
 const TRANSFER_TIME_PER_ITEM: Duration = Duration::from_micros(500);
-/// A round that makes a machine a member waits this long for its acceptance before it does without.
+/// Time that a round which adds a member waits for that member's acceptance before it completes without it.
 const JOINING_MEMBER_GRACE: Duration = Duration::from_millis(400);
 
-/// A promise of an acceptor, without its items.
+/// An acceptor's promise, without its items.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
     pub accepted: Option<AcceptedProposal>,
-    /// The highest round that the acceptor knows to be chosen.
+    /// The highest round the acceptor knows to be chosen.
     pub chosen: Ballot,
 }
 
@@ -30,9 +30,10 @@
 pub(crate) struct Preparation {
     pub ballot: Ballot,
     pub since: Timestamp,
-    /// The membership, a quorum of which has to promise.
+    /// The current membership, a quorum of which must promise.
     pub membership: Membership,
-    /// A membership that an earlier round may have put in its place, or that this round will: its quorum has to promise too.
+    /// A membership that an earlier round may have installed, or that this round will install. A quorum of it must
+    /// promise too.
     pub next: Option<Membership>,
     pub promises: BTreeMap<Member, Promise>,
 }
@@ -48,25 +49,25 @@
         self.promises.keys().copied().collect()
     }
 
-    /// The highest proposal accepted above what is chosen. It may have been chosen, so this round builds on it; what lower
-    /// rounds had accepted is contained in it, or was never chosen.
+    /// Returns the highest accepted proposal above `chosen`. It may have been chosen, so this round builds on it;
+    /// proposals accepted in lower rounds are either contained in it or were never chosen.
     pub fn highest_accepted(&self, chosen: Ballot) -> Option<&AcceptedProposal> {
         let accepted = self.promises.values().filter_map(|promise| promise.accepted.as_ref());
         accepted.filter(|accepted| accepted.ballot > chosen).max_by_key(|accepted| accepted.ballot)
     }
 }
 
-/// Phase 2 of a round: items are being accepted.
+/// Phase 2 of a round: the acceptors are accepting its items.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub ballot: Ballot,
     pub since: Timestamp,
     pub items: Vec<Arc<Item>>,
-    /// The membership before the round, and after it.
+    /// The membership before the round; `next` is the membership after it.
     pub membership: Membership,
     pub next: Membership,
     pub accepted_by: BTreeSet<Member>,
-    /// Completed once the items are chosen.
+    /// Commands to complete once the items are chosen.
     pub commands: Vec<EvaluatedCommand>,
 }
 
@@ -76,8 +77,9 @@
     }
 
     pub fn waits_for_joining_member(&self, now: Timestamp) -> bool {
-        let lacks = |member: Member| !self.membership.contains(member) && !self.accepted_by.contains(&member);
-        self.next.iter().any(lacks) && now < self.since + JOINING_MEMBER_GRACE
+        let is_awaited =
+            |member: Member| !self.membership.contains(member) && !self.accepted_by.contains(&member);
+        self.next.iter().any(is_awaited) && now < self.since + JOINING_MEMBER_GRACE
     }
 
     pub fn deadline(&self) -> Timestamp {
@@ -85,10 +87,10 @@
     }
 }
 
-/// The replica's own round.
+/// The round that this replica proposes.
 #[derive(Clone, Debug)]
 pub(crate) enum Round {
-    /// None is under way.
+    /// No round is in progress.
     Idle,
     /// Phase 1.
     Preparing(Preparation),
@@ -96,7 +98,7 @@
     Accepting(Box<Proposal>),
 }
 
-/// The register as a round leaves it, and the items that make it so.
+/// The register as the round would leave it, and the items that the round changes.
 #[derive(Debug)]
 pub(crate) struct Draft {
     /// The register with the items applied.
@@ -115,7 +117,7 @@
 }
 
 impl Round {
-    /// The ballot of the round under way.
+    /// Returns the ballot of the round in progress.
     pub fn ballot(&self) -> Option<Ballot> {
         match self {
             Self::Idle => None,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// When the phase under way has failed.
+    /// Returns the time at which the current phase times out.
     pub fn deadline(&self) -> Option<Timestamp> {
         match self {
             Self::Idle => None,
--- a/crates/config-store/src/service/api.rs
+++ b/crates/config-store/src/service/api.rs
@@ -1,4 +1,4 @@
-//! The calls that the store's program answers, each handed to the replica.
+//! The store's API: each endpoint passes its calls to the replica.
 
 use super::replica::Replica;
 use crate::messages::{Command, CommandOutcome, PeerEnvelope};
@@ -22,7 +22,7 @@
     Status,
 }
 
-/// A registry asks for a singleton role.
+/// A registry's request for a singleton role.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RoleRequest {
     /// The role.
@@ -56,19 +56,19 @@
     ]
 }
 
-/// The store's calls.
+/// The API of a replica.
 pub(super) struct Api {
     replica: Rc<Replica>,
     routes: Vec<RouteMatcher<Endpoint>>,
 }
 
 impl Api {
-    /// The calls of a replica.
+    /// Creates the API of a replica.
     pub fn new(replica: Rc<Replica>) -> Self {
         Self { replica, routes: routes() }
     }
 
-    /// Answers a call.
+    /// Handles a call.
     pub async fn handle(self: Rc<Self>, request: RpcRequest) -> RpcResponse {
         let found = match RouteMatcher::find(&self.routes, &request.method, &request.path) {
             Ok(found) => found,
@@ -105,7 +105,7 @@
     async fn read_config(&self) -> Result<Value, RpcError> {
         match self.replica.submit(Command::Read).await? {
             CommandOutcome::Read(items) => Ok(config_document(&items)),
-            _ => Err(RpcError::new(ErrorKind::Timeout, "the read was dropped")),
+            _ => Err(RpcError::new(ErrorKind::Timeout, "the read was discarded before it completed")),
         }
     }
 
@@ -113,12 +113,15 @@
         self.replica.submit(Command::DrainZone { zone: zone.to_owned(), drained }).await.map(drop)
     }
 
-    /// Gives the epoch of this very command: the one in force by now may be another's.
+    /// Returns the epoch acquired by this command. The epoch in force may already belong to a later command.
     async fn acquire_role(&self, request: &RpcRequest) -> Result<u64, RpcError> {
         let RoleRequest { role, holder } = request.json()?;
         match self.replica.submit(Command::AcquireRole { role, holder }).await? {
             CommandOutcome::RoleAcquired { epoch } => Ok(epoch),
-            _ => Err(RpcError::new(ErrorKind::Timeout, "the acquisition was dropped")),
+            _ => Err(RpcError::new(
+                ErrorKind::Timeout,
+                "the role acquisition was discarded before it completed",
+            )),
         }
     }
 }
--- a/crates/config-store/src/service/mod.rs
+++ b/crates/config-store/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The service round a replica: carries calls between the network, the disk and the [`Store`].
+//! The service that runs a replica: it connects the network, the disk and the [`Store`].
 
 mod api;
 mod replica;
@@ -20,14 +20,14 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Interval of the replica's ticks.
+/// Interval between ticks of the replica.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a process that ends tries to give its replica's place to another machine.
+/// Time for which a terminating process tries to hand its membership slot to another machine.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Stands for the incarnation while no disk has been opened: the replica does not act then.
+/// Incarnation used until a disk has been opened. The replica does not act before that.
 const NO_INCARNATION: u64 = 0;
 
-/// Starts a replica with what its disk held.
+/// Starts a replica from the state on its disk.
 fn start_store(settings: &BootstrapSettings, bootstrap: bool, state: DurableState) -> Store {
     let store = Store::new(settings.ip, settings.seed_machines(), bootstrap, state, fastrand::u64(..));
     let items = store.state().items.len();
@@ -35,16 +35,18 @@
     store
 }
 
-/// Runs the store's service until the process is told to end.
+/// Runs the store's service until the process receives SIGTERM.
 ///
 /// # Errors
-/// If the settings name no folder, or the address can't be listened on.
+/// If the settings name no data folder, or the address can't be bound.
 pub async fn run(settings: BootstrapSettings) -> Result<(), RpcError> {
     let configuration = |what: String| RpcError::new(ErrorKind::Configuration, what);
-    let folder =
-        settings.datadir.clone().ok_or_else(|| configuration("datadir: a store needs a disk".to_owned()))?;
+    let folder = settings
+        .datadir
+        .clone()
+        .ok_or_else(|| configuration("datadir: the configuration store requires a data folder".to_owned()))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|error| configuration(error.to_string()))?;
-    // A hangup must not end the process; the store has nothing to read again.
+    // SIGHUP must not end the process; the store has nothing to reload.
     let _hangup = signal(SignalKind::hangup()).map_err(|error| configuration(error.to_string()))?;
     let address = SocketAddr::from((settings.ip, settings.ports().store));
     let clock = MonotonicClock::start();
@@ -65,7 +67,7 @@
                 if !replica.leave() {
                     break;
                 }
-                tracing::info!("leaving, waiting for another machine to take this member's place");
+                tracing::info!("leaving, waiting for another machine to take this member's slot");
                 leave_deadline = Some(Instant::now() + LEAVE_TIMEOUT);
             }
         }
--- a/crates/config-store/src/service/replica.rs
+++ b/crates/config-store/src/service/replica.rs
@@ -1,4 +1,4 @@
-//! A replica with its disk and its peers: steps the state machine and carries out its effects.
+//! Runs a replica with its disk and its peers: steps the state machine and executes its effects.
 
 use super::{start_store, NO_INCARNATION};
 use crate::disk::Disk;
@@ -19,16 +19,16 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a peer's reply is waited for ...
+/// Time to wait for a peer's reply, without the transfer time of items.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// ... and how much longer for each item that goes with the request.
+/// Additional time to wait for each item in the request.
 const TRANSFER_TIME_PER_ITEM: Duration = Duration::from_micros(500);
-/// How long a chunk of a snapshot is waited for.
+/// Time to wait for a snapshot chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 type CommandResult = Result<CommandOutcome, RpcError>;
 
-/// A replica at work.
+/// A running replica.
 pub(super) struct Replica {
     settings: BootstrapSettings,
     clock: MonotonicClock,
@@ -36,17 +36,18 @@
     store: RefCell<Store>,
     disk: RefCell<DiskSupervisor<Disk>>,
     folder: PathBuf,
-    /// What registries and proxies pull from.
+
+    /// The state that registries and proxies pull.
     published: Rc<StateReplica>,
-    /// The last change of the register that is published.
+    /// The number of the last published change of the register.
     published_change: Cell<u64>,
-    waiting: RefCell<HashMap<CommandId, oneshot::Sender<CommandResult>>>,
+    submitters: RefCell<HashMap<CommandId, oneshot::Sender<CommandResult>>>,
     next_command: Cell<CommandId>,
     last_status: Cell<MembershipStatus>,
 }
 
 impl Replica {
-    /// A replica with its disk; `published` is what others pull from.
+    /// Creates a running replica; `published` is the state that registries and proxies pull.
     pub fn new(
         settings: BootstrapSettings,
         clock: MonotonicClock,
@@ -66,21 +67,21 @@
             folder,
             published,
             published_change: Cell::new(0),
-            waiting: RefCell::default(),
+            submitters: RefCell::default(),
             next_command: Cell::new(1),
         })
     }
 
-    /// What registries and proxies pull from.
+    /// Returns the state that registries and proxies pull.
     pub fn published(&self) -> &StateReplica {
         &self.published
     }
 
-    /// Lets the store act, and carries out the effects in order. A disk that fails voids the store's memory and all that
-    /// rests on it: no effect of the step is then carried out.
+    /// Runs one step of the store and executes its effects in order. If the disk fails, the store's memory is void and
+    /// no effect of the step is executed.
     ///
     /// # Errors
-    /// If the disk has failed: the store does not act.
+    /// If the disk has failed, in which case the store does not act.
     pub fn step<T>(self: &Rc<Self>, act: impl FnOnce(&mut Store, Timestamp) -> T) -> Result<T, RpcError> {
         if let Some(error) = self.disk.borrow().error() {
             return Err(error);
@@ -94,7 +95,7 @@
             self.save()?;
         }
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         self.publish();
         Ok(value)
@@ -103,28 +104,28 @@
     fn save(&self) -> Result<(), RpcError> {
         let saved = self.disk.borrow_mut().save(self.clock.now(), self.store.borrow().state());
         if let Err(error) = &saved {
-            for (_, waiting) in self.waiting.borrow_mut().drain() {
-                // Whoever called may have left.
-                let _ = waiting.send(Err(error.clone()));
+            for (_, submitter) in self.submitters.borrow_mut().drain() {
+                // The caller may have disconnected.
+                let _ = submitter.send(Err(error.clone()));
             }
         }
         saved
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Save => {}
             Effect::Send { to, number, request } => self.send(to, number, request),
             Effect::Complete { command, result } => {
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&command) {
-                    // Whoever called may have left.
-                    let _ = waiting.send(result);
+                if let Some(submitter) = self.submitters.borrow_mut().remove(&command) {
+                    // The caller may have disconnected.
+                    let _ = submitter.send(result);
                 }
             }
         }
     }
 
-    /// Publishes what is new in the register, and how long ago a quorum was in contact.
+    /// Publishes new items of the register, and the age of the last contact with a quorum.
     fn publish(&self) {
         let store = self.store.borrow();
         let items = &store.state().items;
@@ -151,33 +152,33 @@
                 tracing::debug!(peer = %to, %error, "peer did not answer");
             }
             if replica.disk.borrow().generation() == generation {
-                // A store whose disk has failed has no use for a reply.
+                // A store whose disk has failed ignores replies.
                 let _ = replica.step(|store, now| store.handle_response(now, number, reply.ok()));
             }
         });
     }
 
-    /// Has a command carried out by the store.
+    /// Submits a command to the store and waits for its result.
     ///
     /// # Errors
-    /// Those of the command, and of a disk that has failed.
+    /// The error of the command, or of the disk if it has failed.
     pub async fn submit(self: &Rc<Self>, command: Command) -> CommandResult {
         let id = self.next_command.get();
         self.next_command.set(id + 1);
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(id, sender);
+        self.submitters.borrow_mut().insert(id, sender);
         if let Err(error) = self.step(|store, now| store.submit(now, id, command)) {
-            self.waiting.borrow_mut().remove(&id);
+            self.submitters.borrow_mut().remove(&id);
             return Err(error);
         }
-        let dropped = || RpcError::new(ErrorKind::Timeout, "the command was dropped");
+        let dropped = || RpcError::new(ErrorKind::Timeout, "the command was discarded before it completed");
         receiver.await.unwrap_or_else(|_| Err(dropped()))
     }
 
-    /// Time has passed: opens a disk again that has failed, ticks the store, and notes a change of its status.
+    /// Reopens a failed disk if due, ticks the store, and logs a change of its status.
     pub fn tick(self: &Rc<Self>) {
         self.reopen_disk();
-        // A store whose disk has failed has nothing to do.
+        // A store whose disk has failed does nothing.
         let _ = self.step(super::super::store::Store::tick);
         let store = self.store.borrow();
         let status = store.status();
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Starts again with what the disk holds, if that has failed and can be opened.
+    /// Restarts the replica from the state on disk, if the disk failed and can be opened again.
     fn reopen_disk(&self) {
         let now = self.clock.now();
         if !self.disk.borrow().is_reopen_due(now) {
@@ -195,24 +196,24 @@
         let opened = Disk::open(&self.folder, fastrand::u64(1..));
         if let Some(state) = self.disk.borrow_mut().handle_opened(now, opened) {
             let mut store = self.store.borrow_mut();
-            // The first start of the system is over for a replica whose state was lost since.
+            // A replica that lost its state must not bootstrap the system again.
             let is_same_disk = [NO_INCARNATION, state.incarnation].contains(&store.state().incarnation);
             *store = start_store(&self.settings, self.settings.bootstrap && is_same_disk, state);
             self.published_change.set(0);
         }
     }
 
-    /// Begins to leave; tells whether it is worth waiting for another machine to take this member's place.
+    /// Begins a planned leave. Returns whether to wait for another machine to take this member's slot.
     pub fn leave(self: &Rc<Self>) -> bool {
         self.step(super::super::store::Store::leave).unwrap_or(false)
     }
 
-    /// Whether nothing rests on this replica any more.
+    /// Returns whether the store no longer depends on this replica.
     pub fn can_stop(&self) -> bool {
         self.store.borrow().can_stop()
     }
 
-    /// The replica's status, as operators and registries read it.
+    /// Returns the replica's status as reported to operators and registries.
     pub fn status(&self) -> Value {
         let store = self.store.borrow();
         let state = store.state();
@@ -228,7 +229,7 @@
     }
 }
 
-/// How long the reply to a request is waited for.
+/// Returns the time to wait for the reply to a request.
 fn reply_timeout(request: &PeerRequest) -> Duration {
     match request {
         PeerRequest::CatchUp { .. } => CHUNK_TIMEOUT,
--- a/crates/config-store/src/snapshot_transfer.rs
+++ b/crates/config-store/src/snapshot_transfer.rs
@@ -1,38 +1,40 @@
-//! How a replica that lags fetches what was chosen from a peer, in chunks of bounded size.
+//! Transfer of chosen items from a peer to a lagging replica, in chunks of bounded size.
 //!
-//! The peer goes on meanwhile, so the chunks of one pass are of several states. After a pass, everything chosen up to the
-//! lowest of these is held; what came after it is fetched in another pass. A pass that fits into one chunk is of one state
-//! and completes the transfer.
+//! The peer's state changes during the transfer, so the chunks of one pass belong to different states. A complete pass
+//! delivers everything chosen up to the lowest round of its chunks; another pass fetches the items chosen after that. A
+//! pass that fits into one chunk belongs to a single state and completes the transfer.
 //!
-//! Called by the store; it never does I/O or reads a clock.
+//! Called by the store; does no I/O and reads no clock.
 
 use crate::messages::Ballot;
 use ivygate_control_state::{Item, Key};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Most items in a chunk: some hundred kilobytes, a second or so over a far link with small windows.
+/// Maximum number of items in a chunk: several hundred kilobytes, which take about a second over a long-distance link
+/// with small windows.
 pub(crate) const MAX_CHUNK_ITEMS: usize = 2_000;
 
-/// The chunk that is asked for next.
+/// The next chunk to request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ChunkRequest {
     /// The peer.
     pub from: Ipv4Addr,
-    /// What was chosen after this round.
+    /// The chunk contains items chosen after this round.
     pub chosen: Ballot,
-    /// From the item after this one on.
+    /// The chunk begins after this key; `None` for the first chunk.
     pub after: Option<Key>,
 }
 
-/// What a chunk leads to.
+/// The next step after a chunk.
 #[derive(Debug, PartialEq)]
 pub(crate) enum TransferStep {
-    /// Another chunk is to be asked for.
+    /// Request another chunk.
     Request(ChunkRequest),
-    /// All that was chosen up to a round, on top of what was held at the start.
+    /// The transfer is complete: everything chosen up to a round, on top of the items present at the start.
     Complete(Ballot, Vec<Arc<Item>>),
-    /// The peer restarted from an older state than it had told: what was fetched is of no use.
+    /// The transfer is aborted: the peer restarted from an older state than it had reported, so the chunks can't be
+    /// used.
     Aborted,
 }
 
@@ -40,15 +42,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotTransfer {
     request: ChunkRequest,
-    /// The lowest round of this pass's chunks.
+    /// The lowest round among this pass's chunks.
     lowest_of_pass: Option<Ballot>,
-    /// The highest round of any chunk.
+    /// The highest round among all chunks.
     highest: Ballot,
     items: Vec<Arc<Item>>,
 }
 
 impl SnapshotTransfer {
-    /// A transfer from a peer, to a replica that holds all that was chosen up to a round.
+    /// Starts a transfer from a peer to a replica that has everything chosen up to `chosen`.
     pub fn new(from: Ipv4Addr, chosen: Ballot) -> Self {
         Self {
             request: ChunkRequest { from, chosen, after: None },
@@ -58,12 +60,12 @@
         }
     }
 
-    /// The chunk that it waits for.
+    /// Returns the request for the chunk that the transfer is waiting for.
     pub fn request(&self) -> &ChunkRequest {
         &self.request
     }
 
-    /// Takes in a chunk of the state at `chosen`; `more` tells whether another of the pass follows.
+    /// Adds a chunk of the state at `chosen`; `more` is set if another chunk of the pass follows.
     pub fn add_chunk(
         mut self,
         chosen: Ballot,
--- a/crates/config-store/src/store.rs
+++ b/crates/config-store/src/store.rs
@@ -1,20 +1,21 @@
 //! One replica of the store, as a state machine without I/O.
 //!
-//! The replicas hold one replicated register, whose value is the complete map of items. There is no log and no leader:
-//! every member takes commands and proposes. A command is carried out in a round of Paxos (Lamport, "Paxos Made Simple",
+//! The replicas hold one replicated register whose value is the complete map of items. There is no log and no leader:
+//! every member accepts commands and proposes. A command is executed in a round of Paxos (Lamport, "Paxos Made Simple",
 //! 2001; without a log as in Rystsov, "CASPaxos", 2018):
 //!
-//! 1. *Prepare.* A quorum promises to take part in no lower round, and tells what it knows to be chosen and what it has
-//!    accepted beyond that.
-//! 2. The commands are evaluated against all that is chosen, or may be.
-//! 3. *Accept.* A quorum accepts the resulting items, durably. They are then chosen, and the commands are acknowledged.
-//! 4. *Learn.* The other members are told.
+//! 1. *Prepare.* A quorum promises to take part in no lower round, and reports what it knows to be chosen and what
+//!    it has accepted beyond that.
+//! 2. *Evaluate.* The proposer evaluates the commands against everything that is or may be chosen.
+//! 3. *Accept.* A quorum durably accepts the resulting items. They are then chosen, and the commands are
+//!    acknowledged.
+//! 4. *Learn.* The other members are informed.
 //!
-//! Any two rounds share an acceptor, so the later one sees what the earlier may have achieved and builds on it. The
-//! membership is an item too: a round that changes it needs a quorum of the old and of the new membership.
+//! Any two rounds share an acceptor, so the later round sees the possible results of the earlier one and builds on
+//! them. The membership is an item too; a round that changes it needs quorums of both the old and the new membership.
 //!
-//! The parts of a replica are modules of their own, each with its state and its handlers: `acceptor`,
-//! `proposer`, `learner`, `membership_change`, `peers`. `Store` joins them.
+//! Each part of a replica is a module with its own state and handlers: `acceptor`, `proposer`, `learner`,
+//! `membership_change` and `peers`. `Store` combines them.
 
 use crate::durable_state::{DurableState, Watermark};
 use crate::effect::Effect;
@@ -30,20 +31,21 @@
 use ivygate_time::Timestamp;
 use std::net::Ipv4Addr;
 
-/// Whether a replica is a member of the store.
+/// The membership status of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipStatus {
-    /// The system starts for the first time: the replica waits for the founding of the store.
+    /// The system is starting for the first time, and the replica is waiting for the store to be founded.
     Founding,
-    /// It is no member: its disk is new or was lost, or its place was given away. It learns what was chosen, and waits
-    /// for a place.
+    /// The replica is not a member, because its disk is new or was lost, or because its slot was given to another
+    /// machine. It learns chosen rounds and waits for a slot.
     Learner,
-    /// It is a member.
+
+    /// The replica is a member.
     Member,
 }
 
 impl MembershipStatus {
-    /// The word for it in status answers and logs.
+    /// Returns the name of the status in status reports and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Founding => "founding",
@@ -57,9 +59,9 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     pub(crate) address: Ipv4Addr,
-    /// Machines that every replica knows from its settings.
+    /// The seed machines, which every replica knows from its settings.
     pub(crate) seeds: Vec<Ipv4Addr>,
-    /// Whether the system starts for the first time.
+    /// Set if the system is starting for the first time.
     pub(crate) bootstrap: bool,
     pub(crate) rng: fastrand::Rng,
     pub(crate) state: DurableState,
@@ -73,8 +75,8 @@
 }
 
 impl Store {
-    /// A replica with what its disk held. `seed` must differ between runs of the process: it draws the numbers of
-    /// requests, so that no reply to an earlier run is taken for one to this.
+    /// Creates a replica from the state on its disk. `seed` must differ between runs of the process: it determines the
+    /// first request number, so that replies to requests of an earlier run are not matched to requests of this one.
     pub fn new(
         address: Ipv4Addr,
         seeds: Vec<Ipv4Addr>,
@@ -102,12 +104,12 @@
         }
     }
 
-    /// What it keeps on disk.
+    /// Returns the durable state.
     pub fn state(&self) -> &DurableState {
         &self.state
     }
 
-    /// Whether it is a member.
+    /// Returns the membership status.
     pub fn status(&self) -> MembershipStatus {
         match &self.membership {
             Some(membership) if membership.contains(self.own_member()) => MembershipStatus::Member,
@@ -116,12 +118,12 @@
         }
     }
 
-    /// The machines that are members.
+    /// Returns the addresses of the members.
     pub fn members(&self) -> Vec<Ipv4Addr> {
         self.membership.iter().flat_map(|membership| membership.members.keys().copied()).collect()
     }
 
-    /// Takes the effects of the last steps.
+    /// Removes and returns the effects of the last steps.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -134,7 +136,7 @@
         self.status() == MembershipStatus::Member
     }
 
-    /// A command was submitted. Its outcome is an [`Effect::Complete`] with the same id.
+    /// Submits a command. Its result is reported by an [`Effect::Complete`] with the same id.
     pub fn submit(&mut self, now: Timestamp, id: CommandId, command: Command) {
         if !self.is_member() {
             let error = RpcError::new(ErrorKind::NotReady, "this replica is not a member of the store");
@@ -142,8 +144,9 @@
         }
         let is_unversioned = matches!(command, Command::DrainZone { .. } | Command::AcquireRole { .. });
         if is_unversioned && self.peers.may_hold_stale_input(now) {
-            // No version tells what the command is older than. `NotReady` would have it forwarded to another replica.
-            let error = RpcError::new(ErrorKind::NoQuorum, "the process was paused a moment ago");
+            // Such a command carries no version that would show whether it is outdated. `NotReady` would cause it to be
+            // forwarded to another replica.
+            let error = RpcError::new(ErrorKind::NoQuorum, "the process has just resumed after a pause");
             return self.complete(id, Err(error));
         }
         if !self.proposer.enqueue(now, id, command) {
@@ -160,11 +163,12 @@
         self.effects.push(Effect::Complete { command, result });
     }
 
-    /// Handles a peer's request and gives the reply. The reply must go out only after the effects of this step.
+    /// Handles a peer's request and returns the reply. The reply must be sent only after this step's effects are
+    /// executed.
     pub fn handle_request(&mut self, now: Timestamp, from: Ipv4Addr, request: PeerRequest) -> PeerReply {
-        self.note_requester(from);
+        self.record_requester(from);
         if matches!(request, PeerRequest::Ping { chosen } if chosen > self.state.chosen) {
-            // The peers that this replica asks itself may all have been replaced.
+            // Catches up from the sender, since all peers known to this replica may have been replaced.
             self.start_catch_up(now, from);
         }
         let response = self.respond(now, from, request);
@@ -178,7 +182,8 @@
 
     fn respond(&mut self, now: Timestamp, from: Ipv4Addr, request: PeerRequest) -> PeerResponse {
         match request {
-            // Whoever is asked as this incarnation is a member by some membership, known here or not.
+            // A request addressed to this incarnation shows that some membership includes it, even if this replica does
+            // not know that membership yet, so only other incarnations are rejected.
             PeerRequest::Prepare { incarnation, .. } | PeerRequest::Accept { incarnation, .. }
                 if incarnation != self.state.incarnation =>
             {
@@ -190,7 +195,7 @@
             }
             PeerRequest::Learn { ballot, base, items } => self.handle_learn(now, from, ballot, base, items),
             PeerRequest::Announce { incarnation } => self.handle_announce(now, from, incarnation),
-            // Of those that took this replica's place, some may know of that from nobody else.
+            // Members of the membership that replaced this replica may have no other source for it.
             PeerRequest::CatchUp { chosen, after } if self.change.was_replaced() => {
                 self.handle_catch_up(chosen, after)
             }
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Sends a request to a replica, also to itself.
+    /// Sends a request to a replica, which may be this one.
     pub(crate) fn send(&mut self, now: Timestamp, to: Ipv4Addr, ballot: Ballot, request: PeerRequest) {
         if to == self.address {
             let reply = self.handle_request(now, to, request);
@@ -211,7 +216,7 @@
         self.effects.push(Effect::Send { to, number, request });
     }
 
-    /// The reply to a request has come, or surely none will.
+    /// Handles the reply to a request, or `None` if it is certain that no reply will arrive.
     pub fn handle_response(&mut self, now: Timestamp, number: u64, reply: Option<PeerReply>) {
         let Some(request) = self.peers.take_request(number) else { return };
         let Some(reply) = reply else {
@@ -221,8 +226,9 @@
         };
         self.peers.record_latency(now, request);
         let member = Member::new(request.to, reply.incarnation);
-        self.change.note_reply(member, reply.membership_version);
-        // A peer that lost its place, or that knows a newer membership, is no contact with this one.
+        self.change.record_reply(member, reply.membership_version);
+        // A peer that is no longer a member, or that knows a newer membership, does not prove contact with a member of
+        // this one.
         let is_contact = self.membership.as_ref().is_some_and(|membership| {
             membership.contains(member)
                 && reply.membership_version.is_some_and(|version| version <= membership.version)
@@ -233,7 +239,7 @@
         self.handle_reply(now, request.to, request.ballot, number, reply);
     }
 
-    /// Handles a reply; `ballot` is the round of the request, and `number` its number.
+    /// Handles a reply; `ballot` and `number` are those of the request.
     fn handle_reply(
         &mut self,
         now: Timestamp,
@@ -257,13 +263,13 @@
         }
     }
 
-    /// Time has passed; to be called every 50 ms or so.
+    /// Advances timers. Must be called about every 50 ms.
     pub fn tick(&mut self, now: Timestamp) {
-        self.peers.note_tick(now);
+        self.peers.record_tick(now);
         self.tick_round(now);
         self.reject_expired_commands(now);
         self.schedule_recovery(now);
-        self.save_learned(now);
+        self.save_learned_if_due(now);
         self.replace_member_if_due(now);
         self.start_round(now);
         self.peers.drop_oldest_requests();
@@ -274,7 +280,7 @@
         match self.status() {
             MembershipStatus::Member => {
                 if self.peers.is_ping_due(now, &mut self.rng) {
-                    self.learner.note_ping(self.state.chosen);
+                    self.learner.record_ping(self.state.chosen);
                     self.ping_members(now);
                 }
             }
@@ -285,7 +291,7 @@
             }
             MembershipStatus::Learner if !self.change.is_leaving() => {
                 if self.change.is_retry_due(now) {
-                    self.ask_for_place(now);
+                    self.request_membership(now);
                 }
             }
             MembershipStatus::Learner => {
@@ -296,8 +302,8 @@
         }
     }
 
-    /// Whether items include a change of the membership.
-    pub(crate) fn change_membership<'a>(
+    /// Returns whether the items include a membership change.
+    pub(crate) fn contains_membership_change<'a>(
         items: impl IntoIterator<Item = &'a std::sync::Arc<ivygate_control_state::Item>>,
     ) -> bool {
         items.into_iter().any(|item| item.key.table == Table::Membership)
--- a/crates/config-store/tests/fleet/cluster.rs
+++ b/crates/config-store/tests/fleet/cluster.rs
@@ -1,4 +1,4 @@
-//! A fleet of stores in memory: their clock, the links between them and their disks. Nothing sleeps.
+//! A simulated cluster of stores with simulated clock, links and disks. No test sleeps.
 
 use ivygate_config_store::{
     Command, CommandId, CommandOutcome, DurableState, Effect, MembershipStatus, PeerReply, PeerRequest,
@@ -11,52 +11,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// What the fleet does wrong on purpose, for its judge to find.
+/// Defects seeded into the simulation, which the tests must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
-    /// Answers go out before the disk is synced.
-    AnswersBeforeTheSync,
-    /// A store whose disk was lost takes part at once.
-    TakesPartAfterALostDisk,
-    /// What was dropped is forgotten when a store starts again.
-    ForgetsWhatWasDropped,
-    /// Promises are forgotten when a store starts again: it takes part in rounds below.
-    ForgetsPromises,
+    /// Replies are sent before the disk is synced.
+    RepliesBeforeSync,
+    /// A store that lost its disk continues as the same member.
+    KeepsIncarnationAfterDiskLoss,
+    /// A store loses its tombstones when it restarts.
+    LosesTombstones,
+    /// A store loses its promises when it restarts, so that it takes part in lower rounds.
+    LosesPromises,
 }
 
 enum Message {
-    PeerRequest { from: usize, to: usize, number: u64, ask: PeerRequest },
+    PeerRequest { from: usize, to: usize, number: u64, request: PeerRequest },
     PeerReply { from: usize, to: usize, number: u64, reply: PeerReply },
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: f64,
     rng: fastrand::Rng,
     stores: Vec<Option<Store>>,
     disks: Vec<DurableState>,
-    /// Until when each stands still.
-    frozen: Vec<f64>,
-    /// Directions in which nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// The time until which each store is paused.
+    paused_until: Vec<f64>,
+    /// Link directions on which all messages are lost.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     queue: BTreeMap<(u64, u64), Message>,
-    order: u64,
-    next_call: CommandId,
-    pub answers: BTreeMap<CommandId, Result<CommandOutcome, RpcError>>,
-    tick_at: f64,
+    sequence: u64,
+    next_command: CommandId,
+    pub results: BTreeMap<CommandId, Result<CommandOutcome, RpcError>>,
+    next_tick_at: f64,
     defect: Defect,
-    lives: u64,
-    /// Most items in a part of what one lacked.
-    pub largest: usize,
-    /// Two machines a region, and 55 ms between regions; else up to 60 ms between any two.
-    pub regions: bool,
+    last_incarnation: u64,
+    /// The number of items in the largest snapshot chunk.
+    pub largest_chunk: usize,
+    /// Set to place two machines in each region, with 55 ms between regions. Otherwise, latencies between any two
+    /// machines are up to 60 ms.
+    pub has_regions: bool,
 }
 
 pub fn ip(store: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, store as u8 + 1, 0, 5)
 }
 
-fn number_of(ip: Ipv4Addr) -> usize {
+fn machine_of(ip: Ipv4Addr) -> usize {
     usize::from(ip.octets()[1]) - 1
 }
 
@@ -64,77 +65,85 @@
     vec![ip(0), ip(2), ip(4)]
 }
 
-/// A call with one service and routes at places, each with a service of its own where named.
-pub fn routes(version: u64, list: &[(&str, &str, f64)]) -> Command {
+/// An update with one service and routes, each given by its name, path prefix and timeout.
+pub fn routes(version: u64, entries: &[(&str, &str, f64)]) -> Command {
     let mut all = serde_json::Map::new();
-    for (name, prefix, timeout) in list {
+    for (name, prefix, timeout) in entries {
         let body = json!({ "vhost": "h", "pathPrefix": prefix, "kind": "idempotent", "backend": "b",
             "timeoutS": timeout, "gen": format!("r{version}") });
         all.insert((*name).to_owned(), body);
     }
     let call = json!({ "upsert": { "routes": all, "backends": { "b": { "gen": "r1" } } } });
-    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(
+        ConfigUpdate::parse(call.to_string().as_bytes()).expect("the update is valid by itself"),
+    )
 }
 
-pub fn drop_route(name: &str, version: u64) -> Command {
+pub fn remove_route(name: &str, version: u64) -> Command {
     let call = json!({ "remove": { "routes": [{ "name": name, "gen": format!("r{version}") }] } });
-    Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).expect("it is sound by itself"))
+    Command::ApplyUpdate(
+        ConfigUpdate::parse(call.to_string().as_bytes()).expect("the update is valid by itself"),
+    )
 }
 
-impl World {
-    /// Stores that start for the first time.
+impl Cluster {
+    /// Creates stores that start for the first time.
     pub fn new(count: usize, seed: u64, defect: Defect) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: 0.0,
             rng: fastrand::Rng::with_seed(seed),
             stores: Vec::new(),
             disks: (0..count).map(|n| DurableState::new(n as u64 + 1)).collect(),
-            frozen: vec![0.0; count],
-            cut: BTreeSet::new(),
+            paused_until: vec![0.0; count],
+            blocked_links: BTreeSet::new(),
             queue: BTreeMap::new(),
-            order: 0,
-            next_call: 1,
-            answers: BTreeMap::new(),
-            tick_at: 0.0,
+            sequence: 0,
+            next_command: 1,
+            results: BTreeMap::new(),
+            next_tick_at: 0.0,
             defect,
-            lives: 100,
-            regions: false,
-            largest: 0,
+            last_incarnation: 100,
+            has_regions: false,
+            largest_chunk: 0,
         };
         for n in 0..count {
-            let store = Store::new(ip(n), seeds(), true, world.disks[n].clone(), seed ^ n as u64);
-            world.stores.push(Some(store));
+            let store = Store::new(ip(n), seeds(), true, cluster.disks[n].clone(), seed ^ n as u64);
+            cluster.stores.push(Some(store));
         }
-        world
+        cluster
     }
 
-    /// Stores that have founded their group.
+    /// Creates six stores that have founded the cluster.
     pub fn founded(seed: u64, defect: Defect) -> Self {
-        Self::founded_of(6, seed, defect)
+        Self::founded_with(6, seed, defect)
     }
 
-    /// So many of them.
-    pub fn founded_of(count: usize, seed: u64, defect: Defect) -> Self {
-        let mut world = Self::new(count, seed, defect);
-        world.pass(4_000.0);
-        assert!((0..count).all(|n| world.standing(n) == Some(MembershipStatus::Member)), "all are members");
-        world
+    /// Creates `count` stores that have founded the cluster.
+    pub fn founded_with(count: usize, seed: u64, defect: Defect) -> Self {
+        let mut cluster = Self::new(count, seed, defect);
+        cluster.advance(4_000.0);
+        assert!(
+            (0..count).all(|n| cluster.status(n) == Some(MembershipStatus::Member)),
+            "all stores are members"
+        );
+        cluster
     }
 
-    /// A store is told that it is about to end; tells whether it wants to be waited for.
+    /// Begins a planned leave of a store. Returns whether to wait for it.
     pub fn leave(&mut self, n: usize) -> bool {
         let now = self.now;
-        let waits = self.stores[n].as_mut().is_some_and(|store| store.leave(Timestamp::from_millis(now)));
-        self.carry_out(n);
-        waits
+        let should_wait =
+            self.stores[n].as_mut().is_some_and(|store| store.leave(Timestamp::from_millis(now)));
+        self.execute_effects(n);
+        should_wait
     }
 
-    pub fn is_relieved(&self, n: usize) -> bool {
+    pub fn can_stop(&self, n: usize) -> bool {
         self.stores[n].as_ref().is_some_and(Store::can_stop)
     }
 
-    /// How long ago a store surely had contact with more than half of the group.
-    pub fn contact(&self, n: usize) -> Option<f64> {
+    /// Returns the age of a store's last certain contact with a quorum.
+    pub fn contact_age_ms(&self, n: usize) -> Option<f64> {
         self.stores[n].as_ref()?.contact_age_ms(Timestamp::from_millis(self.now))
     }
 
@@ -142,29 +151,29 @@
         self.stores[n].as_ref().is_some_and(|store| store.state().accepted.is_some())
     }
 
-    pub fn group(&self, n: usize) -> Option<ivygate_config_store::Membership> {
+    pub fn membership(&self, n: usize) -> Option<ivygate_config_store::Membership> {
         ivygate_config_store::Membership::from_items(self.items(n))
     }
 
-    pub fn standing(&self, n: usize) -> Option<MembershipStatus> {
+    pub fn status(&self, n: usize) -> Option<MembershipStatus> {
         self.stores[n].as_ref().map(Store::status)
     }
 
     pub fn items(&self, n: usize) -> &Items {
-        &self.stores[n].as_ref().expect("it runs").state().items
+        &self.stores[n].as_ref().expect("the store runs").state().items
     }
 
-    /// The highest round that a store knows to be chosen.
+    /// Returns the highest round that a store knows to be chosen.
     pub fn chosen(&self, n: usize) -> Option<ivygate_config_store::Ballot> {
         self.stores[n].as_ref().map(|store| store.state().chosen)
     }
 
-    /// Whether a store knows of a round that its disk does not.
+    /// Returns whether a store knows a chosen round that is not saved on its disk.
     pub fn has_unsaved(&self, n: usize) -> bool {
         self.chosen(n) > Some(self.disks[n].chosen)
     }
 
-    pub fn timeout_of(&self, n: usize, route: &str) -> Option<f64> {
+    pub fn route_timeout(&self, n: usize, route: &str) -> Option<f64> {
         self.items(n).body(Table::Routes, route)?.get("timeoutS")?.as_f64()
     }
 
@@ -172,162 +181,162 @@
         self.stores[n] = None;
     }
 
-    /// A store that was killed starts with what its disk held when it lost power.
+    /// Starts a killed store from the state last saved on its disk.
     pub fn start(&mut self, n: usize) {
         if self.stores[n].is_some() {
             return;
         }
-        let mut kept = self.disks[n].clone();
-        if self.defect == Defect::ForgetsWhatWasDropped {
-            let dropped: Vec<_> = kept
+        let mut state = self.disks[n].clone();
+        if self.defect == Defect::LosesTombstones {
+            let tombstones: Vec<_> = state
                 .items
                 .all(ivygate_control_state::Tables::DURABLE)
                 .filter(|i| i.body.is_none())
                 .cloned()
                 .collect();
-            kept.items.purge(&dropped.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
+            state.items.purge(&tombstones.iter().map(|item| item.key.clone()).collect::<Vec<_>>());
         }
-        if self.defect == Defect::ForgetsPromises {
-            kept.promised = ivygate_config_store::Ballot::NONE;
-            kept.accepted = None;
+        if self.defect == Defect::LosesPromises {
+            state.promised = ivygate_config_store::Ballot::NONE;
+            state.accepted = None;
         }
         let seed = self.rng.u64(..);
-        self.stores[n] = Some(Store::new(ip(n), seeds(), false, kept, seed));
-        self.frozen[n] = 0.0;
+        self.stores[n] = Some(Store::new(ip(n), seeds(), false, state, seed));
+        self.paused_until[n] = 0.0;
     }
 
-    /// A store loses its disk and starts again.
+    /// Makes a store lose its disk, and restarts it.
     pub fn wipe(&mut self, n: usize) {
         self.kill(n);
-        self.lives += 1;
+        self.last_incarnation += 1;
         let before = self.disks[n].incarnation;
-        let group = self.disks[n].items.get(Table::Membership, "core").cloned();
-        self.disks[n] = DurableState::new(self.lives);
-        if self.defect == Defect::TakesPartAfterALostDisk {
+        let membership = self.disks[n].items.get(Table::Membership, "core").cloned();
+        self.disks[n] = DurableState::new(self.last_incarnation);
+        if self.defect == Defect::KeepsIncarnationAfterDiskLoss {
             self.disks[n].incarnation = before;
-            self.disks[n].items.merge_shared(group.expect("it was founded"));
+            self.disks[n].items.merge_shared(membership.expect("the cluster was founded"));
         }
         self.start(n);
     }
 
-    /// A machine with an empty disk at an address that nobody knows; gives its number.
-    pub fn add(&mut self) -> usize {
-        self.lives += 1;
-        self.disks.push(DurableState::new(self.lives));
-        self.frozen.push(0.0);
+    /// Adds a machine with an empty disk and an unknown address. Returns its index.
+    pub fn add_machine(&mut self) -> usize {
+        self.last_incarnation += 1;
+        self.disks.push(DurableState::new(self.last_incarnation));
+        self.paused_until.push(0.0);
         self.stores.push(None);
         self.start(self.stores.len() - 1);
         self.stores.len() - 1
     }
 
-    pub fn freeze(&mut self, n: usize, time: f64) {
-        self.frozen[n] = self.now + time;
+    pub fn pause(&mut self, n: usize, time: f64) {
+        self.paused_until[n] = self.now + time;
     }
 
-    pub fn cut_off(&mut self, side: &[usize]) {
+    pub fn isolate(&mut self, isolated: &[usize]) {
         for a in 0..self.stores.len() {
             for b in 0..self.stores.len() {
-                if side.contains(&a) != side.contains(&b) {
-                    self.cut.insert((a, b));
+                if isolated.contains(&a) != isolated.contains(&b) {
+                    self.blocked_links.insert((a, b));
                 }
             }
         }
     }
 
-    pub fn call(&mut self, n: usize, change: Command) -> CommandId {
-        let id = self.next_call;
-        self.next_call += 1;
+    pub fn submit(&mut self, n: usize, command: Command) -> CommandId {
+        let id = self.next_command;
+        self.next_command += 1;
         match &mut self.stores[n] {
-            Some(store) => store.submit(Timestamp::from_millis(self.now), id, change),
+            Some(store) => store.submit(Timestamp::from_millis(self.now), id, command),
             None => {
-                self.answers.insert(id, Err(RpcError::new(ErrorKind::Unreachable, "it does not run")));
+                self.results.insert(id, Err(RpcError::new(ErrorKind::Unreachable, "the store does not run")));
             }
         }
-        self.carry_out(n);
+        self.execute_effects(n);
         id
     }
 
-    /// Makes a call and waits for its answer.
-    pub fn answer(&mut self, n: usize, change: Command) -> Result<(), ErrorKind> {
-        let id = self.call(n, change);
-        self.pass(4_000.0);
-        match self.answers.get(&id) {
-            Some(answer) => answer.clone().map(drop).map_err(|fault| fault.kind),
+    /// Submits a command and waits for its result.
+    pub fn submit_and_wait(&mut self, n: usize, command: Command) -> Result<(), ErrorKind> {
+        let id = self.submit(n, command);
+        self.advance(4_000.0);
+        match self.results.get(&id) {
+            Some(result) => result.clone().map(drop).map_err(|error| error.kind),
             None => Err(ErrorKind::Timeout),
         }
     }
 
-    /// What a reading was answered with.
-    pub fn read(&self, id: CommandId) -> Option<&Items> {
-        match self.answers.get(&id) {
+    /// Returns the items that a read command returned.
+    pub fn read_result(&self, id: CommandId) -> Option<&Items> {
+        match self.results.get(&id) {
             Some(Ok(CommandOutcome::Read(items))) => Some(items),
             _ => None,
         }
     }
 
     pub fn acknowledged(&self, id: CommandId) -> bool {
-        matches!(self.answers.get(&id), Some(Ok(_)))
+        matches!(self.results.get(&id), Some(Ok(_)))
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn execute_effects(&mut self, n: usize) {
         let Some(store) = &mut self.stores[n] else { return };
-        let outputs = store.take_effects();
-        for output in outputs {
-            match output {
+        let effects = store.take_effects();
+        for effect in effects {
+            match effect {
                 Effect::Save => {
-                    // With the defect a loss of power takes all but what was written some time ago.
-                    if self.defect != Defect::AnswersBeforeTheSync || self.rng.u8(..) < 20 {
+                    // With the defect, most saves do not reach the disk, so a power loss restores an older state.
+                    if self.defect != Defect::RepliesBeforeSync || self.rng.u8(..) < 20 {
                         if let Some(store) = &self.stores[n] {
                             self.disks[n] = store.state().clone();
                         }
                     }
                 }
-                Effect::Send { to, number, request: ask } => {
-                    let to = number_of(to);
+                Effect::Send { to, number, request } => {
+                    let to = machine_of(to);
                     let at = self.now + self.delay(n, to);
-                    self.order += 1;
+                    self.sequence += 1;
                     self.queue.insert(
-                        ((at * 1000.0) as u64, self.order),
-                        Message::PeerRequest { from: n, to, number, ask },
+                        ((at * 1000.0) as u64, self.sequence),
+                        Message::PeerRequest { from: n, to, number, request },
                     );
                 }
-                Effect::Complete { command: call, result } => {
-                    self.answers.insert(call, result);
+                Effect::Complete { command, result } => {
+                    self.results.insert(command, result);
                 }
             }
         }
     }
 
     fn delay(&mut self, from: usize, to: usize) -> f64 {
-        match (self.regions, from / 2 == to / 2) {
+        match (self.has_regions, from / 2 == to / 2) {
             (false, _) => 1.0 + 59.0 * self.rng.f64(),
             (true, true) => 0.9 + 0.2 * self.rng.f64(),
             (true, false) => 55.0 + 2.0 * self.rng.f64(),
         }
     }
 
-    fn runs(&self, n: usize) -> bool {
-        self.stores[n].is_some() && self.now >= self.frozen[n]
+    fn is_running(&self, n: usize) -> bool {
+        self.stores[n].is_some() && self.now >= self.paused_until[n]
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, time: f64) {
+    /// Advances the simulated time.
+    pub fn advance(&mut self, time: f64) {
         let end = self.now + time;
         loop {
             let next = self.queue.keys().next().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1000.0);
-            if next.min(self.tick_at) > end {
+            if next.min(self.next_tick_at) > end {
                 break;
             }
-            if self.tick_at <= next {
-                self.now = self.now.max(self.tick_at);
-                self.tick_at += 50.0;
+            if self.next_tick_at <= next {
+                self.now = self.now.max(self.next_tick_at);
+                self.next_tick_at += 50.0;
                 for n in 0..self.stores.len() {
-                    if self.runs(n) {
+                    if self.is_running(n) {
                         let now = self.now;
                         if let Some(store) = &mut self.stores[n] {
                             store.tick(Timestamp::from_millis(now));
                         }
-                        self.carry_out(n);
+                        self.execute_effects(n);
                     }
                 }
                 continue;
@@ -343,32 +352,32 @@
         let (from, to) = match &message {
             Message::PeerRequest { from, to, .. } | Message::PeerReply { from, to, .. } => (*from, *to),
         };
-        if self.cut.contains(&(from, to)) || self.stores.get(to).is_none_or(Option::is_none) {
+        if self.blocked_links.contains(&(from, to)) || self.stores.get(to).is_none_or(Option::is_none) {
             return;
         }
-        if !self.runs(to) {
-            // What comes to one that stands still waits.
-            self.order += 1;
-            self.queue.insert(((self.frozen[to] * 1000.0) as u64 + 1, self.order), message);
+        if !self.is_running(to) {
+            // Messages to a paused store wait until it resumes.
+            self.sequence += 1;
+            self.queue.insert(((self.paused_until[to] * 1000.0) as u64 + 1, self.sequence), message);
             return;
         }
         let now = self.now;
         let Some(store) = &mut self.stores[to] else { return };
         match message {
-            Message::PeerRequest { number, ask, .. } => {
-                let reply = store.handle_request(Timestamp::from_millis(now), ip(from), ask);
+            Message::PeerRequest { number, request, .. } => {
+                let reply = store.handle_request(Timestamp::from_millis(now), ip(from), request);
                 if let PeerResponse::SnapshotChunk { items, .. } = &reply.response {
-                    self.largest = self.largest.max(items.len());
+                    self.largest_chunk = self.largest_chunk.max(items.len());
                 }
-                self.carry_out(to);
+                self.execute_effects(to);
                 let at = self.now + self.delay(from, to);
-                self.order += 1;
+                self.sequence += 1;
                 let reply = Message::PeerReply { from: to, to: from, number, reply };
-                self.queue.insert(((at * 1000.0) as u64, self.order), reply);
+                self.queue.insert(((at * 1000.0) as u64, self.sequence), reply);
             }
             Message::PeerReply { number, reply, .. } => {
                 store.handle_response(Timestamp::from_millis(now), number, Some(reply));
-                self.carry_out(to);
+                self.execute_effects(to);
             }
         }
     }
--- a/crates/config-store/tests/messages.rs
+++ b/crates/config-store/tests/messages.rs
@@ -1,43 +1,43 @@
-//! What stores of the version before say to each other is understood and said on, byte for byte.
+//! Messages of the previous version are decoded and encoded again byte for byte.
 
 use ivygate_config_store::{AcceptedProposal, Ballot, JoinCandidate, PeerReply, PeerRequest};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 #[track_caller]
-fn is_spoken_on<T: Serialize + DeserializeOwned>(golden: &str) {
-    let message: T = serde_json::from_str(golden).unwrap_or_else(|error| panic!("{error}: {golden}"));
-    assert_eq!(serde_json::to_string(&message).expect("it can be written"), golden);
+fn assert_round_trip<T: Serialize + DeserializeOwned>(encoded: &str) {
+    let message: T = serde_json::from_str(encoded).unwrap_or_else(|error| panic!("{error}: {encoded}"));
+    assert_eq!(serde_json::to_string(&message).expect("the message can be encoded"), encoded);
 }
 
 const BALLOT: &str = r#"{"counter":7,"by":"10.1.0.5","incarnation":3}"#;
 const ITEM: &str = r#"{"t":"routes","k":"pay","v":12,"b":{"gen":"r12"}}"#;
-const DROPPED: &str = r#"{"t":"drains","k":"zone-a","v":2,"b":null}"#;
+const TOMBSTONE: &str = r#"{"t":"drains","k":"zone-a","v":2,"b":null}"#;
 
 #[test]
 fn requests_keep_their_wire_format() {
-    let asks = [
+    let requests = [
         format!(r#"{{"prepare":{{"ballot":{BALLOT},"incarnation":4,"chosen":{BALLOT}}}}}"#),
         format!(
-            r#"{{"accept":{{"ballot":{BALLOT},"incarnation":4,"base":{BALLOT},"missing":[{DROPPED}],"items":[{ITEM}]}}}}"#
+            r#"{{"accept":{{"ballot":{BALLOT},"incarnation":4,"base":{BALLOT},"missing":[{TOMBSTONE}],"items":[{ITEM}]}}}}"#
         ),
-        format!(r#"{{"learn":{{"ballot":{BALLOT},"base":{BALLOT},"items":[{ITEM},{DROPPED}]}}}}"#),
+        format!(r#"{{"learn":{{"ballot":{BALLOT},"base":{BALLOT},"items":[{ITEM},{TOMBSTONE}]}}}}"#),
         format!(r#"{{"ping":{{"chosen":{BALLOT}}}}}"#),
         format!(r#"{{"catch_up":{{"chosen":{BALLOT},"after":null}}}}"#),
         format!(r#"{{"catch_up":{{"chosen":{BALLOT},"after":{{"t":"past","k":"routes/pay"}}}}}}"#),
         r#"{"hello":{"incarnation":5}}"#.to_owned(),
         format!(r#"{{"join":{{"incarnation":5,"group":2,"chosen":{BALLOT}}}}}"#),
     ];
-    for ask in &asks {
-        is_spoken_on::<PeerRequest>(ask);
+    for request in &requests {
+        assert_round_trip::<PeerRequest>(request);
     }
 }
 
 #[test]
 fn replies_keep_their_wire_format() {
-    let answers = [
+    let responses = [
         format!(
-            r#"{{"promised":{{"accepted":{{"ballot":{BALLOT},"items":[{ITEM}]}},"chosen":{BALLOT},"items":[{DROPPED}]}}}}"#
+            r#"{{"promised":{{"accepted":{{"ballot":{BALLOT},"items":[{ITEM}]}},"chosen":{BALLOT},"items":[{TOMBSTONE}]}}}}"#
         ),
         format!(r#"{{"promised":{{"accepted":null,"chosen":{BALLOT},"items":null}}}}"#),
         format!(r#"{{"nack":{{"promised":{BALLOT}}}}}"#),
@@ -47,18 +47,19 @@
         format!(r#"{{"snapshot":{{"chosen":{BALLOT},"items":[{ITEM}],"more":true}}}}"#),
         r#""blank""#.to_owned(),
     ];
-    for answer in &answers {
-        is_spoken_on::<PeerReply>(&format!(r#"{{"incarnation":9,"group":2,"answer":{answer}}}"#));
+    for response in &responses {
+        assert_round_trip::<PeerReply>(&format!(r#"{{"incarnation":9,"group":2,"answer":{response}}}"#));
     }
-    is_spoken_on::<PeerReply>(r#"{"incarnation":9,"group":null,"answer":"blank"}"#);
+    assert_round_trip::<PeerReply>(r#"{"incarnation":9,"group":null,"answer":"blank"}"#);
 }
 
 #[test]
 fn message_parts_keep_their_wire_format() {
-    is_spoken_on::<Ballot>(BALLOT);
-    is_spoken_on::<AcceptedProposal>(&format!(r#"{{"ballot":{BALLOT},"items":[{ITEM}]}}"#));
-    is_spoken_on::<JoinCandidate>(&format!(r#"{{"incarnation":5,"group":2,"chosen":{BALLOT}}}"#));
-    // Ballots of before incarnations.
-    let old: Ballot = serde_json::from_str(r#"{"counter":7,"by":"10.1.0.5"}"#).expect("it is understood");
+    assert_round_trip::<Ballot>(BALLOT);
+    assert_round_trip::<AcceptedProposal>(&format!(r#"{{"ballot":{BALLOT},"items":[{ITEM}]}}"#));
+    assert_round_trip::<JoinCandidate>(&format!(r#"{{"incarnation":5,"group":2,"chosen":{BALLOT}}}"#));
+    // Ballots from before incarnations were introduced.
+    let old: Ballot =
+        serde_json::from_str(r#"{"counter":7,"by":"10.1.0.5"}"#).expect("the ballot can be decoded");
     assert_eq!((old.counter, old.incarnation), (7, 0));
 }
