--- a/crates/model-checker/src/adapter.rs
+++ b/crates/model-checker/src/adapter.rs
@@ -1,4 +1,4 @@
-//! All that touches the store's messages, disks and answers from the inside: the rest takes them as they come.
+//! Access to the contents of the store's messages, disks and results. All other modules treat them as opaque.
 
 use crate::defects::Defect;
 use ivygate_config_store::{
@@ -12,135 +12,144 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// The address of a machine.
-pub fn ip(machine: usize) -> Ipv4Addr {
+/// Returns the address of a machine.
+pub fn address_of(machine: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, machine as u8 + 1, 0, 5)
 }
 
-/// The machine of an address.
-pub fn machine(ip: Ipv4Addr) -> usize {
-    usize::from(ip.octets()[1]) - 1
+/// Returns the machine with this address.
+pub fn machine_of(address: Ipv4Addr) -> usize {
+    usize::from(address.octets()[1]) - 1
 }
 
-/// The machines that are known to all from the start: all founders, or as few as outnumber those that may be lost at once.
+/// Returns the seed machines: all founders, or the smallest number of them that exceeds the tolerated number of
+/// simultaneous losses.
 pub fn seeds(stores: usize, all: bool) -> Vec<Ipv4Addr> {
     let few = 3.max((stores - 1) / 2 + 1);
-    (0..if all { stores } else { few.min(stores) }).map(ip).collect()
+    (0..if all { stores } else { few.min(stores) }).map(address_of).collect()
 }
 
-/// A store that starts with what its disk held.
-pub fn start(machine: usize, seeds: Vec<Ipv4Addr>, first: bool, kept: DurableState, seed: u64) -> Store {
-    Store::new(ip(machine), seeds, first, kept, seed)
+/// Starts a store from the state on its disk.
+pub fn start_store(
+    machine: usize,
+    seeds: Vec<Ipv4Addr>,
+    first: bool,
+    state: DurableState,
+    seed: u64,
+) -> Store {
+    Store::new(address_of(machine), seeds, first, state, seed)
 }
 
-/// What an operator asks for.
+/// A call of an operator or a registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCall {
-    /// A route at a version.
+    /// Writes a route at a version.
     Put {
-        /// Its name.
+        /// The route's name.
         name: String,
-        /// Where it is.
-        place: String,
-        /// Its number.
-        number: u64,
-        /// What tells its contents apart.
+        /// The route's path prefix.
+        path_prefix: String,
+        /// The route's version.
+        version: u64,
+        /// A number that identifies the route's content.
         content: u64,
     },
-    /// A route is dropped at a version.
+    /// Removes a route at a version.
     Remove {
-        /// Its name.
+        /// The route's name.
         name: String,
-        /// The number.
-        number: u64,
+        /// The version of the removal.
+        version: u64,
     },
-    /// A zone is emptied or taken back.
+    /// Begins or ends draining a zone.
     Drain {
         /// The zone.
         zone: String,
-        /// Emptied.
-        on: bool,
+        /// `true` to begin draining, `false` to end it.
+        drained: bool,
     },
-    /// A role is taken.
-    Duty {
+    /// Acquires a role.
+    AcquireRole {
         /// The role.
-        name: String,
-        /// By whom: another at each call.
+        role: String,
+        /// The registry that acquires it; a different one in each call.
         holder: Ipv4Addr,
     },
-    /// All is read.
+    /// Reads all items.
     Read,
 }
 
 impl ClientCall {
-    /// The call that the store takes.
-    pub fn change(&self) -> Command {
+    /// Converts the call to a command.
+    pub fn to_command(&self) -> Command {
         match self {
-            Self::Put { name, place, number, content } => {
-                let route = json!({ "vhost": "h", "pathPrefix": place, "kind": "idempotent", "backend": "b",
-                    "timeoutS": *content as f64, "gen": format!("r{number}") });
+            Self::Put { name, path_prefix, version, content } => {
+                let route = json!({ "vhost": "h", "pathPrefix": path_prefix, "kind": "idempotent", "backend": "b",
+                    "timeoutS": *content as f64, "gen": format!("r{version}") });
                 let mut routes = serde_json::Map::new();
                 routes.insert(name.clone(), route);
-                amended(&json!({ "upsert": { "routes": routes, "backends": { "b": { "gen": "r1" } } } }))
+                apply_update(&json!({ "upsert": { "routes": routes, "backends": { "b": { "gen": "r1" } } } }))
             }
-            Self::Remove { name, number } => {
-                amended(&json!({ "remove": { "routes": [{ "name": name, "gen": format!("r{number}") }] } }))
+            Self::Remove { name, version } => apply_update(
+                &json!({ "remove": { "routes": [{ "name": name, "gen": format!("r{version}") }] } }),
+            ),
+            Self::Drain { zone, drained } => Command::DrainZone { zone: zone.clone(), drained: *drained },
+            Self::AcquireRole { role, holder } => {
+                Command::AcquireRole { role: role.clone(), holder: *holder }
             }
-            Self::Drain { zone, on } => Command::DrainZone { zone: zone.clone(), drained: *on },
-            Self::Duty { name, holder } => Command::AcquireRole { role: name.clone(), holder: *holder },
             Self::Read => Command::Read,
         }
     }
 
-    /// The item that it is about.
+    /// Returns the key of the item that the call concerns.
     pub fn key(&self) -> Option<Key> {
         let (table, name) = match self {
             Self::Put { name, .. } | Self::Remove { name, .. } => (Table::Routes, name),
             Self::Drain { zone, .. } => (Table::Drains, zone),
-            Self::Duty { name, .. } => (Table::SingletonRoles, name),
+            Self::AcquireRole { role, .. } => (Table::SingletonRoles, role),
             Self::Read => return None,
         };
         Some(Key { table, name: name.clone() })
     }
 }
 
-fn amended(call: &serde_json::Value) -> Command {
+fn apply_update(call: &serde_json::Value) -> Command {
     Command::ApplyUpdate(ConfigUpdate::parse(call.to_string().as_bytes()).unwrap_or_default())
 }
 
-/// What tells a route's contents apart; 0 for one that was dropped.
-pub fn content(item: &Item) -> u64 {
-    let confirmation =
-        item.body.as_ref().and_then(|body| body.get("timeoutS")).and_then(serde_json::Value::as_f64);
-    confirmation.map_or(0, |confirmation| confirmation as u64)
+/// Returns the number that identifies a route's content, or 0 for a tombstone.
+pub fn route_content(item: &Item) -> u64 {
+    let marker = item.body.as_ref().and_then(|body| body.get("timeoutS")).and_then(serde_json::Value::as_f64);
+    marker.map_or(0, |marker| marker as u64)
 }
 
-/// The holder that a role's item names.
+/// Returns the holder named by a role's item.
 pub fn holder(item: &Item) -> Option<Ipv4Addr> {
     item.body.as_ref()?.get("holder")?.as_str()?.parse().ok()
 }
 
-/// The machines that a membership's item names, as they stand in it.
-pub fn members_of(group: &Item) -> Vec<Ipv4Addr> {
-    let members = group.body.as_ref().and_then(|body| body.get("members")).cloned().unwrap_or_default();
+/// Returns the addresses in a membership's item, in its order and including duplicates.
+pub fn members_of(membership_item: &Item) -> Vec<Ipv4Addr> {
+    let members =
+        membership_item.body.as_ref().and_then(|body| body.get("members")).cloned().unwrap_or_default();
     serde_json::from_value(members).unwrap_or_default()
 }
 
-/// The membership's item.
-pub fn group(items: &Items) -> Option<&Arc<Item>> {
+/// Returns the membership's item.
+pub fn membership_item(items: &Items) -> Option<&Arc<Item>> {
     items.get(Table::Membership, "core")
 }
 
-/// Items that a request says to be chosen.
-pub fn chosen_in_request(ask: &PeerRequest) -> &[Arc<Item>] {
-    match ask {
+/// Returns the items that a request states to be chosen.
+pub fn chosen_in_request(request: &PeerRequest) -> &[Arc<Item>] {
+    match request {
         PeerRequest::Accept { missing, .. } => missing,
         PeerRequest::Learn { items, .. } => items,
         _ => &[],
     }
 }
 
-/// Items that an answer says to be chosen.
+/// Returns the items that a reply states to be chosen.
 pub fn chosen_in_reply(reply: &PeerReply) -> &[Arc<Item>] {
     match &reply.response {
         PeerResponse::Promised { items: Some(items), .. } | PeerResponse::SnapshotChunk { items, .. } => {
@@ -150,171 +159,179 @@
     }
 }
 
-/// A round's items, where a request has them accepted.
-pub fn proposal(ask: &PeerRequest) -> Option<(Ballot, &[Arc<Item>])> {
-    match ask {
+/// Returns the ballot and items of a request to accept a proposal.
+pub fn proposal(request: &PeerRequest) -> Option<(Ballot, &[Arc<Item>])> {
+    match request {
         PeerRequest::Accept { ballot, items, .. } => Some((*ballot, items)),
         _ => None,
     }
 }
 
-/// A round of a store's own that it has accepted itself: nobody else may have been asked yet.
-pub fn own_proposal(n: usize, kept: &DurableState) -> Option<(Ballot, &[Arc<Item>])> {
-    let own = kept.accepted.as_ref().filter(|accepted| accepted.ballot.proposer == ip(n))?;
+/// Returns a store's own proposal that it has accepted itself. It may not have been sent to any other store yet.
+pub fn own_proposal(n: usize, state: &DurableState) -> Option<(Ballot, &[Arc<Item>])> {
+    let own = state.accepted.as_ref().filter(|accepted| accepted.ballot.proposer == address_of(n))?;
     Some((own.ballot, &own.items))
 }
 
-/// A round that is chosen, where a request says so.
-pub fn chosen_round(ask: &PeerRequest) -> Option<Ballot> {
-    match ask {
+/// Returns the round that a request announces as chosen.
+pub fn announced_round(request: &PeerRequest) -> Option<Ballot> {
+    match request {
         PeerRequest::Learn { ballot, .. } => Some(*ballot),
         _ => None,
     }
 }
 
-/// Whether an answer says that items are accepted.
+/// Returns whether a reply states that the items are accepted.
 pub fn is_accepted(reply: &PeerReply) -> bool {
     matches!(reply.response, PeerResponse::Accepted)
 }
 
-/// Which membership an answer tells of contact with: any, if who answers has a place in its own; that version, if it waits to
-/// learn of its place; none, if it has no say.
-pub fn contact_of(answerer: &Store, reply: &PeerReply) -> Option<u64> {
-    let version = group(&answerer.state().items).map_or(0, |group| group.version);
-    match (&reply.response, answerer.status()) {
+/// Returns the lowest membership version with which a reply proves contact: 0, that is any membership, if the replying
+/// store is a member; the version after its own if it is waiting to learn of its membership; `None` if it does not
+/// vote.
+pub fn contact_version(replier: &Store, reply: &PeerReply) -> Option<u64> {
+    let version = membership_item(&replier.state().items).map_or(0, |item| item.version);
+    match (&reply.response, replier.status()) {
         (PeerResponse::NotAMember, _) => None,
         (_, MembershipStatus::Member) => Some(0),
         _ => Some(version + 1),
     }
 }
 
-/// Whether an answer is contact to an asker: a machine that lost its place to another in a later membership is none.
-pub fn is_contact(asker: &Store, least: Option<u64>) -> bool {
-    let version = group(&asker.state().items).map_or(0, |group| group.version);
-    least.is_some_and(|least| least <= version)
+/// Returns whether a reply proves contact to the requesting store. A machine that lost its slot to another in a later
+/// membership does not.
+pub fn is_contact(requester: &Store, lowest_version: Option<u64>) -> bool {
+    let version = membership_item(&requester.state().items).map_or(0, |item| item.version);
+    lowest_version.is_some_and(|lowest_version| lowest_version <= version)
 }
 
-/// Questions that come again and again, without which nothing is wrong but late.
-pub fn is_routine(ask: &PeerRequest) -> bool {
-    matches!(ask, PeerRequest::CatchUp { .. } | PeerRequest::Ping { .. })
+/// Returns whether a request is repeated periodically, so that losing it only causes a delay.
+pub fn is_routine(request: &PeerRequest) -> bool {
+    matches!(request, PeerRequest::CatchUp { .. } | PeerRequest::Ping { .. })
 }
 
-/// What a store has accepted and does not know to be chosen: its membership, if it is one.
-pub fn pending_group(kept: &DurableState) -> Option<&Arc<Item>> {
-    kept.accepted.as_ref()?.items.iter().find(|item| item.key.table == Table::Membership)
+/// Returns the membership's item in the proposal that a store has accepted and does not know to be chosen, if there is
+/// one.
+pub fn accepted_membership(state: &DurableState) -> Option<&Arc<Item>> {
+    state.accepted.as_ref()?.items.iter().find(|item| item.key.table == Table::Membership)
 }
 
-/// Which disk it is.
-pub fn incarnation(kept: &DurableState) -> u64 {
-    kept.incarnation
+/// Returns the incarnation of a disk.
+pub fn incarnation(state: &DurableState) -> u64 {
+    state.incarnation
 }
 
-/// How long ago a store was in contact with a quorum.
-pub fn contact(store: &Store, now: f64) -> Option<f64> {
+/// Returns how long ago a store was in contact with a quorum, in milliseconds.
+pub fn contact_age_ms(store: &Store, now: f64) -> Option<f64> {
     store.contact_age_ms(Timestamp::from_millis(now))
 }
 
-/// Begins a planned leave; tells whether it is worth waiting for.
+/// Begins a planned leave. Returns whether to wait for its completion.
 pub fn leave(store: &mut Store, now: f64) -> bool {
     store.leave(Timestamp::from_millis(now))
 }
 
-/// Whether one that leaves has nothing left that is needed.
-pub fn is_relieved(store: &Store) -> bool {
+/// Returns whether the cluster no longer depends on a leaving store.
+pub fn can_stop(store: &Store) -> bool {
     store.can_stop()
 }
 
-/// What a call is answered with.
-pub type Result = std::result::Result<CommandOutcome, RpcError>;
+/// The result of a call.
+pub type CommandResult = std::result::Result<CommandOutcome, RpcError>;
 
-/// An answer in the spelling of the wire; of a fault only its kind, since its text is for people.
-pub fn spelled(result: &Result) -> String {
+/// Encodes a result in the wire format. Of an error, only the kind is included, since its message may change.
+pub fn encode_result(result: &CommandResult) -> String {
     match result {
         Ok(CommandOutcome::Applied) => "applied".to_owned(),
         Ok(CommandOutcome::RoleAcquired { epoch }) => format!("epoch {epoch}"),
         Ok(CommandOutcome::Read(items)) => format!("read {:016x}", items.digest(Tables::DURABLE)),
-        Err(fault) => serde_json::to_string(&fault.kind).unwrap_or_default(),
+        Err(error) => serde_json::to_string(&error.kind).unwrap_or_default(),
     }
 }
 
-/// The epoch that a role's call was answered with.
-pub fn epoch(done: &CommandOutcome) -> Option<u64> {
-    match done {
+/// Returns the epoch acquired by a call for a role.
+pub fn acquired_epoch(outcome: &CommandOutcome) -> Option<u64> {
+    match outcome {
         CommandOutcome::RoleAcquired { epoch } => Some(*epoch),
         _ => None,
     }
 }
 
-/// What a read was answered with.
-pub fn read(done: &CommandOutcome) -> Option<&Items> {
-    match done {
+/// Returns the items returned by a read.
+pub fn read_items(outcome: &CommandOutcome) -> Option<&Items> {
+    match outcome {
         CommandOutcome::Read(items) => Some(items),
         _ => None,
     }
 }
 
-/// What a disk holds that was lost: nothing, and an incarnation of its own.
-pub fn lost(before: &DurableState, incarnation: u64, defect: Option<Defect>) -> DurableState {
+/// Returns the state of a new disk that replaces a lost one: empty, with a new incarnation.
+pub fn replacement_disk(before: &DurableState, incarnation: u64, defect: Option<Defect>) -> DurableState {
     match defect {
         Some(Defect::OldIncarnation) => DurableState::new(before.incarnation),
         _ => DurableState::new(incarnation),
     }
 }
 
-/// A disk of which the items were saved, and the rest was not.
-pub fn torn(before: &DurableState, now: &DurableState) -> DurableState {
+/// Returns the state of a disk after an interrupted save that included the items and nothing else.
+pub fn partially_saved(before: &DurableState, now: &DurableState) -> DurableState {
     DurableState { items: now.items.clone(), ..before.clone() }
 }
 
-/// What a store starts with, from a disk; with the rounds that it had marked or without.
-pub fn loaded(mut kept: DurableState, marks: bool, defect: Option<Defect>) -> DurableState {
-    if !marks {
-        kept.watermarks.clear();
+/// Returns the state that a store loads from its disk, with or without its watermarks.
+pub fn restored_state(
+    mut state: DurableState,
+    with_watermarks: bool,
+    defect: Option<Defect>,
+) -> DurableState {
+    if !with_watermarks {
+        state.watermarks.clear();
     }
     match defect {
         Some(Defect::PromiseLost) => {
-            kept.promised = Ballot::NONE;
-            kept.accepted = None;
+            state.promised = Ballot::NONE;
+            state.accepted = None;
         }
         Some(Defect::VersionForgotten) => {
-            let past: Vec<_> = kept.items.all(Tables::VERSION_HISTORY).map(|item| item.key.clone()).collect();
-            kept.items.purge(&past);
+            let history: Vec<_> =
+                state.items.all(Tables::VERSION_HISTORY).map(|item| item.key.clone()).collect();
+            state.items.purge(&history);
         }
         _ => {}
     }
-    kept
+    state
 }
 
-fn without_past(items: &mut Vec<Arc<Item>>) {
+fn remove_version_history(items: &mut Vec<Arc<Item>>) {
     items.retain(|item| item.key.table != Table::VersionHistory);
 }
 
-/// A request as it arrives, with a defect.
-pub fn tampered_request(mut ask: PeerRequest, defect: Option<Defect>) -> PeerRequest {
+/// Applies a defect to a request on its arrival.
+pub fn tampered_request(mut request: PeerRequest, defect: Option<Defect>) -> PeerRequest {
     if defect == Some(Defect::VersionForgotten) {
-        match &mut ask {
+        match &mut request {
             PeerRequest::Accept { missing, items, .. } => {
-                without_past(missing);
-                without_past(items);
+                remove_version_history(missing);
+                remove_version_history(items);
             }
-            PeerRequest::Learn { items, .. } => without_past(items),
+            PeerRequest::Learn { items, .. } => remove_version_history(items),
             _ => {}
         }
     }
-    ask
+    request
 }
 
-/// An answer as it arrives, with a defect.
-pub fn tampered_reply(asker: &Store, mut reply: PeerReply, defect: Option<Defect>) -> PeerReply {
+/// Applies a defect to a reply on its arrival.
+pub fn tampered_reply(requester: &Store, mut reply: PeerReply, defect: Option<Defect>) -> PeerReply {
     match (defect, &mut reply.response) {
         (Some(Defect::MemberBeforeCatchUp), PeerResponse::SnapshotChunk { items, .. })
-            if asker.status() == MembershipStatus::Learner =>
+            if requester.status() == MembershipStatus::Learner =>
         {
             items.retain(|item| item.key.table == Table::Membership);
         }
         (Some(Defect::NoChosenBallot), PeerResponse::Promised { accepted: Some(accepted), .. }) => {
-            // Whatever is known to be chosen, it seems to be newer.
-            let chosen = asker.state().chosen;
+            // Raises the ballot so that the proposal always appears newer than the chosen rounds known to the proposer.
+            let chosen = requester.state().chosen;
             let above = Ballot { incarnation: chosen.incarnation.saturating_add(1), ..chosen };
             accepted.ballot = accepted.ballot.max(above);
         }
@@ -323,27 +340,28 @@
     reply
 }
 
-/// Whether a store that is no member waits for a place.
-pub fn is_waiting_for_place(store: &Store) -> bool {
+/// Returns whether a store is waiting to become a member.
+pub fn is_waiting_for_membership(store: &Store) -> bool {
     store.status() == MembershipStatus::Learner
 }
 
-/// Whether an answer changes nothing but contact.
-pub fn is_idle(reply: &PeerReply) -> bool {
+/// Returns whether a reply has no effect except proving contact.
+pub fn only_proves_contact(reply: &PeerReply) -> bool {
     matches!(reply.response, PeerResponse::Learned | PeerResponse::Pong { .. })
 }
 
-/// How a store stands, in a line.
+/// Describes the state of a store in one line.
 pub fn describe(store: &Store) -> String {
-    let kept = store.state();
-    let accepted = kept.accepted.as_ref().map(|accepted| accepted.ballot);
-    let group = group(&kept.items).map(|group| group.body.clone().unwrap_or_default().to_string());
+    let state = store.state();
+    let accepted = state.accepted.as_ref().map(|accepted| accepted.ballot);
+    let membership_item = membership_item(&state.items)
+        .map(|membership_item| membership_item.body.clone().unwrap_or_default().to_string());
     format!(
-        "{:?}, incarnation {}, chosen {:?}, promised {:?}, accepted {accepted:?}, group {}",
+        "{:?}, incarnation {}, chosen {:?}, promised {:?}, accepted {accepted:?}, membership {}",
         store.status(),
-        kept.incarnation,
-        kept.chosen,
-        kept.promised,
-        group.unwrap_or_default()
+        state.incarnation,
+        state.chosen,
+        state.promised,
+        membership_item.unwrap_or_default()
     )
 }
--- a/crates/model-checker/src/checker.rs
+++ b/crates/model-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! The invariants, by name, and the checker that judges a run by them.
+//! The invariants and the checker that verifies them during a run.
 
 use crate::adapter::{self, ClientCall};
 use crate::linearizability::{search, Confirmation, Entry, Operation, SearchResult};
@@ -9,278 +9,282 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Most entries of a history that are told of a violation.
+/// Maximum number of history entries included in the description of a violation.
 const MAX_DESCRIBED_ENTRIES: usize = 40;
 
-/// What must hold.
+/// An invariant of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Two contents of one item and number never both stand, anywhere, over all time.
+    /// No two contents are ever chosen for one version of an item, on any replica at any time.
     Agreement,
-    /// What was acknowledged is in each read that begins after.
-    AcknowledgedStays,
-    /// What stands in a replica is sound as a whole.
-    Soundness,
-    /// Two calls for a role are never told one epoch, nor one of another's holder, nor a lower one later.
-    EpochsNeverShared,
-    /// A store is in contact only as long as a quorum could have answered what it asked within that time.
-    NoServingWithoutContact,
-    /// One machine has one place in a membership.
-    OnePlaceEach,
-    /// After a loss within what the membership bears all take part again and calls are carried out.
-    LossIsBorne,
-    /// What nobody owes any more never comes to stand.
-    NothingReturns,
-    /// No two contents are confirmed under one version.
-    OneContentANumber,
+    /// Acknowledged items are included in every read that begins afterwards.
+    Durability,
+    /// The configuration in a replica is valid as a whole.
+    Validity,
+    /// No two calls for a role receive the same epoch or an epoch held by another registry, and later calls receive
+    /// higher epochs.
+    UniqueEpochs,
+    /// A store reports contact of a certain age only if a quorum could have answered requests sent since then.
+    ContactAge,
+    /// A machine occurs at most once in a membership.
+    UniqueMembers,
+    /// After tolerated faults, all members take part again and execute calls.
+    Recovery,
+    /// A proposal excluded by a chosen round is never chosen unless it is requested again.
+    NoResurrection,
+    /// No two contents are confirmed under one version of an item.
+    OneContentPerVersion,
     /// Each item's history is linearizable.
     Linearizable,
 }
 
 impl Invariant {
-    /// All, with their names.
+    /// All invariants with their names.
     pub const ALL: [(&'static str, Self); 10] = [
         ("agreement", Self::Agreement),
-        ("acknowledged-stays", Self::AcknowledgedStays),
-        ("soundness", Self::Soundness),
-        ("epochs-never-shared", Self::EpochsNeverShared),
-        ("no-serving-without-contact", Self::NoServingWithoutContact),
-        ("one-place-each", Self::OnePlaceEach),
-        ("loss-is-borne", Self::LossIsBorne),
-        ("nothing-returns", Self::NothingReturns),
-        ("one-content-a-number", Self::OneContentANumber),
+        ("acknowledged-stays", Self::Durability),
+        ("soundness", Self::Validity),
+        ("epochs-never-shared", Self::UniqueEpochs),
+        ("no-serving-without-contact", Self::ContactAge),
+        ("one-place-each", Self::UniqueMembers),
+        ("loss-is-borne", Self::Recovery),
+        ("nothing-returns", Self::NoResurrection),
+        ("one-content-a-number", Self::OneContentPerVersion),
         ("linearizable", Self::Linearizable),
     ];
 
-    /// Its name.
+    /// Returns the invariant's name.
     pub fn name(self) -> &'static str {
-        Self::ALL.iter().find(|(_, known)| *known == self).map_or("", |(name, _)| name)
+        Self::ALL.iter().find(|(_, existing)| *existing == self).map_or("", |(name, _)| name)
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// What was seen.
-    pub what: String,
-    /// When, in milliseconds of the run.
+    /// A description of the violation.
+    pub description: String,
+    /// The time of the violation in the run, in milliseconds.
     pub at: f64,
 }
 
-/// A call of an operator or a registry.
+/// The record of an operator's or a registry's call.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// The store that was called.
+    /// The called store.
     pub store: usize,
-    /// What for.
-    pub op: ClientCall,
-    /// When it began.
-    pub begin: f64,
-    /// When it was answered.
-    pub end: f64,
-    /// What it was told; `None` if nothing was.
-    pub confirmation: Option<Result<(), ErrorKind>>,
-    /// What a read gave.
+    /// The call.
+    pub request: ClientCall,
+    /// The time at which the call began.
+    pub started_at: f64,
+    /// The time at which the call was answered.
+    pub ended_at: f64,
+    /// The result of the call; `None` if it was not answered.
+    pub result: Option<Result<(), ErrorKind>>,
+    /// The items returned by a read.
     read: Option<Items>,
-    /// What was acknowledged when it began.
-    floor: BTreeMap<Key, u64>,
-    /// The highest epochs that were told when it began.
-    epochs: BTreeMap<String, u64>,
+    /// The versions that were acknowledged when the call began.
+    acknowledged_at_start: BTreeMap<Key, u64>,
+    /// The highest epochs that had been returned when the call began.
+    highest_epochs_at_start: BTreeMap<String, u64>,
 }
 
-/// What is known of an item at a version that a round was to write down.
+/// An item at a version that was proposed in a round.
 #[derive(Clone, Debug)]
 struct Proposed {
-    body: Arc<Item>,
+    item: Arc<Item>,
     last: Ballot,
-    /// The round that stood and excludes it.
-    dead: Option<Ballot>,
+    /// The chosen round that excludes it.
+    excluded_by: Option<Ballot>,
 }
 
-/// Judges a run, step by step.
+/// Checks the invariants at each step of a run.
 #[derive(Clone, Debug, Default)]
 pub struct InvariantChecker {
-    /// The first invariant that did not hold.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// Invariants that are looked past.
+    /// Invariants that are not checked.
     pub ignored: BTreeSet<Invariant>,
-    /// Histories that the search could not decide.
+    /// The number of histories whose linearizability was not decided.
     pub undecided: u64,
-    stood: BTreeMap<(Key, u64), Arc<Item>>,
-    seen: BTreeMap<usize, u64>,
-    sound: BTreeSet<u64>,
-    /// The calls.
+    chosen: BTreeMap<(Key, u64), Arc<Item>>,
+    last_checked_change: BTreeMap<usize, u64>,
+    valid_digests: BTreeSet<u64>,
+    /// The records of all calls.
     pub calls: BTreeMap<CommandId, CallRecord>,
     acknowledged: BTreeMap<Key, u64>,
     confirmed: BTreeMap<(Key, u64), u64>,
     epochs: BTreeMap<(String, u64), CommandId>,
-    highest: BTreeMap<String, u64>,
+    highest_epochs: BTreeMap<String, u64>,
     proposed: BTreeMap<(Key, u64), Vec<Proposed>>,
-    /// When the last request went out that a member answered: of asker and answerer.
-    contact: BTreeMap<(usize, usize), f64>,
+    /// The time at which the last answered request was sent, by requester and replier.
+    last_contact: BTreeMap<(usize, usize), f64>,
 }
 
 impl InvariantChecker {
-    /// One that looks past some invariants.
+    /// Creates a checker that ignores some invariants.
     pub fn ignored(ignored: &BTreeSet<Invariant>) -> Self {
         Self { ignored: ignored.clone(), ..Self::default() }
     }
 
-    fn breaks(&mut self, now: f64, invariant: Invariant, what: String) {
+    fn report(&mut self, now: f64, invariant: Invariant, description: String) {
         if self.violation.is_none() && !self.ignored.contains(&invariant) {
-            self.violation = Some(Violation { invariant, what, at: now });
+            self.violation = Some(Violation { invariant, description, at: now });
         }
     }
 
-    /// Items stand somewhere, or are said to.
+    /// Checks items that are chosen, or stated to be chosen, at some place.
     pub fn check_chosen(&mut self, now: f64, place: &str, items: &[Arc<Item>]) {
         for item in items {
-            let known = self.stood.entry((item.key.clone(), item.version)).or_insert_with(|| item.clone());
-            if known.body != item.body {
-                let what = format!(
-                    "{:?} '{}' at {}: {:?} at {place}, and {:?} stood before",
-                    item.key.table, item.key.name, item.version, item.body, known.body
+            let existing =
+                self.chosen.entry((item.key.clone(), item.version)).or_insert_with(|| item.clone());
+            if existing.body != item.body {
+                let description = format!(
+                    "{:?} '{}' at {}: {:?} is chosen at {place}, but {:?} was chosen before",
+                    item.key.table, item.key.name, item.version, item.body, existing.body
                 );
-                self.breaks(now, Invariant::Agreement, what);
+                self.report(now, Invariant::Agreement, description);
             }
             if item.key.table == Table::Membership {
                 let members = adapter::members_of(item);
                 if members.iter().collect::<BTreeSet<_>>().len() < members.len() {
-                    self.breaks(now, Invariant::OnePlaceEach, format!("{members:?} at {place}"));
+                    self.report(now, Invariant::UniqueMembers, format!("{members:?} at {place}"));
                 }
             }
             if let Some(proposed) = self.proposed.get(&(item.key.clone(), item.version)) {
-                if proposed.iter().any(|p| p.dead.is_some() && p.body.body == item.body) {
-                    let what = format!(
-                        "{:?} '{}' at {} stands at {place}, though a round stood that excludes it and nobody asked again",
+                if proposed.iter().any(|p| p.excluded_by.is_some() && p.item.body == item.body) {
+                    let description = format!(
+                        "{:?} '{}' at {} is chosen at {place} although a chosen round excludes it and it was not requested again",
                         item.key.table, item.key.name, item.version
                     );
-                    self.breaks(now, Invariant::NothingReturns, what);
+                    self.report(now, Invariant::NoResurrection, description);
                 }
             }
         }
     }
 
-    /// A store has started: nothing of it is known.
-    pub fn started(&mut self, n: usize) {
-        self.seen.remove(&n);
-        self.contact.retain(|(asker, _), _| *asker != n);
+    /// Records that a store has started, which discards what was known about it.
+    pub fn record_start(&mut self, n: usize) {
+        self.last_checked_change.remove(&n);
+        self.last_contact.retain(|(requester, _), _| *requester != n);
     }
 
-    /// A store has taken a step.
+    /// Checks a store's items after a step.
     pub fn check_step(&mut self, now: f64, n: usize, store: &Store) {
         let items = &store.state().items;
-        let seen = self.seen.entry(n).or_insert(0);
-        if *seen == items.last_change() {
+        let last_checked = self.last_checked_change.entry(n).or_insert(0);
+        if *last_checked == items.last_change() {
             return;
         }
-        let since = if *seen > items.last_change() { 0 } else { *seen };
-        *seen = items.last_change();
+        let since = if *last_checked > items.last_change() { 0 } else { *last_checked };
+        *last_checked = items.last_change();
         let newer = items.changes_since(since, Tables::DURABLE);
         self.check_chosen(now, &format!("store {n}"), &newer);
         if newer.iter().any(|item| Tables::CONFIG.contains(item.key.table.set()))
-            && self.sound.insert(items.digest(Tables::CONFIG))
+            && self.valid_digests.insert(items.digest(Tables::CONFIG))
         {
-            if let Err(fault) = check_config(items) {
-                self.breaks(now, Invariant::Soundness, format!("store {n} holds: {fault}"));
+            if let Err(error) = check_config(items) {
+                self.report(now, Invariant::Validity, format!("store {n} is invalid: {error}"));
             }
         }
     }
 
-    /// A round's items are to be written down, by a store that judged them.
-    pub fn note_proposal(&mut self, now: f64, n: usize, ballot: Ballot, items: &[Arc<Item>]) {
-        // What is remembered of versions goes with the item that it is about.
+    /// Records the items of a proposal by the store that evaluated them.
+    pub fn record_proposal(&mut self, now: f64, n: usize, ballot: Ballot, items: &[Arc<Item>]) {
+        // Version histories are left out, since they accompany the items they describe.
         for item in items.iter().filter(|item| item.key.table != Table::VersionHistory) {
-            let owed = self.calls.values().any(|call| {
-                call.store == n && call.confirmation.is_none() && call.op.key().as_ref() == Some(&item.key)
+            let is_pending = self.calls.values().any(|call| {
+                call.store == n && call.result.is_none() && call.request.key().as_ref() == Some(&item.key)
             }) || matches!(item.key.table, Table::Membership | Table::Backends);
-            let all = self.proposed.entry((item.key.clone(), item.version)).or_default();
-            match all.iter_mut().find(|known| known.body.body == item.body) {
-                None => all.push(Proposed { body: item.clone(), last: ballot, dead: None }),
-                // In a lower round than the one that excludes it, it can't come to stand: a quorum promised.
-                Some(known) if known.last >= ballot || known.dead.is_some_and(|by| ballot < by) => {}
-                Some(known) if known.dead.is_none() || owed => (known.last, known.dead) = (ballot, None),
+            let proposals = self.proposed.entry((item.key.clone(), item.version)).or_default();
+            match proposals.iter_mut().find(|existing| existing.item.body == item.body) {
+                None => proposals.push(Proposed { item: item.clone(), last: ballot, excluded_by: None }),
+                // A proposal in a lower round than the excluding one can't be chosen, since a quorum has promised the
+                // latter.
+                Some(existing)
+                    if existing.last >= ballot || existing.excluded_by.is_some_and(|by| ballot < by) => {}
+                Some(existing) if existing.excluded_by.is_none() || is_pending => {
+                    (existing.last, existing.excluded_by) = (ballot, None);
+                }
                 Some(_) => {
-                    let what = format!(
-                        "store {n} writes {:?} '{}' at {} down in {ballot:?}, though a round stood that excludes it \
-                         and nobody asked again",
+                    let description = format!(
+                        "store {n} proposes {:?} '{}' at {} in {ballot:?} although a chosen round excludes it \
+                         and it was not requested again",
                         item.key.table, item.key.name, item.version
                     );
-                    self.breaks(now, Invariant::NothingReturns, what);
+                    self.report(now, Invariant::NoResurrection, description);
                 }
             }
         }
     }
 
-    /// A round has come to stand, with all that its store holds.
-    pub fn note_chosen(&mut self, ballot: Ballot, items: &Items) {
-        for ((key, version), all) in &mut self.proposed {
-            for known in all.iter_mut().filter(|known| known.last < ballot) {
+    /// Records a chosen round with all items of the store that announces it.
+    pub fn record_chosen(&mut self, ballot: Ballot, items: &Items) {
+        for ((key, version), proposals) in &mut self.proposed {
+            for existing in proposals.iter_mut().filter(|existing| existing.last < ballot) {
                 if items.version(key.table, &key.name) < *version {
-                    known.dead = Some(ballot);
+                    existing.excluded_by = Some(ballot);
                 }
             }
         }
     }
 
-    /// A request of a store was answered by a member, and the answer has come.
-    pub fn contact(&mut self, asker: usize, answerer: usize, asked: f64) {
-        let last = self.contact.entry((asker, answerer)).or_insert(asked);
-        *last = last.max(asked);
+    /// Records that a store received the reply of a member to a request sent at `sent_at`.
+    pub fn record_contact(&mut self, requester: usize, replier: usize, sent_at: f64) {
+        let last = self.last_contact.entry((requester, replier)).or_insert(sent_at);
+        *last = last.max(sent_at);
     }
 
-    /// A store says how long ago it was in contact.
+    /// Checks the age of contact that a store reports.
     pub fn check_contact(&mut self, now: f64, n: usize, members: &[usize], age: Option<f64>) {
         let Some(age) = age else { return };
-        let mut ages: Vec<f64> =
-            members
-                .iter()
-                .map(|m| {
-                    if *m == n {
-                        0.0
-                    } else {
-                        self.contact.get(&(n, *m)).map_or(f64::INFINITY, |at| now - at)
-                    }
-                })
-                .collect();
+        let mut ages: Vec<f64> = members
+            .iter()
+            .map(|m| {
+                if *m == n {
+                    0.0
+                } else {
+                    self.last_contact.get(&(n, *m)).map_or(f64::INFINITY, |at| now - at)
+                }
+            })
+            .collect();
         ages.sort_unstable_by(f64::total_cmp);
-        let truth = ages.get(members.len() / 2).copied().unwrap_or(f64::INFINITY);
-        if truth > age + 1.0 {
-            let what = format!(
-                "store {n} says it was in touch {age:.0} ms ago; more than half can have answered what it asked \
-                 {truth:.0} ms ago at best"
+        let actual_age = ages.get(members.len() / 2).copied().unwrap_or(f64::INFINITY);
+        if actual_age > age + 1.0 {
+            let description = format!(
+                "store {n} reports contact {age:.0} ms ago, but a majority can only have answered requests sent \
+                 {actual_age:.0} ms ago or earlier"
             );
-            self.breaks(now, Invariant::NoServingWithoutContact, what);
+            self.report(now, Invariant::ContactAge, description);
         }
     }
 
-    /// A call begins.
-    pub fn record_call(&mut self, now: f64, id: CommandId, store: usize, op: ClientCall) {
+    /// Records the start of a call.
+    pub fn record_call(&mut self, now: f64, id: CommandId, store: usize, request: ClientCall) {
         let record = CallRecord {
             store,
-            op,
-            begin: now,
-            end: f64::INFINITY,
-            confirmation: None,
+            request,
+            started_at: now,
+            ended_at: f64::INFINITY,
+            result: None,
             read: None,
-            floor: self.acknowledged.clone(),
-            epochs: self.highest.clone(),
+            acknowledged_at_start: self.acknowledged.clone(),
+            highest_epochs_at_start: self.highest_epochs.clone(),
         };
         self.calls.insert(id, record);
     }
 
-    /// A call that no answer can come to any more.
-    pub fn drop_calls(&mut self, store: usize) {
-        for call in self.calls.values_mut().filter(|call| call.store == store && call.confirmation.is_none())
-        {
-            call.confirmation = Some(Err(ErrorKind::Unreachable));
+    /// Marks the unanswered calls at a store as unreachable, since they can't be answered any more.
+    pub fn abandon_calls(&mut self, store: usize) {
+        for call in self.calls.values_mut().filter(|call| call.store == store && call.result.is_none()) {
+            call.result = Some(Err(ErrorKind::Unreachable));
         }
     }
 
-    /// A call is answered, with what was read, while its store holds these items.
-    pub fn answered(
+    /// Records the result of a call, with the items that it read and the current items of its store.
+    pub fn record_result(
         &mut self,
         now: f64,
         id: CommandId,
@@ -289,117 +293,128 @@
         items: &Items,
     ) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if call.confirmation.is_some() {
+        if call.result.is_some() {
             return;
         }
-        call.end = now;
-        call.confirmation = Some(result.clone().map_err(|fault| fault.kind));
+        call.ended_at = now;
+        call.result = Some(result.clone().map_err(|error| error.kind));
         if result.is_err() {
             return;
         }
-        if call.op == ClientCall::Read {
+        if call.request == ClientCall::Read {
             call.read = read.cloned();
         }
         let call = call.clone();
         let items = read.unwrap_or(items);
         self.check_acknowledged(now, id, &call, items);
-        self.note_acknowledged(now, &call, items);
+        self.record_acknowledged(now, &call, items);
     }
 
-    /// A confirmed call must be judged with everything that was acknowledged before it began.
+    /// Checks that a confirmed call includes everything that was acknowledged before it began.
     fn check_acknowledged(&mut self, now: f64, id: CommandId, call: &CallRecord, items: &Items) {
-        for (key, version) in &call.floor {
+        for (key, version) in &call.acknowledged_at_start {
             if items.version(key.table, &key.name) < *version {
-                let what = format!(
-                    "call {id} at store {} began at {:.0} ms and is confirmed without {:?} '{}' at {version}, which was \
-                     acknowledged before; it holds {}",
-                    call.store, call.begin, key.table, key.name, items.version(key.table, &key.name)
+                let description = format!(
+                    "call {id} at store {} began at {:.0} ms and was confirmed without {:?} '{}' at {version}, which had been \
+                     acknowledged before; the store has version {}",
+                    call.store, call.started_at, key.table, key.name, items.version(key.table, &key.name)
                 );
-                self.breaks(now, Invariant::AcknowledgedStays, what);
+                self.report(now, Invariant::Durability, description);
             }
         }
     }
 
-    /// Later calls must see what this confirmed call wrote, and nothing else under its version.
-    fn note_acknowledged(&mut self, now: f64, call: &CallRecord, items: &Items) {
-        let number = match &call.op {
-            ClientCall::Put { number, content, .. } => Some((*number, *content)),
-            ClientCall::Remove { number, .. } => Some((*number, 0)),
+    /// Records what a confirmed call wrote. Later calls must see it, and nothing else under its version.
+    fn record_acknowledged(&mut self, now: f64, call: &CallRecord, items: &Items) {
+        let written = match &call.request {
+            ClientCall::Put { version, content, .. } => Some((*version, *content)),
+            ClientCall::Remove { version, .. } => Some((*version, 0)),
             _ => None,
         };
-        if let (Some((number, content)), Some(key)) = (number, call.op.key()) {
-            let before = *self.confirmed.entry((key.clone(), number)).or_insert(content);
+        if let (Some((version, content)), Some(key)) = (written, call.request.key()) {
+            let before = *self.confirmed.entry((key.clone(), version)).or_insert(content);
             if before != content {
-                let what =
-                    format!("'{}' at {number} is confirmed with {before} and with {content}", key.name);
-                self.breaks(now, Invariant::OneContentANumber, what);
+                let description =
+                    format!("'{}' at {version} was confirmed with {before} and with {content}", key.name);
+                self.report(now, Invariant::OneContentPerVersion, description);
             }
-            let floor = self.acknowledged.entry(key).or_insert(0);
-            *floor = (*floor).max(number);
-        } else if let (ClientCall::Drain { .. }, Some(key)) = (&call.op, call.op.key()) {
-            // Its version is what stands: at least that was acknowledged.
+            let acknowledged = self.acknowledged.entry(key).or_insert(0);
+            *acknowledged = (*acknowledged).max(version);
+        } else if let (ClientCall::Drain { .. }, Some(key)) = (&call.request, call.request.key()) {
+            // The call does not state its version, but at least the current one was acknowledged.
             let version = items.version(key.table, &key.name);
-            let floor = self.acknowledged.entry(key).or_insert(0);
-            *floor = (*floor).max(version);
+            let acknowledged = self.acknowledged.entry(key).or_insert(0);
+            *acknowledged = (*acknowledged).max(version);
         }
     }
 
-    /// A registry is told the epoch of a role.
+    /// Checks the epoch that a registry receives for a role.
     pub fn check_epoch(&mut self, now: f64, id: CommandId, epoch: u64) {
         let Some(call) = self.calls.get(&id).cloned() else { return };
-        let ClientCall::Duty { name, holder } = &call.op else { return };
-        if let Some(other) = self.epochs.insert((name.clone(), epoch), id) {
+        let ClientCall::AcquireRole { role, holder } = &call.request else { return };
+        if let Some(other) = self.epochs.insert((role.clone(), epoch), id) {
             if other != id {
-                let what = format!("calls {other} and {id} are both told epoch {epoch} of '{name}'");
-                self.breaks(now, Invariant::EpochsNeverShared, what);
+                let description = format!("calls {other} and {id} both received epoch {epoch} of '{role}'");
+                self.report(now, Invariant::UniqueEpochs, description);
             }
         }
-        if call.epochs.get(name).is_some_and(|before| *before >= epoch) {
-            let what = format!("call {id} is told epoch {epoch} of '{name}', after a higher one was told");
-            self.breaks(now, Invariant::EpochsNeverShared, what);
+        if call.highest_epochs_at_start.get(role).is_some_and(|before| *before >= epoch) {
+            let description = format!(
+                "call {id} received epoch {epoch} of '{role}' after a higher or equal one had been returned"
+            );
+            self.report(now, Invariant::UniqueEpochs, description);
         }
-        let key = Key { table: Table::SingletonRoles, name: name.clone() };
-        if let Some(item) = self.stood.get(&(key.clone(), epoch)) {
+        let key = Key { table: Table::SingletonRoles, name: role.clone() };
+        if let Some(item) = self.chosen.get(&(key.clone(), epoch)) {
             if adapter::holder(item) != Some(*holder) {
-                let what = format!(
-                    "call {id} of {holder} is told epoch {epoch} of '{name}', which is {:?}",
+                let description = format!(
+                    "call {id} of {holder} received epoch {epoch} of '{role}', whose item is {:?}",
                     item.body
                 );
-                self.breaks(now, Invariant::EpochsNeverShared, what);
+                self.report(now, Invariant::UniqueEpochs, description);
             }
         }
-        let highest = self.highest.entry(name.clone()).or_insert(0);
+        let highest = self.highest_epochs.entry(role.clone()).or_insert(0);
         *highest = (*highest).max(epoch);
-        let floor = self.acknowledged.entry(key).or_insert(0);
-        *floor = (*floor).max(epoch);
+        let acknowledged = self.acknowledged.entry(key).or_insert(0);
+        *acknowledged = (*acknowledged).max(epoch);
     }
 
-    /// What tells two runs apart to which the same may still happen.
-    pub fn facts(&self) -> impl fmt::Debug + '_ {
+    /// Returns the checker's state that affects its future results, used to distinguish states of a search.
+    pub fn distinguishing_state(&self) -> impl fmt::Debug + '_ {
         let digest = |items: &Items| items.digest(Tables::DURABLE);
         let calls: Vec<_> = self
             .calls
             .values()
-            .map(|call| (&call.confirmation, call.read.as_ref().map(digest), &call.floor, &call.epochs))
+            .map(|call| {
+                (
+                    &call.result,
+                    call.read.as_ref().map(digest),
+                    &call.acknowledged_at_start,
+                    &call.highest_epochs_at_start,
+                )
+            })
             .collect();
         let proposed: Vec<_> = self
             .proposed
             .iter()
-            .flat_map(|(key, all)| {
-                all.iter().map(move |known| (key, &known.body.body, known.last, known.dead))
+            .flat_map(|(key, proposals)| {
+                proposals
+                    .iter()
+                    .map(move |existing| (key, &existing.item.body, existing.last, existing.excluded_by))
             })
             .collect();
-        let stood: Vec<_> = self.stood.iter().map(|(key, item)| (key, &item.body)).collect();
-        (calls, proposed, stood, &self.epochs, &self.contact)
+        let chosen: Vec<_> = self.chosen.iter().map(|(key, item)| (key, &item.body)).collect();
+        (calls, proposed, chosen, &self.epochs, &self.last_contact)
     }
 
-    /// Whether a replica holds all that was acknowledged.
-    pub fn holds_all(&self, items: &Items) -> bool {
+    /// Returns whether a replica has everything that was acknowledged.
+    pub fn has_all_acknowledged(&self, items: &Items) -> bool {
         self.acknowledged.iter().all(|(key, version)| items.version(key.table, &key.name) >= *version)
     }
 
-    /// What was acknowledged and a replica lacks.
-    pub fn lacks(&self, items: &Items) -> Vec<String> {
+    /// Describes the acknowledged items that are missing from a replica.
+    pub fn describe_missing(&self, items: &Items) -> Vec<String> {
         self.acknowledged
             .iter()
             .filter(|(key, version)| items.version(key.table, &key.name) < **version)
@@ -407,40 +422,40 @@
             .collect()
     }
 
-    /// A loss was not borne.
-    pub fn report_unavailable(&mut self, now: f64, what: String) {
-        self.breaks(now, Invariant::LossIsBorne, what);
+    /// Reports that the store did not recover from tolerated faults.
+    pub fn report_unavailable(&mut self, now: f64, description: String) {
+        self.report(now, Invariant::Recovery, description);
     }
 
-    /// An end at which all must hold what was acknowledged.
-    pub fn lost(&mut self, now: f64, what: String) {
-        self.breaks(now, Invariant::AcknowledgedStays, what);
+    /// Reports that acknowledged items were lost.
+    pub fn report_lost_items(&mut self, now: f64, description: String) {
+        self.report(now, Invariant::Durability, description);
     }
 
-    /// The run is over: each item's history is searched for an order that explains it.
-    pub fn ended(&mut self, now: f64, steps: usize) {
+    /// Checks at the end of a run that each item's history is linearizable.
+    pub fn check_histories(&mut self, now: f64, max_steps: usize) {
         for (key, history) in self.histories() {
-            match search(&history, steps) {
+            match search(&history, max_steps) {
                 SearchResult::Order => {}
                 SearchResult::Undecided => self.undecided += 1,
                 SearchResult::None => {
-                    let what = format!(
-                        "no order explains {:?} '{}': {}",
+                    let description = format!(
+                        "the history of {:?} '{}' is not linearizable: {}",
                         key.table,
                         key.name,
                         describe_history(&history)
                     );
-                    self.breaks(now, Invariant::Linearizable, what);
+                    self.report(now, Invariant::Linearizable, description);
                 }
             }
         }
     }
 
-    /// The history of each item that a call was about.
+    /// Returns the history of each item that a call concerned.
     fn histories(&self) -> BTreeMap<Key, Vec<Entry>> {
         let mut histories: BTreeMap<Key, Vec<Entry>> = BTreeMap::new();
         for call in self.calls.values() {
-            if let Some(key) = call.op.key().filter(|key| key.table != Table::SingletonRoles) {
+            if let Some(key) = call.request.key().filter(|key| key.table != Table::SingletonRoles) {
                 histories.entry(key).or_default();
             }
         }
@@ -448,51 +463,51 @@
             if let Some(read) = &call.read {
                 for (key, history) in &mut histories {
                     let operation = read_operation(key, read);
-                    history.push(Entry { begin: call.begin, end: call.end, operation });
+                    history.push(Entry { started_at: call.started_at, ended_at: call.ended_at, operation });
                 }
                 continue;
             }
-            let Some(key) = call.op.key() else { continue };
+            let Some(key) = call.request.key() else { continue };
             let Some(operation) = write_operation(call) else { continue };
             if let Some(history) = histories.get_mut(&key) {
-                history.push(Entry { begin: call.begin, end: call.end, operation });
+                history.push(Entry { started_at: call.started_at, ended_at: call.ended_at, operation });
             }
         }
         histories
     }
 }
 
-/// What a read found of one item.
+/// Returns the operation that a read represents for one item.
 fn read_operation(key: &Key, read: &Items) -> Operation {
     let item = read.get(key.table, &key.name);
     match key.table {
         Table::Drains => Operation::ReadSwitch(item.is_some_and(|item| item.body.is_some())),
         _ => Operation::Read(
             item.map_or(0, |item| item.version),
-            item.map_or(0, |item| adapter::content(item)),
+            item.map_or(0, |item| adapter::route_content(item)),
         ),
     }
 }
 
-/// What a call wrote or may have written; `None` for one that can have written nothing that is searched.
+/// Returns the operation that a call wrote or may have written, or `None` if it can't have affected a searched history.
 fn write_operation(call: &CallRecord) -> Option<Operation> {
-    let confirmation = match &call.confirmation {
+    let result = match &call.result {
         Some(Ok(())) => Confirmation::Confirmed,
-        Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Confirmation::Refused,
-        // Refused as unsound: it took effect nowhere.
+        Some(Err(ErrorKind::Conflict | ErrorKind::VersionForgotten)) => Confirmation::Rejected,
+        // Rejected as invalid, so it took effect nowhere.
         Some(Err(ErrorKind::Invalid | ErrorKind::Malformed)) => return None,
         _ => Confirmation::Unclear,
     };
-    match &call.op {
-        ClientCall::Put { number, content, .. } => Some(Operation::Put(*number, *content, confirmation)),
-        ClientCall::Remove { number, .. } => Some(Operation::Put(*number, 0, confirmation)),
-        ClientCall::Drain { on, .. } => Some(Operation::Switch(*on, confirmation)),
-        ClientCall::Duty { .. } | ClientCall::Read => None,
+    match &call.request {
+        ClientCall::Put { version, content, .. } => Some(Operation::Put(*version, *content, result)),
+        ClientCall::Remove { version, .. } => Some(Operation::Put(*version, 0, result)),
+        ClientCall::Drain { drained, .. } => Some(Operation::Switch(*drained, result)),
+        ClientCall::AcquireRole { .. } | ClientCall::Read => None,
     }
 }
 
 fn describe_history(history: &[Entry]) -> String {
-    let entry = |e: &Entry| format!("[{:.0}, {:.0}] {:?}", e.begin, e.end, e.operation);
+    let entry = |e: &Entry| format!("[{:.0}, {:.0}] {:?}", e.started_at, e.ended_at, e.operation);
     let lines: Vec<String> = history.iter().take(MAX_DESCRIBED_ENTRIES).map(entry).collect();
     lines.join("; ")
 }
--- a/crates/model-checker/src/defects.rs
+++ b/crates/model-checker/src/defects.rs
@@ -1,32 +1,32 @@
-//! Defects put in on purpose, into messages, disks and answers and never into the store: what the checker must find.
+//! Seeded defects in messages, disks and replies, never in the store, which the checker must find.
 
-/// One of them.
+/// A seeded defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// No store knows the highest round that stands.
+    /// Proposers do not learn which rounds are already chosen.
     NoChosenBallot,
-    /// Contact runs from when an answer was read.
+    /// The age of contact is measured from the time at which a reply was read.
     ContactByReading,
-    /// A store that lost its disk goes on under its old life.
+    /// A store that lost its disk continues under its old incarnation.
     OldIncarnation,
-    /// A store takes part before it holds all.
+    /// A store becomes a member before it has every chosen item.
     MemberBeforeCatchUp,
-    /// A role's epoch is read after its call has ended.
+    /// A role's epoch is read after the call that acquired it has ended.
     EpochReadLate,
-    /// What is sent again after it was taken is refused.
+    /// A repeated update that was already acknowledged is rejected.
     ResendRefused,
-    /// What stood under an earlier number is forgotten.
+    /// The contents of earlier versions are forgotten.
     VersionForgotten,
-    /// Answers go out before the save.
+    /// Replies are sent before the state is saved.
     AnswerBeforeSave,
-    /// A promise is lost at a restart.
+    /// Promises are lost at a restart.
     PromiseLost,
-    /// A store starts with an older disk.
+    /// A store restarts from an older state of its disk.
     StaleSnapshot,
 }
 
 impl Defect {
-    /// All, with their names.
+    /// All defects with their names.
     pub const ALL: [(&'static str, Self); 10] = [
         ("no-standing-ballot", Self::NoChosenBallot),
         ("contact-by-reading", Self::ContactByReading),
@@ -40,7 +40,7 @@
         ("stale-snapshot", Self::StaleSnapshot),
     ];
 
-    /// The one of a name.
+    /// Returns the defect with this name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.iter().find(|(known, _)| *known == name).map(|(_, defect)| *defect)
     }
--- a/crates/model-checker/src/exhaustive/configurations.rs
+++ b/crates/model-checker/src/exhaustive/configurations.rs
@@ -1,83 +1,115 @@
-//! The small worlds that are explored.
+//! The small configurations that are explored.
 
 use crate::adapter::{self, ClientCall};
 
-/// What bounds a small world.
+/// The bounds of a small configuration.
 #[derive(Clone, Debug)]
-pub struct WorldBounds {
-    /// Its name.
+pub struct ConfigurationBounds {
+    /// The name of the configuration.
     pub name: &'static str,
-    /// How many stores.
+    /// The number of stores.
     pub stores: usize,
-    /// The calls: at which store, and what for. Each may come at any step.
+    /// The calls and the stores that receive them. Each may be made at any step.
     pub calls: Vec<(usize, ClientCall)>,
-    /// How often a store may lose power: before a save, after it, or between steps.
+    /// The number of power losses, each before a save, after a save or between steps.
     pub crashes: u8,
-    /// How many disks may be lost.
-    pub wipes: u8,
-    /// Seconds that may pass.
+    /// The number of disk losses.
+    pub disk_losses: u8,
+    /// The number of times at which a second may pass without delivery of messages.
     pub seconds: u8,
-    /// Calms that may pass.
+    /// The number of calm periods.
     pub calms: u8,
-    /// Messages that may come twice.
-    pub doubled: u8,
+    /// The number of messages that may be delivered twice.
+    pub duplicates: u8,
 }
 
-fn put(name: &str, place: &str, number: u64, content: u64) -> ClientCall {
-    ClientCall::Put { name: name.to_owned(), place: place.to_owned(), number, content }
+fn put(name: &str, path_prefix: &str, version: u64, content: u64) -> ClientCall {
+    ClientCall::Put { name: name.to_owned(), path_prefix: path_prefix.to_owned(), version, content }
 }
 
-fn duty(holder: usize) -> ClientCall {
-    ClientCall::Duty { name: "d".to_owned(), holder: adapter::ip(holder) }
+fn acquire_role(holder: usize) -> ClientCall {
+    ClientCall::AcquireRole { role: "d".to_owned(), holder: adapter::address_of(holder) }
 }
 
-impl WorldBounds {
-    /// A world of three stores without calls and faults.
+impl ConfigurationBounds {
+    /// Creates a configuration of three stores without calls and faults.
     fn named(name: &'static str) -> Self {
-        Self { name, stores: 3, calls: Vec::new(), crashes: 0, wipes: 0, seconds: 0, calms: 0, doubled: 0 }
+        Self {
+            name,
+            stores: 3,
+            calls: Vec::new(),
+            crashes: 0,
+            disk_losses: 0,
+            seconds: 0,
+            calms: 0,
+            duplicates: 0,
+        }
     }
 }
 
-/// Two contents put under one version, at two stores.
-fn one_version() -> Vec<(usize, ClientCall)> {
+/// Returns two writes of different contents under one version, at two stores.
+fn conflicting_writes() -> Vec<(usize, ClientCall)> {
     vec![(0, put("a", "/a/", 2, 1)), (1, put("a", "/a/", 2, 2))]
 }
 
-/// Two items put at one place, at two stores.
-fn one_place() -> Vec<(usize, ClientCall)> {
+/// Returns two writes of different items with one path prefix, at two stores.
+fn writes_with_one_prefix() -> Vec<(usize, ClientCall)> {
     vec![(0, put("a", "/same/", 2, 1)), (1, put("c", "/same/", 3, 2))]
 }
 
-/// Two registries that ask for one role.
-fn one_role() -> Vec<(usize, ClientCall)> {
-    vec![(0, duty(100)), (1, duty(101))]
+/// Returns calls of two registries for one role.
+fn role_calls() -> Vec<(usize, ClientCall)> {
+    vec![(0, acquire_role(100)), (1, acquire_role(101))]
 }
 
-/// The first of the two calls that conflict.
-fn one_call() -> Vec<(usize, ClientCall)> {
-    one_version().into_iter().take(1).collect()
+/// Returns the first of the two conflicting writes.
+fn single_write() -> Vec<(usize, ClientCall)> {
+    conflicting_writes().into_iter().take(1).collect()
 }
 
-/// A drain at one store and a read at another.
+/// Returns a drain at one store and a read at another.
 fn drain_and_read() -> Vec<(usize, ClientCall)> {
-    vec![(0, ClientCall::Drain { zone: "z".to_owned(), on: true }), (1, ClientCall::Read)]
+    vec![(0, ClientCall::Drain { zone: "z".to_owned(), drained: true }), (1, ClientCall::Read)]
 }
 
-/// The small worlds that are explored, from the smallest on.
-pub fn small_worlds() -> Vec<WorldBounds> {
-    let named = WorldBounds::named;
+/// Returns the small configurations that are explored, smallest first.
+pub fn small_configurations() -> Vec<ConfigurationBounds> {
+    let named = ConfigurationBounds::named;
     vec![
-        WorldBounds { calls: one_version(), ..named("3-one-number") },
-        WorldBounds { calls: one_role(), ..named("3-duties") },
-        WorldBounds { calls: one_call(), crashes: 1, seconds: 1, ..named("3-one-crash") },
-        WorldBounds { calls: one_call(), wipes: 1, calms: 1, ..named("3-one-loss") },
-        WorldBounds { calls: one_place(), calms: 2, ..named("3-late-orphan") },
-        WorldBounds { calls: drain_and_read(), calms: 1, ..named("3-drain-and-read") },
-        WorldBounds { calls: one_version(), crashes: 1, ..named("3-two-calls-one-crash") },
-        WorldBounds { calls: one_version(), wipes: 1, calms: 2, ..named("3-two-calls-one-loss") },
-        WorldBounds { calls: one_role(), wipes: 1, calms: 2, ..named("3-duties-one-loss") },
-        WorldBounds { stores: 4, calls: one_version(), wipes: 1, calms: 2, ..named("4-two-calls-one-loss") },
-        WorldBounds { stores: 5, calls: one_call(), wipes: 2, calms: 2, ..named("5-one-call-two-losses") },
-        WorldBounds { stores: 5, calls: one_version(), wipes: 1, calms: 2, ..named("5-two-calls-one-loss") },
+        ConfigurationBounds { calls: conflicting_writes(), ..named("3-one-number") },
+        ConfigurationBounds { calls: role_calls(), ..named("3-duties") },
+        ConfigurationBounds { calls: single_write(), crashes: 1, seconds: 1, ..named("3-one-crash") },
+        ConfigurationBounds { calls: single_write(), disk_losses: 1, calms: 1, ..named("3-one-loss") },
+        ConfigurationBounds { calls: writes_with_one_prefix(), calms: 2, ..named("3-late-orphan") },
+        ConfigurationBounds { calls: drain_and_read(), calms: 1, ..named("3-drain-and-read") },
+        ConfigurationBounds { calls: conflicting_writes(), crashes: 1, ..named("3-two-calls-one-crash") },
+        ConfigurationBounds {
+            calls: conflicting_writes(),
+            disk_losses: 1,
+            calms: 2,
+            ..named("3-two-calls-one-loss")
+        },
+        ConfigurationBounds { calls: role_calls(), disk_losses: 1, calms: 2, ..named("3-duties-one-loss") },
+        ConfigurationBounds {
+            stores: 4,
+            calls: conflicting_writes(),
+            disk_losses: 1,
+            calms: 2,
+            ..named("4-two-calls-one-loss")
+        },
+        ConfigurationBounds {
+            stores: 5,
+            calls: single_write(),
+            disk_losses: 2,
+            calms: 2,
+            ..named("5-one-call-two-losses")
+        },
+        ConfigurationBounds {
+            stores: 5,
+            calls: conflicting_writes(),
+            disk_losses: 1,
+            calms: 2,
+            ..named("5-two-calls-one-loss")
+        },
     ]
 }
--- a/crates/model-checker/src/exhaustive/mod.rs
+++ b/crates/model-checker/src/exhaustive/mod.rs
@@ -1,12 +1,14 @@
-//! Every way that a small world can take: some stores, some calls, and a bounded number of faults, in any order.
+//! Exhaustive exploration of small configurations: a few stores, a few calls and a bounded number of faults, in any
+//! order.
 //!
-//! A message may be delivered at any later step or never, so that it is lost, late or passed by others without a fault
-//! that counts. Time is coarse: it is paused while messages are delivered, and passes by a second at a time (in which
-//! nothing is delivered) or by a calm of some seconds (in which all that is newly sent comes at once, but for one machine
-//! that may be cut off, and what was on its way before stays late). States are told apart by a hash of all that they hold.
+//! A message may be delivered at any later step or never, so losses, delays and reorderings do not count as faults.
+//! Time is coarse: it does not advance while messages are delivered, and advances either by one second in which nothing is
+//! delivered, or by a calm period of several seconds. In a calm period all newly sent messages are delivered
+//! immediately, except those from and to one machine that may be isolated; messages sent earlier remain delayed. States
+//! are distinguished by a hash of their entire contents.
 
+mod configurations;
 mod search_state;
-mod worlds;
 
 use crate::checker::{Invariant, Violation};
 use crate::defects::Defect;
@@ -17,44 +19,44 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-pub use worlds::{small_worlds, WorldBounds};
+pub use configurations::{small_configurations, ConfigurationBounds};
 
-/// Parts of the set of states that were seen.
+/// Number of shards of the set of visited states.
 const SHARDS: usize = 64;
 
-/// How a world was explored.
+/// The result of an exploration.
 #[derive(Clone, Debug)]
 pub struct Explored {
-    /// States that differ.
+    /// The number of distinct states.
     pub states: u64,
-    /// Steps that were taken.
+    /// The number of steps executed.
     pub steps: u64,
-    /// The longest way, in steps.
+    /// The length of the longest path in actions.
     pub depth: usize,
-    /// Whether all of it was seen.
-    pub whole: bool,
-    /// The first invariant that did not hold, and the shortest way there.
+    /// Set if every reachable state was visited.
+    pub is_complete: bool,
+    /// The first violation and the shortest path to it.
     pub violation: Option<(Violation, Vec<String>)>,
 }
 
-/// Fingerprints of the states that were seen.
-struct SeenStates {
+/// The fingerprints of the visited states.
+struct VisitedStates {
     shards: Vec<Mutex<HashSet<u64>>>,
 }
 
-impl SeenStates {
+impl VisitedStates {
     fn new() -> Self {
         Self { shards: (0..SHARDS).map(|_| Mutex::default()).collect() }
     }
 
-    /// Whether a fingerprint is seen for the first time.
+    /// Inserts a fingerprint. Returns whether it is new.
     fn insert(&self, fingerprint: u64) -> bool {
         let shard = &self.shards[fingerprint as usize % SHARDS];
         shard.lock().is_ok_and(|mut shard| shard.insert(fingerprint))
     }
 }
 
-/// What became of a part of the states of one depth.
+/// The result of expanding a part of the states of one depth.
 #[derive(Default)]
 struct Expansion {
     next: Vec<SearchState>,
@@ -62,22 +64,22 @@
     violation: Option<SearchState>,
 }
 
-/// A search by breadth, on several threads.
+/// A breadth-first search on several threads.
 struct Search<'a> {
-    bounds: &'a WorldBounds,
+    bounds: &'a ConfigurationBounds,
     end: Instant,
     threads: usize,
-    is_over: AtomicBool,
-    seen: SeenStates,
+    is_finished: AtomicBool,
+    visited: VisitedStates,
 }
 
 impl Search<'_> {
-    /// All states one step further.
-    fn expand_all(&self, layer: &[SearchState]) -> Vec<Expansion> {
-        let part = layer.len().div_ceil(self.threads.max(1));
+    /// Returns all states that are one step further.
+    fn expand_all(&self, frontier: &[SearchState]) -> Vec<Expansion> {
+        let part_size = frontier.len().div_ceil(self.threads.max(1));
         std::thread::scope(|scope| {
             let handles: Vec<_> =
-                layer.chunks(part).map(|states| scope.spawn(move || self.expand(states))).collect();
+                frontier.chunks(part_size).map(|states| scope.spawn(move || self.expand(states))).collect();
             handles.into_iter().filter_map(|handle| handle.join().ok()).collect()
         })
     }
@@ -85,17 +87,17 @@
     fn expand(&self, states: &[SearchState]) -> Expansion {
         let mut expansion = Expansion::default();
         for state in states {
-            if self.is_over.load(Ordering::Relaxed) || Instant::now() > self.end {
-                self.is_over.store(true, Ordering::Relaxed);
+            if self.is_finished.load(Ordering::Relaxed) || Instant::now() > self.end {
+                self.is_finished.store(true, Ordering::Relaxed);
                 break;
             }
             for action in state.actions(self.bounds) {
-                let Some(after) = state.after(self.bounds, action) else { continue };
-                expansion.steps += after.steps - state.steps;
-                if after.checker.violation.is_some() {
-                    expansion.violation.get_or_insert(after);
-                } else if self.seen.insert(after.fingerprint()) {
-                    expansion.next.push(after);
+                let Some(next) = state.after(self.bounds, action) else { continue };
+                expansion.steps += next.steps - state.steps;
+                if next.checker.violation.is_some() {
+                    expansion.violation.get_or_insert(next);
+                } else if self.visited.insert(next.fingerprint()) {
+                    expansion.next.push(next);
                 }
             }
         }
@@ -103,51 +105,52 @@
     }
 }
 
-/// Explores a world, shorter ways first, until all is seen, an invariant does not hold, so many states were seen (so that
-/// the verdict is the same each time) or the time is over.
+/// Explores a configuration by breadth-first search until every state was visited, an invariant is violated,
+/// `max_states` states were visited or the time is over. The limit on states makes the result reproducible.
 pub fn explore(
-    bounds: &WorldBounds,
+    bounds: &ConfigurationBounds,
     defect: Option<Defect>,
     ignored: &BTreeSet<Invariant>,
-    states: u64,
-    time: Duration,
+    max_states: u64,
+    max_duration: Duration,
     threads: usize,
 ) -> Explored {
-    let end = Instant::now() + time;
+    let end = Instant::now() + max_duration;
     let start = SearchState::founded(bounds, defect, ignored);
-    let mut explored = Explored { states: 1, steps: 0, depth: 0, whole: true, violation: None };
+    let mut explored = Explored { states: 1, steps: 0, depth: 0, is_complete: true, violation: None };
     if let Some(violation) = &start.checker.violation {
         explored.violation = Some((violation.clone(), Vec::new()));
         return explored;
     }
-    let search = Search { bounds, end, threads, is_over: AtomicBool::new(false), seen: SeenStates::new() };
-    search.seen.insert(start.fingerprint());
-    let mut layer = vec![start];
-    while !layer.is_empty() && explored.violation.is_none() {
-        if search.is_over.load(Ordering::Relaxed) || explored.states >= states {
-            explored.whole = false;
+    let search =
+        Search { bounds, end, threads, is_finished: AtomicBool::new(false), visited: VisitedStates::new() };
+    search.visited.insert(start.fingerprint());
+    let mut frontier = vec![start];
+    while !frontier.is_empty() && explored.violation.is_none() {
+        if search.is_finished.load(Ordering::Relaxed) || explored.states >= max_states {
+            explored.is_complete = false;
             break;
         }
-        let expansions = search.expand_all(&layer);
-        layer = Vec::new();
+        let expansions = search.expand_all(&frontier);
+        frontier = Vec::new();
         for expansion in expansions {
             explored.states += expansion.next.len() as u64;
             explored.steps += expansion.steps;
-            layer.extend(expansion.next);
+            frontier.extend(expansion.next);
             if explored.violation.is_none() {
                 explored.violation = expansion.violation.and_then(|state| state.violation());
             }
         }
-        if search.is_over.load(Ordering::Relaxed) {
-            explored.whole = false;
+        if search.is_finished.load(Ordering::Relaxed) {
+            explored.is_complete = false;
         }
         explored.depth += 1;
     }
     explored
 }
 
-/// Whether all stores of a founded world are members, as a check of the start.
-pub fn is_founded(bounds: &WorldBounds) -> bool {
+/// Returns whether all stores of a newly founded configuration are members, as a check of the initial state.
+pub fn is_founded(bounds: &ConfigurationBounds) -> bool {
     let state = SearchState::founded(bounds, None, &BTreeSet::new());
     state.machines.iter().all(|machine| machine.store.status() == MembershipStatus::Member)
 }
--- a/crates/model-checker/src/linearizability.rs
+++ b/crates/model-checker/src/linearizability.rs
@@ -1,92 +1,97 @@
-//! Whether a history of one item is linearizable: some order of its calls, each at one instant between its begin and its
-//! answer, explains every answer. A call with an unclear answer may have taken at any instant after its begin, or never.
+//! Linearizability check of the history of one item. A history is linearizable if some order of its calls, each taking
+//! effect at one instant between its start and its result, explains every result. A call with an unclear outcome may
+//! have taken effect at any instant after its start, or never.
 //!
-//! The search is that of Wing and Gong, with the states seen kept by the set of calls that are placed.
+//! The search is the algorithm of Wing and Gong. Visited states are identified by the set of calls placed so far and
+//! the resulting register.
 
 use std::collections::{BTreeMap, HashSet};
 
-/// What a call on one item did, as its caller was told.
+/// The operation of a call on one item, as reported to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// A content (0: dropped) at a version; whether it was confirmed, refused as another content, or unclear.
+    /// Writes a content (0 for a removal) at a version. It was confirmed, rejected because of different content, or
+    /// unclear.
     Put(u64, u64, Confirmation),
-    /// A switch; confirmed or unclear.
+    /// Sets a switch. It was confirmed or unclear.
     Switch(bool, Confirmation),
-    /// A number and content that were read; number 0 for nothing.
+    /// Reads a version and a content; version 0 if there is none.
     Read(u64, u64),
-    /// A switch that was read.
+    /// Reads a switch.
     ReadSwitch(bool),
 }
 
-/// What a caller was told.
+/// The outcome of a call as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It is done.
+    /// The call took effect.
     Confirmed,
-    /// Another content stands under its number.
-    Refused,
-    /// Nothing that is sure.
+    /// The call was rejected because its version has different content.
+    Rejected,
+    /// The outcome is unknown.
     Unclear,
 }
 
 /// A call on one item.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// When it began.
-    pub begin: f64,
-    /// When it was answered; infinite if it was not.
-    pub end: f64,
-    /// What it did.
+    /// The time at which the call started.
+    pub started_at: f64,
+    /// The time at which the call ended, or infinity if it was not answered.
+    pub ended_at: f64,
+    /// The operation.
     pub operation: Operation,
 }
 
-/// What came of a search.
+/// The result of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchResult {
-    /// There is such an order.
+    /// An order exists.
     Order,
-    /// There is none.
+    /// No order exists.
     None,
-    /// Not within the steps allowed.
+    /// The search exceeded its limit.
     Undecided,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Register {
-    number: u64,
-    on: bool,
-    /// What each number was confirmed or set with.
-    past: BTreeMap<u64, u64>,
+    version: u64,
+    switch: bool,
+    /// The content that each version was confirmed or written with.
+    contents: BTreeMap<u64, u64>,
 }
 
 impl Register {
-    /// The register after a call, if the call can be told what it was told.
+    /// Returns the register after an operation, or `None` if the operation could not have had its outcome.
     fn after(&self, operation: &Operation) -> Option<Self> {
         let mut next = self.clone();
         match *operation {
-            Operation::Read(number, content) => {
-                return (self.number == number && (number == 0 || self.past.get(&number) == Some(&content)))
-                    .then_some(next)
+            Operation::Read(version, content) => {
+                return (self.version == version
+                    && (version == 0 || self.contents.get(&version) == Some(&content)))
+                .then_some(next)
             }
-            Operation::ReadSwitch(on) => return (self.on == on).then_some(next),
-            Operation::Switch(on, _) => next.on = on,
-            Operation::Put(number, content, confirmation) => {
-                let known = self.past.get(&number).copied();
+            Operation::ReadSwitch(switch) => return (self.switch == switch).then_some(next),
+            Operation::Switch(switch, _) => next.switch = switch,
+            Operation::Put(version, content, confirmation) => {
+                let recorded = self.contents.get(&version).copied();
                 match confirmation {
-                    Confirmation::Refused => {
-                        // Of a version that was passed over nobody may know what it held.
-                        let fits = known.map_or(number < self.number, |known| known != content);
-                        return fits.then_some(next);
+                    Confirmation::Rejected => {
+                        // The content of an earlier version that was skipped may be unknown.
+                        let is_consistent =
+                            recorded.map_or(version < self.version, |recorded| recorded != content);
+                        return is_consistent.then_some(next);
                     }
                     Confirmation::Confirmed | Confirmation::Unclear => {
-                        let fits = known.is_none_or(|known| known == content);
-                        if !fits {
+                        let is_consistent = recorded.is_none_or(|recorded| recorded == content);
+                        if !is_consistent {
                             return None;
                         }
-                        if confirmation == Confirmation::Confirmed || number > self.number {
-                            next.past.insert(number, content);
+                        if confirmation == Confirmation::Confirmed || version > self.version {
+                            next.contents.insert(version, content);
                         }
-                        next.number = next.number.max(number);
+                        next.version = next.version.max(version);
                     }
                 }
             }
@@ -102,37 +107,37 @@
     )
 }
 
-/// Searches for an order of at most 128 calls, within so many steps.
-pub fn search(history: &[Entry], steps: usize) -> SearchResult {
+/// Searches for an order that explains a history of at most 128 calls, within `max_steps` steps.
+pub fn search(history: &[Entry], max_steps: usize) -> SearchResult {
     if history.len() > 128 {
         return SearchResult::Undecided;
     }
     let mut entries = history.to_vec();
     for entry in entries.iter_mut().filter(|entry| is_unclear(&entry.operation)) {
-        entry.end = f64::INFINITY;
+        entry.ended_at = f64::INFINITY;
     }
-    entries.sort_by(|a, b| a.begin.total_cmp(&b.begin));
-    let owed: u128 = entries
+    entries.sort_by(|a, b| a.started_at.total_cmp(&b.started_at));
+    let required: u128 = entries
         .iter()
         .enumerate()
         .filter(|(_, e)| !is_unclear(&e.operation))
         .fold(0, |set, (n, _)| set | 1 << n);
-    let mut seen: HashSet<(u128, Register)> = HashSet::new();
+    let mut visited: HashSet<(u128, Register)> = HashSet::new();
     let mut open = vec![(0_u128, Register::default())];
     while let Some((placed, register)) = open.pop() {
-        if placed & owed == owed {
+        if placed & required == required {
             return SearchResult::Order;
         }
-        if seen.len() > steps {
+        if visited.len() > max_steps {
             return SearchResult::Undecided;
         }
-        // One may come next if none that is left ended before it began.
-        let left = || entries.iter().enumerate().filter(|(n, _)| placed & (1 << n) == 0);
-        let first_end = left().map(|(_, entry)| entry.end).fold(f64::INFINITY, f64::min);
-        for (n, entry) in left().filter(|(_, entry)| entry.begin <= first_end) {
+        // A call may be next if no remaining call ended before it started.
+        let remaining = || entries.iter().enumerate().filter(|(n, _)| placed & (1 << n) == 0);
+        let first_end = remaining().map(|(_, entry)| entry.ended_at).fold(f64::INFINITY, f64::min);
+        for (n, entry) in remaining().filter(|(_, entry)| entry.started_at <= first_end) {
             if let Some(next) = register.after(&entry.operation) {
                 let state = (placed | 1 << n, next);
-                if seen.insert(state.clone()) {
+                if visited.insert(state.clone()) {
                     open.push(state);
                 }
             }
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -1,11 +1,12 @@
-//! Hunts for runs that break an invariant of the store, through random worlds and all ways of small ones.
+//! Searches for runs that violate an invariant of the store, by random simulation and by exhaustive exploration of
+//! small configurations.
 //!
-//! Started by people and by tests of the store. Must never be shipped.
+//! Started manually and by tests of the store. Must never be shipped.
 
 use argh::FromArgs;
 use ivygate_model_checker::checker::Invariant;
 use ivygate_model_checker::defects::Defect;
-use ivygate_model_checker::exhaustive::{explore, small_worlds};
+use ivygate_model_checker::exhaustive::{explore, small_configurations};
 use ivygate_model_checker::schedule::Schedule;
 use ivygate_model_checker::shrink::shrink;
 use ivygate_model_checker::simulation::{simulate, RunResult};
@@ -30,113 +31,113 @@
     Small(Small),
 }
 
-/// Plays random worlds until one breaks an invariant, or the time is over.
+/// Runs random schedules until one violates an invariant or the time is over.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hunt")]
 struct Hunt {
-    /// how long, in minutes (1)
+    /// duration in minutes (1)
     #[argh(option, default = "1.0")]
     minutes: f64,
-    /// how many stores: one number or a range as 3..7
+    /// number of stores, or a range such as 3..7
     #[argh(option, default = "String::from(\"3..7\")")]
     stores: String,
     /// the first seed (1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// threads (1)
+    /// number of threads (1)
     #[argh(option, default = "1")]
     threads: u64,
-    /// a planted defect
+    /// a defect to seed
     #[argh(option)]
     defect: Option<String>,
-    /// an invariant to look past, which is said in the report; may come again
+    /// an invariant to ignore, as stated in the report; may be repeated
     #[argh(option, long = "but")]
     ignored: Vec<String>,
-    /// judge by this invariant only; may come again
+    /// check only this invariant; may be repeated
     #[argh(option)]
     only: Vec<String>,
-    /// how many breaks are looked for (1)
+    /// number of violations to search for (1)
     #[argh(option, default = "1")]
     breaks: usize,
 }
 
-/// Plays one seed, shrinks its schedule if it breaks, and tells it.
+/// Runs one seed, shrinks its schedule if it violates an invariant, and prints it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 struct Replay {
-    /// the seed
+    /// the seed to run
     #[argh(positional)]
     seed: u64,
-    /// how many stores
+    /// number of stores
     #[argh(option)]
     stores: usize,
-    /// a planted defect
+    /// a defect to seed
     #[argh(option)]
     defect: Option<String>,
-    /// an invariant to look past; may come again
+    /// an invariant to ignore; may be repeated
     #[argh(option, long = "but")]
     ignored: Vec<String>,
-    /// judge by this invariant only; may come again
+    /// check only this invariant; may be repeated
     #[argh(option)]
     only: Vec<String>,
-    /// tell each step of the shrunk schedule
+    /// print each step of the shrunk schedule
     #[argh(switch)]
     trace: bool,
-    /// do not shrink
+    /// run the schedule without shrinking it
     #[argh(switch)]
     whole: bool,
 }
 
-/// Goes through all ways of small worlds.
+/// Explores all reachable states of small configurations.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "small")]
 struct Small {
-    /// only worlds whose names begin so
+    /// only configurations whose names begin with this prefix
     #[argh(positional, default = "String::new()")]
     prefix: String,
-    /// longest time for each, in seconds (60)
+    /// maximum duration of each exploration, in seconds (60)
     #[argh(option, default = "60")]
     seconds: u64,
-    /// most states of each (10000000)
+    /// maximum number of states of each exploration (10000000)
     #[argh(option, default = "10_000_000")]
     states: u64,
-    /// threads (1)
+    /// number of threads (1)
     #[argh(option, default = "1")]
     threads: usize,
-    /// a planted defect
+    /// a defect to seed
     #[argh(option)]
     defect: Option<String>,
-    /// an invariant to look past; may come again
+    /// an invariant to ignore; may be repeated
     #[argh(option, long = "but")]
     ignored: Vec<String>,
-    /// judge by this invariant only; may come again
+    /// check only this invariant; may be repeated
     #[argh(option)]
     only: Vec<String>,
 }
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Hunt(hunt) => run_hunt(&hunt),
         Command::Replay(replay) => run_replay(&replay),
         Command::Small(small) => run_small(&small),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(misuse) => {
-            eprintln!("ivygate-model-checker: {misuse}");
+        Err(error) => {
+            eprintln!("ivygate-model-checker: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// A command line that can't be followed.
+/// An error in the command line.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
-    #[error("'{name}' is none of {}", .known.join(", "))]
+    #[error("unknown name '{name}', expected one of {}", .known.join(", "))]
     UnknownName { name: String, known: Vec<&'static str> },
-    #[error("'{0}' is no number of stores from 3 to 9, nor a range of them")]
+    #[error("'{0}' is not a number of stores from 3 to 9 or a range of such numbers")]
     Stores(String),
 }
 
@@ -147,7 +148,7 @@
     Defect::named(name).map(Some).ok_or_else(unknown)
 }
 
-fn invariants(names: &[String]) -> Result<BTreeSet<Invariant>, UsageError> {
+fn parse_invariants(names: &[String]) -> Result<BTreeSet<Invariant>, UsageError> {
     let find = |name: &String| {
         let unknown = || UsageError::UnknownName {
             name: name.clone(),
@@ -160,14 +161,14 @@
 }
 
 fn ignored_invariants(ignored: &[String], only: &[String]) -> Result<BTreeSet<Invariant>, UsageError> {
-    let (mut ignored, only) = (invariants(ignored)?, invariants(only)?);
+    let (mut ignored, only) = (parse_invariants(ignored)?, parse_invariants(only)?);
     if !only.is_empty() {
         ignored.extend(Invariant::ALL.iter().map(|(_, known)| *known).filter(|known| !only.contains(known)));
     }
     Ok(ignored)
 }
 
-fn range(text: &str) -> Result<(usize, usize), UsageError> {
+fn parse_store_range(text: &str) -> Result<(usize, usize), UsageError> {
     let (from, to) = text.split_once("..").unwrap_or((text, text));
     let read =
         |text: &str| text.trim_start_matches('=').parse::<usize>().ok().filter(|n| (3..=9).contains(n));
@@ -179,7 +180,7 @@
 
 #[derive(Default)]
 struct Totals {
-    plays: AtomicU64,
+    runs: AtomicU64,
     steps: AtomicU64,
     calls: AtomicU64,
     confirmed: AtomicU64,
@@ -187,17 +188,17 @@
     undecided: AtomicU64,
 }
 
-/// What several threads that hunt have in common.
-struct HuntState {
+/// State shared by the threads of a search.
+struct SearchProgress {
     next_seed: AtomicU64,
     totals: Totals,
-    is_over: AtomicBool,
-    /// Schedules that broke an invariant, and how many had been played then.
+    is_finished: AtomicBool,
+    /// Schedules that violated an invariant, each with the number of runs up to then.
     found: Mutex<Vec<(u64, Schedule)>>,
 }
 
 impl Totals {
-    /// Adds a run; gives how many there were until then.
+    /// Adds a run. Returns the number of runs so far.
     fn add(&self, result: &RunResult) -> u64 {
         let add = |sum: &AtomicU64, more: u64| sum.fetch_add(more, Ordering::Relaxed);
         add(&self.steps, result.steps);
@@ -205,93 +206,98 @@
         add(&self.confirmed, result.calls.1);
         add(&self.machine_faults, result.machine_faults);
         add(&self.undecided, result.undecided);
-        add(&self.plays, 1) + 1
+        add(&self.runs, 1) + 1
     }
 
     fn print(&self, seconds: f64, first_seed: u64, ignored: &BTreeSet<Invariant>) {
-        let of = |sum: &AtomicU64| sum.load(Ordering::Relaxed);
+        let load = |sum: &AtomicU64| sum.load(Ordering::Relaxed);
         println!(
-            "{} plays, {} steps ({:.2} million a minute), {} calls of which {} confirmed, {} machine faults, \
-             {} histories undecided, {seconds:.0} s, seeds from {first_seed}; looked past: {:?}",
-            of(&self.plays),
-            of(&self.steps),
-            of(&self.steps) as f64 / seconds * 60.0 / 1e6,
-            of(&self.calls),
-            of(&self.confirmed),
-            of(&self.machine_faults),
-            of(&self.undecided),
+            "{} runs, {} steps ({:.2} million per minute), {} calls of which {} were confirmed, {} machine faults, \
+             {} histories undecided, {seconds:.0} s, seeds from {first_seed}; ignored invariants: {:?}",
+            load(&self.runs),
+            load(&self.steps),
+            load(&self.steps) as f64 / seconds * 60.0 / 1e6,
+            load(&self.calls),
+            load(&self.confirmed),
+            load(&self.machine_faults),
+            load(&self.undecided),
             ignored.iter().map(|invariant| invariant.name()).collect::<Vec<_>>()
         );
     }
 }
 
 fn run_hunt(hunt: &Hunt) -> Result<bool, UsageError> {
-    let stores = range(&hunt.stores)?;
+    let stores = parse_store_range(&hunt.stores)?;
     let defect = defect(hunt.defect.as_ref())?;
     let ignored = ignored_invariants(&hunt.ignored, &hunt.only)?;
-    let begin = Instant::now();
-    let end = begin + Duration::from_secs_f64(hunt.minutes * 60.0);
-    let state = HuntState {
+    let started_at = Instant::now();
+    let end = started_at + Duration::from_secs_f64(hunt.minutes * 60.0);
+    let state = SearchProgress {
         next_seed: AtomicU64::new(hunt.seed),
         totals: Totals::default(),
-        is_over: AtomicBool::new(false),
+        is_finished: AtomicBool::new(false),
         found: Mutex::default(),
     };
     std::thread::scope(|scope| {
         for _ in 0..hunt.threads.clamp(1, 12) {
             scope.spawn(|| {
-                while !state.is_over.load(Ordering::Relaxed) && Instant::now() < end {
-                    play_next(&state, stores, defect, &ignored, hunt.breaks);
+                while !state.is_finished.load(Ordering::Relaxed) && Instant::now() < end {
+                    run_next_seed(&state, stores, defect, &ignored, hunt.breaks);
                 }
             });
         }
     });
-    state.totals.print(begin.elapsed().as_secs_f64(), hunt.seed, &ignored);
+    state.totals.print(started_at.elapsed().as_secs_f64(), hunt.seed, &ignored);
     let mut found = state.found.into_inner().unwrap_or_default();
-    found.sort_by_key(|(plays, _)| *plays);
+    found.sort_by_key(|(runs, _)| *runs);
     for (_, schedule) in found.iter().take(3) {
-        tell(schedule, defect, &ignored, false);
+        report(schedule, defect, &ignored, false);
     }
     Ok(found.is_empty())
 }
 
-/// Plays the next seed of a hunt, which is over once so many schedules broke an invariant.
-fn play_next(
-    state: &HuntState,
-    (least, most): (usize, usize),
+/// Runs the next seed, and ends the search once `max_found` schedules have violated an invariant.
+fn run_next_seed(
+    state: &SearchProgress,
+    (min_stores, max_stores): (usize, usize),
     defect: Option<Defect>,
     ignored: &BTreeSet<Invariant>,
     max_found: usize,
 ) {
     let seed = state.next_seed.fetch_add(1, Ordering::Relaxed);
-    let stores = least + (seed as usize) % (most - least + 1);
-    let schedule = Schedule::drawn(seed, stores);
+    let stores = min_stores + (seed as usize) % (max_stores - min_stores + 1);
+    let schedule = Schedule::generate(seed, stores);
     let result = simulate(&schedule, defect, ignored, false);
-    let plays = state.totals.add(&result);
+    let runs = state.totals.add(&result);
     let Some(violation) = result.violation else { return };
     println!(
-        "seed {seed} ({stores} stores), play {plays}: {} at {:.0} ms: {}",
+        "seed {seed} ({stores} stores), run {runs}: {} at {:.0} ms: {}",
         violation.invariant.name(),
         violation.at,
-        violation.what
+        violation.description
     );
     if let Ok(mut found) = state.found.lock() {
-        found.push((plays, schedule));
+        found.push((runs, schedule));
         if found.len() >= max_found {
-            state.is_over.store(true, Ordering::Relaxed);
+            state.is_finished.store(true, Ordering::Relaxed);
         }
     }
 }
 
-fn tell(schedule: &Schedule, defect: Option<Defect>, ignored: &BTreeSet<Invariant>, trace: bool) -> bool {
-    let Some((short, result, plays)) = shrink(schedule, defect, ignored) else {
-        println!("seed {} breaks nothing", schedule.seed);
+fn report(schedule: &Schedule, defect: Option<Defect>, ignored: &BTreeSet<Invariant>, trace: bool) -> bool {
+    let Some((shrunk, result, runs)) = shrink(schedule, defect, ignored) else {
+        println!("seed {} violates no invariant", schedule.seed);
         return true;
     };
-    println!("\nShrunk in {plays} plays, from {} events to {}:", schedule.events.len(), short.events.len());
-    println!("{short}");
+    println!("\nShrunk in {runs} runs, from {} events to {}:", schedule.events.len(), shrunk.events.len());
+    println!("{shrunk}");
     if let Some(violation) = &result.violation {
-        println!("  at {:>6.0} ms: broken: {}: {}", violation.at, violation.invariant.name(), violation.what);
+        println!(
+            "  at {:>6.0} ms: violated: {}: {}",
+            violation.at,
+            violation.invariant.name(),
+            violation.description
+        );
     }
     if trace {
         result.log.iter().for_each(|line| println!("{line}"));
@@ -302,46 +308,46 @@
 fn run_replay(replay: &Replay) -> Result<bool, UsageError> {
     let defect = defect(replay.defect.as_ref())?;
     let ignored = ignored_invariants(&replay.ignored, &replay.only)?;
-    let schedule = Schedule::drawn(replay.seed, replay.stores);
+    let schedule = Schedule::generate(replay.seed, replay.stores);
     if replay.whole {
         let result = simulate(&schedule, defect, &ignored, replay.trace);
         println!("{schedule}");
         result.log.iter().for_each(|line| println!("{line}"));
         if let Some(violation) = &result.violation {
             println!(
-                "  at {:>6.0} ms: broken: {}: {}",
+                "  at {:>6.0} ms: violated: {}: {}",
                 violation.at,
                 violation.invariant.name(),
-                violation.what
+                violation.description
             );
         }
         return Ok(result.violation.is_none());
     }
-    Ok(tell(&schedule, defect, &ignored, replay.trace))
+    Ok(report(&schedule, defect, &ignored, replay.trace))
 }
 
 fn run_small(small: &Small) -> Result<bool, UsageError> {
     let defect = defect(small.defect.as_ref())?;
     let ignored = ignored_invariants(&small.ignored, &small.only)?;
-    let mut sound = true;
-    for bounds in small_worlds().iter().filter(|bounds| bounds.name.starts_with(&small.prefix)) {
-        let begin = Instant::now();
+    let mut all_valid = true;
+    for bounds in small_configurations().iter().filter(|bounds| bounds.name.starts_with(&small.prefix)) {
+        let started_at = Instant::now();
         let time = Duration::from_secs(small.seconds);
         let explored = explore(bounds, defect, &ignored, small.states, time, small.threads);
         println!(
-            "{}: {} states, {} steps, ways of up to {} actions, {}, {:.1} s",
+            "{}: {} states, {} steps, paths of up to {} actions, {}, {:.1} s",
             bounds.name,
             explored.states,
             explored.steps,
             explored.depth,
-            if explored.whole { "whole" } else { "not whole" },
-            begin.elapsed().as_secs_f64()
+            if explored.is_complete { "complete" } else { "incomplete" },
+            started_at.elapsed().as_secs_f64()
         );
         if let Some((violation, path)) = explored.violation {
-            sound = false;
+            all_valid = false;
             path.iter().for_each(|line| println!("  {line}"));
-            println!("  broken: {}: {}", violation.invariant.name(), violation.what);
+            println!("  violated: {}: {}", violation.invariant.name(), violation.description);
         }
     }
-    Ok(sound)
+    Ok(all_valid)
 }
--- a/crates/model-checker/src/shrink.rs
+++ b/crates/model-checker/src/shrink.rs
@@ -1,4 +1,4 @@
-//! Shrinks a schedule that breaks an invariant to a short one that still does.
+//! Shrinks a schedule that violates an invariant to a shorter one that still does.
 
 use crate::checker::Invariant;
 use crate::defects::Defect;
@@ -6,73 +6,75 @@
 use crate::simulation::{simulate, RunResult};
 use std::collections::BTreeSet;
 
-/// Most runs that one schedule is shrunk by.
+/// Maximum number of runs used to shrink one schedule.
 const MAX_RUNS: usize = 3_000;
 
 struct Shrinker<'a> {
     defect: Option<Defect>,
     ignored: &'a BTreeSet<Invariant>,
     invariant: Invariant,
-    plays: usize,
+    runs: usize,
 }
 
 impl Shrinker<'_> {
-    fn breaks(&mut self, schedule: &Schedule) -> Option<RunResult> {
-        self.plays += 1;
-        if self.plays > MAX_RUNS {
+    fn run_if_violating(&mut self, schedule: &Schedule) -> Option<RunResult> {
+        self.runs += 1;
+        if self.runs > MAX_RUNS {
             return None;
         }
         let result = simulate(schedule, self.defect, self.ignored, false);
-        let same = result.violation.as_ref().is_some_and(|violation| violation.invariant == self.invariant);
-        same.then_some(result)
+        let is_same =
+            result.violation.as_ref().is_some_and(|violation| violation.invariant == self.invariant);
+        is_same.then_some(result)
     }
 
-    /// Drops parts of a list, larger ones first, as long as the schedule still breaks.
-    fn drop_parts(
+    /// Removes parts of a list, larger ones first, as long as the schedule still violates the invariant.
+    fn remove_parts(
         &mut self,
         schedule: &mut Schedule,
         count: fn(&Schedule) -> usize,
-        drop: fn(&mut Schedule, usize, usize),
+        remove: fn(&mut Schedule, usize, usize),
     ) -> bool {
-        let mut any = false;
+        let mut has_changed = false;
         let mut size = count(schedule).next_power_of_two();
         while size > 0 {
             let mut from = 0;
             while from < count(schedule) {
                 let mut shorter = schedule.clone();
-                drop(&mut shorter, from, size);
-                if self.breaks(&shorter).is_some() {
+                remove(&mut shorter, from, size);
+                if self.run_if_violating(&shorter).is_some() {
                     *schedule = shorter;
-                    any = true;
+                    has_changed = true;
                 } else {
                     from += size;
                 }
             }
             size /= 2;
         }
-        any
+        has_changed
     }
 }
 
-/// The shortest schedule found that breaks the same invariant, how it runs, and in how many runs it was found.
+/// Returns the shortest schedule found that violates the same invariant, the result of its run, and the number of runs
+/// used. Returns `None` if the schedule violates no invariant.
 pub fn shrink(
     schedule: &Schedule,
     defect: Option<Defect>,
     ignored: &BTreeSet<Invariant>,
 ) -> Option<(Schedule, RunResult, usize)> {
-    let first = simulate(schedule, defect, ignored, false);
-    let invariant = first.violation.as_ref()?.invariant;
-    let mut shrinking = Shrinker { defect, ignored, invariant, plays: 0 };
+    let original = simulate(schedule, defect, ignored, false);
+    let invariant = original.violation.as_ref()?.invariant;
+    let mut shrinker = Shrinker { defect, ignored, invariant, runs: 0 };
     let mut best = schedule.clone();
-    // What happened to single messages is named, so that the network conditions can go.
+    // Records the faults of individual messages, so that the network conditions can be removed.
     let mut recorded = schedule.clone();
-    recorded.message_faults = Some(first.message_faults.clone());
+    recorded.message_faults = Some(original.message_faults.clone());
     recorded.events.retain(|(_, event)| !matches!(event, Event::NetworkConditions { .. }));
-    if shrinking.breaks(&recorded).is_some() {
+    if shrinker.run_if_violating(&recorded).is_some() {
         best = recorded;
     }
     loop {
-        let events = shrinking.drop_parts(
+        let events = shrinker.remove_parts(
             &mut best,
             |schedule| schedule.events.len(),
             |schedule, from, size| {
@@ -80,7 +82,7 @@
                 schedule.events.drain(from..to);
             },
         );
-        let message_faults = shrinking.drop_parts(
+        let message_faults = shrinker.remove_parts(
             &mut best,
             |schedule| schedule.message_faults.as_ref().map_or(0, std::collections::BTreeMap::len),
             |schedule, from, size| {
@@ -94,12 +96,12 @@
             break;
         }
     }
-    let last = best.events.last().map_or(best.end, |(at, _)| at + 1_000.0);
+    let last_event_end = best.events.last().map_or(best.end, |(at, _)| at + 1_000.0);
     let mut shorter = best.clone();
-    shorter.end = shorter.end.min(last);
-    if shrinking.breaks(&shorter).is_some() {
+    shorter.end = shorter.end.min(last_event_end);
+    if shrinker.run_if_violating(&shorter).is_some() {
         best = shorter;
     }
     let result = simulate(&best, defect, ignored, true);
-    Some((best, result, shrinking.plays))
+    Some((best, result, shrinker.runs))
 }
--- a/crates/model-checker/src/simulation/lifecycle.rs
+++ b/crates/model-checker/src/simulation/lifecycle.rs
@@ -1,9 +1,9 @@
-//! Machines of a simulation: starting, stopping, losing disks, leaving.
+//! Machines of a simulation: start, stop, disk loss and planned leave.
 
 use super::*;
 
 impl Simulation<'_> {
-    pub(super) fn add(&mut self) {
+    pub(super) fn add_machine(&mut self) {
         self.last_incarnation += 1;
         self.machines.push(Machine {
             store: None,
@@ -12,27 +12,28 @@
             run: 0,
             is_paused: false,
             waiting: Vec::new(),
-            cut_in: 0.0,
-            cut_out: 0.0,
+            blocked_in_until: 0.0,
+            blocked_out_until: 0.0,
             armed_faults: Vec::new(),
-            out: BTreeMap::new(),
-            lost: false,
-            caught_up: None,
-            gone: false,
+            outstanding: BTreeMap::new(),
+            counts_as_lost: false,
+            caught_up_since: None,
+            has_failed: false,
             starts_at: 0.0,
             seeds: Vec::new(),
-            leaves: None,
+            stop_deadline: None,
         });
     }
 
-    /// Whom a machine asks first: as set at the first start; who comes later is told who is there then.
+    /// Returns the seed machines of a machine. A machine that joins later is given the machines available at that time.
     pub(super) fn seeds(&mut self, n: usize) -> Vec<Ipv4Addr> {
         if n < self.schedule.stores {
-            return adapter::seeds(self.schedule.stores, self.schedule.all_known);
+            return adapter::seeds(self.schedule.stores, self.schedule.all_are_seeds);
         }
         if self.machines[n].seeds.is_empty() {
-            let there = (0..n).filter(|n| !self.machines[*n].gone && !self.machines[*n].lost);
-            self.machines[n].seeds = there.map(adapter::ip).collect();
+            let available =
+                (0..n).filter(|n| !self.machines[*n].has_failed && !self.machines[*n].counts_as_lost);
+            self.machines[n].seeds = available.map(adapter::address_of).collect();
         }
         self.machines[n].seeds.clone()
     }
@@ -40,7 +41,8 @@
     pub(super) fn start(&mut self, n: usize, first: bool) {
         let seeds = self.seeds(n);
         let machine = &mut self.machines[n];
-        if machine.store.is_some() || machine.gone || self.now + QUEUE_RESOLUTION_MS < machine.starts_at {
+        if machine.store.is_some() || machine.has_failed || self.now + QUEUE_RESOLUTION_MS < machine.starts_at
+        {
             return;
         }
         if self.defect == Some(Defect::StaleSnapshot) {
@@ -51,17 +53,17 @@
             }
         }
         machine.run += 1;
-        // Which rounds are marked may be read back or not.
-        let marks = machine.run % 2 == 0;
-        let kept = adapter::loaded(machine.disk.clone(), marks, self.defect);
-        let seed = drawn(self.schedule.seed, (n, 0, machine.run), 1).u64(..);
-        machine.store = Some(adapter::start(n, seeds, first, kept, seed));
+        // The watermarks are restored in every second run only.
+        let with_watermarks = machine.run % 2 == 0;
+        let state = adapter::restored_state(machine.disk.clone(), with_watermarks, self.defect);
+        let seed = seeded_rng(self.schedule.seed, (n, 0, machine.run), 1).u64(..);
+        machine.store = Some(adapter::start_store(n, seeds, first, state, seed));
         let run = machine.run;
-        self.checker.started(n);
-        self.read.retain(|(asker, _), _| *asker != n);
-        let phase = TICK_INTERVAL_MS * drawn(self.schedule.seed, (n, 0, run), 2).f64();
-        self.at(self.now + phase, ScheduledStep::Tick(n, run));
-        self.tell(|| format!("store {n} starts"));
+        self.checker.record_start(n);
+        self.reply_read_at.retain(|(requester, _), _| *requester != n);
+        let phase = TICK_INTERVAL_MS * seeded_rng(self.schedule.seed, (n, 0, run), 2).f64();
+        self.schedule_step(self.now + phase, ScheduledStep::Tick(n, run));
+        self.log_line(|| format!("store {n} starts"));
         self.after_step(n);
     }
 
@@ -72,84 +74,84 @@
         }
         machine.is_paused = false;
         machine.waiting.clear();
-        machine.out.clear();
-        machine.leaves = None;
-        self.checker.drop_calls(n);
-        self.tell(|| format!("store {n} stops"));
+        machine.outstanding.clear();
+        machine.stop_deadline = None;
+        self.checker.abandon_calls(n);
+        self.log_line(|| format!("store {n} stops"));
     }
 
     pub(super) fn stop_for(&mut self, n: usize, time: f64) {
         self.stop(n);
         self.machines[n].starts_at = self.now + time;
-        self.at(self.now + time, ScheduledStep::Start(n));
+        self.schedule_step(self.now + time, ScheduledStep::Start(n));
     }
 
-    /// Whether the membership bears the loss of these disks now, whatever it may be just now.
+    /// Returns whether the membership tolerates the loss of these disks now, whichever membership is in force.
     pub(super) fn tolerates_loss(&self, lost: &[usize]) -> bool {
-        // A change of the membership has ended when a quorum of the new one have it on disk. Until then the one before
-        // it counts too, and each that is written down anywhere.
-        let mut groups = Vec::new();
-        let mut highest = 0;
+        // A membership change has completed when a quorum of the new membership has it on disk. Until then, the
+        // previous membership counts too, and so does each one accepted anywhere.
+        let mut memberships = Vec::new();
+        let mut highest_version = 0;
         for machine in &self.machines {
             let now = machine.store.as_ref().map(Store::state);
-            for kept in now.into_iter().chain([&machine.disk]) {
-                groups.extend(adapter::group(&kept.items));
-                groups.extend(adapter::pending_group(kept));
+            for state in now.into_iter().chain([&machine.disk]) {
+                memberships.extend(adapter::membership_item(&state.items));
+                memberships.extend(adapter::accepted_membership(state));
             }
         }
-        for group in &groups {
-            let members = adapter::members_of(group);
+        for membership in &memberships {
+            let members = adapter::members_of(membership);
             let on_disk = |member: &&Ipv4Addr| {
-                let disk = self.machines.get(machine(**member)).filter(|m| !m.gone).map(|m| &m.disk);
-                disk.and_then(|disk| adapter::group(&disk.items))
-                    .is_some_and(|held| held.version >= group.version)
+                let disk = self.machines.get(machine_of(**member)).filter(|m| !m.has_failed).map(|m| &m.disk);
+                disk.and_then(|disk| adapter::membership_item(&disk.items))
+                    .is_some_and(|held| held.version >= membership.version)
             };
             if 2 * members.iter().filter(on_disk).count() > members.len() {
-                highest = highest.max(group.version);
+                highest_version = highest_version.max(membership.version);
             }
         }
-        groups.iter().filter(|group| group.version >= highest).all(|group| {
-            let members = adapter::members_of(group);
+        memberships.iter().filter(|membership| membership.version >= highest_version).all(|membership| {
+            let members = adapter::members_of(membership);
             let is_lost = |member: &&Ipv4Addr| {
-                let n = machine(**member);
-                lost.contains(&n) || self.machines.get(n).is_none_or(|m| m.lost || m.gone)
+                let n = machine_of(**member);
+                lost.contains(&n) || self.machines.get(n).is_none_or(|m| m.counts_as_lost || m.has_failed)
             };
             members.iter().filter(is_lost).count() <= (members.len() - 1) / 2
         })
     }
 
     pub(super) fn lose_disk(&mut self, n: usize) -> bool {
-        if self.machines[n].gone || !self.tolerates_loss(&[n]) {
+        if self.machines[n].has_failed || !self.tolerates_loss(&[n]) {
             return false;
         }
         self.stop(n);
         self.last_incarnation += 1;
-        let life = self.last_incarnation;
+        let incarnation = self.last_incarnation;
         let defect = self.defect;
         let machine = &mut self.machines[n];
-        machine.disk = adapter::lost(&machine.disk, life, defect);
+        machine.disk = adapter::replacement_disk(&machine.disk, incarnation, defect);
         machine.snapshots.clear();
-        machine.lost = true;
-        machine.caught_up = None;
+        machine.counts_as_lost = true;
+        machine.caught_up_since = None;
         self.machine_faults += 1;
-        self.tell(|| format!("store {n} loses its disk"));
+        self.log_line(|| format!("store {n} loses its disk"));
         true
     }
 
     pub(super) fn machine_fault(&mut self, n: usize, machine_fault: MachineFault) {
-        if self.machines[n].gone {
+        if self.machines[n].has_failed {
             return;
         }
-        self.tell(|| format!("store {n}: {machine_fault:?}"));
+        self.log_line(|| format!("store {n}: {machine_fault:?}"));
         match machine_fault {
-            MachineFault::CutOff(direction, time) => {
+            MachineFault::Isolate(direction, time) => {
                 let until = self.now + time;
                 let machine = &mut self.machines[n];
-                if direction != LinkDirection::Out {
-                    machine.cut_in = machine.cut_in.max(until);
+                if direction != LinkDirection::Outbound {
+                    machine.blocked_in_until = machine.blocked_in_until.max(until);
                 }
-                if direction != LinkDirection::In {
-                    machine.cut_out = machine.cut_out.max(until);
+                if direction != LinkDirection::Inbound {
+                    machine.blocked_out_until = machine.blocked_out_until.max(until);
                 }
                 self.machine_faults += 1;
             }
@@ -160,11 +162,11 @@
             MachineFault::Pause(time) => {
                 if self.machines[n].store.is_some() && !self.machines[n].is_paused {
                     self.machines[n].is_paused = true;
-                    self.at(self.now + time, ScheduledStep::Resume(n));
+                    self.schedule_step(self.now + time, ScheduledStep::Resume(n));
                     self.machine_faults += 1;
                 }
             }
-            MachineFault::Wipe(time) => {
+            MachineFault::LoseDisk(time) => {
                 if self.lose_disk(n) {
                     self.stop_for(n, time);
                 }
@@ -172,35 +174,35 @@
         }
     }
 
-    /// Ends one that leaves when it is relieved or has waited long enough. One that is relieved is gone with its disk, and
-    /// so is one whose loss the membership bears; another is kept.
-    pub(super) fn left(&mut self, n: usize) {
+    /// Stops a leaving machine when it has been replaced or has waited long enough. A replaced machine fails
+    /// permanently together with its disk, and so does one whose loss the membership tolerates; any other machine
+    /// restarts later.
+    pub(super) fn stop_if_left(&mut self, n: usize) {
         let machine = &self.machines[n];
-        let (Some(store), Some(until)) = (&machine.store, machine.leaves) else { return };
-        if !adapter::is_relieved(store) && self.now < until {
+        let (Some(store), Some(until)) = (&machine.store, machine.stop_deadline) else { return };
+        if !adapter::can_stop(store) && self.now < until {
             return;
         }
-        let relieved = adapter::is_relieved(store);
-        self.machines[n].leaves = None;
-        if relieved {
+        let was_replaced = adapter::can_stop(store);
+        self.machines[n].stop_deadline = None;
+        if was_replaced {
             self.stop(n);
-            self.machines[n].gone = true;
+            self.machines[n].has_failed = true;
         } else if self.lose_disk(n) {
-            self.machines[n].gone = true;
+            self.machines[n].has_failed = true;
         } else {
-            // Its disk may still be needed: who replaces it starts it again.
+            // The disk may still be needed, so the machine restarts.
             self.stop_for(n, RETURN_TIME_MS);
         }
         self.machine_faults += 1;
     }
 
-    pub(super) fn fires(&mut self, n: usize, trigger: Trigger) -> bool {
-        let Some(place) =
-            self.machines[n].armed_faults.iter().position(|(armed_faults, _)| *armed_faults == trigger)
+    pub(super) fn trigger_faults(&mut self, n: usize, trigger: Trigger) -> bool {
+        let Some(position) = self.machines[n].armed_faults.iter().position(|(armed, _)| *armed == trigger)
         else {
             return false;
         };
-        let (_, machine_fault) = self.machines[n].armed_faults.remove(place);
+        let (_, machine_fault) = self.machines[n].armed_faults.remove(position);
         self.machine_fault(n, machine_fault);
         self.machines[n].store.is_none()
     }
--- a/crates/model-checker/src/simulation/mod.rs
+++ b/crates/model-checker/src/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in memory: clock, links, disks, and what happens to them. Nothing sleeps; a schedule runs the same at each run.
+//! Simulation of a cluster in memory: clock, links, disks and their faults. Nothing sleeps; a schedule produces the
+//! same run each time.
 
 mod events;
 mod lifecycle;
@@ -6,7 +7,7 @@
 mod recovery;
 mod steps;
 
-use crate::adapter::{self, machine, ClientCall};
+use crate::adapter::{self, machine_of, ClientCall};
 use crate::checker::{Invariant, InvariantChecker, Violation};
 use crate::defects::Defect;
 use crate::schedule::{
@@ -22,27 +23,27 @@
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
 
-/// Period of each store's clock.
+/// Interval between ticks of each store.
 const TICK_INTERVAL_MS: f64 = 50.0;
-/// When the program gives an answer up.
+/// Time after which the real program gives up waiting for a reply.
 const REPLY_TIMEOUT_MS: f64 = 1_000.0;
-/// A machine that lost its disk counts as lost until it has held all for this long.
+/// A machine that lost its disk counts as lost until it has had everything acknowledged for this long.
 const CAUGHT_UP_TIME_MS: f64 = 3_000.0;
-/// Within this time after the last fault all take part.
+/// Time after the last fault within which all machines must take part again.
 const RECOVERY_TIMEOUT_MS: f64 = 30_000.0;
-/// Within this time a call is then carried out.
+/// Time within which a call must be executed after that.
 const CALL_TIMEOUT_MS: f64 = 8_000.0;
-/// How long one that leaves waits for another to take its place.
+/// Time that a leaving machine waits for another to take its slot.
 const LEAVE_TIMEOUT_MS: f64 = 2_500.0;
-/// After this time one that left without that starts again.
+/// Time after which a machine restarts that left without being replaced.
 const RETURN_TIME_MS: f64 = 4_000.0;
-/// Times are kept to a thousandth in the queue.
+/// Tolerance for times in the queue, which are rounded to a thousandth of a millisecond.
 const QUEUE_RESOLUTION_MS: f64 = 0.002;
-/// Most machines in a run.
+/// Maximum number of machines in a run.
 const MAX_MACHINES: usize = 12;
-/// Disks that are remembered for a stale one.
+/// Number of earlier disk states kept for the stale snapshot defect.
 const MAX_SNAPSHOTS: usize = 12;
-/// Steps of one search for an order.
+/// Maximum number of steps of a linearizability search.
 const MAX_SEARCH_STEPS: usize = 20_000;
 
 enum ScheduledStep {
@@ -51,29 +52,29 @@
     Start(usize),
     Resume(usize),
     Message(Message),
-    /// A registry's epoch is read.
+    /// A registry reads the epoch of its role.
     Epoch(usize, u64, CommandId),
-    /// A deferred save happens.
+    /// A deferred save takes place.
     Save(usize, u64, Box<DurableState>),
 }
 
 struct Message {
     from: usize,
     to: usize,
-    /// The asker's run of the program, and the number of its request.
+    /// The number of the requester's run; `number` is that of its request.
     run: u64,
     number: u64,
-    /// When the request went out.
-    asked: f64,
+    /// The time at which the request was sent.
+    sent_at: f64,
     body: Body,
 }
 
 enum Body {
     PeerRequest(PeerRequest),
-    /// The answer, and what membership it is contact with.
+    /// A reply, and the lowest membership version with which it proves contact.
     PeerReply(PeerReply, Option<u64>),
-    /// It is known that no answer will come.
-    Nothing,
+    /// The requester learns that no reply will arrive.
+    NoReply,
 }
 
 struct Machine {
@@ -83,50 +84,50 @@
     run: u64,
     is_paused: bool,
     waiting: Vec<Message>,
-    /// Nothing passes before these times.
-    cut_in: f64,
-    cut_out: f64,
+    /// Incoming messages are lost until this time; `blocked_out_until` applies to outgoing messages.
+    blocked_in_until: f64,
+    blocked_out_until: f64,
     armed_faults: Vec<(Trigger, MachineFault)>,
-    out: BTreeMap<u64, usize>,
-    /// Since when it counts as lost, and since when it holds all again.
-    lost: bool,
-    caught_up: Option<f64>,
-    gone: bool,
+    outstanding: BTreeMap<u64, usize>,
+    /// Set while the machine counts as lost; `caught_up_since` is the time since which it has everything again.
+    counts_as_lost: bool,
+    caught_up_since: Option<f64>,
+    has_failed: bool,
     starts_at: f64,
-    /// Whom it asks first, if it came later.
+    /// The seed machines, for a machine that joined later.
     seeds: Vec<Ipv4Addr>,
-    /// It is to end by then, or before if its place is another's.
-    leaves: Option<f64>,
+    /// The time by which a leaving machine stops; it stops earlier once it has been replaced.
+    stop_deadline: Option<f64>,
 }
 
 #[derive(Default)]
 struct Link {
     sent: u64,
-    cut: f64,
-    slow: f64,
-    slower: f64,
+    blocked_until: f64,
+    delayed_until: f64,
+    extra_delay: f64,
 }
 
-/// How a run ended.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunResult {
-    /// The first invariant that did not hold.
+    /// The first violation.
     pub violation: Option<Violation>,
-    /// Steps of stores.
+    /// The number of steps of all stores.
     pub steps: u64,
-    /// What happened to single messages.
+    /// The faults of individual messages.
     pub message_faults: BTreeMap<MessageId, MessageFault>,
-    /// Histories that the search could not decide.
+    /// The number of histories whose linearizability was not decided.
     pub undecided: u64,
-    /// Calls, and how many of them were confirmed.
+    /// The number of calls, and the number of confirmed ones.
     pub calls: (u64, u64),
-    /// What happened, for a reader, if it was asked for.
+    /// A readable log of the run, if requested.
     pub log: Vec<String>,
-    /// What happened to machines: power, disks, cuts.
+    /// The number of machine faults: power losses, disk losses and partitions.
     pub machine_faults: u64,
 }
 
-/// Plays a schedule; a defect may be put in, and some invariants looked past.
+/// Runs a schedule, optionally with a seeded defect, and ignores some invariants.
 pub fn simulate(
     schedule: &Schedule,
     defect: Option<Defect>,
@@ -136,7 +137,7 @@
     let mut simulation = Simulation::new(schedule, defect, ignored, log);
     simulation.run();
     let calls = &simulation.checker.calls;
-    let confirmed = calls.values().filter(|call| matches!(call.confirmation, Some(Ok(())))).count() as u64;
+    let confirmed = calls.values().filter(|call| matches!(call.result, Some(Ok(())))).count() as u64;
     RunResult {
         calls: (calls.len() as u64, confirmed),
         violation: simulation.checker.violation,
@@ -148,23 +149,24 @@
     }
 }
 
-/// A digest of all that the stores of a run send, save and answer, in the spelling of the wire and the disk.
+/// Returns a digest of everything that the stores of a run send, save and return, in the formats of the wire and the
+/// disk.
 pub fn digest(schedule: &Schedule) -> u64 {
     let mut simulation = Simulation::new(schedule, None, &BTreeSet::new(), false);
-    simulation.record = Some(FnvHasher::default());
+    simulation.effect_hasher = Some(FnvHasher::default());
     simulation.run();
-    simulation.record.map_or(0, |record| record.finish())
+    simulation.effect_hasher.map_or(0, |hasher| hasher.finish())
 }
 
 struct Simulation<'a> {
     schedule: &'a Schedule,
-    /// What is digested of the outputs, where that was asked for.
-    record: Option<FnvHasher>,
+    /// The hasher of the stores' effects, if a digest was requested.
+    effect_hasher: Option<FnvHasher>,
     defect: Option<Defect>,
     now: f64,
     machines: Vec<Machine>,
     queue: BTreeMap<(u64, u64), ScheduledStep>,
-    order: u64,
+    sequence: u64,
     links: HashMap<(usize, usize), Link>,
     network_conditions: Vec<(f64, Event)>,
     message_faults: BTreeMap<MessageId, MessageFault>,
@@ -173,13 +175,13 @@
     last_incarnation: u64,
     steps: u64,
     machine_faults: u64,
-    /// When answers were read, for contact by reading.
-    read: HashMap<(usize, usize), f64>,
+    /// The times at which replies were read, for the defect that measures contact by them.
+    reply_read_at: HashMap<(usize, usize), f64>,
     log: Vec<String>,
-    logs: bool,
+    log_enabled: bool,
 }
 
-fn drawn(seed: u64, message_id: MessageId, salt: u64) -> fastrand::Rng {
+fn seeded_rng(seed: u64, message_id: MessageId, salt: u64) -> fastrand::Rng {
     let (from, to, number) = message_id;
     let mix = |hash: u64, part: u64| (hash ^ part).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     let hash = [from as u64 + 1, to as u64 + 1, number, salt].into_iter().fold(seed, mix);
@@ -191,16 +193,16 @@
         schedule: &'a Schedule,
         defect: Option<Defect>,
         ignored: &BTreeSet<Invariant>,
-        logs: bool,
+        log_enabled: bool,
     ) -> Self {
         let mut simulation = Self {
             schedule,
-            record: None,
+            effect_hasher: None,
             defect,
             now: 0.0,
             machines: Vec::new(),
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             links: HashMap::new(),
             network_conditions: Vec::new(),
             message_faults: BTreeMap::new(),
@@ -209,44 +211,44 @@
             last_incarnation: 1,
             steps: 0,
             machine_faults: 0,
-            read: HashMap::new(),
+            reply_read_at: HashMap::new(),
             log: Vec::new(),
-            logs,
+            log_enabled,
         };
         for n in 0..schedule.stores {
-            simulation.add();
+            simulation.add_machine();
             simulation.start(n, true);
         }
         for (n, (at, _)) in schedule.events.iter().enumerate().filter(|(_, (at, _))| *at < schedule.end) {
-            simulation.at(*at, ScheduledStep::Event(n));
+            simulation.schedule_step(*at, ScheduledStep::Event(n));
         }
         simulation
     }
 
-    fn tell(&mut self, what: impl FnOnce() -> String) {
-        if self.logs {
-            let line = format!("{:>9.1} {}", self.now, what());
+    fn log_line(&mut self, description: impl FnOnce() -> String) {
+        if self.log_enabled {
+            let line = format!("{:>9.1} {}", self.now, description());
             self.log.push(line);
         }
     }
 
-    fn at(&mut self, at: f64, step: ScheduledStep) {
-        self.order += 1;
-        self.queue.insert(((at.max(self.now) * 1000.0) as u64, self.order), step);
+    fn schedule_step(&mut self, at: f64, step: ScheduledStep) {
+        self.sequence += 1;
+        self.queue.insert(((at.max(self.now) * 1000.0) as u64, self.sequence), step);
     }
 }
 
 impl Message {
     fn duplicate(&self) -> Option<Self> {
         let body = match &self.body {
-            Body::PeerRequest(ask) => Body::PeerRequest(ask.clone()),
+            Body::PeerRequest(request) => Body::PeerRequest(request.clone()),
             Body::PeerReply(reply, contact) => Body::PeerReply(reply.clone(), *contact),
-            Body::Nothing => return None,
+            Body::NoReply => return None,
         };
         Some(Self { body, ..*self })
     }
 }
 
-fn place_name(n: usize) -> String {
-    format!("what store {n} says")
+fn message_origin(n: usize) -> String {
+    format!("messages of store {n}")
 }
--- a/crates/model-checker/src/simulation/steps.rs
+++ b/crates/model-checker/src/simulation/steps.rs
@@ -1,68 +1,68 @@
-//! Steps of a store in a simulation: its effects, and what is checked after each.
+//! Steps of a store in a simulation: its effects and the checks after each step.
 
 use super::*;
 
 impl Simulation<'_> {
-    /// Adds an output of a store to the digest.
-    pub(super) fn recorded(&mut self, n: usize, output: &Effect) {
-        let Some(record) = &mut self.record else { return };
-        let text = match output {
+    /// Adds an effect of a store to the digest.
+    pub(super) fn digest_effect(&mut self, n: usize, effect: &Effect) {
+        let Some(hasher) = &mut self.effect_hasher else { return };
+        let text = match effect {
             Effect::Save => {
-                let kept = self.machines[n].store.as_ref().map(Store::state);
-                let kept =
-                    kept.map(|k| (k.incarnation, k.promised, k.chosen, &k.accepted, k.items.last_change()));
-                serde_json::to_string(&kept).unwrap_or_default()
+                let state = self.machines[n].store.as_ref().map(Store::state);
+                let state =
+                    state.map(|k| (k.incarnation, k.promised, k.chosen, &k.accepted, k.items.last_change()));
+                serde_json::to_string(&state).unwrap_or_default()
             }
-            Effect::Send { to, request: ask, .. } => {
-                format!("{to} {}", serde_json::to_string(ask).unwrap_or_default())
+            Effect::Send { to, request, .. } => {
+                format!("{to} {}", serde_json::to_string(request).unwrap_or_default())
             }
-            Effect::Complete { command: call, result } => format!("{call} {}", adapter::spelled(result)),
+            Effect::Complete { command, result } => format!("{command} {}", adapter::encode_result(result)),
         };
-        record.write(format!("{n} {:.3} {text}\n", self.now).as_bytes());
+        hasher.write(format!("{n} {:.3} {text}\n", self.now).as_bytes());
     }
 
-    /// Carries out what a store wants; tells whether it still runs.
-    pub(super) fn carry_out(&mut self, n: usize) -> bool {
+    /// Executes the effects of a store. Returns whether the store still runs.
+    pub(super) fn execute_effects(&mut self, n: usize) -> bool {
         self.steps += 1;
         let Some(store) = &mut self.machines[n].store else { return false };
-        let outputs = store.take_effects();
-        for output in outputs {
-            self.recorded(n, &output);
-            match output {
+        let effects = store.take_effects();
+        for effect in effects {
+            self.digest_effect(n, &effect);
+            match effect {
                 Effect::Save => {
                     let (now, store) = (self.now, self.machines[n].store.as_ref());
                     if let Some((ballot, items)) =
                         store.and_then(|store| adapter::own_proposal(n, store.state()))
                     {
-                        self.checker.note_proposal(now, n, ballot, items);
+                        self.checker.record_proposal(now, n, ballot, items);
                     }
-                    if self.fires(n, Trigger::BeforeSave) {
+                    if self.trigger_faults(n, Trigger::BeforeSave) {
                         return false;
                     }
-                    let torn = self.torn(n);
-                    if self.fires(n, Trigger::WithinSave) {
-                        self.tear(n, torn);
+                    let interrupted_save = self.interrupted_save(n);
+                    if self.trigger_faults(n, Trigger::WithinSave) {
+                        self.apply_interrupted_save(n, interrupted_save);
                         return false;
                     }
                     self.save(n);
-                    if self.fires(n, Trigger::AfterSave) {
+                    if self.trigger_faults(n, Trigger::AfterSave) {
                         return false;
                     }
                 }
-                Effect::Send { to, number, request: ask } => {
-                    let writes = self.before_send(n, &ask);
-                    let machine_to = machine(to);
+                Effect::Send { to, number, request } => {
+                    let is_accept = self.before_send(n, &request);
+                    let receiver = machine_of(to);
                     let run = self.machines[n].run;
-                    self.machines[n].out.insert(number, machine_to);
-                    let body = Body::PeerRequest(ask);
-                    self.send(Message { from: n, to: machine_to, run, number, asked: self.now, body });
-                    if writes && self.fires(n, Trigger::Writes) {
+                    self.machines[n].outstanding.insert(number, receiver);
+                    let body = Body::PeerRequest(request);
+                    self.send(Message { from: n, to: receiver, run, number, sent_at: self.now, body });
+                    if is_accept && self.trigger_faults(n, Trigger::SendsAccept) {
                         return false;
                     }
                 }
-                Effect::Complete { command: call, result } => {
-                    self.answer(n, call, &result);
-                    if self.fires(n, Trigger::Answers) {
+                Effect::Complete { command, result } => {
+                    self.record_answer(n, command, &result);
+                    if self.trigger_faults(n, Trigger::AnswersCall) {
                         return false;
                     }
                 }
@@ -74,32 +74,32 @@
 
     pub(super) fn save(&mut self, n: usize) {
         let Some(store) = &self.machines[n].store else { return };
-        let kept = store.state().clone();
+        let state = store.state().clone();
         if self.defect == Some(Defect::AnswerBeforeSave) {
             let run = self.machines[n].run;
-            return self.at(self.now + 300.0, ScheduledStep::Save(n, run, Box::new(kept)));
+            return self.schedule_step(self.now + 300.0, ScheduledStep::Save(n, run, Box::new(state)));
         }
-        self.put(n, kept);
+        self.write_disk(n, state);
     }
 
-    /// What a save leaves that is cut short: the new disk, or the old one with the new items, which is more than the
-    /// program's disk allows.
-    pub(super) fn torn(&self, n: usize) -> Option<DurableState> {
+    /// Returns the disk state after an interrupted save: either the new state, or the old one with the new items. The
+    /// latter is less atomic than the real disk.
+    pub(super) fn interrupted_save(&self, n: usize) -> Option<DurableState> {
         let machine = &self.machines[n];
         machine.armed_faults.iter().any(|(trigger, _)| *trigger == Trigger::WithinSave).then_some(())?;
         let now = machine.store.as_ref()?.state();
-        let torn = drawn(self.schedule.seed, (n, 2, machine.run), 7).bool();
-        Some(if torn { adapter::torn(&machine.disk, now) } else { now.clone() })
+        let is_partial = seeded_rng(self.schedule.seed, (n, 2, machine.run), 7).bool();
+        Some(if is_partial { adapter::partially_saved(&machine.disk, now) } else { now.clone() })
     }
 
-    pub(super) fn tear(&mut self, n: usize, torn: Option<DurableState>) {
-        let Some(torn) = torn else { return };
-        if adapter::incarnation(&torn) == adapter::incarnation(&self.machines[n].disk) {
-            self.machines[n].disk = torn;
+    pub(super) fn apply_interrupted_save(&mut self, n: usize, interrupted_save: Option<DurableState>) {
+        let Some(interrupted_save) = interrupted_save else { return };
+        if adapter::incarnation(&interrupted_save) == adapter::incarnation(&self.machines[n].disk) {
+            self.machines[n].disk = interrupted_save;
         }
     }
 
-    pub(super) fn put(&mut self, n: usize, kept: DurableState) {
+    pub(super) fn write_disk(&mut self, n: usize, state: DurableState) {
         let machine = &mut self.machines[n];
         if self.defect == Some(Defect::StaleSnapshot) {
             machine.snapshots.push_back(machine.disk.clone());
@@ -107,67 +107,69 @@
                 machine.snapshots.pop_front();
             }
         }
-        machine.disk = kept;
+        machine.disk = state;
     }
 
-    pub(super) fn before_send(&mut self, n: usize, ask: &PeerRequest) -> bool {
+    pub(super) fn before_send(&mut self, n: usize, request: &PeerRequest) -> bool {
         let now = self.now;
-        self.checker.check_chosen(now, &place_name(n), adapter::chosen_in_request(ask));
-        if let (Some(ballot), Some(store)) = (adapter::chosen_round(ask), &self.machines[n].store) {
-            self.checker.note_chosen(ballot, &store.state().items);
+        self.checker.check_chosen(now, &message_origin(n), adapter::chosen_in_request(request));
+        if let (Some(ballot), Some(store)) = (adapter::announced_round(request), &self.machines[n].store) {
+            self.checker.record_chosen(ballot, &store.state().items);
         }
-        let Some((ballot, items)) = adapter::proposal(ask) else { return false };
-        self.checker.note_proposal(now, n, ballot, items);
+        let Some((ballot, items)) = adapter::proposal(request) else { return false };
+        self.checker.record_proposal(now, n, ballot, items);
         true
     }
 
-    pub(super) fn answer(&mut self, n: usize, id: CommandId, result: &adapter::Result) {
-        // Of a fault only its kind: which of several items its text names is left to chance.
-        let describe = result.as_ref().map_err(|fault| fault.kind);
-        self.tell(|| format!("store {n} answers call {id}: {describe:?}"));
+    pub(super) fn record_answer(&mut self, n: usize, id: CommandId, result: &adapter::CommandResult) {
+        // Logs only the kind of an error, since its message may name any of several items.
+        let describe = result.as_ref().map_err(|error| error.kind);
+        self.log_line(|| format!("store {n} answers call {id}: {describe:?}"));
         let Some(store) = &self.machines[n].store else { return };
         let now = self.now;
         let mut confirmation = result.as_ref().map(drop).map_err(Clone::clone);
-        let operation = self.checker.calls.get(&id).map(|call| call.op.clone());
-        if let (Some(Defect::ResendRefused), true, Some(op)) = (self.defect, confirmation.is_ok(), &operation)
+        let request = self.checker.calls.get(&id).map(|call| call.request.clone());
+        if let (Some(Defect::ResendRefused), true, Some(request)) =
+            (self.defect, confirmation.is_ok(), &request)
         {
-            let taken = |call: &&crate::checker::CallRecord| {
-                call.op == *op && matches!(call.confirmation, Some(Ok(())))
+            let is_confirmed_repeat = |call: &crate::checker::CallRecord| {
+                call.request == *request && matches!(call.result, Some(Ok(())))
             };
-            let numbered = matches!(op, ClientCall::Put { .. } | ClientCall::Remove { .. });
-            if numbered && self.checker.calls.values().any(|call| taken(&call)) {
-                confirmation = Err(RpcError::new(ErrorKind::Conflict, "it is older than what stands"));
+            let is_versioned = matches!(request, ClientCall::Put { .. } | ClientCall::Remove { .. });
+            if is_versioned && self.checker.calls.values().any(is_confirmed_repeat) {
+                confirmation =
+                    Err(RpcError::new(ErrorKind::Conflict, "the version is older than the current one"));
             }
         }
-        let read = result.as_ref().ok().and_then(adapter::read);
-        self.checker.answered(now, id, &confirmation, read, &store.state().items);
-        if let (Ok(done), Some(ClientCall::Duty { .. })) = (result, &operation) {
-            match adapter::epoch(done).filter(|_| self.defect != Some(Defect::EpochReadLate)) {
+        let read = result.as_ref().ok().and_then(adapter::read_items);
+        self.checker.record_result(now, id, &confirmation, read, &store.state().items);
+        if let (Ok(outcome), Some(ClientCall::AcquireRole { .. })) = (result, &request) {
+            match adapter::acquired_epoch(outcome).filter(|_| self.defect != Some(Defect::EpochReadLate)) {
                 Some(epoch) => self.checker.check_epoch(now, id, epoch),
                 None => {
                     let run = self.machines[n].run;
-                    let later = 2.0 * drawn(self.schedule.seed, (n, 0, id), 3).f64();
-                    self.at(now + later, ScheduledStep::Epoch(n, run, id));
+                    let delay = 2.0 * seeded_rng(self.schedule.seed, (n, 0, id), 3).f64();
+                    self.schedule_step(now + delay, ScheduledStep::Epoch(n, run, id));
                 }
             }
         }
     }
 
-    /// After each step.
+    /// Checks the invariants after a step.
     pub(super) fn after_step(&mut self, n: usize) {
         let now = self.now;
         let Some(store) = &self.machines[n].store else { return };
         self.checker.check_step(now, n, store);
-        if self.machines[n].lost {
+        if self.machines[n].counts_as_lost {
             let is_member = store.status() == MembershipStatus::Member;
-            let whole = is_member && self.checker.holds_all(&store.state().items);
+            let has_everything = is_member && self.checker.has_all_acknowledged(&store.state().items);
             let machine = &mut self.machines[n];
-            match (whole, machine.caught_up) {
-                (true, None) => machine.caught_up = Some(now),
-                (true, Some(since)) if now > since + CAUGHT_UP_TIME_MS => machine.lost = false,
+            match (has_everything, machine.caught_up_since) {
+                (true, None) => machine.caught_up_since = Some(now),
+                (true, Some(since)) if now > since + CAUGHT_UP_TIME_MS => machine.counts_as_lost = false,
                 (true, Some(_)) => {}
-                // A new call may have been acknowledged that is still on its way to it.
-                (false, _) if !is_member => machine.caught_up = None,
+                // A newly acknowledged call may not have reached the machine yet.
+                (false, _) if !is_member => machine.caught_up_since = None,
                 (false, _) => {}
             }
         }
@@ -177,25 +179,25 @@
         let now = self.now;
         let Some(store) = &mut self.machines[n].store else { return };
         store.tick(Timestamp::from_millis(now));
-        if !self.carry_out(n) {
+        if !self.execute_effects(n) {
             return;
         }
         let Some(store) = &self.machines[n].store else { return };
-        let members: Vec<usize> = store.members().into_iter().map(machine).collect();
-        let mut age = adapter::contact(store, now);
+        let members: Vec<usize> = store.members().into_iter().map(machine_of).collect();
+        let mut age = adapter::contact_age_ms(store, now);
         if self.defect == Some(Defect::ContactByReading) && self.is_member(n) {
-            let heard = |m: &usize| {
+            let reading_age = |m: &usize| {
                 if *m == n {
                     0.0
                 } else {
-                    self.read.get(&(n, *m)).map_or(f64::INFINITY, |at| now - at)
+                    self.reply_read_at.get(&(n, *m)).map_or(f64::INFINITY, |at| now - at)
                 }
             };
-            let mut ages: Vec<f64> = members.iter().map(heard).collect();
+            let mut ages: Vec<f64> = members.iter().map(reading_age).collect();
             ages.sort_unstable_by(f64::total_cmp);
             age = ages.get(members.len() / 2).copied().filter(|age| *age < 2_500.0);
         }
         self.checker.check_contact(now, n, &members, age);
-        self.left(n);
+        self.stop_if_left(n);
     }
 }
--- a/crates/model-checker/tests/digests.rs
+++ b/crates/model-checker/tests/digests.rs
@@ -1,10 +1,11 @@
-//! What stores decide over a thousand random runs, as digests of the spelling of the wire and the disk. A change of names
-//! or shape leaves them as they are; a change of what stores do changes them, and gives the new ones in its commit.
+//! The decisions of stores over a thousand random runs, as digests in the formats of the wire and the disk. Renaming or
+//! restructuring leaves the digests unchanged; a commit that changes the behaviour of stores changes them and must
+//! state the new values.
 
 use ivygate_model_checker::schedule::Schedule;
 use ivygate_model_checker::simulation::digest;
 
-/// One digest a hundred seeds.
+/// One digest per hundred seeds.
 const DIGESTS: [u64; 10] = [
     0x647a_b10a_2f20_569a,
     0x85a2_d0c0_c621_9bb3,
@@ -18,17 +19,19 @@
     0x98fe_5abd_c968_4380,
 ];
 
-fn of_hundred(from: u64) -> u64 {
+fn digest_of_hundred_seeds(from: u64) -> u64 {
     (from..from + 100).fold(0, |all, seed| {
-        let schedule = Schedule::drawn(seed, 3 + (seed % 5) as usize);
+        let schedule = Schedule::generate(seed, 3 + (seed % 5) as usize);
         all.rotate_left(7) ^ digest(&schedule)
     })
 }
 
 #[test]
 fn decisions_of_stores_keep_their_digests() {
-    let threads: Vec<_> =
-        (0..10).map(|hundred| std::thread::spawn(move || of_hundred(100 * hundred + 1))).collect();
-    let found: Vec<u64> = threads.into_iter().map(|thread| thread.join().expect("it plays")).collect();
-    assert_eq!(found, DIGESTS, "{found:#018x?}");
+    let threads: Vec<_> = (0..10)
+        .map(|hundred| std::thread::spawn(move || digest_of_hundred_seeds(100 * hundred + 1)))
+        .collect();
+    let actual: Vec<u64> =
+        threads.into_iter().map(|thread| thread.join().expect("the run finishes")).collect();
+    assert_eq!(actual, DIGESTS, "{actual:#018x?}");
 }
