--- a/crates/config-store/src/peer_tracker.rs
+++ b/crates/config-store/src/peer_tracker.rs
@@ -10,8 +10,8 @@
 
 /// Interval of the pings to the other members, which detect members that are unreachable or lag behind.
 const PING_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Minimum time between two pings sent on behalf of commands, which only find out which members respond. If no quorum
-/// has answered any request sent later than this before a command, none is reachable for the command.
+/// Minimum time between two pings sent on behalf of commands, which only find out which members respond. Contact with a
+/// quorum counts for a command if it is at most this much older than the command.
 pub(crate) const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// A tick delayed by more than this shows that the process was paused. Members not heard from during a pause have not
 /// necessarily failed.
--- a/crates/model-checker/src/checker.rs
+++ b/crates/model-checker/src/checker.rs
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Checks items that are chosen, or stated to be chosen, at some place.
-    pub fn check_chosen(&mut self, now: f64, place: &str, items: &[Arc<Item>]) {
+    /// Checks items that are chosen according to a source, which is a store or a message.
+    pub fn check_chosen(&mut self, now: f64, source: &str, items: &[Arc<Item>]) {
         for item in items {
             let existing =
                 self.chosen.entry((item.key.clone(), item.version)).or_insert_with(|| item.clone());
             if existing.body != item.body {
                 let description = format!(
-                    "{:?} '{}' at {}: {:?} is chosen at {place}, but {:?} was chosen before",
+                    "{:?} '{}' at {}: {:?} is chosen according to {source}, but {:?} was chosen before",
                     item.key.table, item.key.name, item.version, item.body, existing.body
                 );
                 self.report(now, Invariant::Agreement, description);
@@ -150,13 +150,13 @@
             if item.key.table == Table::Membership {
                 let members = adapter::members_of(item);
                 if members.iter().collect::<BTreeSet<_>>().len() < members.len() {
-                    self.report(now, Invariant::UniqueMembers, format!("{members:?} at {place}"));
+                    self.report(now, Invariant::UniqueMembers, format!("{members:?} according to {source}"));
                 }
             }
             if let Some(proposed) = self.proposed.get(&(item.key.clone(), item.version)) {
                 if proposed.iter().any(|p| p.excluded_by.is_some() && p.item.body == item.body) {
                     let description = format!(
-                        "{:?} '{}' at {} is chosen at {place} although a chosen round excludes it and it was not requested again",
+                        "{:?} '{}' at {} is chosen according to {source} although a chosen round excludes it and it was not requested again",
                         item.key.table, item.key.name, item.version
                     );
                     self.report(now, Invariant::NoResurrection, description);
--- a/crates/model-checker/src/defects.rs
+++ b/crates/model-checker/src/defects.rs
@@ -3,7 +3,7 @@
 /// A seeded defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Proposers do not learn which rounds are already chosen.
+    /// Proposers do not know the highest chosen round, so that a superseded proposal appears newer.
     NoChosenBallot,
     /// The age of contact is measured from the time at which a reply was read.
     ContactByReading,
--- a/crates/model-checker/src/exhaustive/search_state.rs
+++ b/crates/model-checker/src/exhaustive/search_state.rs
@@ -461,9 +461,9 @@
         power_loss == PowerLoss::Never || !is_running
     }
 
-    fn calm(&mut self, isolated: Option<usize>, time: f64) {
+    fn calm(&mut self, isolated: Option<usize>, duration: f64) {
         let mut calm = VecDeque::new();
-        let until = self.now + time;
+        let until = self.now + duration;
         while self.now < until && self.checker.violation.is_none() {
             self.now += TICK_INTERVAL_MS;
             for n in 0..self.machines.len() {
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -332,8 +332,8 @@
     let mut all_valid = true;
     for bounds in small_configurations().iter().filter(|bounds| bounds.name.starts_with(&small.prefix)) {
         let started_at = Instant::now();
-        let time = Duration::from_secs(small.seconds);
-        let explored = explore(bounds, defect, &ignored, small.states, time, small.threads);
+        let max_duration = Duration::from_secs(small.seconds);
+        let explored = explore(bounds, defect, &ignored, small.states, max_duration, small.threads);
         println!(
             "{}: {} states, {} steps, paths of up to {} actions, {}, {:.1} s",
             bounds.name,
--- a/crates/model-checker/src/simulation/events.rs
+++ b/crates/model-checker/src/simulation/events.rs
@@ -15,19 +15,19 @@
             Event::MachineFault(n, trigger, machine_fault) if is_known(n) => {
                 self.machines[*n].armed_faults.push((*trigger, *machine_fault));
             }
-            Event::BlockLink(from, to, time) if from != to => {
-                self.block_link(*from, *to, *time);
+            Event::BlockLink(from, to, duration) if from != to => {
+                self.block_link(*from, *to, *duration);
                 self.machine_faults += 1;
             }
-            Event::DelayLink(from, to, delay, time) if from != to => {
-                let delayed_until = self.now + time;
+            Event::DelayLink(from, to, delay, duration) if from != to => {
+                let delayed_until = self.now + duration;
                 let link = self.links.entry((*from, *to)).or_default();
                 link.delayed_until = delayed_until;
                 link.extra_delay = *delay;
             }
-            Event::Partition(isolated, time) => self.partition(*isolated, *time),
-            Event::PowerLoss(time) => self.lose_power(0, *time),
-            Event::PowerAndDiskLoss(lost, time) => self.lose_power(*lost, *time),
+            Event::Partition(isolated, duration) => self.partition(*isolated, *duration),
+            Event::PowerLoss(duration) => self.lose_power(0, *duration),
+            Event::PowerAndDiskLoss(lost, duration) => self.lose_power(*lost, *duration),
             Event::MachineJoins if self.machines.len() < MAX_MACHINES => self.join(),
             Event::MachineFails(n) if is_known(n) => {
                 let has_failed = self.lose_disk(*n);
@@ -42,19 +42,19 @@
         }
     }
 
-    fn block_link(&mut self, from: usize, to: usize, time: f64) {
-        let until = self.now + time;
+    fn block_link(&mut self, from: usize, to: usize, duration: f64) {
+        let until = self.now + duration;
         let link = self.links.entry((from, to)).or_default();
         link.blocked_until = link.blocked_until.max(until);
     }
 
     /// Isolates the machines of a set from all others.
-    fn partition(&mut self, isolated: u32, time: f64) {
+    fn partition(&mut self, isolated: u32, duration: f64) {
         let is_isolated = |n: usize| isolated & (1 << n) != 0;
         for from in 0..self.machines.len() {
             for to in 0..self.machines.len() {
                 if is_isolated(from) != is_isolated(to) {
-                    self.block_link(from, to, time);
+                    self.block_link(from, to, duration);
                 }
             }
         }
@@ -89,9 +89,9 @@
         }
     }
 
-    pub(super) fn lose_power(&mut self, lost: u32, time: f64) {
+    pub(super) fn lose_power(&mut self, lost: u32, duration: f64) {
         for n in 0..self.machines.len() {
-            self.stop_for(n, time + n as f64);
+            self.stop_for(n, duration + n as f64);
         }
         for n in 0..self.machines.len() {
             if lost & (1 << n) != 0 {
--- a/crates/model-checker/src/simulation/lifecycle.rs
+++ b/crates/model-checker/src/simulation/lifecycle.rs
@@ -80,10 +80,10 @@
         self.log_line(|| format!("store {n} stops"));
     }
 
-    pub(super) fn stop_for(&mut self, n: usize, time: f64) {
+    pub(super) fn stop_for(&mut self, n: usize, duration: f64) {
         self.stop(n);
-        self.machines[n].starts_at = self.now + time;
-        self.schedule_step(self.now + time, ScheduledStep::Start(n));
+        self.machines[n].starts_at = self.now + duration;
+        self.schedule_step(self.now + duration, ScheduledStep::Start(n));
     }
 
     /// Returns whether the membership tolerates the loss of these disks now, whichever membership is in force.
@@ -144,8 +144,8 @@
         }
         self.log_line(|| format!("store {n}: {machine_fault:?}"));
         match machine_fault {
-            MachineFault::Isolate(direction, time) => {
-                let until = self.now + time;
+            MachineFault::Isolate(direction, duration) => {
+                let until = self.now + duration;
                 let machine = &mut self.machines[n];
                 if direction != LinkDirection::Outbound {
                     machine.blocked_in_until = machine.blocked_in_until.max(until);
@@ -155,20 +155,20 @@
                 }
                 self.machine_faults += 1;
             }
-            MachineFault::Crash(time) => {
-                self.stop_for(n, time);
+            MachineFault::Crash(duration) => {
+                self.stop_for(n, duration);
                 self.machine_faults += 1;
             }
-            MachineFault::Pause(time) => {
+            MachineFault::Pause(duration) => {
                 if self.machines[n].store.is_some() && !self.machines[n].is_paused {
                     self.machines[n].is_paused = true;
-                    self.schedule_step(self.now + time, ScheduledStep::Resume(n));
+                    self.schedule_step(self.now + duration, ScheduledStep::Resume(n));
                     self.machine_faults += 1;
                 }
             }
-            MachineFault::LoseDisk(time) => {
+            MachineFault::LoseDisk(duration) => {
                 if self.lose_disk(n) {
-                    self.stop_for(n, time);
+                    self.stop_for(n, duration);
                 }
             }
         }
