--- a/crates/seeded-defects/src/defects.rs
+++ b/crates/seeded-defects/src/defects.rs
@@ -1,4 +1,4 @@
-//! Defects of decisions: a gateway that is told something else than what is, or is not heeded.
+//! Defects of decisions: a gateway that receives distorted events, or whose actions are changed.
 
 use ivygate_gateway::{
     Action, Effect, Event, Gateway, KeyScope, Outcome, RequestId, ServerId, ServerState, Settings,
@@ -9,44 +9,44 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How long a server that has just started is flooded.
-const FLOOD: Millis = 2000.0;
-/// Period in which a herd runs to the one zone, and then to the other.
-const HERD: Millis = 1000.0;
-/// Time between one node's leaving of a zone and the next one's.
-const ONE_BY_ONE: Millis = 2000.0;
-/// Failures after which a zone is thought to be at fault.
-const AT_FAULT: u32 = 3;
-/// Most requests that are kept until they are sent; a refused one stays until this many have come.
-const KEPT: usize = 100_000;
+/// Time for which a newly started server receives all requests.
+const FLOOD_DURATION_MS: Millis = 2000.0;
+/// Time after which the herd switches to the other zone.
+const HERD_INTERVAL_MS: Millis = 1000.0;
+/// Delay between the times at which successive nodes leave a failed zone.
+const LEAVE_INTERVAL_MS: Millis = 2000.0;
+/// Failures after which a zone counts as failed.
+const ZONE_FAILURE_THRESHOLD: u32 = 3;
+/// Maximum number of requests tracked as unsent. A rejected request remains tracked until the limit is reached.
+const MAX_UNSENT_REQUESTS: usize = 100_000;
 
-/// What is wrong on purpose.
+/// A seeded defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// What must not run twice is sent again.
+    /// Requests that must not run twice are sent again.
     UnsafeRepeat,
-    /// What is keyed is sent again to servers that don't drop its repeats.
+    /// Keyed requests are sent again to servers that do not deduplicate them.
     KeyedElsewhere,
-    /// Drains and removals are not heard.
+    /// Drains and removals of servers are ignored.
     DrainIgnored,
-    /// A server that has just started gets everything.
+    /// A newly started server receives all requests.
     ColdFlood,
-    /// Each node takes the whole of a ceiling.
+    /// Each node uses an entire ceiling instead of its share.
     CeilingWhole,
-    /// Some answers are written twice.
+    /// Some responses are written twice.
     AnswerTwice,
-    /// Some answers are not written.
+    /// Some responses are not written.
     AnswerLost,
-    /// After a fault all nodes run from zone to zone, in step.
+    /// After a fault, all nodes switch between zones simultaneously.
     Herd,
-    /// Nodes leave a zone that fails one after the other.
+    /// Nodes leave a failed zone one after the other.
     OneByOne,
-    /// Nodes never come back to a zone that failed.
+    /// Nodes never return to a zone that failed.
     AwayForEver,
 }
 
 impl Defect {
-    /// All, with their names.
+    /// All defects with their names.
     pub fn all() -> impl Iterator<Item = (&'static str, Defect)> {
         [
             ("unsafe-repeat", Defect::UnsafeRepeat),
@@ -63,7 +63,8 @@
         .into_iter()
     }
 
-    /// The one of a name; no defect has none. `None` if there is no such name.
+    /// Returns the defect with this name, or `Some(None)` for an empty name, which stands for no defect. Returns `None`
+    /// if the name is unknown.
     pub fn named(name: &str) -> Option<Option<Defect>> {
         if name.is_empty() {
             return Some(None);
@@ -72,30 +73,31 @@
     }
 }
 
-/// A gateway with a defect.
-pub struct Planted {
+/// A gateway with an optional defect.
+pub struct DefectiveGateway {
     defect: Option<Defect>,
     gateway: Gateway,
     rank: u32,
     zone_of: BTreeMap<ServerId, (String, ServerState)>,
-    /// The last server that started, and until when it is flooded.
+    /// The last server that started, and the time until which it receives all requests.
     flooded: Option<(ServerId, Timestamp)>,
     failures: BTreeMap<String, u32>,
-    /// The zone that was first thought to be at fault, and since when.
-    at_fault: Option<(String, Timestamp)>,
-    /// Requests not sent yet, but for keyed ones, whose repeats rest on where the first went.
-    movable: HashSet<RequestId>,
-    unkeyed: HashSet<String>,
-    turn: usize,
-    /// What is added to the node's clock for the one that all nodes share.
-    shared: Option<Millis>,
+    /// The first zone that counted as failed, and the time since then.
+    failed_zone: Option<(String, Timestamp)>,
+    /// Requests that have not been sent yet. Keyed requests are left out, since their repeats depend on the first
+    /// destination.
+    unsent: HashSet<RequestId>,
+    unkeyed_classes: HashSet<String>,
+    selections: usize,
+    /// The offset from the node's clock to the wall clock, which all nodes share.
+    wall_clock_offset: Option<Millis>,
 }
 
-impl Planted {
-    /// A gateway with a defect.
+impl DefectiveGateway {
+    /// Creates a gateway with an optional defect.
     ///
     /// # Errors
-    /// As for a gateway without.
+    /// Returns the errors of [`Gateway::new`].
     pub fn new(defect: Option<Defect>, mut settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         for class in &mut settings.classes {
             class.effect = match (defect, class.effect) {
@@ -105,8 +107,8 @@
             };
         }
         let rank = settings.rank;
-        let unkeyed = settings.classes.iter().filter(|c| !matches!(c.effect, Effect::Keyed(_)));
-        let unkeyed = unkeyed.map(|c| c.name.clone()).collect();
+        let unkeyed_classes = settings.classes.iter().filter(|c| !matches!(c.effect, Effect::Keyed(_)));
+        let unkeyed_classes = unkeyed_classes.map(|c| c.name.clone()).collect();
         let gateway = Gateway::new(settings, seed)?;
         Ok(Self {
             defect,
@@ -115,26 +117,26 @@
             zone_of: BTreeMap::new(),
             flooded: None,
             failures: BTreeMap::new(),
-            at_fault: None,
-            movable: HashSet::new(),
-            unkeyed,
-            turn: 0,
-            shared: None,
+            failed_zone: None,
+            unsent: HashSet::new(),
+            unkeyed_classes,
+            selections: 0,
+            wall_clock_offset: None,
         })
     }
 
-    /// What the gateway is told in place of what is.
-    fn told(&mut self, now: Timestamp, event: Event) -> Event {
+    /// Tracks servers, requests and failures, and distorts an event according to the defect.
+    fn distort_event(&mut self, now: Timestamp, event: Event) -> Event {
         match event {
             Event::List { kind, servers: members } => {
                 for member in members.iter() {
-                    let known = self.zone_of.insert(member.server, (member.zone.clone(), member.state));
-                    if member.state == ServerState::Gone && self.at_fault.is_none() {
-                        self.at_fault = Some((member.zone.clone(), now));
+                    let previous = self.zone_of.insert(member.server, (member.zone.clone(), member.state));
+                    if member.state == ServerState::Gone && self.failed_zone.is_none() {
+                        self.failed_zone = Some((member.zone.clone(), now));
                     }
-                    let fresh = known.is_none_or(|(_, state)| state != ServerState::Ready);
-                    if fresh && member.started_at.is_some() && member.state == ServerState::Ready {
-                        self.flooded = Some((member.server, now.plus_millis(FLOOD)));
+                    let is_new = previous.is_none_or(|(_, state)| state != ServerState::Ready);
+                    if is_new && member.started_at.is_some() && member.state == ServerState::Ready {
+                        self.flooded = Some((member.server, now.plus_millis(FLOOD_DURATION_MS)));
                     }
                 }
                 Event::List { kind, servers: members }
@@ -143,11 +145,11 @@
                 if self.defect == Some(Defect::CeilingWhole) {
                     arrival.gateways = 1;
                 }
-                if self.movable.len() >= KEPT {
-                    self.movable.clear();
+                if self.unsent.len() >= MAX_UNSENT_REQUESTS {
+                    self.unsent.clear();
                 }
-                if self.unkeyed.contains(&*arrival.class) {
-                    self.movable.insert(arrival.request.clone());
+                if self.unkeyed_classes.contains(&*arrival.class) {
+                    self.unsent.insert(arrival.request.clone());
                 }
                 Event::Arrival(arrival)
             }
@@ -156,8 +158,8 @@
                 if let Some((zone, _)) = self.zone_of.get(&done.server).filter(|_| failed) {
                     let failures = self.failures.entry(zone.clone()).or_default();
                     *failures += 1;
-                    if *failures >= AT_FAULT && self.at_fault.is_none() {
-                        self.at_fault = Some((zone.clone(), now));
+                    if *failures >= ZONE_FAILURE_THRESHOLD && self.failed_zone.is_none() {
+                        self.failed_zone = Some((zone.clone(), now));
                     }
                 }
                 Event::AttemptEnded(done)
@@ -166,53 +168,54 @@
         }
     }
 
-    fn flooding(&self, now: Timestamp) -> Option<ServerId> {
+    fn flooded_server(&self, now: Timestamp) -> Option<ServerId> {
         let (server, until) = self.flooded.filter(|_| self.defect == Some(Defect::ColdFlood))?;
         (now < until).then_some(server)
     }
 
-    /// Where a request goes first in place of where the gateway sends it.
-    fn instead(&mut self, now: Timestamp) -> Option<ServerId> {
-        let (at_fault, since) = match self.defect? {
-            Defect::ColdFlood => return self.flooding(now),
-            Defect::Herd | Defect::OneByOne | Defect::AwayForEver => self.at_fault.clone()?,
+    /// Returns the server that replaces the gateway's choice for a request's first attempt, if the defect requires it.
+    fn replacement_server(&mut self, now: Timestamp) -> Option<ServerId> {
+        let (failed_zone, since) = match self.defect? {
+            Defect::ColdFlood => return self.flooded_server(now),
+            Defect::Herd | Defect::OneByOne | Defect::AwayForEver => self.failed_zone.clone()?,
             _ => return None,
         };
-        let to_fault = match self.defect? {
-            Defect::Herd => ((now.as_millis() + self.shared?) / HERD) as u64 % 2 == 0,
-            Defect::OneByOne => now.millis_since(since) < f64::from(self.rank) * ONE_BY_ONE,
+        let to_failed_zone = match self.defect? {
+            Defect::Herd => ((now.as_millis() + self.wall_clock_offset?) / HERD_INTERVAL_MS) as u64 % 2 == 0,
+            Defect::OneByOne => now.millis_since(since) < f64::from(self.rank) * LEAVE_INTERVAL_MS,
             _ => false,
         };
-        let fits = |(zone, state): &(String, ServerState)| {
-            (*zone == at_fault) == to_fault && *state == ServerState::Ready
+        let is_eligible = |(zone, state): &(String, ServerState)| {
+            (*zone == failed_zone) == to_failed_zone && *state == ServerState::Ready
         };
-        let servers: Vec<_> = self.zone_of.iter().filter(|(_, s)| fits(s)).map(|(id, _)| *id).collect();
-        self.turn += 1;
-        servers.get(self.turn % servers.len().max(1)).copied()
+        let servers: Vec<_> =
+            self.zone_of.iter().filter(|(_, s)| is_eligible(s)).map(|(id, _)| *id).collect();
+        self.selections += 1;
+        servers.get(self.selections % servers.len().max(1)).copied()
     }
 }
 
-impl Decisions for Planted {
+impl Decisions for DefectiveGateway {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        if self.shared.is_none() {
+        if self.wall_clock_offset.is_none() {
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            self.shared = Some(unix.as_secs_f64() * 1000.0 - now.as_millis());
+            self.wall_clock_offset = Some(unix.as_secs_f64() * 1000.0 - now.as_millis());
         }
-        let event = self.told(now, event);
-        let known = actions.len();
+        let event = self.distort_event(now, event);
+        let first_new = actions.len();
         self.gateway.handle(now, event, actions);
-        for action in &mut actions[known..] {
+        for action in &mut actions[first_new..] {
             match action {
-                Action::Send { request, server, .. } if self.movable.remove(request) => {
-                    *server = self.instead(now).unwrap_or(*server);
+                Action::Send { request, server, .. } if self.unsent.remove(request) => {
+                    *server = self.replacement_server(now).unwrap_or(*server);
                 }
-                // A flood heeds no queue.
-                Action::Reject { request, .. } if self.movable.remove(request) => {
-                    if let Some(server) = self.flooding(now) {
+                // A flooded server receives rejected requests too.
+                Action::Reject { request, .. } if self.unsent.remove(request) => {
+                    if let Some(server) = self.flooded_server(now) {
                         *action = Action::Send {
                             request: request.clone(),
                             server,
-                            give_up_at: now.plus_millis(FLOOD),
+                            give_up_at: now.plus_millis(FLOOD_DURATION_MS),
                         };
                     }
                 }
