--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -2,7 +2,7 @@
 //! that are remembered, failures that are counted, ids that were admitted.
 //!
 //! Called by the sidecar's front, which asks the service, sends the request on, and answers. It does no I/O and
-//! reads no clock: inputs come through [`Gate::handle`], with the time. It must not know HTTP beyond statuses,
+//! reads no clock: inputs come through [`AuthCheck::handle`], with the time. It must not know HTTP beyond statuses,
 //! nor which server is asked; that is the decision module's.
 
 mod admissions;
@@ -92,13 +92,13 @@
 
 /// A request that waits for its check.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct AuthCheck {
     phase: Phase,
     on_failure: OnFailure,
     deadline: f64,
 }
 
-impl Gate {
+impl AuthCheck {
     /// A request whose check is about to be asked for, with a deadline in milliseconds.
     pub fn new(on_failure: OnFailure, deadline: f64) -> Self {
         Self { phase: Phase::Asking, on_failure, deadline }
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -29,7 +29,7 @@
     ];
     for (on_failure, steps) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
         for (input, step) in INPUTS.into_iter().zip(steps) {
-            assert_eq!(Gate::new(on_failure, 100.0).handle(99.9, input), step, "{input:?}");
+            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, input), step, "{input:?}");
         }
     }
 }
@@ -39,7 +39,7 @@
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for now in [100.0, 100.1, 1e9] {
             for input in INPUTS {
-                let step = Gate::new(on_failure, 100.0).handle(now, input);
+                let step = AuthCheck::new(on_failure, 100.0).handle(now, input);
                 let wanted = if input == Input::ClientGone { Step::Nothing } else { Step::TimeUp };
                 assert_eq!(step, wanted, "{input:?}");
             }
@@ -53,12 +53,12 @@
     let all = INPUTS.len() * 2;
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for number in 0..all.pow(4) {
-            let mut gate = Gate::new(on_failure, 100.0);
+            let mut check = AuthCheck::new(on_failure, 100.0);
             let (mut rest, mut steps, mut gone, mut no) = (number, 0, false, false);
             for _ in 0..4 {
                 let (input, late) = (INPUTS[rest % all / 2], rest % 2 == 1);
                 rest /= all;
-                let step = gate.handle(if late { 100.0 } else { 0.0 }, input);
+                let step = check.handle(if late { 100.0 } else { 0.0 }, input);
                 let goes_on = matches!(step, Step::GoOn { .. });
                 assert!(!(goes_on && (gone || no || late)), "{number}");
                 steps += usize::from(step != Step::Nothing);
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, Gate, Input, OnFailure, Said, Step};
+use ivygate_forward_auth::{share, AuthCheck, Input, OnFailure, Said, Step};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -36,7 +36,7 @@
 }
 
 struct Order {
-    gate: Gate,
+    check: AuthCheck,
     deadline: f64,
     left: bool,
     answers: u32,
@@ -177,9 +177,9 @@
             Due::Timer(side, token) => self.feed(side, Event::Timer { token }),
             Due::GiveUp(side, id, attempt) => self.ends(side, &id, attempt, Outcome::Timeout, Said::Unusable),
             Due::Ends(side, id, attempt, outcome, said) => self.ends(side, &id, attempt, outcome, said),
-            Due::CheckOver(number) => self.gate(number, Input::Unanswered),
+            Due::CheckOver(number) => self.check_event(number, Input::Unanswered),
             Due::TimeUp(number) => {
-                self.gate(number, Input::TimeUp);
+                self.check_event(number, Input::TimeUp);
                 if self.orders[number].answers == 0 && !self.orders[number].left {
                     // It is with the application: the last guard answers.
                     self.answer(number);
@@ -188,7 +188,7 @@
                 self.gone(Side::Application, number);
             }
             Due::Leaves(number) => {
-                self.gate(number, Input::ClientGone);
+                self.check_event(number, Input::ClientGone);
                 self.orders[number].left = true;
                 self.gone(Side::Service, number);
                 self.gone(Side::Application, number);
@@ -201,7 +201,7 @@
         let number = self.orders.len();
         let deadline = self.now + DEADLINE * (0.3 + 0.7 * self.rng.f64());
         self.orders.push(Order {
-            gate: Gate::new(OnFailure::Closed, deadline),
+            check: AuthCheck::new(OnFailure::Closed, deadline),
             deadline,
             left: false,
             answers: 0,
@@ -290,7 +290,7 @@
                 let tried = self.attempts.contains_key(&(side, request));
                 match side {
                     Side::Service => {
-                        self.gate(number, if tried { Input::Unanswered } else { Input::Refused });
+                        self.check_event(number, if tried { Input::Unanswered } else { Input::Refused });
                     }
                     Side::Application => self.answer_once(number),
                 }
@@ -355,7 +355,7 @@
         };
         if std::mem::replace(&mut one.ended, true) {
             if self.flaw == Flaw::EveryYes && side == Side::Service && outcome == Outcome::Ok {
-                self.gate(id.parse().expect("a number"), Input::Said(said));
+                self.check_event(id.parse().expect("a number"), Input::Said(said));
             }
             return;
         }
@@ -369,7 +369,7 @@
             match side {
                 Side::Service => {
                     self.orders[number].said_no |= said == Said::No;
-                    self.gate(number, Input::Said(said));
+                    self.check_event(number, Input::Said(said));
                 }
                 Side::Application => self.answer_once(number),
             }
@@ -390,10 +390,10 @@
         );
     }
 
-    fn gate(&mut self, number: usize, input: Input) {
+    fn check_event(&mut self, number: usize, input: Input) {
         let now = self.now;
         let order = &mut self.orders[number];
-        let mut step = order.gate.handle(now, input);
+        let mut step = order.check.handle(now, input);
         if self.flaw == Flaw::EveryYes && input == Input::Said(Said::Yes) {
             step = Step::GoOn { checked: true };
         }
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, Gate, Input, OnFailure, Said, Step};
+use ivygate_forward_auth::{folded, lifetime, AuthCheck, Input, OnFailure, Said, Step};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -109,12 +109,12 @@
     outcome
 }
 
-fn gate(settings: &ivygate_config::SignIn, deadline: f64) -> Gate {
-    Gate::new(if settings.open { OnFailure::Open } else { OnFailure::Closed }, deadline)
+fn auth_check(settings: &ivygate_config::SignIn, deadline: f64) -> AuthCheck {
+    AuthCheck::new(if settings.open { OnFailure::Open } else { OnFailure::Closed }, deadline)
 }
 
 fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
-    match gate(settings, deadline).handle(now, Input::Unanswered) {
+    match auth_check(settings, deadline).handle(now, Input::Unanswered) {
         Step::GoOn { .. } => Outcome::GoOn(Vec::new()),
         Step::TimeUp => Outcome::TimeUp,
         _ => Outcome::Unavailable,
@@ -129,7 +129,8 @@
     let taken = match sign_in.floods.take(driver.now().as_millis(), question.client.clone(), credential) {
         Ok(taken) => taken,
         Err(wait) => {
-            let step = gate(settings, question.deadline).handle(driver.now().as_millis(), Input::Limited);
+            let step =
+                auth_check(settings, question.deadline).handle(driver.now().as_millis(), Input::Limited);
             let outcome = if step == Step::Limit { Outcome::Limited(wait) } else { Outcome::TimeUp };
             return (outcome, 0.0);
         }
@@ -151,7 +152,7 @@
 async fn ask_now(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Outcome, f64) {
     let settings = &sign_in.settings;
     let driver = &sign_in.pool.driver;
-    let mut gate = gate(settings, question.deadline);
+    let mut check = auth_check(settings, question.deadline);
     let asked = driver.now();
     let (answer, wait) = answer(sign_in, question, time).await;
     let mut no = None;
@@ -198,7 +199,7 @@
         | Answer::Failed
         | Answer::TimeUp => Input::Unanswered,
     };
-    let outcome = match (gate.handle(driver.now().as_millis(), input), no) {
+    let outcome = match (check.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
         (Step::GoOn { checked: false }, _) => {
             // Nobody said so, so there is nothing to remember.
