--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -24,22 +24,22 @@
 
 /// What an answer of the service means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum Verdict {
     /// The request may go on.
-    Yes,
+    Allowed,
     /// It may not: the service's answer is the client's.
-    No,
+    Denied,
     /// It is no answer to the question.
     Unusable,
 }
 
-impl Said {
+impl Verdict {
     /// By the convention that proxies share: 2xx is a yes, 401, 403 and redirections are a no.
-    pub fn of(status: u16) -> Self {
+    pub fn from_status(status: u16) -> Self {
         match status {
-            200..=299 => Said::Yes,
-            401 | 403 | 300..=399 => Said::No,
-            _ => Said::Unusable,
+            200..=299 => Verdict::Allowed,
+            401 | 403 | 300..=399 => Verdict::Denied,
+            _ => Verdict::Unusable,
         }
     }
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The service has answered, whole.
-    Said(Said),
+    Answered(Verdict),
     /// The service's pool has refused the check: nothing was asked.
     Refused,
     /// Too many checks failed for this address or credential: nothing was asked.
@@ -119,16 +119,16 @@
             return Step::TimeUp;
         }
         match (input, self.on_failure) {
-            (Input::Said(Said::Yes), _) => Step::GoOn { checked: true },
-            (Input::Said(Said::No), _) => Step::PassOn,
+            (Input::Answered(Verdict::Allowed), _) => Step::GoOn { checked: true },
+            (Input::Answered(Verdict::Denied), _) => Step::PassOn,
             // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
             (Input::Refused, _) => Step::Refuse,
             (Input::Limited, _) => Step::Limit,
             (Input::TimeUp, _) => Step::TimeUp,
-            (Input::Said(Said::Unusable) | Input::Unanswered, OnFailure::Open) => {
+            (Input::Answered(Verdict::Unusable) | Input::Unanswered, OnFailure::Open) => {
                 Step::GoOn { checked: false }
             }
-            (Input::Said(Said::Unusable) | Input::Unanswered, OnFailure::Closed) => Step::Unavailable,
+            (Input::Answered(Verdict::Unusable) | Input::Unanswered, OnFailure::Closed) => Step::Unavailable,
             (Input::ClientGone, _) => Step::Nothing,
         }
     }
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 const INPUTS: [Input; 8] = [
-    Input::Said(Said::Yes),
-    Input::Said(Said::No),
-    Input::Said(Said::Unusable),
+    Input::Answered(Verdict::Allowed),
+    Input::Answered(Verdict::Denied),
+    Input::Answered(Verdict::Unusable),
     Input::Refused,
     Input::Limited,
     Input::Unanswered,
@@ -63,7 +63,7 @@
                 assert!(!(goes_on && (gone || no || late)), "{number}");
                 steps += usize::from(step != Step::Nothing);
                 gone |= input == Input::ClientGone;
-                no |= input == Input::Said(Said::No);
+                no |= input == Input::Answered(Verdict::Denied);
             }
             assert!(steps <= 1, "{number}");
         }
@@ -81,9 +81,9 @@
 #[test]
 fn statuses_mean_what_proxies_agree_on() {
     for status in 100..600 {
-        let said = Said::of(status);
-        assert_eq!(said == Said::Yes, (200..300).contains(&status));
-        assert_eq!(said == Said::No, [401, 403].contains(&status) || (300..400).contains(&status));
+        let said = Verdict::from_status(status);
+        assert_eq!(said == Verdict::Allowed, (200..300).contains(&status));
+        assert_eq!(said == Verdict::Denied, [401, 403].contains(&status) || (300..400).contains(&status));
     }
 }
 
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, AuthCheck, Input, OnFailure, Said, Step};
+use ivygate_forward_auth::{share, AuthCheck, Input, OnFailure, Step, Verdict};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -26,7 +26,7 @@
 
 enum Due {
     Order,
-    Ends(Side, RequestId, u32, Outcome, Said),
+    Ends(Side, RequestId, u32, Outcome, Verdict),
     GiveUp(Side, RequestId, u32),
     Timer(Side, u64),
     CheckOver(usize),
@@ -175,8 +175,10 @@
             Due::Order => self.order(),
             Due::Lists(side) => self.list(side),
             Due::Timer(side, token) => self.feed(side, Event::Timer { token }),
-            Due::GiveUp(side, id, attempt) => self.ends(side, &id, attempt, Outcome::Timeout, Said::Unusable),
-            Due::Ends(side, id, attempt, outcome, said) => self.ends(side, &id, attempt, outcome, said),
+            Due::GiveUp(side, id, attempt) => {
+                self.ends(side, &id, attempt, Outcome::Timeout, Verdict::Unusable)
+            }
+            Due::Ends(side, id, attempt, outcome, verdict) => self.ends(side, &id, attempt, outcome, verdict),
             Due::CheckOver(number) => self.check_event(number, Input::Unanswered),
             Due::TimeUp(number) => {
                 self.check_event(number, Input::TimeUp);
@@ -296,7 +298,7 @@
                 }
             }
             Action::Cancel { request, attempt } => {
-                self.ends(side, &request, attempt, Outcome::Cancelled, Said::Unusable);
+                self.ends(side, &request, attempt, Outcome::Cancelled, Verdict::Unusable);
             }
             Action::Timer { token, at } => self.at(at.as_millis(), Due::Timer(side, token)),
             Action::CheckHealth { .. } | Action::Subscribe | Action::Log { .. } => {}
@@ -323,10 +325,10 @@
             // Nothing ever comes.
             _ => Outcome::Timeout,
         };
-        let said = match self.rng.u32(0..6) {
-            0..=3 => Said::Yes,
-            4 => Said::No,
-            _ => Said::Unusable,
+        let verdict = match self.rng.u32(0..6) {
+            0..=3 => Verdict::Allowed,
+            4 => Verdict::Denied,
+            _ => Verdict::Unusable,
         };
         if side == Side::Application && !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected) {
             // It runs as soon as it has arrived, whatever becomes of the answer.
@@ -344,18 +346,18 @@
             2 => limit + 0.01,
             _ => self.now + self.rng.f64() * 60.0,
         };
-        self.at(at, Due::Ends(side, id, attempt, outcome, said));
+        self.at(at, Due::Ends(side, id, attempt, outcome, verdict));
     }
 
     /// An attempt ends, or is given up; whichever comes first.
-    fn ends(&mut self, side: Side, id: &RequestId, attempt: u32, outcome: Outcome, said: Said) {
+    fn ends(&mut self, side: Side, id: &RequestId, attempt: u32, outcome: Outcome, verdict: Verdict) {
         let Some(one) = self.attempts.get_mut(&(side, id.clone())).and_then(|a| a.get_mut(attempt as usize))
         else {
             return;
         };
         if std::mem::replace(&mut one.ended, true) {
             if self.flaw == Flaw::EveryYes && side == Side::Service && outcome == Outcome::Ok {
-                self.check_event(id.parse().expect("a number"), Input::Said(said));
+                self.check_event(id.parse().expect("a number"), Input::Answered(verdict));
             }
             return;
         }
@@ -368,8 +370,8 @@
         if outcome == Outcome::Ok {
             match side {
                 Side::Service => {
-                    self.orders[number].said_no |= said == Said::No;
-                    self.check_event(number, Input::Said(said));
+                    self.orders[number].said_no |= verdict == Verdict::Denied;
+                    self.check_event(number, Input::Answered(verdict));
                 }
                 Side::Application => self.answer_once(number),
             }
@@ -394,7 +396,7 @@
         let now = self.now;
         let order = &mut self.orders[number];
         let mut step = order.check.handle(now, input);
-        if self.flaw == Flaw::EveryYes && input == Input::Said(Said::Yes) {
+        if self.flaw == Flaw::EveryYes && input == Input::Answered(Verdict::Allowed) {
             step = Step::GoOn { checked: true };
         }
         match step {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, AuthCheck, Input, OnFailure, Said, Step};
+use ivygate_forward_auth::{folded, lifetime, AuthCheck, Input, OnFailure, Step, Verdict};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -160,36 +160,36 @@
     let mut good = 0.0;
     let input = match answer {
         Answer::Passed(response) => {
-            let mut meaning = Said::of(response.status().as_u16());
+            let mut meaning = Verdict::from_status(response.status().as_u16());
             let left = time - (driver.now().millis_since(asked));
             let told =
                 response.headers().get(header::CACHE_CONTROL).map(|v| v.to_str().unwrap_or("no-store"));
             // A cookie is one client's, however equal the questions were.
             let own = response.headers().contains_key(header::SET_COOKIE);
-            let configured = if meaning == Said::Yes { settings.cache_yes } else { settings.cache_no };
+            let configured = if meaning == Verdict::Allowed { settings.cache_yes } else { settings.cache_no };
             good = if own { 0.0 } else { lifetime(configured, told) };
-            if meaning == Said::Yes {
+            if meaning == Verdict::Allowed {
                 let (parts, body) = response.into_parts();
                 // A yes that breaks off may be half of something else.
                 if read_out(body, left).await.is_none() {
-                    meaning = Said::Unusable;
+                    meaning = Verdict::Unusable;
                 }
                 for name in &settings.answer_headers {
                     let Ok(name) = HeaderName::try_from(name) else { continue };
                     headers.extend(parts.headers.get_all(&name).iter().map(|v| (name.clone(), v.clone())));
                 }
-            } else if meaning == Said::No && good > 0.0 {
+            } else if meaning == Verdict::Denied && good > 0.0 {
                 let (parts, body) = response.into_parts();
                 match read_out(body, left).await {
                     Some(body) => no = Some(Outcome::No(parts.status, to_client(parts.headers), body)),
-                    None => meaning = Said::Unusable,
+                    None => meaning = Verdict::Unusable,
                 }
             } else {
                 let mut response = response;
                 *response.headers_mut() = to_client(std::mem::take(response.headers_mut()));
                 no = Some(Outcome::PassOn(response));
             }
-            Input::Said(meaning)
+            Input::Answered(meaning)
         }
         Answer::Refused(_, _, false) => Input::Refused,
         // It was asked, and there is nobody left to ask again.
