--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -2,7 +2,7 @@
 //! that are remembered, failures that are counted, ids that were admitted.
 //!
 //! Called by the sidecar's front, which asks the service, sends the request on, and answers. It does no I/O and
-//! reads no clock: inputs come through [`AuthCheck::handle`], with the time. It must not know HTTP beyond statuses,
+//! reads no clock: events come through [`AuthCheck::handle`], with the time. It must not know HTTP beyond statuses,
 //! nor which server is asked; that is the decision module's.
 
 mod admissions;
@@ -46,19 +46,19 @@
 
 /// What happens to the check or to the one who waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
+pub enum CheckEvent {
     /// The service has answered, whole.
     Answered(Verdict),
     /// The service's pool has refused the check: nothing was asked.
-    Refused,
+    Rejected,
     /// Too many checks failed for this address or credential: nothing was asked.
-    Limited,
+    RateLimited,
     /// No answer came in its time, or it broke.
-    Unanswered,
+    NoAnswer,
     /// The client has left.
     ClientGone,
     /// The request's own time is up.
-    TimeUp,
+    DeadlineExpired,
 }
 
 /// What is to be done. All but [`Step::Nothing`] comes once in a request's life.
@@ -105,31 +105,33 @@
     }
 
     /// Takes in what has happened, at a time in milliseconds.
-    pub fn handle(&mut self, now: f64, input: Input) -> Step {
+    pub fn handle(&mut self, now: f64, event: CheckEvent) -> Step {
         if self.phase == Phase::Over {
             // Also a yes that comes now: its request has its answer, or nobody to answer.
             return Step::Nothing;
         }
         self.phase = Phase::Over;
-        if input == Input::ClientGone {
+        if event == CheckEvent::ClientGone {
             return Step::Nothing;
         }
         // A yes in the same moment as the deadline comes too late to do anything with.
         if now >= self.deadline {
             return Step::TimeUp;
         }
-        match (input, self.on_failure) {
-            (Input::Answered(Verdict::Allowed), _) => Step::GoOn { checked: true },
-            (Input::Answered(Verdict::Denied), _) => Step::PassOn,
+        match (event, self.on_failure) {
+            (CheckEvent::Answered(Verdict::Allowed), _) => Step::GoOn { checked: true },
+            (CheckEvent::Answered(Verdict::Denied), _) => Step::PassOn,
             // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
-            (Input::Refused, _) => Step::Refuse,
-            (Input::Limited, _) => Step::Limit,
-            (Input::TimeUp, _) => Step::TimeUp,
-            (Input::Answered(Verdict::Unusable) | Input::Unanswered, OnFailure::Open) => {
+            (CheckEvent::Rejected, _) => Step::Refuse,
+            (CheckEvent::RateLimited, _) => Step::Limit,
+            (CheckEvent::DeadlineExpired, _) => Step::TimeUp,
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Open) => {
                 Step::GoOn { checked: false }
             }
-            (Input::Answered(Verdict::Unusable) | Input::Unanswered, OnFailure::Closed) => Step::Unavailable,
-            (Input::ClientGone, _) => Step::Nothing,
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Closed) => {
+                Step::Unavailable
+            }
+            (CheckEvent::ClientGone, _) => Step::Nothing,
         }
     }
 }
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-const INPUTS: [Input; 8] = [
-    Input::Answered(Verdict::Allowed),
-    Input::Answered(Verdict::Denied),
-    Input::Answered(Verdict::Unusable),
-    Input::Refused,
-    Input::Limited,
-    Input::Unanswered,
-    Input::ClientGone,
-    Input::TimeUp,
+const EVENTS: [CheckEvent; 8] = [
+    CheckEvent::Answered(Verdict::Allowed),
+    CheckEvent::Answered(Verdict::Denied),
+    CheckEvent::Answered(Verdict::Unusable),
+    CheckEvent::Rejected,
+    CheckEvent::RateLimited,
+    CheckEvent::NoAnswer,
+    CheckEvent::ClientGone,
+    CheckEvent::DeadlineExpired,
 ];
 
 #[test]
@@ -28,8 +28,8 @@
         TimeUp,
     ];
     for (on_failure, steps) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
-        for (input, step) in INPUTS.into_iter().zip(steps) {
-            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, input), step, "{input:?}");
+        for (event, step) in EVENTS.into_iter().zip(steps) {
+            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, event), step, "{event:?}");
         }
     }
 }
@@ -38,10 +38,10 @@
 fn at_and_after_the_deadline_nothing_goes_on() {
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for now in [100.0, 100.1, 1e9] {
-            for input in INPUTS {
-                let step = AuthCheck::new(on_failure, 100.0).handle(now, input);
-                let wanted = if input == Input::ClientGone { Step::Nothing } else { Step::TimeUp };
-                assert_eq!(step, wanted, "{input:?}");
+            for event in EVENTS {
+                let step = AuthCheck::new(on_failure, 100.0).handle(now, event);
+                let wanted = if event == CheckEvent::ClientGone { Step::Nothing } else { Step::TimeUp };
+                assert_eq!(step, wanted, "{event:?}");
             }
         }
     }
@@ -50,20 +50,20 @@
 #[test]
 fn whatever_comes_in_whatever_order_a_request_gets_one_step() {
     // All sequences of four inputs, each before and at the deadline.
-    let all = INPUTS.len() * 2;
+    let all = EVENTS.len() * 2;
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for number in 0..all.pow(4) {
             let mut check = AuthCheck::new(on_failure, 100.0);
             let (mut rest, mut steps, mut gone, mut no) = (number, 0, false, false);
             for _ in 0..4 {
-                let (input, late) = (INPUTS[rest % all / 2], rest % 2 == 1);
+                let (event, late) = (EVENTS[rest % all / 2], rest % 2 == 1);
                 rest /= all;
-                let step = check.handle(if late { 100.0 } else { 0.0 }, input);
+                let step = check.handle(if late { 100.0 } else { 0.0 }, event);
                 let goes_on = matches!(step, Step::GoOn { .. });
                 assert!(!(goes_on && (gone || no || late)), "{number}");
                 steps += usize::from(step != Step::Nothing);
-                gone |= input == Input::ClientGone;
-                no |= input == Input::Answered(Verdict::Denied);
+                gone |= event == CheckEvent::ClientGone;
+                no |= event == CheckEvent::Answered(Verdict::Denied);
             }
             assert!(steps <= 1, "{number}");
         }
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, AuthCheck, Input, OnFailure, Step, Verdict};
+use ivygate_forward_auth::{share, AuthCheck, CheckEvent, OnFailure, Step, Verdict};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -179,9 +179,9 @@
                 self.ends(side, &id, attempt, Outcome::Timeout, Verdict::Unusable)
             }
             Due::Ends(side, id, attempt, outcome, verdict) => self.ends(side, &id, attempt, outcome, verdict),
-            Due::CheckOver(number) => self.check_event(number, Input::Unanswered),
+            Due::CheckOver(number) => self.check_event(number, CheckEvent::NoAnswer),
             Due::TimeUp(number) => {
-                self.check_event(number, Input::TimeUp);
+                self.check_event(number, CheckEvent::DeadlineExpired);
                 if self.orders[number].answers == 0 && !self.orders[number].left {
                     // It is with the application: the last guard answers.
                     self.answer(number);
@@ -190,7 +190,7 @@
                 self.gone(Side::Application, number);
             }
             Due::Leaves(number) => {
-                self.check_event(number, Input::ClientGone);
+                self.check_event(number, CheckEvent::ClientGone);
                 self.orders[number].left = true;
                 self.gone(Side::Service, number);
                 self.gone(Side::Application, number);
@@ -292,7 +292,10 @@
                 let tried = self.attempts.contains_key(&(side, request));
                 match side {
                     Side::Service => {
-                        self.check_event(number, if tried { Input::Unanswered } else { Input::Refused });
+                        self.check_event(
+                            number,
+                            if tried { CheckEvent::NoAnswer } else { CheckEvent::Rejected },
+                        );
                     }
                     Side::Application => self.answer_once(number),
                 }
@@ -357,7 +360,7 @@
         };
         if std::mem::replace(&mut one.ended, true) {
             if self.flaw == Flaw::EveryYes && side == Side::Service && outcome == Outcome::Ok {
-                self.check_event(id.parse().expect("a number"), Input::Answered(verdict));
+                self.check_event(id.parse().expect("a number"), CheckEvent::Answered(verdict));
             }
             return;
         }
@@ -371,7 +374,7 @@
             match side {
                 Side::Service => {
                     self.orders[number].said_no |= verdict == Verdict::Denied;
-                    self.check_event(number, Input::Answered(verdict));
+                    self.check_event(number, CheckEvent::Answered(verdict));
                 }
                 Side::Application => self.answer_once(number),
             }
@@ -392,11 +395,11 @@
         );
     }
 
-    fn check_event(&mut self, number: usize, input: Input) {
+    fn check_event(&mut self, number: usize, event: CheckEvent) {
         let now = self.now;
         let order = &mut self.orders[number];
-        let mut step = order.check.handle(now, input);
-        if self.flaw == Flaw::EveryYes && input == Input::Answered(Verdict::Allowed) {
+        let mut step = order.check.handle(now, event);
+        if self.flaw == Flaw::EveryYes && event == CheckEvent::Answered(Verdict::Allowed) {
             step = Step::GoOn { checked: true };
         }
         match step {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, AuthCheck, Input, OnFailure, Step, Verdict};
+use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckEvent, OnFailure, Step, Verdict};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -114,7 +114,7 @@
 }
 
 fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
-    match auth_check(settings, deadline).handle(now, Input::Unanswered) {
+    match auth_check(settings, deadline).handle(now, CheckEvent::NoAnswer) {
         Step::GoOn { .. } => Outcome::GoOn(Vec::new()),
         Step::TimeUp => Outcome::TimeUp,
         _ => Outcome::Unavailable,
@@ -129,8 +129,8 @@
     let taken = match sign_in.floods.take(driver.now().as_millis(), question.client.clone(), credential) {
         Ok(taken) => taken,
         Err(wait) => {
-            let step =
-                auth_check(settings, question.deadline).handle(driver.now().as_millis(), Input::Limited);
+            let step = auth_check(settings, question.deadline)
+                .handle(driver.now().as_millis(), CheckEvent::RateLimited);
             let outcome = if step == Step::Limit { Outcome::Limited(wait) } else { Outcome::TimeUp };
             return (outcome, 0.0);
         }
@@ -189,15 +189,15 @@
                 *response.headers_mut() = to_client(std::mem::take(response.headers_mut()));
                 no = Some(Outcome::PassOn(response));
             }
-            Input::Answered(meaning)
+            CheckEvent::Answered(meaning)
         }
-        Answer::Refused(_, _, false) => Input::Refused,
+        Answer::Refused(_, _, false) => CheckEvent::Rejected,
         // It was asked, and there is nobody left to ask again.
         Answer::Refused(_, _, true)
         | Answer::Served(..)
         | Answer::Whole(_)
         | Answer::Failed
-        | Answer::TimeUp => Input::Unanswered,
+        | Answer::TimeUp => CheckEvent::NoAnswer,
     };
     let outcome = match (check.handle(driver.now().as_millis(), input), no) {
         (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
