--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -61,26 +61,26 @@
     DeadlineExpired,
 }
 
-/// What is to be done. All but [`Step::Nothing`] comes once in a request's life.
+/// What is to be done. All but [`CheckAction::Ignore`] comes once in a request's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum CheckAction {
     /// Send the request on; `checked` tells whether a yes stands behind it.
-    GoOn {
+    Forward {
         /// Whether the service said yes.
         checked: bool,
     },
     /// Give the client the service's answer.
-    PassOn,
+    Relay,
     /// Answer 503 with `Retry-After`: the service has no room.
-    Refuse,
+    Overloaded,
     /// Answer 429 with `Retry-After`: too many checks failed for whoever asks.
-    Limit,
+    RateLimited,
     /// Answer 503: the service gives no usable answer.
     Unavailable,
     /// Answer 504.
-    TimeUp,
+    TimedOut,
     /// Nothing more happens to this request here.
-    Nothing,
+    Ignore,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -105,33 +105,33 @@
     }
 
     /// Takes in what has happened, at a time in milliseconds.
-    pub fn handle(&mut self, now: f64, event: CheckEvent) -> Step {
+    pub fn handle(&mut self, now: f64, event: CheckEvent) -> CheckAction {
         if self.phase == Phase::Over {
             // Also a yes that comes now: its request has its answer, or nobody to answer.
-            return Step::Nothing;
+            return CheckAction::Ignore;
         }
         self.phase = Phase::Over;
         if event == CheckEvent::ClientGone {
-            return Step::Nothing;
+            return CheckAction::Ignore;
         }
         // A yes in the same moment as the deadline comes too late to do anything with.
         if now >= self.deadline {
-            return Step::TimeUp;
+            return CheckAction::TimedOut;
         }
         match (event, self.on_failure) {
-            (CheckEvent::Answered(Verdict::Allowed), _) => Step::GoOn { checked: true },
-            (CheckEvent::Answered(Verdict::Denied), _) => Step::PassOn,
+            (CheckEvent::Answered(Verdict::Allowed), _) => CheckAction::Forward { checked: true },
+            (CheckEvent::Answered(Verdict::Denied), _) => CheckAction::Relay,
             // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
-            (CheckEvent::Rejected, _) => Step::Refuse,
-            (CheckEvent::RateLimited, _) => Step::Limit,
-            (CheckEvent::DeadlineExpired, _) => Step::TimeUp,
+            (CheckEvent::Rejected, _) => CheckAction::Overloaded,
+            (CheckEvent::RateLimited, _) => CheckAction::RateLimited,
+            (CheckEvent::DeadlineExpired, _) => CheckAction::TimedOut,
             (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Open) => {
-                Step::GoOn { checked: false }
+                CheckAction::Forward { checked: false }
             }
             (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Closed) => {
-                Step::Unavailable
+                CheckAction::Unavailable
             }
-            (CheckEvent::ClientGone, _) => Step::Nothing,
+            (CheckEvent::ClientGone, _) => CheckAction::Ignore,
         }
     }
 }
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -15,21 +15,30 @@
 
 #[test]
 fn every_first_input_has_its_step_and_only_a_yes_or_an_open_failure_goes_on() {
-    use Step::*;
-    let closed = [GoOn { checked: true }, PassOn, Unavailable, Refuse, Limit, Unavailable, Nothing, TimeUp];
+    use CheckAction::*;
+    let closed = [
+        Forward { checked: true },
+        Relay,
+        Unavailable,
+        Overloaded,
+        RateLimited,
+        Unavailable,
+        Ignore,
+        TimedOut,
+    ];
     let open = [
-        GoOn { checked: true },
-        PassOn,
-        GoOn { checked: false },
-        Refuse,
-        Limit,
-        GoOn { checked: false },
-        Nothing,
-        TimeUp,
+        Forward { checked: true },
+        Relay,
+        Forward { checked: false },
+        Overloaded,
+        RateLimited,
+        Forward { checked: false },
+        Ignore,
+        TimedOut,
     ];
-    for (on_failure, steps) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
-        for (event, step) in EVENTS.into_iter().zip(steps) {
-            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, event), step, "{event:?}");
+    for (on_failure, actions) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
+        for (event, action) in EVENTS.into_iter().zip(actions) {
+            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, event), action, "{event:?}");
         }
     }
 }
@@ -39,9 +48,10 @@
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for now in [100.0, 100.1, 1e9] {
             for event in EVENTS {
-                let step = AuthCheck::new(on_failure, 100.0).handle(now, event);
-                let wanted = if event == CheckEvent::ClientGone { Step::Nothing } else { Step::TimeUp };
-                assert_eq!(step, wanted, "{event:?}");
+                let action = AuthCheck::new(on_failure, 100.0).handle(now, event);
+                let wanted =
+                    if event == CheckEvent::ClientGone { CheckAction::Ignore } else { CheckAction::TimedOut };
+                assert_eq!(action, wanted, "{event:?}");
             }
         }
     }
@@ -54,18 +64,18 @@
     for on_failure in [OnFailure::Closed, OnFailure::Open] {
         for number in 0..all.pow(4) {
             let mut check = AuthCheck::new(on_failure, 100.0);
-            let (mut rest, mut steps, mut gone, mut no) = (number, 0, false, false);
+            let (mut rest, mut actions, mut gone, mut no) = (number, 0, false, false);
             for _ in 0..4 {
                 let (event, late) = (EVENTS[rest % all / 2], rest % 2 == 1);
                 rest /= all;
-                let step = check.handle(if late { 100.0 } else { 0.0 }, event);
-                let goes_on = matches!(step, Step::GoOn { .. });
+                let action = check.handle(if late { 100.0 } else { 0.0 }, event);
+                let goes_on = matches!(action, CheckAction::Forward { .. });
                 assert!(!(goes_on && (gone || no || late)), "{number}");
-                steps += usize::from(step != Step::Nothing);
+                actions += usize::from(action != CheckAction::Ignore);
                 gone |= event == CheckEvent::ClientGone;
                 no |= event == CheckEvent::Answered(Verdict::Denied);
             }
-            assert!(steps <= 1, "{number}");
+            assert!(actions <= 1, "{number}");
         }
     }
 }
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, AuthCheck, CheckEvent, OnFailure, Step, Verdict};
+use ivygate_forward_auth::{share, AuthCheck, CheckAction, CheckEvent, OnFailure, Verdict};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -398,12 +398,12 @@
     fn check_event(&mut self, number: usize, event: CheckEvent) {
         let now = self.now;
         let order = &mut self.orders[number];
-        let mut step = order.check.handle(now, event);
+        let mut action = order.check.handle(now, event);
         if self.flaw == Flaw::EveryYes && event == CheckEvent::Answered(Verdict::Allowed) {
-            step = Step::GoOn { checked: true };
+            action = CheckAction::Forward { checked: true };
         }
-        match step {
-            Step::GoOn { checked } => {
+        match action {
+            CheckAction::Forward { checked } => {
                 order.went_on += 1;
                 if !checked || order.said_no || order.answers > 0 || order.left || now >= order.deadline {
                     self.broken.push(format!("order {number} goes on though it must not"));
@@ -414,11 +414,15 @@
                 let deadline = self.orders[number].deadline;
                 self.arrive(Side::Application, number, deadline);
             }
-            Step::PassOn | Step::Refuse | Step::Limit | Step::Unavailable | Step::TimeUp => {
+            CheckAction::Relay
+            | CheckAction::Overloaded
+            | CheckAction::RateLimited
+            | CheckAction::Unavailable
+            | CheckAction::TimedOut => {
                 self.answer(number);
                 self.check_ends(number);
             }
-            Step::Nothing => {}
+            CheckAction::Ignore => {}
         }
     }
 
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckEvent, OnFailure, Step, Verdict};
+use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckAction, CheckEvent, OnFailure, Verdict};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -115,8 +115,8 @@
 
 fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
     match auth_check(settings, deadline).handle(now, CheckEvent::NoAnswer) {
-        Step::GoOn { .. } => Outcome::GoOn(Vec::new()),
-        Step::TimeUp => Outcome::TimeUp,
+        CheckAction::Forward { .. } => Outcome::GoOn(Vec::new()),
+        CheckAction::TimedOut => Outcome::TimeUp,
         _ => Outcome::Unavailable,
     }
 }
@@ -129,9 +129,10 @@
     let taken = match sign_in.floods.take(driver.now().as_millis(), question.client.clone(), credential) {
         Ok(taken) => taken,
         Err(wait) => {
-            let step = auth_check(settings, question.deadline)
+            let action = auth_check(settings, question.deadline)
                 .handle(driver.now().as_millis(), CheckEvent::RateLimited);
-            let outcome = if step == Step::Limit { Outcome::Limited(wait) } else { Outcome::TimeUp };
+            let outcome =
+                if action == CheckAction::RateLimited { Outcome::Limited(wait) } else { Outcome::TimeUp };
             return (outcome, 0.0);
         }
     };
@@ -200,16 +201,16 @@
         | Answer::TimeUp => CheckEvent::NoAnswer,
     };
     let outcome = match (check.handle(driver.now().as_millis(), input), no) {
-        (Step::GoOn { checked: true }, _) => Outcome::GoOn(headers),
-        (Step::GoOn { checked: false }, _) => {
+        (CheckAction::Forward { checked: true }, _) => Outcome::GoOn(headers),
+        (CheckAction::Forward { checked: false }, _) => {
             // Nobody said so, so there is nothing to remember.
             good = 0.0;
             Outcome::GoOn(Vec::new())
         }
-        (Step::PassOn, Some(no)) => no,
-        (Step::Refuse | Step::Limit, _) => Outcome::Refused(wait),
-        (Step::TimeUp, _) => Outcome::TimeUp,
-        (Step::Unavailable | Step::Nothing | Step::PassOn, _) => Outcome::Unavailable,
+        (CheckAction::Relay, Some(no)) => no,
+        (CheckAction::Overloaded | CheckAction::RateLimited, _) => Outcome::Refused(wait),
+        (CheckAction::TimedOut, _) => Outcome::TimeUp,
+        (CheckAction::Unavailable | CheckAction::Ignore | CheckAction::Relay, _) => Outcome::Unavailable,
     };
     (outcome, good)
 }
