--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// What happens where the service gives no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnFailure {
+pub enum FailurePolicy {
     /// The request is answered 503.
     Closed,
     /// It goes on unchecked.
@@ -94,14 +94,14 @@
 #[derive(Clone, Debug)]
 pub struct AuthCheck {
     phase: Phase,
-    on_failure: OnFailure,
+    failure_policy: FailurePolicy,
     deadline: f64,
 }
 
 impl AuthCheck {
     /// A request whose check is about to be asked for, with a deadline in milliseconds.
-    pub fn new(on_failure: OnFailure, deadline: f64) -> Self {
-        Self { phase: Phase::Asking, on_failure, deadline }
+    pub fn new(failure_policy: FailurePolicy, deadline: f64) -> Self {
+        Self { phase: Phase::Asking, failure_policy, deadline }
     }
 
     /// Takes in what has happened, at a time in milliseconds.
@@ -118,17 +118,17 @@
         if now >= self.deadline {
             return CheckAction::TimedOut;
         }
-        match (event, self.on_failure) {
+        match (event, self.failure_policy) {
             (CheckEvent::Answered(Verdict::Allowed), _) => CheckAction::Forward { checked: true },
             (CheckEvent::Answered(Verdict::Denied), _) => CheckAction::Relay,
             // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
             (CheckEvent::Rejected, _) => CheckAction::Overloaded,
             (CheckEvent::RateLimited, _) => CheckAction::RateLimited,
             (CheckEvent::DeadlineExpired, _) => CheckAction::TimedOut,
-            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Open) => {
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, FailurePolicy::Open) => {
                 CheckAction::Forward { checked: false }
             }
-            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, OnFailure::Closed) => {
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, FailurePolicy::Closed) => {
                 CheckAction::Unavailable
             }
             (CheckEvent::ClientGone, _) => CheckAction::Ignore,
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -36,19 +36,19 @@
         Ignore,
         TimedOut,
     ];
-    for (on_failure, actions) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
+    for (failure_policy, actions) in [(FailurePolicy::Closed, closed), (FailurePolicy::Open, open)] {
         for (event, action) in EVENTS.into_iter().zip(actions) {
-            assert_eq!(AuthCheck::new(on_failure, 100.0).handle(99.9, event), action, "{event:?}");
+            assert_eq!(AuthCheck::new(failure_policy, 100.0).handle(99.9, event), action, "{event:?}");
         }
     }
 }
 
 #[test]
 fn at_and_after_the_deadline_nothing_goes_on() {
-    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+    for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for now in [100.0, 100.1, 1e9] {
             for event in EVENTS {
-                let action = AuthCheck::new(on_failure, 100.0).handle(now, event);
+                let action = AuthCheck::new(failure_policy, 100.0).handle(now, event);
                 let wanted =
                     if event == CheckEvent::ClientGone { CheckAction::Ignore } else { CheckAction::TimedOut };
                 assert_eq!(action, wanted, "{event:?}");
@@ -61,9 +61,9 @@
 fn whatever_comes_in_whatever_order_a_request_gets_one_step() {
     // All sequences of four inputs, each before and at the deadline.
     let all = EVENTS.len() * 2;
-    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+    for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for number in 0..all.pow(4) {
-            let mut check = AuthCheck::new(on_failure, 100.0);
+            let mut check = AuthCheck::new(failure_policy, 100.0);
             let (mut rest, mut actions, mut gone, mut no) = (number, 0, false, false);
             for _ in 0..4 {
                 let (event, late) = (EVENTS[rest % all / 2], rest % 2 == 1);
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, AuthCheck, CheckAction, CheckEvent, OnFailure, Verdict};
+use ivygate_forward_auth::{share, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -203,7 +203,7 @@
         let number = self.orders.len();
         let deadline = self.now + DEADLINE * (0.3 + 0.7 * self.rng.f64());
         self.orders.push(Order {
-            check: AuthCheck::new(OnFailure::Closed, deadline),
+            check: AuthCheck::new(FailurePolicy::Closed, deadline),
             deadline,
             left: false,
             answers: 0,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckAction, CheckEvent, OnFailure, Verdict};
+use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -110,7 +110,7 @@
 }
 
 fn auth_check(settings: &ivygate_config::SignIn, deadline: f64) -> AuthCheck {
-    AuthCheck::new(if settings.open { OnFailure::Open } else { OnFailure::Closed }, deadline)
+    AuthCheck::new(if settings.open { FailurePolicy::Open } else { FailurePolicy::Closed }, deadline)
 }
 
 fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
