--- a/crates/forward-auth/src/admissions.rs
+++ b/crates/forward-auth/src/admissions.rs
@@ -6,14 +6,14 @@
 
 /// What is known of an id that is asked about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked<V> {
+pub enum AdmissionStatus<V> {
     /// Nothing: it is taken now, and whoever asked is to tell by [`Admissions::admitted`] or
     /// [`Admissions::turned_away`].
     New,
     /// It was admitted, and may be any number of times: this was the answer.
-    Again(V),
+    Repeat(V),
     /// It was admitted once and must not be twice.
-    Once,
+    NotRepeatable,
     /// Somebody is asking about it now.
     Pending,
     /// No place is left to remember another.
@@ -40,23 +40,23 @@
     }
 
     /// Somebody asks about an id.
-    pub fn ask(&mut self, now: f64, id: &str) -> Asked<V> {
+    pub fn ask(&mut self, now: f64, id: &str) -> AdmissionStatus<V> {
         let now = micros(now);
         while let Some((until, over)) = self.ends.first().filter(|(until, _)| *until <= now).cloned() {
             self.ids.remove(&over);
             self.ends.remove(&(until, over));
         }
         match self.ids.get(id) {
-            Some(State::Pending) => return Asked::Pending,
-            Some(State::Admitted { once: true, .. }) => return Asked::Once,
-            Some(State::Admitted { answer, .. }) => return Asked::Again(answer.clone()),
+            Some(State::Pending) => return AdmissionStatus::Pending,
+            Some(State::Admitted { once: true, .. }) => return AdmissionStatus::NotRepeatable,
+            Some(State::Admitted { answer, .. }) => return AdmissionStatus::Repeat(answer.clone()),
             None => {}
         }
         if self.ids.len() >= self.most {
-            return Asked::Full;
+            return AdmissionStatus::Full;
         }
         self.ids.insert(id.to_owned(), State::Pending);
-        Asked::New
+        AdmissionStatus::New
     }
 
     /// The one who asked has been told to go on, and is remembered for some time.
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -9,7 +9,7 @@
 mod cache;
 mod limits;
 
-pub use admissions::{Admissions, Asked};
+pub use admissions::{AdmissionStatus, Admissions};
 pub use cache::{lifetime, Cache, Known};
 pub use limits::Limit;
 
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -13,7 +13,7 @@
 use hyper::http::request::Parts;
 use hyper::StatusCode;
 use ivygate_config::Listener;
-use ivygate_forward_auth::Asked;
+use ivygate_forward_auth::AdmissionStatus;
 use ivygate_runtime::{one, Admission, Answer, Head};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -75,17 +75,17 @@
             Some(id) => {
                 let asked = self.shared.admissions.borrow_mut().ask(route.pool.driver.now().as_millis(), id);
                 match asked {
-                    Asked::New => Some(Pending { front: self, id: id.clone() }),
-                    Asked::Again(headers) => return Err(yes(&headers).into()),
-                    Asked::Once => {
+                    AdmissionStatus::New => Some(Pending { front: self, id: id.clone() }),
+                    AdmissionStatus::Repeat(headers) => return Err(yes(&headers).into()),
+                    AdmissionStatus::NotRepeatable => {
                         let text = "this id was let on before, and must not run twice";
                         return Err(Words::new(StatusCode::CONFLICT, text).into());
                     }
-                    Asked::Pending => {
+                    AdmissionStatus::Pending => {
                         let text = "this id is being asked about";
                         return Err(Words::new(StatusCode::CONFLICT, text).into());
                     }
-                    Asked::Full => {
+                    AdmissionStatus::Full => {
                         let text = "no more ids can be remembered now; nothing was let on";
                         return Err(
                             Words::refused(StatusCode::SERVICE_UNAVAILABLE, text, FULL_RETRY_AFTER).into()
