--- a/crates/forward-auth/src/admissions.rs
+++ b/crates/forward-auth/src/admissions.rs
@@ -40,7 +40,7 @@
     }
 
     /// Somebody asks about an id.
-    pub fn ask(&mut self, now: f64, id: &str) -> AdmissionStatus<V> {
+    pub fn begin(&mut self, now: f64, id: &str) -> AdmissionStatus<V> {
         let now = micros(now);
         while let Some((until, over)) = self.ends.first().filter(|(until, _)| *until <= now).cloned() {
             self.ids.remove(&over);
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -73,7 +73,8 @@
         let pending = match &id {
             None => None,
             Some(id) => {
-                let asked = self.shared.admissions.borrow_mut().ask(route.pool.driver.now().as_millis(), id);
+                let asked =
+                    self.shared.admissions.borrow_mut().begin(route.pool.driver.now().as_millis(), id);
                 match asked {
                     AdmissionStatus::New => Some(Pending { front: self, id: id.clone() }),
                     AdmissionStatus::Repeat(headers) => return Err(yes(&headers).into()),
