--- a/crates/forward-auth/src/admissions.rs
+++ b/crates/forward-auth/src/admissions.rs
@@ -7,7 +7,7 @@
 /// What is known of an id that is asked about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionStatus<V> {
-    /// Nothing: it is taken now, and whoever asked is to tell by [`Admissions::admitted`] or
+    /// Nothing: it is taken now, and whoever asked is to tell by [`Admissions::admit`] or
     /// [`Admissions::turned_away`].
     New,
     /// It was admitted, and may be any number of times: this was the answer.
@@ -60,7 +60,7 @@
     }
 
     /// The one who asked has been told to go on, and is remembered for some time.
-    pub fn admitted(&mut self, now: f64, id: &str, answer: V, once: bool, kept: f64) {
+    pub fn admit(&mut self, now: f64, id: &str, answer: V, once: bool, kept: f64) {
         let until = micros(now + kept);
         if let Some(State::Admitted { until, .. }) =
             self.ids.insert(id.to_owned(), State::Admitted { answer, once, until })
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -163,7 +163,7 @@
         if let Some(pending) = &pending {
             let kept = listener.ids_kept.max(left);
             let now = route.pool.driver.now().as_millis();
-            self.shared.admissions.borrow_mut().admitted(now, &pending.id, headers.clone(), once, kept);
+            self.shared.admissions.borrow_mut().admit(now, &pending.id, headers.clone(), once, kept);
         }
         Err(yes(&headers).into())
     }
