--- a/crates/forward-auth/src/admissions.rs
+++ b/crates/forward-auth/src/admissions.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionStatus<V> {
     /// Nothing: it is taken now, and whoever asked is to tell by [`Admissions::admit`] or
-    /// [`Admissions::turned_away`].
+    /// [`Admissions::release`].
     New,
     /// It was admitted, and may be any number of times: this was the answer.
     Repeat(V),
@@ -71,7 +71,7 @@
     }
 
     /// The one who asked was turned away, or left before it had an answer: the id may be asked about anew.
-    pub fn turned_away(&mut self, id: &str) {
+    pub fn release(&mut self, id: &str) {
         if matches!(self.ids.get(id), Some(State::Pending)) {
             self.ids.remove(id);
         }
--- a/crates/forward-auth/src/admissions/tests.rs
+++ b/crates/forward-auth/src/admissions/tests.rs
@@ -24,10 +24,10 @@
 fn one_that_was_turned_away_may_ask_anew_and_an_admitted_one_is_not_freed_by_it() {
     let mut ids = Admissions::new(10);
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::<i32>::New);
-    ids.turned_away("a");
+    ids.release("a");
     assert_eq!((ids.begin(0.0, "a"), ids.len()), (AdmissionStatus::New, 1));
     ids.admit(0.0, "a", 1, true, 100.0);
-    ids.turned_away("a");
+    ids.release("a");
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::NotRepeatable);
 }
 
--- a/crates/sidecar/src/answering.rs
+++ b/crates/sidecar/src/answering.rs
@@ -32,7 +32,7 @@
 
 impl Drop for Pending<'_> {
     fn drop(&mut self) {
-        self.front.shared.admissions.borrow_mut().turned_away(&self.id);
+        self.front.shared.admissions.borrow_mut().release(&self.id);
     }
 }
 
