--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -7,13 +7,13 @@
 
 /// What is known of a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Known<V> {
+pub enum Lookup<V> {
     /// This answer, still good.
-    Answer(V),
+    Hit(V),
     /// Nothing; whoever looked is to ask, and to tell by [`Cache::done`].
-    Ask,
+    Miss,
     /// Somebody is asking.
-    Wait,
+    Pending,
 }
 
 struct Entry<V> {
@@ -39,18 +39,18 @@
     }
 
     /// What is known of a question now.
-    pub fn look(&mut self, now: f64, key: &K) -> Known<V> {
+    pub fn look(&mut self, now: f64, key: &K) -> Lookup<V> {
         if let Some(entry) = self.entries.get(key) {
             if now < entry.until {
-                return Known::Answer(entry.value.clone());
+                return Lookup::Hit(entry.value.clone());
             }
             self.forget(key);
         }
         // Equal questions wait for one answer, so that a rush after a lifetime's end asks once.
         if self.asking.insert(key.clone()) {
-            Known::Ask
+            Lookup::Miss
         } else {
-            Known::Wait
+            Lookup::Pending
         }
     }
 
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -10,7 +10,7 @@
 mod limits;
 
 pub use admissions::{AdmissionStatus, Admissions};
-pub use cache::{lifetime, Cache, Known};
+pub use cache::{lifetime, Cache, Lookup};
 pub use limits::Limit;
 
 /// What happens where the service gives no usable answer.
--- a/crates/sidecar/src/remembered.rs
+++ b/crates/sidecar/src/remembered.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::StatusCode;
-use ivygate_forward_auth::{Cache, Known};
+use ivygate_forward_auth::{Cache, Lookup};
 use std::cell::RefCell;
 use std::hash::{BuildHasher, Hash, Hasher, RandomState};
 use tokio::sync::Notify;
@@ -67,9 +67,9 @@
             let done = self.done.notified();
             let known = self.cache.borrow_mut().look(now(), &key);
             match known {
-                Known::Answer(answer) => return Ok(answer),
-                Known::Ask => return Err(Asking { remembered: self, key, ended: false }),
-                Known::Wait => done.await,
+                Lookup::Hit(answer) => return Ok(answer),
+                Lookup::Miss => return Err(Asking { remembered: self, key, ended: false }),
+                Lookup::Pending => done.await,
             }
         }
     }
