--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -39,7 +39,7 @@
     }
 
     /// What is known of a question now.
-    pub fn look(&mut self, now: f64, key: &K) -> Lookup<V> {
+    pub fn lookup(&mut self, now: f64, key: &K) -> Lookup<V> {
         if let Some(entry) = self.entries.get(key) {
             if now < entry.until {
                 return Lookup::Hit(entry.value.clone());
--- a/crates/sidecar/src/remembered.rs
+++ b/crates/sidecar/src/remembered.rs
@@ -65,7 +65,7 @@
     pub async fn look(&self, now: impl Fn() -> f64, key: Key) -> Result<Remember, Asking<'_>> {
         loop {
             let done = self.done.notified();
-            let known = self.cache.borrow_mut().look(now(), &key);
+            let known = self.cache.borrow_mut().lookup(now(), &key);
             match known {
                 Lookup::Hit(answer) => return Ok(answer),
                 Lookup::Miss => return Err(Asking { remembered: self, key, ended: false }),
