--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -10,7 +10,7 @@
 pub enum Lookup<V> {
     /// This answer, still good.
     Hit(V),
-    /// Nothing; whoever looked is to ask, and to tell by [`Cache::done`].
+    /// Nothing; whoever looked is to ask, and to tell by [`Cache::complete`].
     Miss,
     /// Somebody is asking.
     Pending,
@@ -55,7 +55,7 @@
     }
 
     /// A question has been asked: with an answer that is good for some time, or in vain.
-    pub fn done(&mut self, now: f64, key: &K, answer: Option<(V, f64)>) {
+    pub fn complete(&mut self, now: f64, key: &K, answer: Option<(V, f64)>) {
         self.asking.remove(key);
         let Some((value, lifetime)) = answer.filter(|(_, lifetime)| *lifetime > 0.0 && self.most > 0) else {
             return;
--- a/crates/forward-auth/src/cache/tests.rs
+++ b/crates/forward-auth/src/cache/tests.rs
@@ -6,7 +6,7 @@
 fn an_answer_is_good_until_its_time_ends_and_not_a_moment_longer() {
     let mut cache = Cache::new(10);
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Miss);
-    cache.done(5.0, &"a", Some((1, 100.0)));
+    cache.complete(5.0, &"a", Some((1, 100.0)));
     assert_eq!(cache.lookup(104.9, &"a"), Lookup::Hit(1));
     assert_eq!(cache.lookup(105.0, &"a"), Lookup::Miss);
     assert!(cache.is_empty());
@@ -18,7 +18,7 @@
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Miss);
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Pending);
     assert_eq!(cache.lookup(0.0, &"b"), Lookup::Miss);
-    cache.done(1.0, &"a", None);
+    cache.complete(1.0, &"a", None);
     assert_eq!(cache.lookup(1.0, &"a"), Lookup::Miss);
     assert_eq!(cache.lookup(1.0, &"a"), Lookup::Pending);
 }
@@ -27,11 +27,11 @@
 fn what_may_not_be_remembered_is_not() {
     let mut cache = Cache::new(10);
     cache.lookup(0.0, &"a");
-    cache.done(0.0, &"a", Some((1, 0.0)));
+    cache.complete(0.0, &"a", Some((1, 0.0)));
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Miss);
     let mut none = Cache::new(0);
     none.lookup(0.0, &"a");
-    none.done(0.0, &"a", Some((1, 100.0)));
+    none.complete(0.0, &"a", Some((1, 100.0)));
     assert_eq!((none.lookup(0.0, &"a"), none.len()), (Lookup::Miss, 0));
 }
 
@@ -40,7 +40,7 @@
     let mut cache = Cache::new(100);
     for n in 0..10_000 {
         cache.lookup(f64::from(n), &n);
-        cache.done(f64::from(n), &n, Some((n, 1e9)));
+        cache.complete(f64::from(n), &n, Some((n, 1e9)));
         assert!(cache.len() <= 100 && cache.ages.len() == cache.len());
     }
     assert_eq!(cache.lookup(1e4, &9_999), Lookup::Hit(9_999));
--- a/crates/sidecar/src/remembered.rs
+++ b/crates/sidecar/src/remembered.rs
@@ -90,7 +90,7 @@
 
     fn end(&mut self, now: f64, answer: Option<(Remember, f64)>) {
         self.ended = true;
-        self.remembered.cache.borrow_mut().done(now, &self.key, answer);
+        self.remembered.cache.borrow_mut().complete(now, &self.key, answer);
         self.remembered.done.notify_waiters();
     }
 }
