--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use admissions::{AdmissionStatus, Admissions};
 pub use cache::{lifetime, Cache, Lookup};
-pub use limits::Limit;
+pub use limits::RateLimiter;
 
 /// What happens where the service gives no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/forward-auth/src/limits.rs
+++ b/crates/forward-auth/src/limits.rs
@@ -8,7 +8,7 @@
 
 /// A limit on what each key may spend: so many a second, and a few at once (the generic cell rate algorithm: all that
 /// is kept of a key is the time at which its spending is paid off).
-pub struct Limit<K> {
+pub struct RateLimiter<K> {
     /// What one check costs, in milliseconds.
     each: f64,
     /// How far ahead of its payment a key may spend, in milliseconds.
@@ -20,7 +20,7 @@
     order: BTreeSet<(u64, K)>,
 }
 
-impl<K: Clone + Eq + Hash + Ord> Limit<K> {
+impl<K: Clone + Eq + Hash + Ord> RateLimiter<K> {
     /// So many a second, `burst` at once, and at most `most` keys on record. Nothing is limited where the rate is 0.
     pub fn new(rate: f64, burst: f64, most: usize) -> Self {
         let each = if rate > 0.0 { 1000.0 / rate } else { 0.0 };
--- a/crates/forward-auth/src/limits/tests.rs
+++ b/crates/forward-auth/src/limits/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_key_has_its_burst_and_then_its_rate() {
-    let mut limit = Limit::new(10.0, 5.0, 100);
+    let mut limit = RateLimiter::new(10.0, 5.0, 100);
     let taken = (0..50).filter(|_| limit.take(0.0, &"a").is_ok()).count();
     assert_eq!(taken, 5);
     assert_eq!(limit.take(0.0, &"a"), Err(100.0));
@@ -16,7 +16,7 @@
 
 #[test]
 fn what_was_no_bad_pass_is_given_back() {
-    let mut limit = Limit::new(1.0, 2.0, 100);
+    let mut limit = RateLimiter::new(1.0, 2.0, 100);
     for _ in 0..1000 {
         assert_eq!(limit.take(0.0, &"good"), Ok(()));
         limit.give_back(0.0, &"good");
@@ -26,7 +26,7 @@
 
 #[test]
 fn giving_back_twice_saves_nothing_up() {
-    let mut limit = Limit::new(1.0, 2.0, 100);
+    let mut limit = RateLimiter::new(1.0, 2.0, 100);
     assert_eq!(limit.take(0.0, &"a"), Ok(()));
     for _ in 0..10 {
         limit.give_back(0.0, &"a");
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_flood_of_keys_stays_within_the_bound_and_does_not_free_the_one_that_spent_most() {
-    let mut limit = Limit::new(1.0, 10.0, 50);
+    let mut limit = RateLimiter::new(1.0, 10.0, 50);
     while limit.take(0.0, &0).is_ok() {}
     for key in 1..10_000 {
         let _ = limit.take(0.0, &key);
@@ -51,9 +51,9 @@
 
 #[test]
 fn no_rate_is_no_limit_and_a_clock_that_steps_back_frees_nobody() {
-    let mut none = Limit::new(0.0, 0.0, 1);
+    let mut none = RateLimiter::new(0.0, 0.0, 1);
     assert!((0..1000).all(|_| none.take(0.0, &"a").is_ok()));
-    let mut limit = Limit::new(1.0, 1.0, 10);
+    let mut limit = RateLimiter::new(1.0, 1.0, 10);
     assert_eq!(limit.take(5000.0, &"a"), Ok(()));
     assert!(limit.take(1000.0, &"a").is_err());
 }
--- a/crates/sidecar/src/floods.rs
+++ b/crates/sidecar/src/floods.rs
@@ -2,7 +2,7 @@
 
 use crate::remembered::Key;
 use ivygate_config::FailedChecks;
-use ivygate_forward_auth::Limit;
+use ivygate_forward_auth::RateLimiter;
 use std::cell::RefCell;
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 /// What has been spent of both limits.
 pub struct Floods {
-    limits: RefCell<(Limit<Arc<str>>, Limit<Key>)>,
+    limits: RefCell<(RateLimiter<Arc<str>>, RateLimiter<Key>)>,
 }
 
 /// What one check took.
@@ -23,8 +23,8 @@
 impl Floods {
     /// Nothing spent yet.
     pub fn new(address: FailedChecks, credential: FailedChecks) -> Self {
-        let address = Limit::new(address.rate, address.burst, KEYS_MOST);
-        let credential = Limit::new(credential.rate, credential.burst, KEYS_MOST);
+        let address = RateLimiter::new(address.rate, address.burst, KEYS_MOST);
+        let credential = RateLimiter::new(credential.rate, credential.burst, KEYS_MOST);
         Self { limits: RefCell::new((address, credential)) }
     }
 
