--- a/crates/forward-auth/src/limits.rs
+++ b/crates/forward-auth/src/limits.rs
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// With the time to wait, in milliseconds, if the key has spent what it may; then nothing is taken.
-    pub fn take(&mut self, now: f64, key: &K) -> Result<(), f64> {
+    pub fn acquire(&mut self, now: f64, key: &K) -> Result<(), f64> {
         if self.each <= 0.0 {
             return Ok(());
         }
--- a/crates/sidecar/src/floods.rs
+++ b/crates/sidecar/src/floods.rs
@@ -34,8 +34,8 @@
     /// With the time to wait, in milliseconds.
     pub fn take(&self, now: f64, address: Arc<str>, credential: Option<Key>) -> Result<Taken, f64> {
         let (addresses, credentials) = &mut *self.limits.borrow_mut();
-        addresses.take(now, &address)?;
-        if let Some(wait) = credential.and_then(|key| credentials.take(now, &key).err()) {
+        addresses.acquire(now, &address)?;
+        if let Some(wait) = credential.and_then(|key| credentials.acquire(now, &key).err()) {
             addresses.give_back(now, &address);
             return Err(wait);
         }
