--- a/crates/forward-auth/src/limits.rs
+++ b/crates/forward-auth/src/limits.rs
@@ -52,7 +52,7 @@
     }
 
     /// Gives back what a check took that was no bad one.
-    pub fn give_back(&mut self, now: f64, key: &K) {
+    pub fn refund(&mut self, now: f64, key: &K) {
         if let Some(at) = self.paid.get(key).copied() {
             self.set(now, key, at as f64 / 1000.0 - self.each);
         }
--- a/crates/forward-auth/src/limits/tests.rs
+++ b/crates/forward-auth/src/limits/tests.rs
@@ -19,7 +19,7 @@
     let mut limit = RateLimiter::new(1.0, 2.0, 100);
     for _ in 0..1000 {
         assert_eq!(limit.acquire(0.0, &"good"), Ok(()));
-        limit.give_back(0.0, &"good");
+        limit.refund(0.0, &"good");
     }
     assert!(limit.is_empty());
 }
@@ -29,7 +29,7 @@
     let mut limit = RateLimiter::new(1.0, 2.0, 100);
     assert_eq!(limit.acquire(0.0, &"a"), Ok(()));
     for _ in 0..10 {
-        limit.give_back(0.0, &"a");
+        limit.refund(0.0, &"a");
     }
     let taken = (0..10).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
     assert_eq!(taken, 2);
--- a/crates/sidecar/src/floods.rs
+++ b/crates/sidecar/src/floods.rs
@@ -36,7 +36,7 @@
         let (addresses, credentials) = &mut *self.limits.borrow_mut();
         addresses.acquire(now, &address)?;
         if let Some(wait) = credential.and_then(|key| credentials.acquire(now, &key).err()) {
-            addresses.give_back(now, &address);
+            addresses.refund(now, &address);
             return Err(wait);
         }
         Ok(Taken { address, credential })
@@ -45,9 +45,9 @@
     /// Gives back what a check took that did not fail.
     pub fn give_back(&self, now: f64, taken: &Taken) {
         let (addresses, credentials) = &mut *self.limits.borrow_mut();
-        addresses.give_back(now, &taken.address);
+        addresses.refund(now, &taken.address);
         if let Some(key) = &taken.credential {
-            credentials.give_back(now, key);
+            credentials.refund(now, key);
         }
     }
 }
