--- a/crates/forward-auth/src/cache.rs
+++ b/crates/forward-auth/src/cache.rs
@@ -90,7 +90,7 @@
 
 /// How long an answer may be remembered, in milliseconds: the configured time, or less if the service says so by
 /// `Cache-Control`. What cannot be read counts as a wish that it be not.
-pub fn lifetime(configured: f64, cache_control: Option<&str>) -> f64 {
+pub fn cache_lifetime(configured: f64, cache_control: Option<&str>) -> f64 {
     let Some(text) = cache_control else { return configured };
     let mut most = configured;
     for directive in text.split(',').map(str::trim) {
--- a/crates/forward-auth/src/cache/tests.rs
+++ b/crates/forward-auth/src/cache/tests.rs
@@ -60,6 +60,6 @@
         (Some("max-age"), 0.0),
         (Some("must-revalidate"), 5000.0),
     ] {
-        assert_eq!(lifetime(5000.0, text), wanted, "{text:?}");
+        assert_eq!(cache_lifetime(5000.0, text), wanted, "{text:?}");
     }
 }
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -10,7 +10,7 @@
 mod limits;
 
 pub use admissions::{AdmissionStatus, Admissions};
-pub use cache::{lifetime, Cache, Lookup};
+pub use cache::{cache_lifetime, Cache, Lookup};
 pub use limits::RateLimiter;
 
 /// What happens where the service gives no usable answer.
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -8,7 +8,9 @@
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
-use ivygate_forward_auth::{folded, lifetime, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
+use ivygate_forward_auth::{
+    cache_lifetime, folded, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict,
+};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
 use std::collections::HashSet;
@@ -168,7 +170,7 @@
             // A cookie is one client's, however equal the questions were.
             let own = response.headers().contains_key(header::SET_COOKIE);
             let configured = if meaning == Verdict::Allowed { settings.cache_yes } else { settings.cache_no };
-            good = if own { 0.0 } else { lifetime(configured, told) };
+            good = if own { 0.0 } else { cache_lifetime(configured, told) };
             if meaning == Verdict::Allowed {
                 let (parts, body) = response.into_parts();
                 // A yes that breaks off may be half of something else.
