--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -138,7 +138,7 @@
 
 /// Time for a check, in milliseconds: at most `within`, and so that the application keeps its usual time of
 /// what the client will wait, or half of that where it is less.
-pub fn share(within: f64, wait: f64, usual: f64) -> f64 {
+pub fn check_time_limit(within: f64, wait: f64, usual: f64) -> f64 {
     within.min(wait - usual.min(wait / 2.0)).max(0.0)
 }
 
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -82,10 +82,10 @@
 
 #[test]
 fn a_check_leaves_the_application_its_usual_time_or_half() {
-    assert_eq!(share(300.0, 2000.0, 500.0), 300.0);
-    assert_eq!(share(1900.0, 2000.0, 500.0), 1500.0);
-    assert_eq!(share(1900.0, 600.0, 500.0), 300.0);
-    assert_eq!(share(300.0, 0.0, 500.0), 0.0);
+    assert_eq!(check_time_limit(300.0, 2000.0, 500.0), 300.0);
+    assert_eq!(check_time_limit(1900.0, 2000.0, 500.0), 1500.0);
+    assert_eq!(check_time_limit(1900.0, 600.0, 500.0), 300.0);
+    assert_eq!(check_time_limit(300.0, 0.0, 500.0), 0.0);
 }
 
 #[test]
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -4,7 +4,7 @@
 //! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
 //! never, and are given up; servers drain, fail and start cold; clients leave and order again.
 
-use ivygate_forward_auth::{share, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
+use ivygate_forward_auth::{check_time_limit, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
 use ivygate_gateway::{
     Action, Arrival, AttemptResult, Effect, Event, Gateway, ListKind, Load, Outcome, Plan, RequestClass,
     RequestId, RetryBudget, ServerEntry, ServerState, Settings,
@@ -211,7 +211,7 @@
             said_no: false,
             went_on: 0,
         });
-        let check = self.now + share(WITHIN, deadline - self.now, AIM);
+        let check = self.now + check_time_limit(WITHIN, deadline - self.now, AIM);
         self.at(check, Due::CheckOver(number));
         self.at(deadline, Due::TimeUp(number));
         if self.rng.u32(0..6) == 0 {
@@ -341,7 +341,7 @@
             return;
         }
         // Soon, or round one of the limits: a moment before, in the same moment, a moment after.
-        let check = self.now + share(WITHIN, deadline - self.now, AIM);
+        let check = self.now + check_time_limit(WITHIN, deadline - self.now, AIM);
         let limit = [give_up_at, deadline, check][self.rng.usize(0..3)];
         let at = match self.rng.u32(0..5) {
             0 => limit - 0.01,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -16,7 +16,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri, Version};
 use ivygate_config::Listener;
-use ivygate_forward_auth::{folded, share, Admissions};
+use ivygate_forward_auth::{check_time_limit, folded, Admissions};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_journal::{Order, State};
 use ivygate_routing::{host_of, Target};
@@ -176,7 +176,7 @@
             id: self.shared.id(),
             route: route.number,
             once: route.once,
-            time: share(sign_in.settings.within, wait, route.aim),
+            time: check_time_limit(sign_in.settings.within, wait, route.aim),
             deadline: route.pool.driver.now().plus_millis(wait).as_millis(),
         };
         let unavailable = StatusCode::SERVICE_UNAVAILABLE;
