--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -143,7 +143,7 @@
 }
 
 /// A header's name as servers may spell it: some take `_` for `-`, and case never counts.
-pub fn folded(name: &str) -> String {
+pub fn fold_header_name(name: &str) -> String {
     name.bytes().map(|b| if b == b'_' { '-' } else { char::from(b.to_ascii_lowercase()) }).collect()
 }
 
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -100,6 +100,6 @@
 #[test]
 fn spellings_of_a_name_fold_into_one() {
     for spelling in ["X-User", "x-user", "X_User", "x_USER", "X-uSeR"] {
-        assert_eq!(folded(spelling), "x-user");
+        assert_eq!(fold_header_name(spelling), "x-user");
     }
 }
--- a/crates/sidecar/src/forward.rs
+++ b/crates/sidecar/src/forward.rs
@@ -1,7 +1,7 @@
 //! Headers on their way to an application and back.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use ivygate_forward_auth::folded;
+use ivygate_forward_auth::fold_header_name;
 use ivygate_runtime::{end_to_end, without_hop_by_hop};
 use std::collections::HashSet;
 
@@ -32,7 +32,7 @@
 /// only applications behind a gateway such as CGI take for it.
 fn without_spoofed(headers: &mut HeaderMap, trusted: bool) {
     let spoofed = |name: &HeaderName| {
-        let folded = folded(name.as_str());
+        let folded = fold_header_name(name.as_str());
         is_said_by_proxies(&folded) && (!trusted || folded != name.as_str())
     };
     // Few requests have any, and most names tell by their first letter.
@@ -48,7 +48,7 @@
     let announced: Vec<HeaderValue> = headers.get_all(header::TRAILER).iter().cloned().collect();
     let takes_trailers =
         headers.get_all(header::TE).iter().any(|v| v.as_bytes().eq_ignore_ascii_case(b"trailers"));
-    let mut headers = end_to_end(headers, |name| origin.kept.contains(&folded(name.as_str())));
+    let mut headers = end_to_end(headers, |name| origin.kept.contains(&fold_header_name(name.as_str())));
     without_spoofed(&mut headers, origin.trusted);
     if trailers {
         for value in announced {
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -16,7 +16,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode, Uri, Version};
 use ivygate_config::Listener;
-use ivygate_forward_auth::{check_time_limit, folded, Admissions};
+use ivygate_forward_auth::{check_time_limit, fold_header_name, Admissions};
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_journal::{Order, State};
 use ivygate_routing::{host_of, Target};
@@ -129,7 +129,7 @@
         let customer = customer(&identity.customer, headers, || self.client(headers)).map_err(bad)?;
         let named = match &identity.plan_header {
             // What a sign-in service says is believed of whoever asked.
-            Some(name) if self.origin.trusted || self.site.vouched.contains(&folded(name)) => {
+            Some(name) if self.origin.trusted || self.site.vouched.contains(&fold_header_name(name)) => {
                 one(headers, name).map_err(bad)?
             }
             _ => None,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -9,7 +9,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, StatusCode, Uri};
 use ivygate_forward_auth::{
-    cache_lifetime, folded, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict,
+    cache_lifetime, fold_header_name, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict,
 };
 use ivygate_gateway::{RejectReason, RequestId};
 use ivygate_runtime::{millis, Answer, Ask, Head, Leaving, Message, Payload, Streamed};
@@ -76,7 +76,7 @@
         return;
     }
     let spoofed: Vec<HeaderName> =
-        headers.keys().filter(|name| vouched.contains(&folded(name.as_str()))).cloned().collect();
+        headers.keys().filter(|name| vouched.contains(&fold_header_name(name.as_str()))).cloned().collect();
     for name in spoofed {
         headers.remove(name);
     }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -6,7 +6,7 @@
 use crate::remembered::Remembered;
 use hyper::header::HeaderName;
 use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
-use ivygate_forward_auth::folded;
+use ivygate_forward_auth::fold_header_name;
 use ivygate_routing::{Found, Table};
 use ivygate_runtime::Clock;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -110,7 +110,14 @@
     let keys = model.classes.iter().map(|class| &class.key_header).filter(|name| !name.is_empty());
     let vouched = model.sign_ins.iter().flat_map(|s| &s.answer_headers);
     let ids = model.journal.iter().map(|journal| &journal.id_header);
-    named.into_iter().flatten().chain(keys).chain(vouched).chain(ids).map(|name| folded(name)).collect()
+    named
+        .into_iter()
+        .flatten()
+        .chain(keys)
+        .chain(vouched)
+        .chain(ids)
+        .map(|name| fold_header_name(name))
+        .collect()
 }
 
 /// Whether repeats depend on a key.
@@ -200,7 +207,12 @@
             identity: model.identity.clone(),
             table,
             routes,
-            vouched: model.sign_ins.iter().flat_map(|s| &s.answer_headers).map(|name| folded(name)).collect(),
+            vouched: model
+                .sign_ins
+                .iter()
+                .flat_map(|s| &s.answer_headers)
+                .map(|name| fold_header_name(name))
+                .collect(),
             kept: kept(model),
             class_names: model.routes.iter().map(|r| model.classes[r.class].name.as_str().into()).collect(),
             plans: model.plans.iter().map(|p| p.name.as_str().into()).collect(),
