--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use crate::turns;
-use ivygate_journal::{Attempt, Came, Journal, Keeping, Level, Order, Store, Update};
+use ivygate_journal::{Attempt, AttemptOutcome, Journal, Keeping, Level, Order, Store, Update};
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 use std::fs::{File, OpenOptions};
@@ -115,7 +115,12 @@
 }
 
 fn attempt() -> Attempt {
-    Attempt { number: 0, server: ([127, 0, 0, 1], 9301).into(), sent_at: 1.8e12, came: Came::Unknown }
+    Attempt {
+        number: 0,
+        server: ([127, 0, 0, 1], 9301).into(),
+        sent_at: 1.8e12,
+        outcome: AttemptOutcome::Unknown,
+    }
 }
 
 fn order(number: u64) -> (String, Update) {
@@ -160,7 +165,7 @@
                     return false;
                 }
                 // What came of it is noted without waiting, as in the sidecar.
-                let _ = journal.note(&id, Update::Came(0, Came::Answer(200)));
+                let _ = journal.note(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(200)));
             }
             true
         };
@@ -210,7 +215,9 @@
     for part in numbers.chunks(1024) {
         let mut updates: Vec<_> = part.iter().map(|number| order(*number)).collect();
         let answered = part.iter().filter(|number| *number % 1000 != 0);
-        updates.extend(answered.map(|number| (order(*number).0, Update::Came(0, Came::Answer(200)))));
+        updates.extend(
+            answered.map(|number| (order(*number).0, Update::AttemptEnded(0, AttemptOutcome::Answer(200)))),
+        );
         store.record(&updates).map_err(io::Error::other)?;
     }
     let took = start.elapsed().as_secs_f64();
--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -2,7 +2,7 @@
 //! opens it where none has.
 
 use clap::{Args, Subcommand, ValueEnum};
-use ivygate_journal::{answer, ask, Came, Ended, JournalError, Order, State, Store, Told};
+use ivygate_journal::{answer, ask, AttemptOutcome, Ended, JournalError, Order, State, Store, Told};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::{self, Write};
@@ -306,12 +306,12 @@
         .attempts
         .iter()
         .map(|attempt| {
-            let came = match attempt.came {
-                Came::Unknown => "unknown".to_owned(),
-                Came::NotRun => "not run".to_owned(),
-                Came::Answer(status) => status.to_string(),
+            let outcome = match attempt.outcome {
+                AttemptOutcome::Unknown => "unknown".to_owned(),
+                AttemptOutcome::NotRun => "not run".to_owned(),
+                AttemptOutcome::Answer(status) => status.to_string(),
             };
-            format!("{} at {:.3}: {came}", attempt.server, attempt.sent_at / 1000.0)
+            format!("{} at {:.3}: {outcome}", attempt.server, attempt.sent_at / 1000.0)
         })
         .collect();
     let ended = match order.ended {
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -6,7 +6,7 @@
 /// What came of one attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Came {
+pub enum AttemptOutcome {
     /// Nothing is known: it may have run.
     #[default]
     Unknown,
@@ -26,7 +26,8 @@
     /// When it was about to be sent, in Unix milliseconds.
     pub sent_at: f64,
     /// What came of it.
-    pub came: Came,
+    #[serde(rename = "came")]
+    pub outcome: AttemptOutcome,
 }
 
 /// How it ended for its client, where that was not with the answer of an attempt.
@@ -100,7 +101,7 @@
     /// A further attempt is about to be sent.
     Sending(Attempt),
     /// What came of an attempt, by its number.
-    Came(u32, Came),
+    AttemptEnded(u32, AttemptOutcome),
     /// It ended for its client without an answer of an attempt.
     Ended(Ended),
 }
@@ -115,11 +116,11 @@
                 *self = Order { attempts, ..order };
             }
             Update::Sending(attempt) => self.attempts.push(attempt),
-            Update::Came(number, came) => {
+            Update::AttemptEnded(number, outcome) => {
                 let found = self.attempts.iter_mut().find(|attempt| attempt.number == number);
                 let Some(attempt) = found else { return };
-                if attempt.came == Came::Unknown {
-                    attempt.came = came;
+                if attempt.outcome == AttemptOutcome::Unknown {
+                    attempt.outcome = outcome;
                 }
             }
             Update::Ended(ended) => self.ended = Some(self.ended.unwrap_or(ended)),
@@ -128,13 +129,15 @@
 
     /// What can be said of it.
     pub fn state(&self) -> State {
-        let answer = self.attempts.iter().find_map(|attempt| match attempt.came {
-            Came::Answer(status) => Some(status),
+        let answer = self.attempts.iter().find_map(|attempt| match attempt.outcome {
+            AttemptOutcome::Answer(status) => Some(status),
             _ => None,
         });
         match answer {
             Some(status) => State::Answered(status),
-            None if self.attempts.iter().all(|attempt| attempt.came == Came::NotRun) => State::NeverSent,
+            None if self.attempts.iter().all(|attempt| attempt.outcome == AttemptOutcome::NotRun) => {
+                State::NeverSent
+            }
             None => State::Unknown,
         }
     }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -472,7 +472,7 @@
                         (order, weight)
                     }
                     // What came of an order that was dropped or left out says nothing by itself.
-                    None if matches!(update, Update::Came(..) | Update::Ended(_)) => continue,
+                    None if matches!(update, Update::AttemptEnded(..) | Update::Ended(_)) => continue,
                     None => (Order::default(), 0),
                 };
                 let place = (had > 0).then(|| taken_at(&order));
@@ -680,7 +680,7 @@
 
 fn unreadable() -> Order {
     let server = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
-    let attempt = crate::Attempt { number: 0, server, sent_at: 0.0, came: crate::Came::Unknown };
+    let attempt = crate::Attempt { number: 0, server, sent_at: 0.0, outcome: crate::AttemptOutcome::Unknown };
     // It is not the oldest, which would be dropped first.
     Order { attempts: vec![attempt], taken_at: f64::MAX, ..Order::default() }
 }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -2,7 +2,7 @@
 //! errors of every kind.
 
 use ivygate_journal::{
-    Attempt, Came, Journal, JournalError, Keeping, Level, Order, Recorded, State, Store, Update,
+    Attempt, AttemptOutcome, Journal, JournalError, Keeping, Level, Order, Recorded, State, Store, Update,
 };
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -119,7 +119,7 @@
         number: 0,
         server: ([127, 0, 0, 1], 9301).into(),
         sent_at: 1.0,
-        came: Came::Unknown,
+        outcome: AttemptOutcome::Unknown,
     })
 }
 
@@ -133,7 +133,9 @@
         }
         seen.insert(id.clone(), None);
         if n % 3 != 0 {
-            if let Err(error) = store.record(&[(id.clone(), Update::Came(0, Came::Answer(200)))]) {
+            if let Err(error) =
+                store.record(&[(id.clone(), Update::AttemptEnded(0, AttemptOutcome::Answer(200)))])
+            {
                 return (seen, Some(error));
             }
             seen.insert(id, Some(200));
@@ -207,7 +209,7 @@
         let id = format!("o{n}");
         journal.note(&id, taken(n)).expect("there is room");
         journal.note(&id, sending()).expect("there is room");
-        journal.note(&id, Update::Came(0, Came::Answer(201))).expect("there is room");
+        journal.note(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(201))).expect("there is room");
     }
     drop(journal);
     let store = open(&power).expect("it opens again");
@@ -273,8 +275,12 @@
     let keeping = Keeping { keep: 1000.0, disk: 4 << 20 };
     let store = Store::on(PathBuf::from("simulated"), power.clone(), keeping).expect("it opens");
     let order = |n: u32, at: f64| {
-        let attempt =
-            Attempt { number: 0, server: ([127, 0, 0, 1], 9301).into(), sent_at: at, came: Came::Unknown };
+        let attempt = Attempt {
+            number: 0,
+            server: ([127, 0, 0, 1], 9301).into(),
+            sent_at: at,
+            outcome: AttemptOutcome::Unknown,
+        };
         let order = Order {
             client_id: Some(format!("c{n}")),
             taken_at: at,
@@ -296,7 +302,10 @@
     let length = power.0.lock().unwrap().cached.len();
     assert!(length <= 4 << 20, "the file has {length} bytes");
     // What came of those that are there, and further attempts, are still recorded.
-    let came = store.record(&[("o1".into(), Update::Came(0, Came::Answer(200)))]).expect("recorded").0;
+    let came = store
+        .record(&[("o1".into(), Update::AttemptEnded(0, AttemptOutcome::Answer(200)))])
+        .expect("recorded")
+        .0;
     assert_eq!(came, [Recorded::Yes]);
     assert_eq!(store.find("c1").expect("read").expect("there").1.state(), State::Answered(200));
     // The same client's id again is known, and after its time it is not.
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,8 +4,8 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, Came, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order, Pseudonyms, State,
-    Store, Update,
+    Attempt, AttemptOutcome, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order,
+    Pseudonyms, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -148,7 +148,12 @@
         now: Timestamp,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(async move {
-            let attempt = Attempt { number: attempt, server, sent_at: now.as_millis(), came: Came::Unknown };
+            let attempt = Attempt {
+                number: attempt,
+                server,
+                sent_at: now.as_millis(),
+                outcome: AttemptOutcome::Unknown,
+            };
             // Given up while its record waits, by now or later, it is never sent.
             let mut unsent = Unsent { orders: self, id, attempt: Some(attempt.number) };
             let recorded = self.record(id, attempt).await;
@@ -163,13 +168,13 @@
     }
 
     fn came(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
-        let came = match status {
+        let outcome = match status {
             // A server that turned it away has answered too, and the proof says more.
-            _ if never_ran => Came::NotRun,
-            Some(status) => Came::Answer(status),
+            _ if never_ran => AttemptOutcome::NotRun,
+            Some(status) => AttemptOutcome::Answer(status),
             None => return,
         };
-        self.note(id, Update::Came(attempt, came));
+        self.note(id, Update::AttemptEnded(attempt, outcome));
     }
 }
 
@@ -183,7 +188,7 @@
 impl Drop for Unsent<'_> {
     fn drop(&mut self) {
         if let Some(attempt) = self.attempt {
-            self.orders.note(self.id, Update::Came(attempt, Came::NotRun));
+            self.orders.note(self.id, Update::AttemptEnded(attempt, AttemptOutcome::NotRun));
         }
     }
 }
