--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -2,7 +2,7 @@
 //! opens it where none has.
 
 use clap::{Args, Subcommand, ValueEnum};
-use ivygate_journal::{answer, ask, AttemptOutcome, Ended, JournalError, Order, State, Store, Told};
+use ivygate_journal::{answer, ask, AttemptOutcome, EndReason, JournalError, Order, State, Store, Told};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::{self, Write};
@@ -314,13 +314,13 @@
             format!("{} at {:.3}: {outcome}", attempt.server, attempt.sent_at / 1000.0)
         })
         .collect();
-    let ended = match order.ended {
+    let end_reason = match order.end_reason {
         None => "",
-        Some(Ended::ClientGone) => "  the client had left",
-        Some(Ended::GivenUp) => "  its time was up",
+        Some(EndReason::ClientGone) => "  the client had left",
+        Some(EndReason::TimedOut) => "  its time was up",
     };
     format!(
-        "{word:<14} {}  customer {}  {} {}  [{}]{ended}",
+        "{word:<14} {}  customer {}  {} {}  [{}]{end_reason}",
         order.client_id.as_deref().unwrap_or(id),
         order.customer,
         order.route,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use asking::{answer, Told};
 pub use desk::{ask, Desk};
-pub use order::{Attempt, AttemptOutcome, Ended, Order, State, Update};
+pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonyms;
 pub use store::{Fill, Found, JournalError, Keeping, Level, Place, Recorded, Store, Verified};
 pub use writer::{Journal, NotRecorded};
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -33,11 +33,12 @@
 /// How it ended for its client, where that was not with the answer of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
+pub enum EndReason {
     /// The client left before there was an answer.
     ClientGone,
     /// Its time was up.
-    GivenUp,
+    #[serde(rename = "given-up")]
+    TimedOut,
 }
 
 /// A request that must not run twice, or a keyed one.
@@ -59,8 +60,8 @@
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
     /// How it ended, where no attempt tells.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<Ended>,
+    #[serde(rename = "ended", default, skip_serializing_if = "Option::is_none")]
+    pub end_reason: Option<EndReason>,
 }
 
 #[allow(clippy::trivially_copy_pass_by_ref, reason = "asked for by serde")]
@@ -103,7 +104,7 @@
     /// What came of an attempt, by its number.
     AttemptEnded(u32, AttemptOutcome),
     /// It ended for its client without an answer of an attempt.
-    Ended(Ended),
+    Closed(EndReason),
 }
 
 impl Order {
@@ -123,7 +124,7 @@
                     attempt.outcome = outcome;
                 }
             }
-            Update::Ended(ended) => self.ended = Some(self.ended.unwrap_or(ended)),
+            Update::Closed(reason) => self.end_reason = Some(self.end_reason.unwrap_or(reason)),
         }
     }
 
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -472,7 +472,7 @@
                         (order, weight)
                     }
                     // What came of an order that was dropped or left out says nothing by itself.
-                    None if matches!(update, Update::AttemptEnded(..) | Update::Ended(_)) => continue,
+                    None if matches!(update, Update::AttemptEnded(..) | Update::Closed(_)) => continue,
                     None => (Order::default(), 0),
                 };
                 let place = (had > 0).then(|| taken_at(&order));
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -341,7 +341,7 @@
                         target: target.path_and_query(),
                         taken_at: route.pool.driver.now().as_millis(),
                         attempts: Vec::new(),
-                        ended: None,
+                        end_reason: None,
                     },
                 )),
             };
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,7 +4,7 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, AttemptOutcome, Desk, Ended, Journal, JournalError, Keeping, Level, NotRecorded, Order,
+    Attempt, AttemptOutcome, Desk, EndReason, Journal, JournalError, Keeping, Level, NotRecorded, Order,
     Pseudonyms, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
@@ -205,14 +205,14 @@
     pub fn answered(&self, answer: &Answer) {
         self.answered.set(true);
         if matches!(answer, Answer::TimeUp) {
-            self.ended(Ended::GivenUp);
+            self.ended(EndReason::TimedOut);
         }
     }
 
-    fn ended(&self, ended: Ended) {
+    fn ended(&self, reason: EndReason) {
         let recorded = self.orders.taken.borrow().get(&self.id).is_some_and(|entry| entry.order.is_none());
         if recorded {
-            self.orders.note(&self.id, Update::Ended(ended));
+            self.orders.note(&self.id, Update::Closed(reason));
         }
     }
 
@@ -226,7 +226,7 @@
     fn drop(&mut self) {
         // Nobody waits for an answer any more.
         if !self.answered.get() {
-            self.ended(Ended::ClientGone);
+            self.ended(EndReason::ClientGone);
         }
         self.orders.taken.borrow_mut().remove(&self.id);
     }
--- a/crates/sidecar/src/orders/tests.rs
+++ b/crates/sidecar/src/orders/tests.rs
@@ -42,7 +42,11 @@
     let store = Store::open(&folder).expect("it opens");
     for id in waited {
         let (_, order) = store.find(&id).expect("read").expect("it is there");
-        assert_eq!((order.state(), order.ended), (State::NeverSent, Some(Ended::ClientGone)), "{id}");
+        assert_eq!(
+            (order.state(), order.end_reason),
+            (State::NeverSent, Some(EndReason::ClientGone)),
+            "{id}"
+        );
         assert!(order.customer.starts_with("hashed:") && !order.customer.contains("alice"));
     }
     let _ = std::fs::remove_dir_all(folder);
