--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -133,7 +133,7 @@
         attempts: vec![attempt()],
         ..Order::default()
     };
-    (format!("{number:016x}-{:016x}", 7), Update::Taken(order))
+    (format!("{number:016x}-{:016x}", 7), Update::Accepted(order))
 }
 
 /// The journal's thread with so many orders that wait for it at once.
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// It was taken, and its first attempt, which it holds, is about to be sent.
-    Taken(Order),
+    Accepted(Order),
     /// A further attempt is about to be sent.
     Sending(Attempt),
     /// What came of an attempt, by its number.
@@ -111,7 +111,7 @@
     /// Takes in what was recorded. What is known is never made less: an answer or a proof stands.
     pub fn apply(&mut self, update: Update) {
         match update {
-            Update::Taken(order) => {
+            Update::Accepted(order) => {
                 let mut attempts = std::mem::take(&mut self.attempts);
                 attempts.extend(order.attempts);
                 *self = Order { attempts, ..order };
--- a/crates/journal/src/order/tests.rs
+++ b/crates/journal/src/order/tests.rs
@@ -47,5 +47,5 @@
     ];
     assert_eq!(after(proved), State::NeverSent);
     assert_eq!(after(vec![Update::AttemptEnded(7, AttemptOutcome::Answer(200))]), State::NeverSent);
-    assert_eq!(after(vec![attempt(), Update::Taken(Order::default())]), State::Unknown);
+    assert_eq!(after(vec![attempt(), Update::Accepted(Order::default())]), State::Unknown);
 }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -421,7 +421,7 @@
             let mut bytes = number(&about, "bytes")?;
             // The newest order tells the time; without one nothing is in the way.
             let now = updates.iter().filter_map(|(_, update)| match update {
-                Update::Taken(order) => Some(order.taken_at),
+                Update::Accepted(order) => Some(order.taken_at),
                 _ => None,
             });
             let oldest = (now.fold(f64::MIN, f64::max) - self.keeping.keep).max(0.0) as u64;
@@ -443,7 +443,7 @@
                 }
             }
             for (id, update) in updates {
-                if let Update::Taken(order) = update {
+                if let Update::Accepted(order) = update {
                     if bytes >= most {
                         became.push(Recorded::Full);
                         continue;
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -111,7 +111,7 @@
 }
 
 fn taken(n: u32) -> Update {
-    Update::Taken(Order { client_id: Some(format!("c{n}")), taken_at: f64::from(n), ..Order::default() })
+    Update::Accepted(Order { client_id: Some(format!("c{n}")), taken_at: f64::from(n), ..Order::default() })
 }
 
 fn sending() -> Update {
@@ -287,7 +287,7 @@
             attempts: vec![attempt],
             ..Order::default()
         };
-        (format!("o{n}"), Update::Taken(order))
+        (format!("o{n}"), Update::Accepted(order))
     };
     let mut taken = 0;
     let full = loop {
@@ -312,7 +312,7 @@
     let again = |at| {
         (
             "again".to_owned(),
-            Update::Taken(Order { client_id: Some("c1".into()), taken_at: at, ..Order::default() }),
+            Update::Accepted(Order { client_id: Some("c1".into()), taken_at: at, ..Order::default() }),
         )
     };
     let (became, _) = store.record(&[again(5000.0)]).expect("recorded");
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -111,7 +111,7 @@
             Some(entry) => entry.order.take(),
         };
         let update = match order {
-            Some(order) => Update::Taken(Order { attempts: vec![attempt], ..order }),
+            Some(order) => Update::Accepted(Order { attempts: vec![attempt], ..order }),
             None => Update::Sending(attempt),
         };
         journal.record(id, update).await
