--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -100,7 +100,7 @@
     /// It was taken, and its first attempt, which it holds, is about to be sent.
     Accepted(Order),
     /// A further attempt is about to be sent.
-    Sending(Attempt),
+    AttemptStarted(Attempt),
     /// What came of an attempt, by its number.
     AttemptEnded(u32, AttemptOutcome),
     /// It ended for its client without an answer of an attempt.
@@ -116,7 +116,7 @@
                 attempts.extend(order.attempts);
                 *self = Order { attempts, ..order };
             }
-            Update::Sending(attempt) => self.attempts.push(attempt),
+            Update::AttemptStarted(attempt) => self.attempts.push(attempt),
             Update::AttemptEnded(number, outcome) => {
                 let found = self.attempts.iter_mut().find(|attempt| attempt.number == number);
                 let Some(attempt) = found else { return };
--- a/crates/journal/src/order/tests.rs
+++ b/crates/journal/src/order/tests.rs
@@ -8,7 +8,7 @@
 
 fn numbered(number: u32) -> Update {
     let server = SocketAddr::from(([127, 0, 0, 1], 9301));
-    Update::Sending(Attempt { number, server, sent_at: 1.0, outcome: AttemptOutcome::Unknown })
+    Update::AttemptStarted(Attempt { number, server, sent_at: 1.0, outcome: AttemptOutcome::Unknown })
 }
 
 fn after(updates: Vec<Update>) -> State {
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -115,7 +115,7 @@
 }
 
 fn sending() -> Update {
-    Update::Sending(Attempt {
+    Update::AttemptStarted(Attempt {
         number: 0,
         server: ([127, 0, 0, 1], 9301).into(),
         sent_at: 1.0,
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -112,7 +112,7 @@
         };
         let update = match order {
             Some(order) => Update::Accepted(Order { attempts: vec![attempt], ..order }),
-            None => Update::Sending(attempt),
+            None => Update::AttemptStarted(attempt),
         };
         journal.record(id, update).await
     }
