--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -129,7 +129,7 @@
         customer: "lodge-17".into(),
         route: "orders".into(),
         target: "/orders".into(),
-        taken_at: 1.8e12 + number as f64,
+        accepted_at: 1.8e12 + number as f64,
         attempts: vec![attempt()],
         ..Order::default()
     };
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -56,7 +56,8 @@
     /// Its target.
     pub target: String,
     /// When it was taken, in Unix milliseconds.
-    pub taken_at: f64,
+    #[serde(rename = "taken_at")]
+    pub accepted_at: f64,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
     /// How it ended, where no attempt tells.
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -332,7 +332,7 @@
                 let order = orders.get(id.as_str())?.map(|value| serde_json::from_slice(value.value()));
                 let order = order.and_then(Result::ok).unwrap_or_else(unreadable);
                 let value = written(&id, &order);
-                by_time.insert((taken_at(&order), id.as_str()), ())?;
+                by_time.insert((accepted_at(&order), id.as_str()), ())?;
                 bytes += weight(&id, order.client_id.as_deref(), value.len());
                 orders.insert(id.as_str(), value.as_slice())?;
             }
@@ -421,7 +421,7 @@
             let mut bytes = number(&about, "bytes")?;
             // The newest order tells the time; without one nothing is in the way.
             let now = updates.iter().filter_map(|(_, update)| match update {
-                Update::Accepted(order) => Some(order.taken_at),
+                Update::Accepted(order) => Some(order.accepted_at),
                 _ => None,
             });
             let oldest = (now.fold(f64::MIN, f64::max) - self.keeping.keep).max(0.0) as u64;
@@ -475,9 +475,9 @@
                     None if matches!(update, Update::AttemptEnded(..) | Update::Closed(_)) => continue,
                     None => (Order::default(), 0),
                 };
-                let place = (had > 0).then(|| taken_at(&order));
+                let place = (had > 0).then(|| accepted_at(&order));
                 order.apply(update.clone());
-                let moved = taken_at(&order);
+                let moved = accepted_at(&order);
                 if place != Some(moved) {
                     if let Some(place) = place {
                         by_time.remove((place, id.as_str()))?;
@@ -583,7 +583,7 @@
                 };
                 found.orders += 1;
                 found.unknown += u64::from(order.state() == State::Unknown);
-                if by_time.get((taken_at(&order), id))?.is_none() {
+                if by_time.get((accepted_at(&order), id))?.is_none() {
                     told(format!("{id}: it is not found by its time"));
                 }
                 if order.attempts.windows(2).any(|pair| pair[0].number >= pair[1].number) {
@@ -634,8 +634,8 @@
     (at, id.to_owned())
 }
 
-fn taken_at(order: &Order) -> u64 {
-    order.taken_at.max(0.0) as u64
+fn accepted_at(order: &Order) -> u64 {
+    order.accepted_at.max(0.0) as u64
 }
 
 /// What an order takes of what may be recorded.
@@ -682,7 +682,7 @@
     let server = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
     let attempt = crate::Attempt { number: 0, server, sent_at: 0.0, outcome: crate::AttemptOutcome::Unknown };
     // It is not the oldest, which would be dropped first.
-    Order { attempts: vec![attempt], taken_at: f64::MAX, ..Order::default() }
+    Order { attempts: vec![attempt], accepted_at: f64::MAX, ..Order::default() }
 }
 
 #[cfg(test)]
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -111,7 +111,11 @@
 }
 
 fn taken(n: u32) -> Update {
-    Update::Accepted(Order { client_id: Some(format!("c{n}")), taken_at: f64::from(n), ..Order::default() })
+    Update::Accepted(Order {
+        client_id: Some(format!("c{n}")),
+        accepted_at: f64::from(n),
+        ..Order::default()
+    })
 }
 
 fn sending() -> Update {
@@ -283,7 +287,7 @@
         };
         let order = Order {
             client_id: Some(format!("c{n}")),
-            taken_at: at,
+            accepted_at: at,
             attempts: vec![attempt],
             ..Order::default()
         };
@@ -312,7 +316,7 @@
     let again = |at| {
         (
             "again".to_owned(),
-            Update::Accepted(Order { client_id: Some("c1".into()), taken_at: at, ..Order::default() }),
+            Update::Accepted(Order { client_id: Some("c1".into()), accepted_at: at, ..Order::default() }),
         )
     };
     let (became, _) = store.record(&[again(5000.0)]).expect("recorded");
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -339,7 +339,7 @@
                         customer: orders.customer(&customer),
                         route: route.name.to_string(),
                         target: target.path_and_query(),
-                        taken_at: route.pool.driver.now().as_millis(),
+                        accepted_at: route.pool.driver.now().as_millis(),
                         attempts: Vec::new(),
                         end_reason: None,
                     },
