--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -81,9 +81,9 @@
 impl Asked {
     fn word(self) -> &'static str {
         match self {
-            Asked::NeverSent => State::NeverSent.word(),
-            Asked::Answered => State::Answered(0).word(),
-            Asked::Unknown => State::Unknown.word(),
+            Asked::NeverSent => State::NeverSent.as_str(),
+            Asked::Answered => State::Answered(0).as_str(),
+            Asked::Unknown => State::Unknown.as_str(),
         }
     }
 }
--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -45,7 +45,7 @@
         State::Answered(status) => Some(status),
         State::NeverSent | State::Unknown => None,
     };
-    json!({ "id": id, "state": order.state().word(), "status": status, "order": order })
+    json!({ "id": id, "state": order.state().as_str(), "status": status, "order": order })
 }
 
 /// Answers `/orders?state=…&customer=…&id=…&after=…&limit=…` and `/verify`.
@@ -75,8 +75,8 @@
         match &*name {
             "id" => asked.id = Some(value.into_owned()),
             "customer" => asked.customer = Some(value.into_owned()),
-            "state" if State::WORDS.contains(&&*value) => asked.state = Some(value.into_owned()),
-            "state" => return Err(format!("`state` is {}, not `{value}`", State::WORDS.join(", "))),
+            "state" if State::NAMES.contains(&&*value) => asked.state = Some(value.into_owned()),
+            "state" => return Err(format!("`state` is {}, not `{value}`", State::NAMES.join(", "))),
             "after" => {
                 let place =
                     value.split_once('-').and_then(|(at, id)| Some((at.parse().ok()?, id.to_owned())));
@@ -105,7 +105,7 @@
     };
     let (mut lines, mut count) = (String::new(), 0);
     let next = store.list(asked.after.as_ref(), READ_MOST, |(id, order)| {
-        let fits = asked.state.as_ref().is_none_or(|state| order.state().word() == state)
+        let fits = asked.state.as_ref().is_none_or(|state| order.state().as_str() == state)
             && asked.customer.as_ref().is_none_or(|customer| {
                 order.customer == *customer || pseudonym.as_ref() == Some(&order.customer)
             });
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -83,14 +83,14 @@
 
 impl State {
     /// The words for states.
-    pub const WORDS: [&'static str; 3] = ["never-sent", "answered", "unknown"];
+    pub const NAMES: [&'static str; 3] = ["never-sent", "answered", "unknown"];
 
     /// The word for it, without the status.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::NeverSent => Self::WORDS[0],
-            State::Answered(_) => Self::WORDS[1],
-            State::Unknown => Self::WORDS[2],
+            State::NeverSent => Self::NAMES[0],
+            State::Answered(_) => Self::NAMES[1],
+            State::Unknown => Self::NAMES[2],
         }
     }
 }
