--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -2,7 +2,9 @@
 //! opens it where none has.
 
 use clap::{Args, Subcommand, ValueEnum};
-use ivygate_journal::{answer, ask, AttemptOutcome, EndReason, JournalError, Order, State, Store, Told};
+use ivygate_journal::{
+    answer, ask, AttemptOutcome, EndReason, JournalError, Order, QueryResponse, State, Store,
+};
 use serde::Deserialize;
 use serde_json::Value;
 use std::io::{self, Write};
@@ -128,7 +130,7 @@
         }
     }
 
-    fn ask(&self, target: &str) -> Result<Told, Failure> {
+    fn ask(&self, target: &str) -> Result<QueryResponse, Failure> {
         let told = match self {
             Journal::Here(store) => answer(store, target),
             Journal::Running(folder) => ask(folder, target).map_err(|error| {
--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -14,14 +14,14 @@
 
 /// An answer.
 #[derive(Debug)]
-pub struct Told {
+pub struct QueryResponse {
     /// As in HTTP: 200, 400, 404 or 500.
     pub status: u16,
     /// JSON documents, one a line. The last line of a page that is not the last one is `{"next": "PLACE"}`.
     pub lines: String,
 }
 
-impl Told {
+impl QueryResponse {
     /// Why there is nothing to be told.
     pub fn error(status: u16, why: &str) -> Self {
         told(status, &json!({ "error": why }))
@@ -49,24 +49,24 @@
 }
 
 /// Answers `/orders?state=…&customer=…&id=…&after=…&limit=…` and `/verify`.
-pub fn answer(store: &Store, target: &str) -> Told {
+pub fn answer(store: &Store, target: &str) -> QueryResponse {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let told = match path {
         "/orders" => match read(query) {
             Ok(asked) => orders(store, &asked),
-            Err(why) => return Told::error(400, &why),
+            Err(why) => return QueryResponse::error(400, &why),
         },
         "/verify" => store.verify().map(|found| {
             let document = json!({ "orders": found.orders, "unknown": found.unknown, "wrong": found.wrong });
             told(200, &document)
         }),
-        _ => return Told::error(404, "ask for `/orders` or `/verify`"),
+        _ => return QueryResponse::error(404, "ask for `/orders` or `/verify`"),
     };
-    told.unwrap_or_else(|error| Told::error(500, &error.to_string()))
+    told.unwrap_or_else(|error| QueryResponse::error(500, &error.to_string()))
 }
 
-fn told(status: u16, document: &Value) -> Told {
-    Told { status, lines: format!("{document}\n") }
+fn told(status: u16, document: &Value) -> QueryResponse {
+    QueryResponse { status, lines: format!("{document}\n") }
 }
 
 fn read(query: &str) -> Result<Asked, Misasked> {
@@ -92,11 +92,11 @@
     Ok(asked)
 }
 
-fn orders(store: &Store, asked: &Asked) -> Result<Told, JournalError> {
+fn orders(store: &Store, asked: &Asked) -> Result<QueryResponse, JournalError> {
     if let Some(id) = &asked.id {
         return Ok(match store.find(id)? {
             Some((id, order)) => told(200, &document(&id, &order)),
-            None => Told::error(404, &format!("the journal has no order {id}")),
+            None => QueryResponse::error(404, &format!("the journal has no order {id}")),
         });
     }
     let pseudonym = match &asked.customer {
@@ -118,5 +118,5 @@
     if let Some((at, id)) = next {
         lines += &format!("{}\n", json!({ "next": format!("{at}-{id}") }));
     }
-    Ok(Told { status: 200, lines })
+    Ok(QueryResponse { status: 200, lines })
 }
--- a/crates/journal/src/desk.rs
+++ b/crates/journal/src/desk.rs
@@ -3,7 +3,7 @@
 //! One question a connection, a line such as `/orders?state=unknown`; the answer is a line with its status and length
 //! in bytes, and the documents behind it. One is answered after the other, by a thread of its own.
 
-use crate::asking::{answer, Told};
+use crate::asking::{answer, QueryResponse};
 use crate::store::Store;
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -81,7 +81,7 @@
     let mut line = String::new();
     BufReader::new(stream.take(QUESTION_MOST)).read_line(&mut line)?;
     let Some(target) = line.strip_suffix('\n') else { return Ok(()) };
-    let Told { status, lines } = answer(store, target);
+    let QueryResponse { status, lines } = answer(store, target);
     let mut stream = stream;
     stream.write_all(format!("{status} {}\n", lines.len()).as_bytes())?;
     stream.write_all(lines.as_bytes())
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// If there is none, or it does not answer whole.
-pub fn ask(folder: &Path, target: &str) -> io::Result<Told> {
+pub fn ask(folder: &Path, target: &str) -> io::Result<QueryResponse> {
     let mut stream = UnixStream::connect(folder.join(SOCKET))?;
     stream.set_read_timeout(Some(ANSWER_WITHIN))?;
     stream.write_all(format!("{target}\n").as_bytes())?;
@@ -107,5 +107,5 @@
     if lines.len() != length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    Ok(Told { status, lines })
+    Ok(QueryResponse { status, lines })
 }
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -6,7 +6,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Response, StatusCode};
 use ivygate_config::Operator;
-use ivygate_journal::{answer, Told};
+use ivygate_journal::{answer, QueryResponse};
 use ivygate_runtime::{Asked, ClientLimits, Front};
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,41 +32,41 @@
     }
 
     /// What is believed of all zones that are judged, as JSON lines, by pool and zone.
-    fn domains(&self) -> Told {
+    fn domains(&self) -> QueryResponse {
         let site = self.shared.site.borrow().clone();
         let mut pools: Vec<_> = site.pools.values().filter(|pool| pool.zones.is_some()).collect();
         if pools.is_empty() {
-            return Told::error(404, "no pool here has `domains`");
+            return QueryResponse::error(404, "no pool here has `domains`");
         }
         pools.sort_by(|a, b| a.settings.name.cmp(&b.settings.name));
         let told = pools.iter().flat_map(|pool| {
             pool.zones.iter().flat_map(|zones| zones.told(pool.driver.now())).collect::<Vec<_>>()
         });
-        Told { status: 200, lines: told.map(|document| format!("{document}\n")).collect() }
+        QueryResponse { status: 200, lines: told.map(|document| format!("{document}\n")).collect() }
     }
 
-    async fn told(&self, method: &Method, target: &str) -> Told {
+    async fn told(&self, method: &Method, target: &str) -> QueryResponse {
         if method != Method::GET && method != Method::HEAD {
-            return Told::error(405, "this is read-only: ask with GET");
+            return QueryResponse::error(405, "this is read-only: ask with GET");
         }
         if target == "/members" {
             let talk = self.shared.talk.borrow().clone();
-            let Some(talk) = talk else { return Told::error(404, "there is no `group` here") };
+            let Some(talk) = talk else { return QueryResponse::error(404, "there is no `group` here") };
             let lines = talk.told().iter().map(|document| format!("{document}\n")).collect();
-            return Told { status: 200, lines };
+            return QueryResponse { status: 200, lines };
         }
         if target == "/domains" {
             return self.domains();
         }
         let Some(store) = self.shared.orders.as_ref().and_then(|orders| orders.store()) else {
-            return Told::error(404, "there is no journal here");
+            return QueryResponse::error(404, "there is no journal here");
         };
         // It is never closed.
         let _turn = self.turns.acquire().await;
         let target = target.to_owned();
         // Reads the disk, and so not on the thread that serves clients.
         let told = tokio::task::spawn_blocking(move || answer(&store, &target)).await;
-        told.unwrap_or_else(|_| Told::error(500, "the answer failed"))
+        told.unwrap_or_else(|_| QueryResponse::error(500, "the answer failed"))
     }
 }
 
@@ -87,7 +87,7 @@
         turn.open();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
         let told = match flaw {
-            Some(flaw) => Told::error(400, &flaw.to_string()),
+            Some(flaw) => QueryResponse::error(400, &flaw.to_string()),
             None => self.told(request.method(), target).await,
         };
         let mut response = Response::new(Full::new(Bytes::from(told.lines)));
