--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -49,7 +49,7 @@
 }
 
 /// Answers `/orders?state=…&customer=…&id=…&after=…&limit=…` and `/verify`.
-pub fn answer(store: &Store, target: &str) -> QueryResponse {
+pub fn answer_query(store: &Store, target: &str) -> QueryResponse {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let told = match path {
         "/orders" => match read(query) {
--- a/crates/journal/src/desk.rs
+++ b/crates/journal/src/desk.rs
@@ -3,7 +3,7 @@
 //! One question a connection, a line such as `/orders?state=unknown`; the answer is a line with its status and length
 //! in bytes, and the documents behind it. One is answered after the other, by a thread of its own.
 
-use crate::asking::{answer, QueryResponse};
+use crate::asking::{answer_query, QueryResponse};
 use crate::store::Store;
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -81,7 +81,7 @@
     let mut line = String::new();
     BufReader::new(stream.take(QUESTION_MOST)).read_line(&mut line)?;
     let Some(target) = line.strip_suffix('\n') else { return Ok(()) };
-    let QueryResponse { status, lines } = answer(store, target);
+    let QueryResponse { status, lines } = answer_query(store, target);
     let mut stream = stream;
     stream.write_all(format!("{status} {}\n", lines.len()).as_bytes())?;
     stream.write_all(lines.as_bytes())
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -12,7 +12,7 @@
 mod store;
 mod writer;
 
-pub use asking::{answer, QueryResponse};
+pub use asking::{answer_query, QueryResponse};
 pub use desk::{ask, Desk};
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonyms;
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -6,7 +6,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Response, StatusCode};
 use ivygate_config::Operator;
-use ivygate_journal::{answer, QueryResponse};
+use ivygate_journal::{answer_query, QueryResponse};
 use ivygate_runtime::{Asked, ClientLimits, Front};
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,7 +65,7 @@
         let _turn = self.turns.acquire().await;
         let target = target.to_owned();
         // Reads the disk, and so not on the thread that serves clients.
-        let told = tokio::task::spawn_blocking(move || answer(&store, &target)).await;
+        let told = tokio::task::spawn_blocking(move || answer_query(&store, &target)).await;
         told.unwrap_or_else(|_| QueryResponse::error(500, "the answer failed"))
     }
 }
