--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -3,7 +3,8 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use ivygate_journal::{
-    answer_query, ask, AttemptOutcome, EndReason, JournalError, Order, QueryResponse, State, Store,
+    answer_query, query_running_process, AttemptOutcome, EndReason, JournalError, Order, QueryResponse,
+    State, Store,
 };
 use serde::Deserialize;
 use serde_json::Value;
@@ -133,7 +134,7 @@
     fn ask(&self, target: &str) -> Result<QueryResponse, Failure> {
         let told = match self {
             Journal::Here(store) => answer_query(store, target),
-            Journal::Running(folder) => ask(folder, target).map_err(|error| {
+            Journal::Running(folder) => query_running_process(folder, target).map_err(|error| {
                 Failure::Said(format!(
                     "the journal {} is in use by a process that does not answer: {error}",
                     folder.display()
--- a/crates/journal/src/desk.rs
+++ b/crates/journal/src/desk.rs
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// If there is none, or it does not answer whole.
-pub fn ask(folder: &Path, target: &str) -> io::Result<QueryResponse> {
+pub fn query_running_process(folder: &Path, target: &str) -> io::Result<QueryResponse> {
     let mut stream = UnixStream::connect(folder.join(SOCKET))?;
     stream.set_read_timeout(Some(ANSWER_WITHIN))?;
     stream.write_all(format!("{target}\n").as_bytes())?;
