--- a/crates/journal/src/desk.rs
+++ b/crates/journal/src/desk.rs
@@ -29,13 +29,13 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// A socket that is answered for as long as this lives.
-pub struct Desk {
+pub struct QuerySocket {
     path: PathBuf,
     ending: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Desk {
+impl QuerySocket {
     /// Opens it. To be called by the process that has the journal open: a socket that is there is of one that died.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
     }
 }
 
-impl Drop for Desk {
+impl Drop for QuerySocket {
     fn drop(&mut self) {
         self.ending.store(true, Ordering::SeqCst);
         // Wakes the thread up. Where the folder is gone nobody can, and it is left to end with the process.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -13,7 +13,7 @@
 mod writer;
 
 pub use asking::{answer_query, QueryResponse};
-pub use desk::{query_running_process, Desk};
+pub use desk::{query_running_process, QuerySocket};
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonyms;
 pub use store::{Fill, Found, JournalError, Keeping, Level, Place, Recorded, Store, Verified};
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,8 +4,8 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, AttemptOutcome, Desk, EndReason, Journal, JournalError, Keeping, Level, NotRecorded, Order,
-    Pseudonyms, State, Store, Update,
+    Attempt, AttemptOutcome, EndReason, Journal, JournalError, Keeping, Level, NotRecorded, Order,
+    Pseudonyms, QuerySocket, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -34,7 +34,7 @@
 struct Open {
     journal: Rc<Journal>,
     store: Arc<Store>,
-    _desk: Option<Desk>,
+    _query_socket: Option<QuerySocket>,
 }
 
 struct Entry {
@@ -72,13 +72,13 @@
             None
         };
         let store = Arc::new(store);
-        let desk = Desk::open(folder, store.clone()).map_err(|error| {
+        let query_socket = QuerySocket::open(folder, store.clone()).map_err(|error| {
             // Nothing that clients get rests on it.
             eprintln!("ivygate: the journal {} can be asked when this ends only: {error}", folder.display());
         });
         let journal = Rc::new(Journal::start(store.clone()).map_err(io)?);
         Ok(Rc::new(Self {
-            open: RefCell::new(Some(Open { journal, store, _desk: desk.ok() })),
+            open: RefCell::new(Some(Open { journal, store, _query_socket: query_socket.ok() })),
             keyed: settings.keyed,
             id_header: HeaderName::try_from(&settings.id_header).unwrap_or(REQUEST_ID),
             pseudonyms,
