--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -1,7 +1,7 @@
 //! What is asked about orders, and the answers, as JSON lines: the same for a folder, a socket and over HTTP.
 
 use crate::order::{Order, State};
-use crate::pseudonym::Pseudonyms;
+use crate::pseudonym::Pseudonymizer;
 use crate::store::{JournalError, Place, Store};
 use serde_json::{json, Value};
 
@@ -100,7 +100,9 @@
         });
     }
     let pseudonym = match &asked.customer {
-        Some(customer) => store.kept_salt()?.and_then(|salt| Some(Pseudonyms::new(&salt)?.of(customer))),
+        Some(customer) => {
+            store.kept_salt()?.and_then(|salt| Some(Pseudonymizer::new(&salt)?.pseudonym(customer)))
+        }
         None => None,
     };
     let (mut lines, mut count) = (String::new(), 0);
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -15,6 +15,6 @@
 pub use asking::{answer_query, QueryResponse};
 pub use desk::{query_running_process, QuerySocket};
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
-pub use pseudonym::Pseudonyms;
+pub use pseudonym::Pseudonymizer;
 pub use store::{Fill, Found, JournalError, Keeping, Level, Place, Recorded, Store, Verified};
 pub use writer::{Journal, NotRecorded};
--- a/crates/journal/src/pseudonym.rs
+++ b/crates/journal/src/pseudonym.rs
@@ -9,16 +9,16 @@
 
 /// Makes pseudonyms.
 #[derive(Clone)]
-pub struct Pseudonyms(Hmac<Sha256>);
+pub struct Pseudonymizer(Hmac<Sha256>);
 
-impl Pseudonyms {
+impl Pseudonymizer {
     /// With a journal's salt.
     pub fn new(salt: &[u8]) -> Option<Self> {
         Hmac::new_from_slice(salt).ok().map(Self)
     }
 
     /// A customer's.
-    pub fn of(&self, customer: &str) -> String {
+    pub fn pseudonym(&self, customer: &str) -> String {
         let digest = self.0.clone().chain_update(customer).finalize().into_bytes();
         digest.iter().take(LENGTH).fold("hashed:".to_owned(), |mut text, byte| {
             // Writing to a text cannot fail.
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -5,7 +5,7 @@
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
     Attempt, AttemptOutcome, EndReason, Journal, JournalError, Keeping, Level, NotRecorded, Order,
-    Pseudonyms, QuerySocket, State, Store, Update,
+    Pseudonymizer, QuerySocket, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -27,7 +27,7 @@
     /// The header with a client's id.
     pub id_header: HeaderName,
     /// Where customers are not recorded by name.
-    pseudonyms: Option<Pseudonyms>,
+    pseudonymizer: Option<Pseudonymizer>,
     taken: RefCell<HashMap<RequestId, Entry>>,
 }
 
@@ -63,10 +63,10 @@
                 folder.display()
             );
         }
-        let pseudonyms = if settings.hashed {
+        let pseudonymizer = if settings.hashed {
             let mut fresh = [0; 32];
             getrandom::fill(&mut fresh).map_err(|error| io(std::io::Error::other(error.to_string())))?;
-            let made = Pseudonyms::new(&store.salt(fresh)?);
+            let made = Pseudonymizer::new(&store.salt(fresh)?);
             Some(made.ok_or_else(|| io(std::io::ErrorKind::InvalidData.into()))?)
         } else {
             None
@@ -81,7 +81,7 @@
             open: RefCell::new(Some(Open { journal, store, _query_socket: query_socket.ok() })),
             keyed: settings.keyed,
             id_header: HeaderName::try_from(&settings.id_header).unwrap_or(REQUEST_ID),
-            pseudonyms,
+            pseudonymizer,
             taken: RefCell::default(),
         }))
     }
@@ -93,7 +93,9 @@
 
     /// A customer as it is recorded.
     pub fn customer(&self, customer: &str) -> String {
-        self.pseudonyms.as_ref().map_or_else(|| customer.to_owned(), |made| made.of(customer))
+        self.pseudonymizer
+            .as_ref()
+            .map_or_else(|| customer.to_owned(), |pseudonymizer| pseudonymizer.pseudonym(customer))
     }
 
     /// A request has been taken; it is recorded with its first attempt. Forgotten when what comes back is dropped.
