--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use crate::turns;
-use ivygate_journal::{Attempt, AttemptOutcome, Journal, Keeping, Level, Order, Store, Update};
+use ivygate_journal::{Attempt, AttemptOutcome, Journal, Level, Order, Retention, Store, Update};
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 use std::fs::{File, OpenOptions};
@@ -18,7 +18,7 @@
 /// Orders in flight.
 const IN_FLIGHT: [usize; 3] = [1, 16, 256];
 /// Far more than a measurement fills.
-const KEEPING: Keeping = Keeping { keep: 1e12, disk: 1 << 40 };
+const RETENTION: Retention = Retention { max_age_ms: 1e12, max_file_bytes: 1 << 40 };
 
 /// Measures and prints; the folder is where the journals lie, on the disk that is to be measured.
 pub fn measure(turns: usize, seconds: f64, orders: u32, folder: &Path) -> io::Result<()> {
@@ -152,7 +152,7 @@
         let (counter, bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let file = FileBackend::new(open_file(&path)?).map_err(io::Error::other)?;
         let backend = Counted { file, syncs: counter.clone(), bytes: bytes.clone() };
-        let store = Store::on(path.clone(), backend, KEEPING).map_err(io::Error::other)?;
+        let store = Store::on(path.clone(), backend, RETENTION).map_err(io::Error::other)?;
         let journal = Journal::start(Arc::new(store))?;
         let before = [&counter, &bytes].map(|count| count.load(Ordering::Relaxed));
         let (start, next) = (Instant::now(), std::cell::Cell::new(0));
@@ -209,7 +209,7 @@
 /// Opening a journal of so many orders, one in a thousand unknown: closed in order, and after a crash.
 fn recovery(orders: u32, folder: &Path) -> io::Result<()> {
     let (made, crashed) = (folder.join("made"), folder.join("crashed"));
-    let store = Store::create(&made, Level::Written, KEEPING).map_err(io::Error::other)?;
+    let store = Store::create(&made, Level::Written, RETENTION).map_err(io::Error::other)?;
     let numbers: Vec<u64> = (0..u64::from(orders)).collect();
     let start = Instant::now();
     for part in numbers.chunks(1024) {
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -54,16 +54,16 @@
 
 /// How long orders are kept, and how much of the disk they may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Keeping {
+pub struct Retention {
     /// Milliseconds since an order was taken.
-    pub keep: f64,
+    pub max_age_ms: f64,
     /// Bytes of the store's file.
-    pub disk: u64,
+    pub max_file_bytes: u64,
 }
 
-impl Default for Keeping {
+impl Default for Retention {
     fn default() -> Self {
-        Self { keep: 30.0 * 86_400_000.0, disk: 1 << 30 }
+        Self { max_age_ms: 30.0 * 86_400_000.0, max_file_bytes: 1 << 30 }
     }
 }
 
@@ -183,7 +183,7 @@
 pub struct Store {
     database: Database,
     path: PathBuf,
-    keeping: Keeping,
+    retention: Retention,
     repaired: bool,
     changed: bool,
     /// Device and number of its file, where it is one.
@@ -215,10 +215,10 @@
     ///
     /// # Errors
     /// If it can't be opened, or was closed in order and has changed since.
-    pub fn create(folder: &Path, level: Level, keeping: Keeping) -> Result<Self, JournalError> {
+    pub fn create(folder: &Path, level: Level, retention: Retention) -> Result<Self, JournalError> {
         let io = |error| JournalError::Io(folder.to_owned(), error);
         fs::DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(io)?;
-        let store = Self::open_file(folder, level, keeping, true)?;
+        let store = Self::open_file(folder, level, retention, true)?;
         if store.changed {
             return Err(JournalError::Changed(store.path));
         }
@@ -233,10 +233,15 @@
         if !folder.join(FILE).is_file() {
             return Err(JournalError::Missing(folder.to_owned()));
         }
-        Self::open_file(folder, Level::Synced, Keeping::default(), false)
+        Self::open_file(folder, Level::Synced, Retention::default(), false)
     }
 
-    fn open_file(folder: &Path, level: Level, keeping: Keeping, create: bool) -> Result<Self, JournalError> {
+    fn open_file(
+        folder: &Path,
+        level: Level,
+        retention: Retention,
+        create: bool,
+    ) -> Result<Self, JournalError> {
         let path = folder.join(FILE);
         let file =
             OpenOptions::new().read(true).write(true).create(create).truncate(false).mode(0o600).open(&path);
@@ -248,7 +253,7 @@
         }
         let told = file.metadata().map_err(|error| JournalError::Io(path.clone(), error))?;
         let backend = FileBackend::new(file).map_err(|error| opened(&path, error))?;
-        let mut store = Self::guarded(path, backend, level, keeping)?;
+        let mut store = Self::guarded(path, backend, level, retention)?;
         store.file = Some((told.dev(), told.ino()));
         Ok(store)
     }
@@ -257,8 +262,12 @@
     ///
     /// # Errors
     /// If it can't be opened.
-    pub fn on(path: PathBuf, backend: impl StorageBackend, keeping: Keeping) -> Result<Self, JournalError> {
-        Self::guarded(path, backend, Level::Synced, keeping)
+    pub fn on(
+        path: PathBuf,
+        backend: impl StorageBackend,
+        retention: Retention,
+    ) -> Result<Self, JournalError> {
+        Self::guarded(path, backend, Level::Synced, retention)
     }
 
     /// The store panics on some pages that the disk has changed; here that is one more way not to open.
@@ -266,10 +275,10 @@
         path: PathBuf,
         inner: impl StorageBackend,
         level: Level,
-        keeping: Keeping,
+        retention: Retention,
     ) -> Result<Self, JournalError> {
         let named = path.clone();
-        let opened = catch_unwind(AssertUnwindSafe(|| Self::with(path, inner, level, keeping)));
+        let opened = catch_unwind(AssertUnwindSafe(|| Self::with(path, inner, level, retention)));
         opened
             .unwrap_or_else(|_| Err(JournalError::Store(named, "its pages contradict each other".to_owned())))
     }
@@ -278,7 +287,7 @@
         path: PathBuf,
         inner: impl StorageBackend,
         level: Level,
-        keeping: Keeping,
+        retention: Retention,
     ) -> Result<Self, JournalError> {
         let backend = Backend { inner, level };
         let repaired = Arc::new(AtomicBool::new(false));
@@ -290,7 +299,7 @@
         // After a crash all pages were checked. Where it was closed in order none was, and a record that the disk has
         // changed since would be taken for what was written.
         let whole = repaired || database.check_integrity().map_err(|error| opened(&path, error))?;
-        let mut store = Self { database, path, keeping, repaired, changed: false, file: None };
+        let mut store = Self { database, path, retention, repaired, changed: false, file: None };
         store.changed = store.told(store.has_changed(!whole))?;
         let format = store.told(store.prepare())?;
         if format > FORMAT {
@@ -417,14 +426,14 @@
             let mut keys = write.open_table(KEYS)?;
             let mut by_time = write.open_table(BY_TIME)?;
             let mut about = write.open_table(ABOUT)?;
-            let most = self.keeping.disk / SPREAD;
+            let most = self.retention.max_file_bytes / SPREAD;
             let mut bytes = number(&about, "bytes")?;
             // The newest order tells the time; without one nothing is in the way.
             let now = updates.iter().filter_map(|(_, update)| match update {
                 Update::Accepted(order) => Some(order.accepted_at),
                 _ => None,
             });
-            let oldest = (now.fold(f64::MIN, f64::max) - self.keeping.keep).max(0.0) as u64;
+            let oldest = (now.fold(f64::MIN, f64::max) - self.retention.max_age_ms).max(0.0) as u64;
             for _ in 0..DROPPED_MOST {
                 let Some((at, id)) = by_time.first()?.map(|(key, _)| owned(key.value())) else { break };
                 if at >= oldest {
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -2,7 +2,7 @@
 //! errors of every kind.
 
 use ivygate_journal::{
-    Attempt, AttemptOutcome, Journal, JournalError, Keeping, Level, Order, Recorded, State, Store, Update,
+    Attempt, AttemptOutcome, Journal, JournalError, Level, Order, Recorded, Retention, State, Store, Update,
 };
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -107,7 +107,7 @@
 }
 
 fn open(power: &Power) -> Result<Store, JournalError> {
-    Store::on(PathBuf::from("simulated"), power.clone(), Keeping::default())
+    Store::on(PathBuf::from("simulated"), power.clone(), Retention::default())
 }
 
 fn taken(n: u32) -> Update {
@@ -226,8 +226,11 @@
 fn a_second_process_is_refused_and_a_missing_journal_is_told() {
     let folder = std::env::temp_dir().join(format!("ivygate-journal-{}", std::process::id()));
     assert!(matches!(Store::open(&folder), Err(JournalError::Missing(_))));
-    let store = Store::create(&folder, Level::Synced, Keeping::default()).expect("it is made");
-    assert!(matches!(Store::create(&folder, Level::Synced, Keeping::default()), Err(JournalError::InUse(_))));
+    let store = Store::create(&folder, Level::Synced, Retention::default()).expect("it is made");
+    assert!(matches!(
+        Store::create(&folder, Level::Synced, Retention::default()),
+        Err(JournalError::InUse(_))
+    ));
     store.record(&[("a".into(), sending())]).expect("it is recorded");
     drop(store);
     assert_eq!(Store::open(&folder).expect("it opens").len().expect("read"), 1);
@@ -276,8 +279,8 @@
 #[test]
 fn orders_are_dropped_when_their_time_is_past_and_new_ones_refused_at_the_bound() {
     let power = disk_with(Vec::new());
-    let keeping = Keeping { keep: 1000.0, disk: 4 << 20 };
-    let store = Store::on(PathBuf::from("simulated"), power.clone(), keeping).expect("it opens");
+    let retention = Retention { max_age_ms: 1000.0, max_file_bytes: 4 << 20 };
+    let store = Store::on(PathBuf::from("simulated"), power.clone(), retention).expect("it opens");
     let order = |n: u32, at: f64| {
         let attempt = Attempt {
             number: 0,
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,8 +4,8 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, AttemptOutcome, EndReason, Journal, JournalError, Keeping, Level, NotRecorded, Order,
-    Pseudonymizer, QuerySocket, State, Store, Update,
+    Attempt, AttemptOutcome, EndReason, Journal, JournalError, Level, NotRecorded, Order, Pseudonymizer,
+    QuerySocket, Retention, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -53,8 +53,8 @@
         let folder = Path::new(&settings.folder);
         let io = |error| JournalError::Io(folder.to_owned(), error);
         let level = if settings.synced { Level::Synced } else { Level::Written };
-        let keeping = Keeping { keep: settings.keep, disk: settings.disk };
-        let store = Store::create(folder, level, keeping)?;
+        let retention = Retention { max_age_ms: settings.keep, max_file_bytes: settings.disk };
+        let store = Store::create(folder, level, retention)?;
         if store.was_repaired() {
             let orders = store.len()?;
             eprintln!(
