--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use crate::turns;
-use ivygate_journal::{Attempt, AttemptOutcome, Journal, Level, Order, Retention, Store, Update};
+use ivygate_journal::{Attempt, AttemptOutcome, DurabilityLevel, Journal, Order, Retention, Store, Update};
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 use std::fs::{File, OpenOptions};
@@ -209,7 +209,7 @@
 /// Opening a journal of so many orders, one in a thousand unknown: closed in order, and after a crash.
 fn recovery(orders: u32, folder: &Path) -> io::Result<()> {
     let (made, crashed) = (folder.join("made"), folder.join("crashed"));
-    let store = Store::create(&made, Level::Written, RETENTION).map_err(io::Error::other)?;
+    let store = Store::create(&made, DurabilityLevel::Written, RETENTION).map_err(io::Error::other)?;
     let numbers: Vec<u64> = (0..u64::from(orders)).collect();
     let start = Instant::now();
     for part in numbers.chunks(1024) {
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -45,7 +45,7 @@
 
 /// How durable a record is when it counts as recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
+pub enum DurabilityLevel {
     /// The system has it: it outlives the process, and not the machine's end.
     Written,
     /// The disk has it.
@@ -148,7 +148,7 @@
 #[derive(Debug)]
 struct Backend<B> {
     inner: B,
-    level: Level,
+    level: DurabilityLevel,
 }
 
 impl<B: StorageBackend> StorageBackend for Backend<B> {
@@ -169,8 +169,8 @@
 
     fn sync_data(&self, eventual: bool) -> io::Result<()> {
         match self.level {
-            Level::Written => Ok(()),
-            Level::Synced => self.inner.sync_data(eventual),
+            DurabilityLevel::Written => Ok(()),
+            DurabilityLevel::Synced => self.inner.sync_data(eventual),
         }
     }
 
@@ -215,7 +215,7 @@
     ///
     /// # Errors
     /// If it can't be opened, or was closed in order and has changed since.
-    pub fn create(folder: &Path, level: Level, retention: Retention) -> Result<Self, JournalError> {
+    pub fn create(folder: &Path, level: DurabilityLevel, retention: Retention) -> Result<Self, JournalError> {
         let io = |error| JournalError::Io(folder.to_owned(), error);
         fs::DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(io)?;
         let store = Self::open_file(folder, level, retention, true)?;
@@ -233,12 +233,12 @@
         if !folder.join(FILE).is_file() {
             return Err(JournalError::Missing(folder.to_owned()));
         }
-        Self::open_file(folder, Level::Synced, Retention::default(), false)
+        Self::open_file(folder, DurabilityLevel::Synced, Retention::default(), false)
     }
 
     fn open_file(
         folder: &Path,
-        level: Level,
+        level: DurabilityLevel,
         retention: Retention,
         create: bool,
     ) -> Result<Self, JournalError> {
@@ -246,7 +246,7 @@
         let file =
             OpenOptions::new().read(true).write(true).create(create).truncate(false).mode(0o600).open(&path);
         let file = file.map_err(|error| JournalError::Io(path.clone(), error))?;
-        if create && level == Level::Synced {
+        if create && level == DurabilityLevel::Synced {
             // Without this a new file may be gone after a power cut, with all that is in it.
             let synced = fs::File::open(folder).and_then(|folder| folder.sync_all());
             synced.map_err(|error| JournalError::Io(folder.to_owned(), error))?;
@@ -267,14 +267,14 @@
         backend: impl StorageBackend,
         retention: Retention,
     ) -> Result<Self, JournalError> {
-        Self::guarded(path, backend, Level::Synced, retention)
+        Self::guarded(path, backend, DurabilityLevel::Synced, retention)
     }
 
     /// The store panics on some pages that the disk has changed; here that is one more way not to open.
     fn guarded(
         path: PathBuf,
         inner: impl StorageBackend,
-        level: Level,
+        level: DurabilityLevel,
         retention: Retention,
     ) -> Result<Self, JournalError> {
         let named = path.clone();
@@ -286,7 +286,7 @@
     fn with(
         path: PathBuf,
         inner: impl StorageBackend,
-        level: Level,
+        level: DurabilityLevel,
         retention: Retention,
     ) -> Result<Self, JournalError> {
         let backend = Backend { inner, level };
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -2,7 +2,8 @@
 //! errors of every kind.
 
 use ivygate_journal::{
-    Attempt, AttemptOutcome, Journal, JournalError, Level, Order, Recorded, Retention, State, Store, Update,
+    Attempt, AttemptOutcome, DurabilityLevel, Journal, JournalError, Order, Recorded, Retention, State,
+    Store, Update,
 };
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -226,9 +227,9 @@
 fn a_second_process_is_refused_and_a_missing_journal_is_told() {
     let folder = std::env::temp_dir().join(format!("ivygate-journal-{}", std::process::id()));
     assert!(matches!(Store::open(&folder), Err(JournalError::Missing(_))));
-    let store = Store::create(&folder, Level::Synced, Retention::default()).expect("it is made");
+    let store = Store::create(&folder, DurabilityLevel::Synced, Retention::default()).expect("it is made");
     assert!(matches!(
-        Store::create(&folder, Level::Synced, Retention::default()),
+        Store::create(&folder, DurabilityLevel::Synced, Retention::default()),
         Err(JournalError::InUse(_))
     ));
     store.record(&[("a".into(), sending())]).expect("it is recorded");
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,8 +4,8 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, AttemptOutcome, EndReason, Journal, JournalError, Level, NotRecorded, Order, Pseudonymizer,
-    QuerySocket, Retention, State, Store, Update,
+    Attempt, AttemptOutcome, DurabilityLevel, EndReason, Journal, JournalError, NotRecorded, Order,
+    Pseudonymizer, QuerySocket, Retention, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -52,7 +52,7 @@
     pub fn open(settings: &ivygate_config::Journal) -> Result<Rc<Self>, JournalError> {
         let folder = Path::new(&settings.folder);
         let io = |error| JournalError::Io(folder.to_owned(), error);
-        let level = if settings.synced { Level::Synced } else { Level::Written };
+        let level = if settings.synced { DurabilityLevel::Synced } else { DurabilityLevel::Written };
         let retention = Retention { max_age_ms: settings.keep, max_file_bytes: settings.disk };
         let store = Store::create(folder, level, retention)?;
         if store.was_repaired() {
