--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -16,5 +16,7 @@
 pub use desk::{query_running_process, QuerySocket};
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonymizer;
-pub use store::{DurabilityLevel, Fill, Found, JournalError, Place, Recorded, Retention, Store, Verified};
+pub use store::{
+    DurabilityLevel, Fill, Found, JournalError, Place, RecordOutcome, Retention, Store, Verified,
+};
 pub use writer::{Journal, NotRecorded};
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -69,11 +69,11 @@
 
 /// What became of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recorded {
+pub enum RecordOutcome {
     /// It is durable to the level.
-    Yes,
+    Recorded,
     /// It was left out: an order with its client's id may have run, and this is known of it.
-    Known(State),
+    Duplicate(State),
     /// It was left out: the journal takes as much of the disk as it may.
     Full,
 }
@@ -404,7 +404,7 @@
     ///
     /// # Errors
     /// If they are not recorded, or it is not known whether they are.
-    pub fn record(&self, updates: &[(String, Update)]) -> Result<(Vec<Recorded>, Fill), JournalError> {
+    pub fn record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Fill), JournalError> {
         // A file that nobody finds any more takes records and gives none back.
         if let Some(file) = self.file {
             let there =
@@ -416,7 +416,7 @@
         self.told(self.try_record(updates))
     }
 
-    fn try_record(&self, updates: &[(String, Update)]) -> Result<(Vec<Recorded>, Fill), redb::Error> {
+    fn try_record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Fill), redb::Error> {
         let mut became = Vec::with_capacity(updates.len());
         let mut write = self.database.begin_write()?;
         write.set_durability(Durability::Immediate);
@@ -454,7 +454,7 @@
             for (id, update) in updates {
                 if let Update::Accepted(order) = update {
                     if bytes >= most {
-                        became.push(Recorded::Full);
+                        became.push(RecordOutcome::Full);
                         continue;
                     }
                     if let Some(client_id) = order.client_id.as_deref().filter(|_| !order.keyed) {
@@ -466,13 +466,13 @@
                             None => None,
                         };
                         if let Some(state) = other.filter(|state| *state != State::NeverSent) {
-                            became.push(Recorded::Known(state));
+                            became.push(RecordOutcome::Duplicate(state));
                             continue;
                         }
                         keys.insert(client_id, id.as_str())?;
                     }
                 }
-                became.push(Recorded::Yes);
+                became.push(RecordOutcome::Recorded);
                 let before =
                     orders.get(id.as_str())?.map(|found| (read(id, found.value()), found.value().len()));
                 let (mut order, had) = match before {
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -2,7 +2,7 @@
 //! serves all that have been handed over meanwhile.
 
 use crate::order::{State, Update};
-use crate::store::{Fill, JournalError, Recorded, Store, NEAR};
+use crate::store::{Fill, JournalError, RecordOutcome, Store, NEAR};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -34,7 +34,7 @@
 }
 
 /// Hears what became of an update.
-type Told = oneshot::Sender<Recorded>;
+type Told = oneshot::Sender<RecordOutcome>;
 
 /// A journal that is being written.
 pub struct Journal {
@@ -62,9 +62,9 @@
         let (told, recorded) = oneshot::channel();
         self.hand_over(id, update, Some(told))?;
         match recorded.await {
-            Ok(Recorded::Yes) => Ok(()),
-            Ok(Recorded::Known(state)) => Err(NotRecorded::Known(state)),
-            Ok(Recorded::Full) => Err(NotRecorded::Full),
+            Ok(RecordOutcome::Recorded) => Ok(()),
+            Ok(RecordOutcome::Duplicate(state)) => Err(NotRecorded::Known(state)),
+            Ok(RecordOutcome::Full) => Err(NotRecorded::Full),
             Err(_) => Err(NotRecorded::Failed),
         }
     }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -2,7 +2,7 @@
 //! errors of every kind.
 
 use ivygate_journal::{
-    Attempt, AttemptOutcome, DurabilityLevel, Journal, JournalError, Order, Recorded, Retention, State,
+    Attempt, AttemptOutcome, DurabilityLevel, Journal, JournalError, Order, RecordOutcome, Retention, State,
     Store, Update,
 };
 use redb::StorageBackend;
@@ -300,7 +300,7 @@
     let mut taken = 0;
     let full = loop {
         let (became, fill) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
-        if became == [Recorded::Full] {
+        if became == [RecordOutcome::Full] {
             break fill;
         }
         taken += 1;
@@ -314,7 +314,7 @@
         .record(&[("o1".into(), Update::AttemptEnded(0, AttemptOutcome::Answer(200)))])
         .expect("recorded")
         .0;
-    assert_eq!(came, [Recorded::Yes]);
+    assert_eq!(came, [RecordOutcome::Recorded]);
     assert_eq!(store.find("c1").expect("read").expect("there").1.state(), State::Answered(200));
     // The same client's id again is known, and after its time it is not.
     let again = |at| {
@@ -324,7 +324,7 @@
         )
     };
     let (became, _) = store.record(&[again(5000.0)]).expect("recorded");
-    assert_eq!(became, [Recorded::Full]);
+    assert_eq!(became, [RecordOutcome::Full]);
     let mut turns = 0;
     let last = loop {
         let became = store.record(&[again(6001.0)]).expect("recorded").0;
@@ -334,7 +334,7 @@
         }
         assert!(turns < taken, "nothing is dropped");
     };
-    assert_eq!(last, [Recorded::Yes]);
+    assert_eq!(last, [RecordOutcome::Recorded]);
     assert!(store.verify().expect("read").wrong.is_empty());
     assert!(power.0.lock().unwrap().cached.len() <= 4 << 20);
 }
