--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -19,4 +19,4 @@
 pub use store::{
     DurabilityLevel, Fill, Found, JournalError, Place, RecordOutcome, Retention, Store, Verified,
 };
-pub use writer::{Journal, NotRecorded};
+pub use writer::{Journal, RecordError};
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -18,13 +18,13 @@
 
 /// It is not recorded, so it must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotRecorded {
+pub enum RecordError {
     /// The journal can't, or nobody knows whether it did.
     Failed,
     /// It takes as much of the disk as it may.
     Full,
     /// An order with the same client's id may have run: this is known of it.
-    Known(State),
+    Duplicate(State),
 }
 
 struct Job {
@@ -58,14 +58,14 @@
     ///
     /// # Errors
     /// If it is not recorded, or it is not known whether it is.
-    pub async fn record(&self, id: &str, update: Update) -> Result<(), NotRecorded> {
+    pub async fn record(&self, id: &str, update: Update) -> Result<(), RecordError> {
         let (told, recorded) = oneshot::channel();
         self.hand_over(id, update, Some(told))?;
         match recorded.await {
             Ok(RecordOutcome::Recorded) => Ok(()),
-            Ok(RecordOutcome::Duplicate(state)) => Err(NotRecorded::Known(state)),
-            Ok(RecordOutcome::Full) => Err(NotRecorded::Full),
-            Err(_) => Err(NotRecorded::Failed),
+            Ok(RecordOutcome::Duplicate(state)) => Err(RecordError::Duplicate(state)),
+            Ok(RecordOutcome::Full) => Err(RecordError::Full),
+            Err(_) => Err(RecordError::Failed),
         }
     }
 
@@ -73,15 +73,15 @@
     ///
     /// # Errors
     /// If too many wait, or nothing can be recorded any more.
-    pub fn note(&self, id: &str, update: Update) -> Result<(), NotRecorded> {
+    pub fn note(&self, id: &str, update: Update) -> Result<(), RecordError> {
         self.hand_over(id, update, None)
     }
 
-    fn hand_over(&self, id: &str, update: Update, told: Option<Told>) -> Result<(), NotRecorded> {
-        let jobs = self.jobs.as_ref().ok_or(NotRecorded::Failed)?;
+    fn hand_over(&self, id: &str, update: Update, told: Option<Told>) -> Result<(), RecordError> {
+        let jobs = self.jobs.as_ref().ok_or(RecordError::Failed)?;
         match jobs.try_send(Job { id: id.to_owned(), update, told }) {
             Ok(()) => Ok(()),
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(NotRecorded::Failed),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(RecordError::Failed),
         }
     }
 }
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -4,8 +4,8 @@
 use hyper::header::HeaderName;
 use ivygate_gateway::RequestId;
 use ivygate_journal::{
-    Attempt, AttemptOutcome, DurabilityLevel, EndReason, Journal, JournalError, NotRecorded, Order,
-    Pseudonymizer, QuerySocket, Retention, State, Store, Update,
+    Attempt, AttemptOutcome, DurabilityLevel, EndReason, Journal, JournalError, Order, Pseudonymizer,
+    QuerySocket, RecordError, Retention, State, Store, Update,
 };
 use ivygate_runtime::{Answer, Ledger};
 use ivygate_time::Timestamp;
@@ -104,12 +104,12 @@
         Taken { orders: self.clone(), id: id.clone(), answered: Cell::new(false) }
     }
 
-    async fn record(&self, id: &RequestId, attempt: Attempt) -> Result<(), NotRecorded> {
-        let journal = self.journal().ok_or(NotRecorded::Failed)?;
+    async fn record(&self, id: &RequestId, attempt: Attempt) -> Result<(), RecordError> {
+        let journal = self.journal().ok_or(RecordError::Failed)?;
         let order = match self.taken.borrow_mut().get_mut(id) {
             // Whoever asked has its answer or has left.
-            None => return Err(NotRecorded::Failed),
-            Some(Entry { known: Some(state), .. }) => return Err(NotRecorded::Known(*state)),
+            None => return Err(RecordError::Failed),
+            Some(Entry { known: Some(state), .. }) => return Err(RecordError::Duplicate(*state)),
             Some(entry) => entry.order.take(),
         };
         let update = match order {
@@ -160,7 +160,7 @@
             let mut unsent = Unsent { orders: self, id, attempt: Some(attempt.number) };
             let recorded = self.record(id, attempt).await;
             unsent.attempt = None;
-            if let (Err(NotRecorded::Known(state)), Some(entry)) =
+            if let (Err(RecordError::Duplicate(state)), Some(entry)) =
                 (recorded, self.taken.borrow_mut().get_mut(id))
             {
                 entry.known = Some(state);
