--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -80,17 +80,17 @@
 
 /// Where the journal stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fill {
+pub struct Usage {
     /// Orders in it.
     pub orders: u64,
     /// The part of what may be recorded that is.
-    pub part: f64,
+    pub fraction: f64,
 }
 
-impl Fill {
+impl Usage {
     /// Whether people should be warned.
-    pub fn is_near(&self) -> bool {
-        self.part >= NEAR
+    pub fn is_near_limit(&self) -> bool {
+        self.fraction >= NEAR
     }
 }
 
@@ -404,7 +404,7 @@
     ///
     /// # Errors
     /// If they are not recorded, or it is not known whether they are.
-    pub fn record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Fill), JournalError> {
+    pub fn record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Usage), JournalError> {
         // A file that nobody finds any more takes records and gives none back.
         if let Some(file) = self.file {
             let there =
@@ -416,11 +416,11 @@
         self.told(self.try_record(updates))
     }
 
-    fn try_record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Fill), redb::Error> {
+    fn try_record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Usage), redb::Error> {
         let mut became = Vec::with_capacity(updates.len());
         let mut write = self.database.begin_write()?;
         write.set_durability(Durability::Immediate);
-        let fill;
+        let usage;
         {
             let mut orders = write.open_table(ORDERS)?;
             let mut keys = write.open_table(KEYS)?;
@@ -498,10 +498,10 @@
                 bytes = bytes.saturating_sub(had) + weight(id, order.client_id.as_deref(), value.len());
             }
             about.insert("bytes", bytes.to_be_bytes().as_slice())?;
-            fill = Fill { orders: orders.len()?, part: bytes as f64 / most.max(1) as f64 };
+            usage = Usage { orders: orders.len()?, fraction: bytes as f64 / most.max(1) as f64 };
         }
         write.commit()?;
-        Ok((became, fill))
+        Ok((became, usage))
     }
 
     /// Calls `each` with orders in the order in which they were taken, from behind a place, until it says that it has
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -2,7 +2,7 @@
 //! serves all that have been handed over meanwhile.
 
 use crate::order::{State, Update};
-use crate::store::{Fill, JournalError, RecordOutcome, Store, NEAR};
+use crate::store::{JournalError, RecordOutcome, Store, Usage, NEAR};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -112,7 +112,7 @@
         jobs.extend(incoming.try_iter().take(COMMIT_MOST - jobs.len()));
         let (updates, told): (Vec<_>, Vec<_>) =
             jobs.into_iter().map(|job| ((job.id, job.update), job.told)).unzip();
-        let (became, fill) = match store.record(&updates) {
+        let (became, usage) = match store.record(&updates) {
             Ok(recorded) => recorded,
             Err(error) => {
                 // After a failed write or sync nobody knows what the disk holds: what the system shows may not be
@@ -127,20 +127,20 @@
                 let _ = told.send(became);
             }
         }
-        if fill.is_near() && !warned {
-            near(&fill);
+        if usage.is_near_limit() && !warned {
+            near(&usage);
         }
         // Told again only after it was well below.
-        warned = fill.is_near() || warned && fill.part > 0.9 * NEAR;
+        warned = usage.is_near_limit() || warned && usage.fraction > 0.9 * NEAR;
     }
 }
 
-fn near(fill: &Fill) {
+fn near(usage: &Usage) {
     eprintln!(
         "ivygate: the journal holds {} orders, {:.0} % of what its `disk` allows; at 100 % requests that must not run \
          twice are refused until some are past their `keep`",
-        fill.orders,
-        100.0 * fill.part
+        usage.orders,
+        100.0 * usage.fraction
     );
 }
 
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -299,14 +299,14 @@
     };
     let mut taken = 0;
     let full = loop {
-        let (became, fill) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
+        let (became, usage) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
         if became == [RecordOutcome::Full] {
-            break fill;
+            break usage;
         }
         taken += 1;
         assert!(taken < 20_000, "there is no bound");
     };
-    assert!(full.is_near() && u64::from(taken) == full.orders && taken > 1000, "{taken} {full:?}");
+    assert!(full.is_near_limit() && u64::from(taken) == full.orders && taken > 1000, "{taken} {full:?}");
     let length = power.0.lock().unwrap().cached.len();
     assert!(length <= 4 << 20, "the file has {length} bytes");
     // What came of those that are there, and further attempts, are still recorded.
