--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -2,7 +2,7 @@
 
 use crate::order::{Order, State};
 use crate::pseudonym::Pseudonymizer;
-use crate::store::{JournalError, Place, Store};
+use crate::store::{Cursor, JournalError, Store};
 use serde_json::{json, Value};
 
 /// Orders in an answer where nothing is said.
@@ -35,7 +35,7 @@
     id: Option<String>,
     state: Option<String>,
     customer: Option<String>,
-    after: Option<Place>,
+    after: Option<Cursor>,
     limit: usize,
 }
 
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -194,7 +194,7 @@
 pub type Found = (String, Order);
 
 /// Where a listing goes on: behind the order that was taken then and has this id.
-pub type Place = (u64, String);
+pub type Cursor = (u64, String);
 
 /// What a look through the whole journal found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -511,11 +511,11 @@
     /// If the journal can't be read.
     pub fn list(
         &self,
-        after: Option<&Place>,
+        after: Option<&Cursor>,
         most: usize,
         mut each: impl FnMut(Found) -> bool,
-    ) -> Result<Option<Place>, JournalError> {
-        let mut try_list = || -> Result<Option<Place>, redb::Error> {
+    ) -> Result<Option<Cursor>, JournalError> {
+        let mut try_list = || -> Result<Option<Cursor>, redb::Error> {
             let reading = self.database.begin_read()?;
             let (orders, by_time) = (reading.open_table(ORDERS)?, reading.open_table(BY_TIME)?);
             let from = match after {
@@ -639,7 +639,7 @@
     Ok(value.map_or(0, u64::from_be_bytes))
 }
 
-fn owned((at, id): (u64, &str)) -> Place {
+fn owned((at, id): (u64, &str)) -> Cursor {
     (at, id.to_owned())
 }
 
