--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -17,6 +17,6 @@
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonymizer;
 pub use store::{
-    Cursor, DurabilityLevel, Found, JournalError, RecordOutcome, Retention, Store, Usage, Verified,
+    Cursor, DurabilityLevel, IdentifiedOrder, JournalError, RecordOutcome, Retention, Store, Usage, Verified,
 };
 pub use writer::{Journal, RecordError};
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -191,7 +191,7 @@
 }
 
 /// An order and its id.
-pub type Found = (String, Order);
+pub type IdentifiedOrder = (String, Order);
 
 /// Where a listing goes on: behind the order that was taken then and has this id.
 pub type Cursor = (u64, String);
@@ -513,7 +513,7 @@
         &self,
         after: Option<&Cursor>,
         most: usize,
-        mut each: impl FnMut(Found) -> bool,
+        mut each: impl FnMut(IdentifiedOrder) -> bool,
     ) -> Result<Option<Cursor>, JournalError> {
         let mut try_list = || -> Result<Option<Cursor>, redb::Error> {
             let reading = self.database.begin_read()?;
@@ -539,7 +539,7 @@
     ///
     /// # Errors
     /// If the journal can't be read.
-    pub fn each(&self, mut each: impl FnMut(Found)) -> Result<(), JournalError> {
+    pub fn each(&self, mut each: impl FnMut(IdentifiedOrder)) -> Result<(), JournalError> {
         self.list(None, usize::MAX, |found| {
             each(found);
             true
@@ -552,8 +552,8 @@
     ///
     /// # Errors
     /// If the journal can't be read.
-    pub fn find(&self, id: &str) -> Result<Option<Found>, JournalError> {
-        let find = || -> Result<Option<Found>, redb::Error> {
+    pub fn find(&self, id: &str) -> Result<Option<IdentifiedOrder>, JournalError> {
+        let find = || -> Result<Option<IdentifiedOrder>, redb::Error> {
             let reading = self.database.begin_read()?;
             let orders = reading.open_table(ORDERS)?;
             let holder = reading.open_table(KEYS)?.get(id)?.map(|holder| holder.value().to_owned());
