--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -56,8 +56,9 @@
             Ok(asked) => orders(store, &asked),
             Err(why) => return QueryResponse::error(400, &why),
         },
-        "/verify" => store.verify().map(|found| {
-            let document = json!({ "orders": found.orders, "unknown": found.unknown, "wrong": found.wrong });
+        "/verify" => store.verify().map(|report| {
+            let document =
+                json!({ "orders": report.orders, "unknown": report.unknown, "wrong": report.problems });
             told(200, &document)
         }),
         _ => return QueryResponse::error(404, "ask for `/orders` or `/verify`"),
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -17,6 +17,7 @@
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonymizer;
 pub use store::{
-    Cursor, DurabilityLevel, IdentifiedOrder, JournalError, RecordOutcome, Retention, Store, Usage, Verified,
+    Cursor, DurabilityLevel, IdentifiedOrder, JournalError, RecordOutcome, Retention, Store, Usage,
+    VerifyReport,
 };
 pub use writer::{Journal, RecordError};
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -198,16 +198,16 @@
 
 /// What a look through the whole journal found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verified {
+pub struct VerifyReport {
     /// Orders that can be read.
     pub orders: u64,
     /// Those of which nobody knows what they did.
     pub unknown: u64,
     /// What is wrong, in words; at most a hundred.
-    pub wrong: Vec<String>,
+    pub problems: Vec<String>,
 }
 
-const WRONG_MOST: usize = 100;
+const MAX_PROBLEMS: usize = 100;
 
 #[allow(clippy::result_large_err, reason = "the store's own errors, which go no further than this module")]
 impl Store {
@@ -567,19 +567,19 @@
     ///
     /// # Errors
     /// If the journal can't be read.
-    pub fn verify(&self) -> Result<Verified, JournalError> {
-        let verify = || -> Result<Verified, redb::Error> {
+    pub fn verify(&self) -> Result<VerifyReport, JournalError> {
+        let verify = || -> Result<VerifyReport, redb::Error> {
             let reading = self.database.begin_read()?;
             let (orders, by_time) = (reading.open_table(ORDERS)?, reading.open_table(BY_TIME)?);
-            let mut found = Verified::default();
-            let mut wrong: Vec<_> = self
+            let mut report = VerifyReport::default();
+            let mut problems: Vec<_> = self
                 .changed
                 .then(|| JournalError::Changed(self.path.clone()).to_string())
                 .into_iter()
                 .collect();
             let mut told = |what: String| {
-                if wrong.len() < WRONG_MOST {
-                    wrong.push(what);
+                if problems.len() < MAX_PROBLEMS {
+                    problems.push(what);
                 }
             };
             for entry in orders.iter()? {
@@ -587,11 +587,11 @@
                 let id = id.value();
                 let Some(order) = whole(id, value.value()) else {
                     told(format!("{id}: its record cannot be read; it counts as sent and unknown"));
-                    found.unknown += 1;
+                    report.unknown += 1;
                     continue;
                 };
-                found.orders += 1;
-                found.unknown += u64::from(order.state() == State::Unknown);
+                report.orders += 1;
+                report.unknown += u64::from(order.state() == State::Unknown);
                 if by_time.get((accepted_at(&order), id))?.is_none() {
                     told(format!("{id}: it is not found by its time"));
                 }
@@ -608,8 +608,8 @@
             if by_time.len()? != orders.len()? {
                 told(format!("{} orders, and {} places by time", orders.len()?, by_time.len()?));
             }
-            found.wrong = wrong;
-            Ok(found)
+            report.problems = problems;
+            Ok(report)
         };
         self.told(verify())
     }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -263,7 +263,7 @@
             continue;
         };
         if store.was_changed() {
-            assert!(!store.verify().expect("read").wrong.is_empty());
+            assert!(!store.verify().expect("read").problems.is_empty());
             found += 1;
             continue;
         }
@@ -335,7 +335,7 @@
         assert!(turns < taken, "nothing is dropped");
     };
     assert_eq!(last, [RecordOutcome::Recorded]);
-    assert!(store.verify().expect("read").wrong.is_empty());
+    assert!(store.verify().expect("read").problems.is_empty());
     assert!(power.0.lock().unwrap().cached.len() <= 4 << 20);
 }
 
@@ -360,7 +360,7 @@
     let store = open(&power).expect("it opens");
     let state = |id: &str| store.find(id).expect("read").expect("there").1.state();
     assert_eq!((state("o"), state("spoilt")), (State::Answered(201), State::Unknown));
-    assert_eq!(store.verify().expect("read").wrong, Vec::<String>::new());
+    assert_eq!(store.verify().expect("read").problems, Vec::<String>::new());
     drop(store);
     written(&|write| {
         let mut about = write.open_table(ABOUT).expect("a table");
