--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -152,7 +152,7 @@
         let (counter, bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let file = FileBackend::new(open_file(&path)?).map_err(io::Error::other)?;
         let backend = Counted { file, syncs: counter.clone(), bytes: bytes.clone() };
-        let store = Store::on(path.clone(), backend, RETENTION).map_err(io::Error::other)?;
+        let store = Store::with_backend(path.clone(), backend, RETENTION).map_err(io::Error::other)?;
         let journal = Journal::start(Arc::new(store))?;
         let before = [&counter, &bytes].map(|count| count.load(Ordering::Relaxed));
         let (start, next) = (Instant::now(), std::cell::Cell::new(0));
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// If it can't be opened.
-    pub fn on(
+    pub fn with_backend(
         path: PathBuf,
         backend: impl StorageBackend,
         retention: Retention,
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -108,7 +108,7 @@
 }
 
 fn open(power: &Power) -> Result<Store, JournalError> {
-    Store::on(PathBuf::from("simulated"), power.clone(), Retention::default())
+    Store::with_backend(PathBuf::from("simulated"), power.clone(), Retention::default())
 }
 
 fn taken(n: u32) -> Update {
@@ -281,7 +281,7 @@
 fn orders_are_dropped_when_their_time_is_past_and_new_ones_refused_at_the_bound() {
     let power = disk_with(Vec::new());
     let retention = Retention { max_age_ms: 1000.0, max_file_bytes: 4 << 20 };
-    let store = Store::on(PathBuf::from("simulated"), power.clone(), retention).expect("it opens");
+    let store = Store::with_backend(PathBuf::from("simulated"), power.clone(), retention).expect("it opens");
     let order = |n: u32, at: f64| {
         let attempt = Attempt {
             number: 0,
