--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -246,7 +246,7 @@
     let opened = start.elapsed();
     let mut unknown = 0_u32;
     store
-        .each(|(_, order)| unknown += u32::from(order.state() == ivygate_journal::State::Unknown))
+        .for_each(|(_, order)| unknown += u32::from(order.state() == ivygate_journal::State::Unknown))
         .map_err(io::Error::other)?;
     let all = start.elapsed() - opened;
     let status = std::fs::read_to_string("/proc/self/status")?;
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -539,7 +539,7 @@
     ///
     /// # Errors
     /// If the journal can't be read.
-    pub fn each(&self, mut each: impl FnMut(IdentifiedOrder)) -> Result<(), JournalError> {
+    pub fn for_each(&self, mut each: impl FnMut(IdentifiedOrder)) -> Result<(), JournalError> {
         self.list(None, usize::MAX, |found| {
             each(found);
             true
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -172,7 +172,7 @@
                 }
             };
             let mut found = BTreeMap::new();
-            store.each(|(id, order)| drop(found.insert(id, order))).expect("it can be read");
+            store.for_each(|(id, order)| drop(found.insert(id, order))).expect("it can be read");
             for (id, answer) in &seen {
                 let state = found.get(id).map(Order::state);
                 let wanted = answer.map_or(State::Unknown, State::Answered);
@@ -219,7 +219,9 @@
     drop(journal);
     let store = open(&power).expect("it opens again");
     let mut answered = 0;
-    store.each(|(_, order)| answered += usize::from(order.state() == State::Answered(201))).expect("read");
+    store
+        .for_each(|(_, order)| answered += usize::from(order.state() == State::Answered(201)))
+        .expect("read");
     assert_eq!((answered, store.len().expect("read")), (2000, 2000));
 }
 
