--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -367,7 +367,7 @@
     ///
     /// # Errors
     /// If it can't be kept.
-    pub fn salt(&self, fresh: [u8; 32]) -> Result<Vec<u8>, JournalError> {
+    pub fn get_or_insert_salt(&self, fresh: [u8; 32]) -> Result<Vec<u8>, JournalError> {
         let salt = || -> Result<Vec<u8>, redb::Error> {
             let write = self.database.begin_write()?;
             let salt = {
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -66,7 +66,7 @@
         let pseudonymizer = if settings.hashed {
             let mut fresh = [0; 32];
             getrandom::fill(&mut fresh).map_err(|error| io(std::io::Error::other(error.to_string())))?;
-            let made = Pseudonymizer::new(&store.salt(fresh)?);
+            let made = Pseudonymizer::new(&store.get_or_insert_salt(fresh)?);
             Some(made.ok_or_else(|| io(std::io::ErrorKind::InvalidData.into()))?)
         } else {
             None
