--- a/crates/journal/src/asking.rs
+++ b/crates/journal/src/asking.rs
@@ -101,9 +101,7 @@
         });
     }
     let pseudonym = match &asked.customer {
-        Some(customer) => {
-            store.kept_salt()?.and_then(|salt| Some(Pseudonymizer::new(&salt)?.pseudonym(customer)))
-        }
+        Some(customer) => store.salt()?.and_then(|salt| Some(Pseudonymizer::new(&salt)?.pseudonym(customer))),
         None => None,
     };
     let (mut lines, mut count) = (String::new(), 0);
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -391,7 +391,7 @@
     ///
     /// # Errors
     /// If the journal can't be read.
-    pub fn kept_salt(&self) -> Result<Option<Vec<u8>>, JournalError> {
+    pub fn salt(&self) -> Result<Option<Vec<u8>>, JournalError> {
         let salt = || -> Result<Option<Vec<u8>>, redb::Error> {
             let about = self.database.begin_read()?.open_table(ABOUT)?;
             Ok(about.get("salt")?.map(|salt| salt.value().to_vec()))
