--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -121,8 +121,8 @@
     fn of(folder: &Path) -> Result<Self, Failure> {
         match Store::open(folder) {
             Ok(store) => {
-                if store.was_changed() {
-                    eprintln!("ivygate: {}", JournalError::Changed(folder.to_owned()));
+                if store.changed_after_close() {
+                    eprintln!("ivygate: {}", JournalError::ChangedAfterClose(folder.to_owned()));
                 }
                 Ok(Journal::Here(Box::new(store)))
             }
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -108,7 +108,7 @@
     /// Another file has its name.
     Replaced(PathBuf),
     /// It was closed in order, and is not as it was then.
-    Changed(PathBuf),
+    ChangedAfterClose(PathBuf),
     /// A later version of this program wrote it.
     Later(PathBuf, u64),
 }
@@ -127,7 +127,7 @@
             JournalError::Replaced(path) => {
                 write!(f, "another file took the place of the journal {}", path.display())
             }
-            JournalError::Changed(path) => write!(
+            JournalError::ChangedAfterClose(path) => write!(
                 f,
                 "the journal {} was closed in order and has changed since: the disk may be failing, and orders in it may \
                  be lost; move the folder away to begin a new one, and keep it for staff",
@@ -220,7 +220,7 @@
         fs::DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(io)?;
         let store = Self::open_file(folder, level, retention, true)?;
         if store.changed {
-            return Err(JournalError::Changed(store.path));
+            return Err(JournalError::ChangedAfterClose(store.path));
         }
         Ok(store)
     }
@@ -354,7 +354,7 @@
     }
 
     /// Whether it was closed in order and found changed later: orders in it may be lost.
-    pub fn was_changed(&self) -> bool {
+    pub fn changed_after_close(&self) -> bool {
         self.changed
     }
 
@@ -574,7 +574,7 @@
             let mut report = VerifyReport::default();
             let mut problems: Vec<_> = self
                 .changed
-                .then(|| JournalError::Changed(self.path.clone()).to_string())
+                .then(|| JournalError::ChangedAfterClose(self.path.clone()).to_string())
                 .into_iter()
                 .collect();
             let mut told = |what: String| {
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -264,7 +264,7 @@
             found += 1;
             continue;
         };
-        if store.was_changed() {
+        if store.changed_after_close() {
             assert!(!store.verify().expect("read").problems.is_empty());
             found += 1;
             continue;
