--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -110,7 +110,7 @@
     /// It was closed in order, and is not as it was then.
     ChangedAfterClose(PathBuf),
     /// A later version of this program wrote it.
-    Later(PathBuf, u64),
+    UnsupportedFormat(PathBuf, u64),
 }
 
 impl fmt::Display for JournalError {
@@ -133,7 +133,7 @@
                  be lost; move the folder away to begin a new one, and keep it for staff",
                 path.display()
             ),
-            JournalError::Later(path, format) => write!(
+            JournalError::UnsupportedFormat(path, format) => write!(
                 f,
                 "the journal {} has format {format}, and this version knows formats up to {FORMAT}; use a later one",
                 path.display()
@@ -303,7 +303,7 @@
         store.changed = store.told(store.has_changed(!whole))?;
         let format = store.told(store.prepare())?;
         if format > FORMAT {
-            return Err(JournalError::Later(store.path, format));
+            return Err(JournalError::UnsupportedFormat(store.path, format));
         }
         Ok(store)
     }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -368,5 +368,5 @@
         let mut about = write.open_table(ABOUT).expect("a table");
         about.insert("format", 3_u64.to_be_bytes().as_slice()).expect("inserted");
     });
-    assert!(matches!(open(&power), Err(JournalError::Later(_, 3))));
+    assert!(matches!(open(&power), Err(JournalError::UnsupportedFormat(_, 3))));
 }
