--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -165,7 +165,7 @@
                     return false;
                 }
                 // What came of it is noted without waiting, as in the sidecar.
-                let _ = journal.note(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(200)));
+                let _ = journal.enqueue(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(200)));
             }
             true
         };
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// If too many wait, or nothing can be recorded any more.
-    pub fn note(&self, id: &str, update: Update) -> Result<(), RecordError> {
+    pub fn enqueue(&self, id: &str, update: Update) -> Result<(), RecordError> {
         self.hand_over(id, update, None)
     }
 
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -212,9 +212,9 @@
     let journal = Journal::start(Arc::new(open(&power).expect("it opens"))).expect("a thread");
     for n in 0..2000 {
         let id = format!("o{n}");
-        journal.note(&id, taken(n)).expect("there is room");
-        journal.note(&id, sending()).expect("there is room");
-        journal.note(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(201))).expect("there is room");
+        journal.enqueue(&id, taken(n)).expect("there is room");
+        journal.enqueue(&id, sending()).expect("there is room");
+        journal.enqueue(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(201))).expect("there is room");
     }
     drop(journal);
     let store = open(&power).expect("it opens again");
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/orders.rs
@@ -132,7 +132,7 @@
     fn note(&self, id: &RequestId, update: Update) {
         if let Some(journal) = self.journal() {
             // What is not noted leaves the order unknown, which is the safe side.
-            let _ = journal.note(id, update);
+            let _ = journal.enqueue(id, update);
         }
     }
 }
