--- a/crates/forward-auth/src/admissions.rs
+++ b/crates/forward-auth/src/admissions.rs
@@ -1,50 +1,51 @@
-//! Ids of requests that other programs asked about: whoever asks twice for one id gets one admission.
+//! Admitted request ids, so that two checks with the same id get one admission.
 //!
-//! Times are passed in, in milliseconds.
+//! Times are passed in by the caller, in milliseconds.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// What is known of an id that is asked about.
+/// State of a request id when a check for it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionStatus<V> {
-    /// Nothing: it is taken now, and whoever asked is to tell by [`Admissions::admit`] or
+    /// The id is new and now pending; the caller must finish it with [`Admissions::admit`] or
     /// [`Admissions::release`].
     New,
-    /// It was admitted, and may be any number of times: this was the answer.
+    /// The id was admitted before and may be repeated; holds the earlier answer.
     Repeat(V),
-    /// It was admitted once and must not be twice.
+    /// The id was admitted before and must not be admitted again.
     NotRepeatable,
-    /// Somebody is asking about it now.
+    /// Another check for this id is in progress.
     Pending,
-    /// No place is left to remember another.
+    /// The maximum number of ids is stored.
     Full,
 }
 
 enum State<V> {
     Pending,
-    Admitted { answer: V, once: bool, until: u64 },
+    Admitted { answer: V, once: bool, expires_at_us: u64 },
 }
 
-/// Ids that were admitted, bounded in number. One that must not be admitted twice is never forgotten early: where no
-/// place is left, new ones are turned away.
+/// Set of pending and admitted ids of bounded size. Ids are never evicted before they expire, since one of them could
+/// then be admitted twice; at capacity, new ids are refused instead.
 pub struct Admissions<V> {
     ids: HashMap<String, State<V>>,
-    ends: BTreeSet<(u64, String)>,
-    most: usize,
+    /// Expiry times in microseconds, with their ids.
+    expiries: BTreeSet<(u64, String)>,
+    capacity: usize,
 }
 
 impl<V: Clone> Admissions<V> {
-    /// None yet, and at most so many.
-    pub fn new(most: usize) -> Self {
-        Self { ids: HashMap::new(), ends: BTreeSet::new(), most }
+    /// Creates an empty set of at most `capacity` ids.
+    pub fn new(capacity: usize) -> Self {
+        Self { ids: HashMap::new(), expiries: BTreeSet::new(), capacity }
     }
 
-    /// Somebody asks about an id.
+    /// Starts a check for an id, after dropping the expired ones.
     pub fn begin(&mut self, now: f64, id: &str) -> AdmissionStatus<V> {
         let now = micros(now);
-        while let Some((until, over)) = self.ends.first().filter(|(until, _)| *until <= now).cloned() {
-            self.ids.remove(&over);
-            self.ends.remove(&(until, over));
+        while let Some((expires_at, expired)) = self.expiries.first().filter(|(at, _)| *at <= now).cloned() {
+            self.ids.remove(&expired);
+            self.expiries.remove(&(expires_at, expired));
         }
         match self.ids.get(id) {
             Some(State::Pending) => return AdmissionStatus::Pending,
@@ -52,44 +53,43 @@
             Some(State::Admitted { answer, .. }) => return AdmissionStatus::Repeat(answer.clone()),
             None => {}
         }
-        if self.ids.len() >= self.most {
+        if self.ids.len() >= self.capacity {
             return AdmissionStatus::Full;
         }
         self.ids.insert(id.to_owned(), State::Pending);
         AdmissionStatus::New
     }
 
-    /// The one who asked has been told to go on, and is remembered for some time.
-    pub fn admit(&mut self, now: f64, id: &str, answer: V, once: bool, kept: f64) {
-        let until = micros(now + kept);
-        if let Some(State::Admitted { until, .. }) =
-            self.ids.insert(id.to_owned(), State::Admitted { answer, once, until })
-        {
-            self.ends.remove(&(until, id.to_owned()));
+    /// Stores a pending id as admitted for `ttl` milliseconds, with its answer; `once` forbids a second admission.
+    pub fn admit(&mut self, now: f64, id: &str, answer: V, once: bool, ttl: f64) {
+        let expires_at_us = micros(now + ttl);
+        let before = self.ids.insert(id.to_owned(), State::Admitted { answer, once, expires_at_us });
+        if let Some(State::Admitted { expires_at_us: earlier, .. }) = before {
+            self.expiries.remove(&(earlier, id.to_owned()));
         }
-        self.ends.insert((until, id.to_owned()));
+        self.expiries.insert((expires_at_us, id.to_owned()));
     }
 
-    /// The one who asked was turned away, or left before it had an answer: the id may be asked about anew.
+    /// Releases a pending id whose check was denied or abandoned, so that it can be checked again.
     pub fn release(&mut self, id: &str) {
         if matches!(self.ids.get(id), Some(State::Pending)) {
             self.ids.remove(id);
         }
     }
 
-    /// How many ids are held.
+    /// Returns the number of stored ids.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no id is stored.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 }
 
-fn micros(at: f64) -> u64 {
-    (at.max(0.0) * 1000.0) as u64
+fn micros(millis: f64) -> u64 {
+    (millis.max(0.0) * 1000.0) as u64
 }
 
 #[cfg(test)]
--- a/crates/forward-auth/src/admissions/tests.rs
+++ b/crates/forward-auth/src/admissions/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `admissions` that need its private state.
+//! Unit tests of `admissions` that access private items.
 
 use super::*;
 
 #[test]
-fn an_id_that_must_not_run_twice_is_admitted_once_until_its_time_ends() {
+fn non_repeatable_id_is_admitted_once_until_it_expires() {
     let mut ids = Admissions::new(10);
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::New);
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::Pending);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn one_that_may_gets_the_same_answer_again() {
+fn repeatable_id_gets_the_same_answer_again() {
     let mut ids = Admissions::new(10);
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::New);
     ids.admit(0.0, "a", 7, false, 100.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn one_that_was_turned_away_may_ask_anew_and_an_admitted_one_is_not_freed_by_it() {
+fn release_frees_a_pending_id_but_not_an_admitted_one() {
     let mut ids = Admissions::new(10);
     assert_eq!(ids.begin(0.0, "a"), AdmissionStatus::<i32>::New);
     ids.release("a");
@@ -32,19 +32,19 @@
 }
 
 #[test]
-fn a_flood_of_ids_is_turned_away_at_the_bound_and_frees_none_that_was_admitted() {
+fn ids_beyond_capacity_are_refused_and_evict_no_admitted_id() {
     let mut ids = Admissions::new(100);
     for n in 0..1000 {
         let id = n.to_string();
         if ids.begin(0.0, &id) == AdmissionStatus::New {
             ids.admit(0.0, &id, n, true, 1000.0);
         }
-        assert!(ids.len() <= 100 && ids.ends.len() <= 100);
+        assert!(ids.len() <= 100 && ids.expiries.len() <= 100);
     }
     assert_eq!(
         (ids.begin(500.0, "0"), ids.begin(500.0, "999")),
         (AdmissionStatus::NotRepeatable, AdmissionStatus::Full)
     );
     assert_eq!(ids.begin(1000.0, "999"), AdmissionStatus::New);
-    assert_eq!((ids.len(), ids.ends.len()), (1, 0));
+    assert_eq!((ids.len(), ids.expiries.len()), (1, 0));
 }
--- a/crates/forward-auth/src/cache/tests.rs
+++ b/crates/forward-auth/src/cache/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `cache` that need its private state.
+//! Unit tests of `cache` that access private items.
 
 use super::*;
 
 #[test]
-fn an_answer_is_good_until_its_time_ends_and_not_a_moment_longer() {
+fn answer_expires_exactly_at_the_end_of_its_lifetime() {
     let mut cache = Cache::new(10);
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Miss);
     cache.complete(5.0, &"a", Some((1, 100.0)));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn equal_questions_wait_for_one_and_the_next_asks_if_that_one_dies() {
+fn identical_checks_wait_for_one_and_retry_if_it_fails() {
     let mut cache = Cache::<_, i32>::new(10);
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Miss);
     assert_eq!(cache.lookup(0.0, &"a"), Lookup::Pending);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_may_not_be_remembered_is_not() {
+fn zero_lifetime_or_capacity_caches_nothing() {
     let mut cache = Cache::new(10);
     cache.lookup(0.0, &"a");
     cache.complete(0.0, &"a", Some((1, 0.0)));
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn a_flood_of_questions_pushes_out_the_oldest_and_never_passes_the_bound() {
+fn oldest_entries_are_evicted_at_capacity() {
     let mut cache = Cache::new(100);
     for n in 0..10_000 {
         cache.lookup(f64::from(n), &n);
         cache.complete(f64::from(n), &n, Some((n, 1e9)));
-        assert!(cache.len() <= 100 && cache.ages.len() == cache.len());
+        assert!(cache.len() <= 100 && cache.by_sequence.len() == cache.len());
     }
     assert_eq!(cache.lookup(1e4, &9_999), Lookup::Hit(9_999));
     assert_eq!(cache.lookup(1e4, &9_899), Lookup::Miss);
 }
 
 #[test]
-fn the_service_may_shorten_a_lifetime_and_never_lengthen_it() {
-    for (text, wanted) in [
+fn cache_control_shortens_but_never_extends_the_lifetime() {
+    for (text, expected) in [
         (None, 5000.0),
         (Some("max-age=2"), 2000.0),
         (Some("public, Max-Age=60"), 5000.0),
@@ -60,6 +60,6 @@
         (Some("max-age"), 0.0),
         (Some("must-revalidate"), 5000.0),
     ] {
-        assert_eq!(cache_lifetime(5000.0, text), wanted, "{text:?}");
+        assert_eq!(cache_lifetime(5000.0, text), expected, "{text:?}");
     }
 }
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -1,9 +1,9 @@
-//! One request behind a sign-in check: what may happen to it, and what never; and what is kept of questions: answers
-//! that are remembered, failures that are counted, ids that were admitted.
+//! State machine for a request that waits for a forward-auth (sign-in) check, and the state shared between checks:
+//! cached answers, rate limits for failed checks, and admitted request ids.
 //!
-//! Called by the sidecar's front, which asks the service, sends the request on, and answers. It does no I/O and
-//! reads no clock: events come through [`AuthCheck::handle`], with the time. It must not know HTTP beyond statuses,
-//! nor which server is asked; that is the decision module's.
+//! Called by the sidecar, which queries the sign-in service, forwards the request and answers the client. This crate
+//! does no I/O and reads no clock: events and their time are passed to [`AuthCheck::handle`]. It knows nothing of HTTP
+//! beyond status codes, and does not choose the server to query; the gateway's decision module does.
 
 mod admissions;
 mod cache;
@@ -13,28 +13,28 @@
 pub use cache::{cache_lifetime, Cache, Lookup};
 pub use limits::RateLimiter;
 
-/// What happens where the service gives no usable answer.
+/// Policy for a sign-in service that gives no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailurePolicy {
     /// The request is answered 503.
     Closed,
-    /// It goes on unchecked.
+    /// The request is forwarded unchecked.
     Open,
 }
 
-/// What an answer of the service means.
+/// Meaning of the sign-in service's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The request may go on.
+    /// The request may be forwarded.
     Allowed,
-    /// It may not: the service's answer is the client's.
+    /// The request is refused; the client gets the service's answer.
     Denied,
-    /// It is no answer to the question.
+    /// The status code neither allows nor denies the request.
     Unusable,
 }
 
 impl Verdict {
-    /// By the convention that proxies share: 2xx is a yes, 401, 403 and redirections are a no.
+    /// Classifies a status by the convention of forward-auth proxies: 2xx allows; 401, 403 and 3xx deny.
     pub fn from_status(status: u16) -> Self {
         match status {
             200..=299 => Verdict::Allowed,
@@ -44,53 +44,53 @@
     }
 }
 
-/// What happens to the check or to the one who waits.
+/// Event of a pending check or of the client that waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckEvent {
-    /// The service has answered, whole.
+    /// The service has answered completely.
     Answered(Verdict),
-    /// The service's pool has refused the check: nothing was asked.
+    /// The service's pool rejected the check before sending it.
     Rejected,
-    /// Too many checks failed for this address or credential: nothing was asked.
+    /// Too many checks have failed for this address or credential; the check was not sent.
     RateLimited,
-    /// No answer came in its time, or it broke.
+    /// The check timed out, or its answer broke off.
     NoAnswer,
-    /// The client has left.
+    /// The client has disconnected.
     ClientGone,
-    /// The request's own time is up.
+    /// The request's own deadline has passed.
     DeadlineExpired,
 }
 
-/// What is to be done. All but [`CheckAction::Ignore`] comes once in a request's life.
+/// Action for the caller. Each request gets at most one action other than [`CheckAction::Ignore`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckAction {
-    /// Send the request on; `checked` tells whether a yes stands behind it.
+    /// Forward the request to the application.
     Forward {
-        /// Whether the service said yes.
+        /// Whether the service has allowed it.
         checked: bool,
     },
-    /// Give the client the service's answer.
+    /// Relay the service's answer to the client.
     Relay,
-    /// Answer 503 with `Retry-After`: the service has no room.
+    /// Answer 503 with `Retry-After`: the service has no capacity.
     Overloaded,
-    /// Answer 429 with `Retry-After`: too many checks failed for whoever asks.
+    /// Answer 429 with `Retry-After`: too many checks have failed for this client.
     RateLimited,
-    /// Answer 503: the service gives no usable answer.
+    /// Answer 503: the service gave no usable answer.
     Unavailable,
-    /// Answer 504.
+    /// Answer 504: the deadline has passed.
     TimedOut,
-    /// Nothing more happens to this request here.
+    /// Do nothing: the check is already decided, or the client is gone.
     Ignore,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Asking,
-    /// It has gone on, been answered, or nobody waits.
-    Over,
+    Pending,
+    /// The request was forwarded or answered, or its client has disconnected.
+    Decided,
 }
 
-/// A request that waits for its check.
+/// State of a request that waits for its check.
 #[derive(Clone, Debug)]
 pub struct AuthCheck {
     phase: Phase,
@@ -99,29 +99,29 @@
 }
 
 impl AuthCheck {
-    /// A request whose check is about to be asked for, with a deadline in milliseconds.
+    /// Creates the state of a request whose check is about to be sent; `deadline` is in milliseconds.
     pub fn new(failure_policy: FailurePolicy, deadline: f64) -> Self {
-        Self { phase: Phase::Asking, failure_policy, deadline }
+        Self { phase: Phase::Pending, failure_policy, deadline }
     }
 
-    /// Takes in what has happened, at a time in milliseconds.
+    /// Handles an event at the time `now`, in milliseconds.
     pub fn handle(&mut self, now: f64, event: CheckEvent) -> CheckAction {
-        if self.phase == Phase::Over {
-            // Also a yes that comes now: its request has its answer, or nobody to answer.
+        if self.phase == Phase::Decided {
+            // This includes a late allow: the request has been answered, or its client is gone.
             return CheckAction::Ignore;
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Decided;
         if event == CheckEvent::ClientGone {
             return CheckAction::Ignore;
         }
-        // A yes in the same moment as the deadline comes too late to do anything with.
+        // An answer that arrives exactly at the deadline leaves no time to forward the request.
         if now >= self.deadline {
             return CheckAction::TimedOut;
         }
         match (event, self.failure_policy) {
             (CheckEvent::Answered(Verdict::Allowed), _) => CheckAction::Forward { checked: true },
             (CheckEvent::Answered(Verdict::Denied), _) => CheckAction::Relay,
-            // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
+            // A rejection is no failure of the service: failing open under overload would let a flood bypass it.
             (CheckEvent::Rejected, _) => CheckAction::Overloaded,
             (CheckEvent::RateLimited, _) => CheckAction::RateLimited,
             (CheckEvent::DeadlineExpired, _) => CheckAction::TimedOut,
@@ -136,13 +136,13 @@
     }
 }
 
-/// Time for a check, in milliseconds: at most `within`, and so that the application keeps its usual time of
-/// what the client will wait, or half of that where it is less.
-pub fn check_time_limit(within: f64, wait: f64, usual: f64) -> f64 {
-    within.min(wait - usual.min(wait / 2.0)).max(0.0)
+/// Returns the time limit of a check: at most `max_check`, and short enough to leave the application `app_latency` of
+/// the request's time limit `total`, or half of `total` if that is less. All times are in milliseconds.
+pub fn check_time_limit(max_check: f64, total: f64, app_latency: f64) -> f64 {
+    max_check.min(total - app_latency.min(total / 2.0)).max(0.0)
 }
 
-/// A header's name as servers may spell it: some take `_` for `-`, and case never counts.
+/// Normalizes a header name to lower case with `-` for `_`, since some servers treat the two as equal.
 pub fn fold_header_name(name: &str) -> String {
     name.bytes().map(|b| if b == b'_' { '-' } else { char::from(b.to_ascii_lowercase()) }).collect()
 }
--- a/crates/forward-auth/src/limits.rs
+++ b/crates/forward-auth/src/limits.rs
@@ -1,99 +1,100 @@
-//! How many checks may fail for one address or one credential: a flood of bad passes must not cost good ones their
-//! sign-in service.
+//! Rate limit for failed checks per address or credential, so that a flood of invalid credentials does not exhaust the
+//! sign-in service for valid ones.
 //!
-//! Times are passed in, in milliseconds. Keys are made by the caller.
+//! Times are passed in by the caller, in milliseconds. Keys are computed by the caller.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// A limit on what each key may spend: so many a second, and a few at once (the generic cell rate algorithm: all that
-/// is kept of a key is the time at which its spending is paid off).
+/// Rate limiter per key by the generic cell rate algorithm: the only state of a key is its theoretical arrival time, at
+/// which all that it has used is paid back.
 pub struct RateLimiter<K> {
-    /// What one check costs, in milliseconds.
-    each: f64,
-    /// How far ahead of its payment a key may spend, in milliseconds.
-    ahead: f64,
-    most: usize,
-    /// When each key's spending is paid off, in microseconds.
-    paid: HashMap<K, u64>,
-    /// The same in order, for those that may be forgotten first.
-    order: BTreeSet<(u64, K)>,
+    /// Emission interval: the cost of one check, in milliseconds.
+    interval: f64,
+    /// Burst tolerance: how far the arrival time of a key may lie ahead of now, in milliseconds.
+    tolerance: f64,
+    capacity: usize,
+    /// Theoretical arrival time of each key, in microseconds.
+    arrival_times: HashMap<K, u64>,
+    /// The same entries ordered by time, for eviction.
+    by_time: BTreeSet<(u64, K)>,
 }
 
 impl<K: Clone + Eq + Hash + Ord> RateLimiter<K> {
-    /// So many a second, `burst` at once, and at most `most` keys on record. Nothing is limited where the rate is 0.
-    pub fn new(rate: f64, burst: f64, most: usize) -> Self {
-        let each = if rate > 0.0 { 1000.0 / rate } else { 0.0 };
+    /// Creates a limiter of `rate` checks per second and `burst` at once that stores at most `capacity` keys. A rate of 0
+    /// disables it.
+    pub fn new(rate: f64, burst: f64, capacity: usize) -> Self {
+        let interval = if rate > 0.0 { 1000.0 / rate } else { 0.0 };
         Self {
-            each,
-            ahead: each * burst.max(1.0),
-            most: most.max(1),
-            paid: HashMap::new(),
-            order: BTreeSet::new(),
+            interval,
+            tolerance: interval * burst.max(1.0),
+            capacity: capacity.max(1),
+            arrival_times: HashMap::new(),
+            by_time: BTreeSet::new(),
         }
     }
 
-    /// Takes one for a check that is about to be made.
+    /// Charges a key for one check that is about to be sent.
     ///
     /// # Errors
-    /// With the time to wait, in milliseconds, if the key has spent what it may; then nothing is taken.
+    /// Returns the time to wait, in milliseconds, if the key has reached its limit; nothing is charged then.
     pub fn acquire(&mut self, now: f64, key: &K) -> Result<(), f64> {
-        if self.each <= 0.0 {
+        if self.interval <= 0.0 {
             return Ok(());
         }
-        let paid = self.paid.get(key).map_or(0.0, |at| *at as f64 / 1000.0).max(now);
-        let next = paid + self.each;
-        // A microsecond is lost by rounding.
-        if next - now > self.ahead + 0.001 {
-            return Err(next - now - self.ahead);
+        let arrival = self.arrival_times.get(key).map_or(0.0, |at| *at as f64 / 1000.0).max(now);
+        let next = arrival + self.interval;
+        // Arrival times are rounded to microseconds.
+        if next - now > self.tolerance + 0.001 {
+            return Err(next - now - self.tolerance);
         }
         self.set(now, key, next);
         Ok(())
     }
 
-    /// Gives back what a check took that was no bad one.
+    /// Refunds the charge of a check that did not fail.
     pub fn refund(&mut self, now: f64, key: &K) {
-        if let Some(at) = self.paid.get(key).copied() {
-            self.set(now, key, at as f64 / 1000.0 - self.each);
+        if let Some(at) = self.arrival_times.get(key).copied() {
+            self.set(now, key, at as f64 / 1000.0 - self.interval);
         }
     }
 
-    /// How many keys are on record.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
-        self.paid.len()
+        self.arrival_times.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no key is stored.
     pub fn is_empty(&self) -> bool {
-        self.paid.is_empty()
+        self.arrival_times.is_empty()
     }
 
-    fn set(&mut self, now: f64, key: &K, paid: f64) {
-        if let Some(before) = self.paid.remove(key) {
-            self.order.remove(&(before, key.clone()));
+    fn set(&mut self, now: f64, key: &K, arrival: f64) {
+        if let Some(before) = self.arrival_times.remove(key) {
+            self.by_time.remove(&(before, key.clone()));
         }
         let now = (now.max(0.0) * 1000.0) as u64;
-        // Paid off: there is nothing to know of them.
-        while let Some((at, first)) = self.order.first().filter(|(at, _)| *at <= now).cloned() {
-            self.order.remove(&(at, first.clone()));
-            self.paid.remove(&first);
+        // A key whose arrival time has passed has its full burst again and needs no entry.
+        while let Some((at, first)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
+            self.by_time.remove(&(at, first.clone()));
+            self.arrival_times.remove(&first);
         }
-        let paid = (paid.max(0.0) * 1000.0) as u64;
-        if paid <= now {
+        let arrival = (arrival.max(0.0) * 1000.0) as u64;
+        if arrival <= now {
             return;
         }
-        // Where there is no place left those go that have spent least: a flood of keys must not wash out a record of
-        // those that flood.
-        if self.paid.len() >= self.most {
-            let Some(least) = self.order.first().cloned() else { return };
-            if least.0 >= paid {
+        // At capacity the keys that have used least are evicted: a flood of new keys must not displace the entries of
+        // the clients that cause it.
+        if self.arrival_times.len() >= self.capacity {
+            let Some(least) = self.by_time.first().cloned() else { return };
+            if least.0 >= arrival {
                 return;
             }
-            self.order.remove(&least);
-            self.paid.remove(&least.1);
+            self.by_time.remove(&least);
+            self.arrival_times.remove(&least.1);
         }
-        self.paid.insert(key.clone(), paid);
-        self.order.insert((paid, key.clone()));
+        self.arrival_times.insert(key.clone(), arrival);
+        self.by_time.insert((arrival, key.clone()));
     }
 }
 
--- a/crates/forward-auth/src/limits/tests.rs
+++ b/crates/forward-auth/src/limits/tests.rs
@@ -1,21 +1,21 @@
-//! Tests of `limits` that need its private state.
+//! Unit tests of `limits` that access private items.
 
 use super::*;
 
 #[test]
-fn a_key_has_its_burst_and_then_its_rate() {
+fn key_is_limited_to_its_burst_and_then_its_rate() {
     let mut limit = RateLimiter::new(10.0, 5.0, 100);
     let taken = (0..50).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
     assert_eq!(taken, 5);
     assert_eq!(limit.acquire(0.0, &"a"), Err(100.0));
-    assert_eq!(limit.acquire(0.0, &"b"), Ok(()), "others have their own");
-    // In ten seconds a hundred more, however often it asks.
+    assert_eq!(limit.acquire(0.0, &"b"), Ok(()), "other keys have their own limit");
+    // The rate allows 100 more in ten seconds, regardless of the number of attempts.
     let taken = (1..=10_000).filter(|ms| limit.acquire(f64::from(*ms), &"a").is_ok()).count();
     assert_eq!(taken, 100);
 }
 
 #[test]
-fn what_was_no_bad_pass_is_given_back() {
+fn successful_checks_are_refunded() {
     let mut limit = RateLimiter::new(1.0, 2.0, 100);
     for _ in 0..1000 {
         assert_eq!(limit.acquire(0.0, &"good"), Ok(()));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn giving_back_twice_saves_nothing_up() {
+fn repeated_refunds_do_not_exceed_the_burst() {
     let mut limit = RateLimiter::new(1.0, 2.0, 100);
     assert_eq!(limit.acquire(0.0, &"a"), Ok(()));
     for _ in 0..10 {
@@ -36,21 +36,21 @@
 }
 
 #[test]
-fn a_flood_of_keys_stays_within_the_bound_and_does_not_free_the_one_that_spent_most() {
+fn many_keys_stay_within_capacity_and_keep_the_heaviest_key() {
     let mut limit = RateLimiter::new(1.0, 10.0, 50);
     while limit.acquire(0.0, &0).is_ok() {}
     for key in 1..10_000 {
         let _ = limit.acquire(0.0, &key);
-        assert!(limit.len() <= 50 && limit.order.len() == limit.len());
+        assert!(limit.len() <= 50 && limit.by_time.len() == limit.len());
     }
     assert!(limit.acquire(0.0, &0).is_err());
-    // What is paid off is forgotten by whoever comes next.
+    // The next call drops the entries whose arrival time has passed.
     assert_eq!(limit.acquire(60_000.0, &0), Ok(()));
     assert_eq!(limit.len(), 1);
 }
 
 #[test]
-fn no_rate_is_no_limit_and_a_clock_that_steps_back_frees_nobody() {
+fn zero_rate_disables_the_limit_and_a_backward_clock_step_releases_no_key() {
     let mut none = RateLimiter::new(0.0, 0.0, 1);
     assert!((0..1000).all(|_| none.acquire(0.0, &"a").is_ok()));
     let mut limit = RateLimiter::new(1.0, 1.0, 10);
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `forward-auth` that need its private state.
+//! Unit tests of `forward-auth` that access private items.
 
 use super::*;
 
@@ -14,7 +14,7 @@
 ];
 
 #[test]
-fn every_first_input_has_its_step_and_only_a_yes_or_an_open_failure_goes_on() {
+fn first_event_determines_action_and_only_allow_or_fail_open_forwards() {
     use CheckAction::*;
     let closed = [
         Forward { checked: true },
@@ -44,36 +44,36 @@
 }
 
 #[test]
-fn at_and_after_the_deadline_nothing_goes_on() {
+fn nothing_is_forwarded_at_or_after_the_deadline() {
     for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for now in [100.0, 100.1, 1e9] {
             for event in EVENTS {
                 let action = AuthCheck::new(failure_policy, 100.0).handle(now, event);
-                let wanted =
+                let expected =
                     if event == CheckEvent::ClientGone { CheckAction::Ignore } else { CheckAction::TimedOut };
-                assert_eq!(action, wanted, "{event:?}");
+                assert_eq!(action, expected, "{event:?}");
             }
         }
     }
 }
 
 #[test]
-fn whatever_comes_in_whatever_order_a_request_gets_one_step() {
-    // All sequences of four inputs, each before and at the deadline.
+fn any_event_sequence_yields_at_most_one_action() {
+    // All sequences of four events, each before and at the deadline.
     let all = EVENTS.len() * 2;
     for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for number in 0..all.pow(4) {
             let mut check = AuthCheck::new(failure_policy, 100.0);
-            let (mut rest, mut actions, mut gone, mut no) = (number, 0, false, false);
+            let (mut rest, mut actions, mut client_gone, mut denied) = (number, 0, false, false);
             for _ in 0..4 {
                 let (event, late) = (EVENTS[rest % all / 2], rest % 2 == 1);
                 rest /= all;
                 let action = check.handle(if late { 100.0 } else { 0.0 }, event);
-                let goes_on = matches!(action, CheckAction::Forward { .. });
-                assert!(!(goes_on && (gone || no || late)), "{number}");
+                let forwards = matches!(action, CheckAction::Forward { .. });
+                assert!(!(forwards && (client_gone || denied || late)), "{number}");
                 actions += usize::from(action != CheckAction::Ignore);
-                gone |= event == CheckEvent::ClientGone;
-                no |= event == CheckEvent::Answered(Verdict::Denied);
+                client_gone |= event == CheckEvent::ClientGone;
+                denied |= event == CheckEvent::Answered(Verdict::Denied);
             }
             assert!(actions <= 1, "{number}");
         }
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_check_leaves_the_application_its_usual_time_or_half() {
+fn check_time_limit_reserves_application_latency_or_half() {
     assert_eq!(check_time_limit(300.0, 2000.0, 500.0), 300.0);
     assert_eq!(check_time_limit(1900.0, 2000.0, 500.0), 1500.0);
     assert_eq!(check_time_limit(1900.0, 600.0, 500.0), 300.0);
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn statuses_mean_what_proxies_agree_on() {
+fn statuses_map_to_verdicts() {
     for status in 100..600 {
-        let said = Verdict::from_status(status);
-        assert_eq!(said == Verdict::Allowed, (200..300).contains(&status));
-        assert_eq!(said == Verdict::Denied, [401, 403].contains(&status) || (300..400).contains(&status));
+        let verdict = Verdict::from_status(status);
+        assert_eq!(verdict == Verdict::Allowed, (200..300).contains(&status));
+        assert_eq!(verdict == Verdict::Denied, [401, 403].contains(&status) || (300..400).contains(&status));
     }
 }
 
 #[test]
-fn spellings_of_a_name_fold_into_one() {
+fn header_name_variants_fold_to_one_name() {
     for spelling in ["X-User", "x-user", "X_User", "x_USER", "X-uSeR"] {
         assert_eq!(fold_header_name(spelling), "x-user");
     }
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -1,8 +1,9 @@
-//! Orders behind a sign-in check, over both sides' faults, on a clock that the test moves: the real gate between two
-//! real decision modules, that of the service's pool and that of the application's. Ten thousand seeded runs.
+//! Randomized simulation of orders behind a sign-in check, with faults on both sides and a simulated clock: the real
+//! check state machine between two real gateways, one for the service's pool and one for the application's. Ten thousand
+//! seeded runs.
 //!
-//! What the sidecar's sockets do is played here: attempts are sent, end late, early, in the same moment as a limit or
-//! never, and are given up; servers drain, fail and start cold; clients leave and order again.
+//! The simulation stands in for the sidecar's sockets: attempts end early, late, exactly at a time limit or never, and
+//! time out; servers drain, fail and start cold; clients disconnect and order again.
 
 use ivygate_forward_auth::{check_time_limit, AuthCheck, CheckAction, CheckEvent, FailurePolicy, Verdict};
 use ivygate_gateway::{
@@ -12,37 +13,39 @@
 use ivygate_time::Timestamp;
 use std::collections::{BTreeMap, HashMap};
 
-/// What the service's answer takes and the application's usual time, in milliseconds.
-const WITHIN: f64 = 300.0;
-const AIM: f64 = 400.0;
-const DEADLINE: f64 = 1000.0;
+/// Time limit of a check, in milliseconds.
+const MAX_CHECK_MS: f64 = 300.0;
+/// Latency target of the application, in milliseconds.
+const APP_LATENCY_MS: f64 = 400.0;
+/// Longest time limit of an order, in milliseconds.
+const DEADLINE_MS: f64 = 1000.0;
 
-/// The two pools.
+/// Pool that handles a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Side {
     Service,
     Application,
 }
 
-enum Due {
+enum Scheduled {
     Order,
-    Ends(Side, RequestId, u32, Outcome, Verdict),
-    GiveUp(Side, RequestId, u32),
+    AttemptEnd(Side, RequestId, u32, Outcome, Verdict),
+    AttemptTimeout(Side, RequestId, u32),
     Timer(Side, u64),
-    CheckOver(usize),
-    TimeUp(usize),
-    Leaves(usize),
-    Lists(Side),
+    CheckTimeout(usize),
+    Deadline(usize),
+    ClientLeaves(usize),
+    ServerList(Side),
 }
 
 struct Order {
     check: AuthCheck,
     deadline: f64,
-    left: bool,
+    client_gone: bool,
     answers: u32,
     runs: u32,
-    said_no: bool,
-    went_on: u32,
+    denied: bool,
+    forwarded: u32,
 }
 
 struct Attempt {
@@ -51,34 +54,34 @@
     ended: bool,
 }
 
-/// A mistake put into the play, to see that it would be found.
+/// Fault seeded into the simulation, to verify that the invariant checks detect it.
 #[derive(Clone, Copy, PartialEq)]
-enum Flaw {
+enum SeededFault {
     None,
-    /// Every yes lets its order on, also one that comes when the order has its answer.
-    EveryYes,
-    /// What may have run is called unsent.
-    ResetsNeverRan,
-    /// Where time is up the order is answered and its check goes on.
-    CheckOutlives,
+    /// Every allow forwards its order, even after the order has been answered.
+    ForwardsEveryAllow,
+    /// Attempts that may have run are reported as never sent.
+    ResetsReportedUnsent,
+    /// The check of an order continues after the order has timed out.
+    CheckOutlivesOrder,
 }
 
-struct Play {
+struct Simulation {
     rng: fastrand::Rng,
     now: f64,
-    flaw: Flaw,
-    due: BTreeMap<(u64, u64), Due>,
-    number: u64,
+    fault: SeededFault,
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
+    sequence: u64,
     gateways: HashMap<Side, Gateway>,
     orders: Vec<Order>,
     attempts: HashMap<(Side, RequestId), Vec<Attempt>>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 fn gateway(side: Side, seed: u64) -> Gateway {
     let (name, effect, aim, deadline) = match side {
-        Side::Service => ("check", Effect::Safe, WITHIN / 2.0, WITHIN),
-        Side::Application => ("order", Effect::Unsafe, AIM, DEADLINE),
+        Side::Service => ("check", Effect::Safe, MAX_CHECK_MS / 2.0, MAX_CHECK_MS),
+        Side::Application => ("order", Effect::Unsafe, APP_LATENCY_MS, DEADLINE_MS),
     };
     let settings = Settings {
         gateways: 1,
@@ -110,117 +113,119 @@
         overload_factor: 2.0,
         overload_window: 100.0,
     };
-    Gateway::new(settings, seed).expect("the settings are sound")
+    Gateway::new(settings, seed).expect("the settings are valid")
 }
 
-impl Play {
-    fn new(seed: u64, flaw: Flaw) -> Self {
+impl Simulation {
+    fn new(seed: u64, fault: SeededFault) -> Self {
         let gateways =
             [Side::Service, Side::Application].into_iter().map(|side| (side, gateway(side, seed))).collect();
         Self {
             rng: fastrand::Rng::with_seed(seed),
             now: 0.0,
-            flaw,
-            due: BTreeMap::new(),
-            number: 0,
+            fault,
+            scheduled: BTreeMap::new(),
+            sequence: 0,
             gateways,
             orders: Vec::new(),
             attempts: HashMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn at(&mut self, time: f64, what: Due) {
-        self.number += 1;
-        self.due.insert(((time.max(self.now) * 1000.0) as u64, self.number), what);
+    fn schedule(&mut self, time: f64, item: Scheduled) {
+        self.sequence += 1;
+        self.scheduled.insert(((time.max(self.now) * 1000.0) as u64, self.sequence), item);
     }
 
     fn run(mut self) -> Self {
         for side in [Side::Service, Side::Application] {
-            self.list(side);
+            self.send_server_list(side);
             for _ in 0..self.rng.usize(0..3) {
                 let at = self.rng.f64() * 1500.0;
-                self.at(at, Due::Lists(side));
+                self.schedule(at, Scheduled::ServerList(side));
             }
         }
         for _ in 0..self.rng.usize(1..6) {
             let at = self.rng.f64() * 800.0;
-            self.at(at, Due::Order);
+            self.schedule(at, Scheduled::Order);
         }
-        while let Some(((at, _), due)) = self.due.pop_first() {
+        while let Some(((at, _), item)) = self.scheduled.pop_first() {
             self.now = at as f64 / 1000.0;
-            // Timers of the decision modules go on for good.
+            // The gateways re-arm their timers indefinitely.
             if self.now > 10_000.0 {
                 break;
             }
-            self.happen(due);
+            self.handle_scheduled(item);
         }
         for (number, order) in self.orders.iter().enumerate() {
-            let wanted = if order.left { 0..=1 } else { 1..=1 };
-            if !wanted.contains(&order.answers) {
-                self.broken.push(format!("order {number} got {} answers", order.answers));
+            let allowed = if order.client_gone { 0..=1 } else { 1..=1 };
+            if !allowed.contains(&order.answers) {
+                self.violations.push(format!("order {number} got {} answers", order.answers));
             }
             if order.runs > 1 {
-                self.broken.push(format!("order {number} ran {} times", order.runs));
+                self.violations.push(format!("order {number} ran {} times", order.runs));
             }
-            if order.said_no && order.runs > 0 {
-                self.broken.push(format!("order {number} ran after a no"));
+            if order.denied && order.runs > 0 {
+                self.violations.push(format!("order {number} ran after it was denied"));
             }
         }
         self
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Order => self.order(),
-            Due::Lists(side) => self.list(side),
-            Due::Timer(side, token) => self.feed(side, Event::Timer { token }),
-            Due::GiveUp(side, id, attempt) => {
-                self.ends(side, &id, attempt, Outcome::Timeout, Verdict::Unusable)
+    fn handle_scheduled(&mut self, item: Scheduled) {
+        match item {
+            Scheduled::Order => self.start_order(),
+            Scheduled::ServerList(side) => self.send_server_list(side),
+            Scheduled::Timer(side, token) => self.handle_event(side, Event::Timer { token }),
+            Scheduled::AttemptTimeout(side, id, attempt) => {
+                self.end_attempt(side, &id, attempt, Outcome::Timeout, Verdict::Unusable)
             }
-            Due::Ends(side, id, attempt, outcome, verdict) => self.ends(side, &id, attempt, outcome, verdict),
-            Due::CheckOver(number) => self.check_event(number, CheckEvent::NoAnswer),
-            Due::TimeUp(number) => {
+            Scheduled::AttemptEnd(side, id, attempt, outcome, verdict) => {
+                self.end_attempt(side, &id, attempt, outcome, verdict)
+            }
+            Scheduled::CheckTimeout(number) => self.check_event(number, CheckEvent::NoAnswer),
+            Scheduled::Deadline(number) => {
                 self.check_event(number, CheckEvent::DeadlineExpired);
-                if self.orders[number].answers == 0 && !self.orders[number].left {
-                    // It is with the application: the last guard answers.
+                if self.orders[number].answers == 0 && !self.orders[number].client_gone {
+                    // The application has not answered by the deadline.
                     self.answer(number);
                 }
-                self.check_ends(number);
-                self.gone(Side::Application, number);
+                self.end_check(number);
+                self.client_gone(Side::Application, number);
             }
-            Due::Leaves(number) => {
+            Scheduled::ClientLeaves(number) => {
                 self.check_event(number, CheckEvent::ClientGone);
-                self.orders[number].left = true;
-                self.gone(Side::Service, number);
-                self.gone(Side::Application, number);
+                self.orders[number].client_gone = true;
+                self.client_gone(Side::Service, number);
+                self.client_gone(Side::Application, number);
             }
         }
     }
 
-    /// A client orders, and may leave, or order again while the first is still out (which is another order).
-    fn order(&mut self) {
+    /// Starts an order. Its client may disconnect, or start another order while this one is pending.
+    fn start_order(&mut self) {
         let number = self.orders.len();
-        let deadline = self.now + DEADLINE * (0.3 + 0.7 * self.rng.f64());
+        let deadline = self.now + DEADLINE_MS * (0.3 + 0.7 * self.rng.f64());
         self.orders.push(Order {
             check: AuthCheck::new(FailurePolicy::Closed, deadline),
             deadline,
-            left: false,
+            client_gone: false,
             answers: 0,
             runs: 0,
-            said_no: false,
-            went_on: 0,
+            denied: false,
+            forwarded: 0,
         });
-        let check = self.now + check_time_limit(WITHIN, deadline - self.now, AIM);
-        self.at(check, Due::CheckOver(number));
-        self.at(deadline, Due::TimeUp(number));
+        let check = self.now + check_time_limit(MAX_CHECK_MS, deadline - self.now, APP_LATENCY_MS);
+        self.schedule(check, Scheduled::CheckTimeout(number));
+        self.schedule(deadline, Scheduled::Deadline(number));
         if self.rng.u32(0..6) == 0 {
-            let at = self.now + self.rng.f64() * DEADLINE;
-            self.at(at, Due::Leaves(number));
+            let at = self.now + self.rng.f64() * DEADLINE_MS;
+            self.schedule(at, Scheduled::ClientLeaves(number));
         }
         if self.rng.u32(0..6) == 0 && number < 8 {
-            let at = self.now + self.rng.f64() * WITHIN;
-            self.at(at, Due::Order);
+            let at = self.now + self.rng.f64() * MAX_CHECK_MS;
+            self.schedule(at, Scheduled::Order);
         }
         self.arrive(Side::Service, number, check);
     }
@@ -238,15 +243,15 @@
             zones: None,
             max_attempts: None,
         };
-        self.feed(side, Event::Arrival(arrival));
+        self.handle_event(side, Event::Arrival(arrival));
     }
 
-    /// Servers come, drain, go and start anew; one of the two may be cold.
-    fn list(&mut self, side: Side) {
+    /// Sends a server list in which servers may be draining or recently started.
+    fn send_server_list(&mut self, side: Side) {
         let states = [ServerState::Ready, ServerState::Ready, ServerState::Ready, ServerState::Draining];
         let mut members = Vec::new();
         for server in 1..=2 {
-            let state = self.rng.choice(states).expect("there are states");
+            let state = self.rng.choice(states).expect("the list of states is not empty");
             let started = (self.rng.u32(0..3) == 0).then_some(Timestamp::from_millis(self.now));
             members.push(ServerEntry {
                 server,
@@ -259,51 +264,51 @@
                 slow_start: None,
             });
         }
-        self.feed(side, Event::List { kind: ListKind::Full, servers: members.into() });
+        self.handle_event(side, Event::List { kind: ListKind::Full, servers: members.into() });
     }
 
-    fn check_ends(&mut self, number: usize) {
-        if !matches!(self.flaw, Flaw::CheckOutlives | Flaw::EveryYes) {
-            self.gone(Side::Service, number);
+    fn end_check(&mut self, number: usize) {
+        if !matches!(self.fault, SeededFault::CheckOutlivesOrder | SeededFault::ForwardsEveryAllow) {
+            self.client_gone(Side::Service, number);
         }
     }
 
-    fn gone(&mut self, side: Side, number: usize) {
-        self.feed(side, Event::ClientGone { request: number.to_string().into() });
+    fn client_gone(&mut self, side: Side, number: usize) {
+        self.handle_event(side, Event::ClientGone { request: number.to_string().into() });
     }
 
-    fn feed(&mut self, side: Side, event: Event) {
+    fn handle_event(&mut self, side: Side, event: Event) {
         let mut actions = Vec::new();
         if let Some(gateway) = self.gateways.get_mut(&side) {
             gateway.handle(Timestamp::from_millis(self.now), event, &mut actions);
         }
         for action in actions {
-            self.carry_out(side, action);
+            self.execute(side, action);
         }
     }
 
-    fn carry_out(&mut self, side: Side, action: Action) {
+    fn execute(&mut self, side: Side, action: Action) {
         match action {
             Action::Send { request, server, give_up_at } => {
                 self.send(side, request, server, give_up_at.as_millis());
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
                 let number: usize = request.parse().expect("a number");
-                let tried = self.attempts.contains_key(&(side, request));
+                let attempted = self.attempts.contains_key(&(side, request));
                 match side {
                     Side::Service => {
                         self.check_event(
                             number,
-                            if tried { CheckEvent::NoAnswer } else { CheckEvent::Rejected },
+                            if attempted { CheckEvent::NoAnswer } else { CheckEvent::Rejected },
                         );
                     }
                     Side::Application => self.answer_once(number),
                 }
             }
             Action::Cancel { request, attempt } => {
-                self.ends(side, &request, attempt, Outcome::Cancelled, Verdict::Unusable);
+                self.end_attempt(side, &request, attempt, Outcome::Cancelled, Verdict::Unusable);
             }
-            Action::Timer { token, at } => self.at(at.as_millis(), Due::Timer(side, token)),
+            Action::Timer { token, at } => self.schedule(at.as_millis(), Scheduled::Timer(side, token)),
             Action::CheckHealth { .. } | Action::Subscribe | Action::Log { .. } => {}
         }
     }
@@ -311,21 +316,21 @@
     fn send(&mut self, side: Side, id: RequestId, server: u32, give_up_at: f64) {
         let number: usize = id.parse().expect("a number");
         let order = &self.orders[number];
-        if side == Side::Application && (order.answers > 0 || order.left) {
-            self.broken.push(format!("order {number} is sent after its end"));
+        if side == Side::Application && (order.answers > 0 || order.client_gone) {
+            self.violations.push(format!("order {number} was sent after it ended"));
         }
         let deadline = self.orders[number].deadline;
         let attempts = self.attempts.entry((side, id.clone())).or_default();
         let attempt = attempts.len() as u32;
         attempts.push(Attempt { server, sent_at: self.now, ended: false });
-        self.at(give_up_at, Due::GiveUp(side, id.clone(), attempt));
+        self.schedule(give_up_at, Scheduled::AttemptTimeout(side, id.clone(), attempt));
         let outcome = match self.rng.u32(0..10) {
             0..=4 => Outcome::Ok,
             5 => Outcome::Error,
             6 => Outcome::Reset,
             7 => Outcome::ConnectFailed,
             8 => Outcome::Rejected,
-            // Nothing ever comes.
+            // No answer ever arrives.
             _ => Outcome::Timeout,
         };
         let verdict = match self.rng.u32(0..6) {
@@ -334,14 +339,14 @@
             _ => Verdict::Unusable,
         };
         if side == Side::Application && !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected) {
-            // It runs as soon as it has arrived, whatever becomes of the answer.
+            // An order that reaches the server runs, even if the answer is lost.
             self.orders[number].runs += 1;
         }
         if outcome == Outcome::Timeout {
             return;
         }
-        // Soon, or round one of the limits: a moment before, in the same moment, a moment after.
-        let check = self.now + check_time_limit(WITHIN, deadline - self.now, AIM);
+        // The attempt ends soon, or just before, at or just after one of the time limits.
+        let check = self.now + check_time_limit(MAX_CHECK_MS, deadline - self.now, APP_LATENCY_MS);
         let limit = [give_up_at, deadline, check][self.rng.usize(0..3)];
         let at = match self.rng.u32(0..5) {
             0 => limit - 0.01,
@@ -349,38 +354,44 @@
             2 => limit + 0.01,
             _ => self.now + self.rng.f64() * 60.0,
         };
-        self.at(at, Due::Ends(side, id, attempt, outcome, verdict));
+        self.schedule(at, Scheduled::AttemptEnd(side, id, attempt, outcome, verdict));
     }
 
-    /// An attempt ends, or is given up; whichever comes first.
-    fn ends(&mut self, side: Side, id: &RequestId, attempt: u32, outcome: Outcome, verdict: Verdict) {
-        let Some(one) = self.attempts.get_mut(&(side, id.clone())).and_then(|a| a.get_mut(attempt as usize))
+    /// Ends an attempt by its outcome or by its timeout, whichever comes first.
+    fn end_attempt(&mut self, side: Side, id: &RequestId, attempt: u32, outcome: Outcome, verdict: Verdict) {
+        let Some(entry) =
+            self.attempts.get_mut(&(side, id.clone())).and_then(|a| a.get_mut(attempt as usize))
         else {
             return;
         };
-        if std::mem::replace(&mut one.ended, true) {
-            if self.flaw == Flaw::EveryYes && side == Side::Service && outcome == Outcome::Ok {
+        if std::mem::replace(&mut entry.ended, true) {
+            if self.fault == SeededFault::ForwardsEveryAllow
+                && side == Side::Service
+                && outcome == Outcome::Ok
+            {
                 self.check_event(id.parse().expect("a number"), CheckEvent::Answered(verdict));
             }
             return;
         }
-        let (server, sent_at) = (one.server, one.sent_at);
+        let (server, sent_at) = (entry.server, entry.sent_at);
         let number: usize = id.parse().expect("a number");
         let outcome = match outcome {
-            Outcome::Reset | Outcome::Error if self.flaw == Flaw::ResetsNeverRan => Outcome::ConnectFailed,
+            Outcome::Reset | Outcome::Error if self.fault == SeededFault::ResetsReportedUnsent => {
+                Outcome::ConnectFailed
+            }
             outcome => outcome,
         };
         if outcome == Outcome::Ok {
             match side {
                 Side::Service => {
-                    self.orders[number].said_no |= verdict == Verdict::Denied;
+                    self.orders[number].denied |= verdict == Verdict::Denied;
                     self.check_event(number, CheckEvent::Answered(verdict));
                 }
                 Side::Application => self.answer_once(number),
             }
         }
-        let closed = outcome == Outcome::Ok || self.orders[number].answers > 0;
-        self.feed(
+        let is_final = outcome == Outcome::Ok || self.orders[number].answers > 0;
+        self.handle_event(
             side,
             Event::AttemptEnded(AttemptResult {
                 request: id.clone(),
@@ -388,7 +399,7 @@
                 server,
                 outcome,
                 elapsed: self.now - sent_at,
-                is_final: closed,
+                is_final,
                 metered_percent: None,
                 load: Load::default(),
             }),
@@ -399,17 +410,18 @@
         let now = self.now;
         let order = &mut self.orders[number];
         let mut action = order.check.handle(now, event);
-        if self.flaw == Flaw::EveryYes && event == CheckEvent::Answered(Verdict::Allowed) {
+        if self.fault == SeededFault::ForwardsEveryAllow && event == CheckEvent::Answered(Verdict::Allowed) {
             action = CheckAction::Forward { checked: true };
         }
         match action {
             CheckAction::Forward { checked } => {
-                order.went_on += 1;
-                if !checked || order.said_no || order.answers > 0 || order.left || now >= order.deadline {
-                    self.broken.push(format!("order {number} goes on though it must not"));
+                order.forwarded += 1;
+                if !checked || order.denied || order.answers > 0 || order.client_gone || now >= order.deadline
+                {
+                    self.violations.push(format!("order {number} was forwarded although it must not be"));
                 }
-                if self.orders[number].went_on > 1 {
-                    self.broken.push(format!("order {number} goes on twice"));
+                if self.orders[number].forwarded > 1 {
+                    self.violations.push(format!("order {number} was forwarded twice"));
                 }
                 let deadline = self.orders[number].deadline;
                 self.arrive(Side::Application, number, deadline);
@@ -420,7 +432,7 @@
             | CheckAction::Unavailable
             | CheckAction::TimedOut => {
                 self.answer(number);
-                self.check_ends(number);
+                self.end_check(number);
             }
             CheckAction::Ignore => {}
         }
@@ -428,15 +440,15 @@
 
     fn answer(&mut self, number: usize) {
         let order = &mut self.orders[number];
-        if !order.left {
+        if !order.client_gone {
             order.answers += 1;
         }
         if self.now > order.deadline + 0.001 {
-            self.broken.push(format!("order {number} is answered late"));
+            self.violations.push(format!("order {number} was answered late"));
         }
     }
 
-    /// An answer of the application's side: where the last guard has answered, there is nobody to hear it.
+    /// Counts the application's answer, unless the order was answered or timed out before.
     fn answer_once(&mut self, number: usize) {
         if self.orders[number].answers == 0 && self.now < self.orders[number].deadline {
             self.answer(number);
@@ -445,30 +457,30 @@
 }
 
 #[test]
-fn in_ten_thousand_runs_no_order_runs_twice_goes_on_after_a_no_or_lacks_its_one_answer() {
+fn each_order_is_answered_once_runs_at_most_once_and_never_runs_when_denied() {
     let (mut orders, mut ran) = (0, 0);
     for seed in 0..10_000 {
-        let play = Play::new(seed, Flaw::None).run();
-        assert!(play.broken.is_empty(), "seed {seed}: {:?}", play.broken);
-        orders += play.orders.len();
-        ran += play.orders.iter().filter(|order| order.runs == 1).count();
+        let simulation = Simulation::new(seed, SeededFault::None).run();
+        assert!(simulation.violations.is_empty(), "seed {seed}: {:?}", simulation.violations);
+        orders += simulation.orders.len();
+        ran += simulation.orders.iter().filter(|order| order.runs == 1).count();
     }
-    // The play is not an empty one.
+    // The runs must actually exercise orders.
     assert!(orders >= 10_000 && ran >= 1_000, "{ran} of {orders} orders ran");
 }
 
 #[test]
-fn mistakes_put_into_the_play_are_found() {
-    for flaw in [Flaw::EveryYes, Flaw::ResetsNeverRan] {
-        let found = (0..2_000).any(|seed| !Play::new(seed, flaw).run().broken.is_empty());
-        assert!(found);
+fn seeded_faults_are_detected() {
+    for fault in [SeededFault::ForwardsEveryAllow, SeededFault::ResetsReportedUnsent] {
+        let detected = (0..2_000).any(|seed| !Simulation::new(seed, fault).run().violations.is_empty());
+        assert!(detected);
     }
 }
 
 #[test]
-fn a_check_that_outlives_its_order_lets_nothing_on() {
+fn check_that_outlives_its_order_forwards_nothing() {
     for seed in 0..2_000 {
-        let broken = Play::new(seed, Flaw::CheckOutlives).run().broken;
-        assert!(broken.is_empty(), "seed {seed}: {broken:?}");
+        let violations = Simulation::new(seed, SeededFault::CheckOutlivesOrder).run().violations;
+        assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     }
 }
--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -319,8 +319,8 @@
         .collect();
     let end_reason = match order.end_reason {
         None => "",
-        Some(EndReason::ClientGone) => "  the client had left",
-        Some(EndReason::TimedOut) => "  its time was up",
+        Some(EndReason::ClientGone) => "  client disconnected",
+        Some(EndReason::TimedOut) => "  timed out",
     };
     format!(
         "{word:<14} {}  customer {}  {} {}  [{}]{end_reason}",
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -1,4 +1,4 @@
-//! The journal of the real program: what it says after it was killed, against the application's own log.
+//! End-to-end tests of the order journal. After kills and failures, its records are compared with the application's log.
 
 mod support;
 
@@ -27,8 +27,8 @@
     ])
 }
 
-/// What the tool says of a folder: state and status by the client's id.
-fn told(folder: &Path) -> BTreeMap<String, (String, Option<u64>)> {
+/// Lists the orders of a journal with the command line tool: state and status by client id.
+fn list_orders(folder: &Path) -> BTreeMap<String, (String, Option<u64>)> {
     let tool = env!("CARGO_BIN_EXE_ivygate");
     let output = Command::new(tool)
         .args(["journal", "list", "--format", "json"])
@@ -38,17 +38,17 @@
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).expect("text");
     let orders = text.lines().map(|line| {
-        let one: serde_json::Value = serde_json::from_str(line).expect("JSON");
-        let id = one["order"]["client_id"].as_str().expect("an id").to_owned();
-        (id, (one["state"].as_str().expect("a state").to_owned(), one["status"].as_u64()))
+        let document: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let id = document["order"]["client_id"].as_str().expect("an id").to_owned();
+        (id, (document["state"].as_str().expect("a state").to_owned(), document["status"].as_u64()))
     });
     orders.collect()
 }
 
-/// What the tool says to a question about a folder, and its exit code.
-fn tool(question: &[&str], folder: &Path) -> (String, Option<i32>) {
+/// Runs a `journal` subcommand on a folder. Returns its standard output and exit code.
+fn run_journal_command(arguments: &[&str], folder: &Path) -> (String, Option<i32>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
-    command.arg("journal").arg(question[0]).arg(folder).args(&question[1..]);
+    command.arg("journal").arg(arguments[0]).arg(folder).args(&arguments[1..]);
     let output = command.output().expect("it runs");
     (String::from_utf8(output.stdout).expect("text"), output.status.code())
 }
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn orders_are_told_with_what_came_of_them_and_reads_are_not_recorded() {
-    let folder = folder("told");
+fn orders_are_recorded_with_their_outcome_and_reads_are_not() {
+    let folder = folder("outcomes");
     let app = App::start(|m| match m.header("req-id") {
         Some("bad") => Reply::Answer("422 Unprocessable Content", "", Vec::new()),
         Some("broken") => Reply::Close,
@@ -70,34 +70,34 @@
         assert_eq!(sidecar.ask(&order(id)).status(), status, "{id}");
     }
     assert_eq!(sidecar.get("/reads").status(), 200);
-    // It runs, and is asked all the same.
-    until("what came is noted", || told(&folder)["bad"].0 == "answered");
-    assert!(tool(&["verify"], &folder).0.starts_with("whole: 3 orders, 1 unknown"));
+    // The journal can be queried while the sidecar runs.
+    until("the outcome is recorded", || list_orders(&folder)["bad"].0 == "answered");
+    assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: 3 orders, 1 unknown"));
     let mut sidecar = sidecar;
     sidecar.terminate();
     assert_eq!(sidecar.exit_code(), Some(0));
     let state = |state: &str, status| (state.to_owned(), status);
     assert_eq!(
-        told(&folder),
+        list_orders(&folder),
         BTreeMap::from([
             ("good".to_owned(), state("answered", Some(200))),
             ("bad".to_owned(), state("answered", Some(422))),
             ("broken".to_owned(), state("unknown", None)),
         ])
     );
-    let (unknown, code) = tool(&["unknown"], &folder);
+    let (unknown, code) = run_journal_command(&["unknown"], &folder);
     assert!(unknown.contains("UNKNOWN") && unknown.lines().count() == 1 && code == Some(0), "{unknown}");
-    assert!(tool(&["show", "broken"], &folder).0.contains("UNKNOWN"));
-    assert_eq!(tool(&["show", "nobody"], &folder).1, Some(1));
+    assert!(run_journal_command(&["show", "broken"], &folder).0.contains("UNKNOWN"));
+    assert_eq!(run_journal_command(&["show", "nobody"], &folder).1, Some(1));
     let file = folder.with_extension("jsonl");
-    assert_eq!(tool(&["export", "-o", &file.display().to_string()], &folder).1, Some(0));
+    assert_eq!(run_journal_command(&["export", "-o", &file.display().to_string()], &folder).1, Some(0));
     assert_eq!(std::fs::read_to_string(&file).expect("written").lines().count(), 3);
     let _ = std::fs::remove_file(file);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_second_sidecar_on_the_same_journal_does_not_start() {
+fn second_sidecar_on_the_same_journal_does_not_start() {
     let folder = folder("second");
     let app = App::start(|_| Reply::ok("done"));
     let first = sidecar(&folder, &app);
@@ -110,8 +110,8 @@
     let _ = (std::fs::remove_file(file), std::fs::remove_dir_all(folder));
 }
 
-/// What the application does with an order.
-fn done_with(id: &str) -> (u16, Reply) {
+/// Returns the application's status and reply for an order.
+fn reply_to(id: &str) -> (u16, Reply) {
     let number = id.bytes().map(u64::from).sum::<u64>();
     std::thread::sleep(Duration::from_millis(number % 4));
     match number % 37 {
@@ -122,13 +122,13 @@
     }
 }
 
-/// Kills the program at random points of a rush, again and again on one journal. `IVYGATE_KILL_ROUNDS` makes it longer,
-/// and `IVYGATE_KILL_SEED` another one.
+/// Kills the sidecar at random times under load, repeatedly on the same journal. `IVYGATE_KILL_ROUNDS` sets the number of
+/// rounds, `IVYGATE_KILL_SEED` the seed.
 #[test]
-fn after_kills_in_a_rush_the_journal_agrees_with_the_applications_own_log() {
-    let told_by =
+fn journal_agrees_with_the_application_log_after_kills_under_load() {
+    let from_env =
         |name: &str, default| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default);
-    let (rounds, seed) = (told_by("IVYGATE_KILL_ROUNDS", 5), told_by("IVYGATE_KILL_SEED", 1));
+    let (rounds, seed) = (from_env("IVYGATE_KILL_ROUNDS", 5), from_env("IVYGATE_KILL_SEED", 1));
     println!("{rounds} rounds, seed {seed}");
     let mut rng = fastrand::Rng::with_seed(seed);
     let folder = folder("kills");
@@ -138,12 +138,12 @@
     let app = App::start(move |m: &Message| {
         let id = m.header("req-id").unwrap_or_default().to_owned();
         log.lock().expect("no panic").push(id.clone());
-        done_with(&id).1
+        reply_to(&id).1
     });
     for round in 0..rounds {
         let sidecar = sidecar(&folder, &app);
         let (address, before) = (sidecar.address, seen.lock().expect("no panic").clone());
-        // Orders of earlier lives are asked for again, and not run again.
+        // Repeats of orders from earlier rounds must not run again.
         for _ in 0..before.len().min(10) {
             assert_eq!(sidecar.ask(&order(&before[rng.usize(0..before.len())])).status(), 409);
         }
@@ -164,38 +164,43 @@
             })
             .collect();
         let kill_at = before.len() + rng.usize(1..100);
-        until("the rush is on", || app.seen() >= kill_at);
+        until("the load has reached the kill point", || app.seen() >= kill_at);
         drop(sidecar);
         for client in clients {
             client.join().expect("no panic");
         }
     }
-    assert!(tool(&["verify"], &folder).0.starts_with("whole: "));
-    let told = told(&folder);
+    assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: "));
+    let recorded = list_orders(&folder);
     let seen = seen.lock().expect("no panic");
-    let mut unlike = seen.clone();
-    unlike.sort();
-    unlike.dedup();
-    assert_eq!(unlike.len(), seen.len(), "an order ran twice");
+    let mut distinct = seen.clone();
+    distinct.sort();
+    distinct.dedup();
+    assert_eq!(distinct.len(), seen.len(), "an order ran twice");
     for id in seen.iter() {
-        let (state, status) = told.get(id).unwrap_or_else(|| panic!("{id} is not accounted for"));
+        let (state, status) = recorded.get(id).unwrap_or_else(|| panic!("{id} is missing in the journal"));
         assert!(state != "never-sent", "{id} was seen by the application");
-        let right = done_with(id).0;
-        assert!(state != "answered" || *status == Some(right.into()), "{id}: {status:?}, not {right}");
+        let expected = reply_to(id).0;
+        assert!(state != "answered" || *status == Some(expected.into()), "{id}: {status:?}, not {expected}");
     }
     let answered = answered.lock().expect("no panic");
     for (id, status) in answered.iter() {
-        // Refused, and not seen by the application; or its answer.
+        // Either rejected without reaching the application, or the application's own answer.
         let refused = *status == 503 && !seen.contains(id);
-        assert!(refused || done_with(id).0 == *status && seen.contains(id), "{id}: {status}");
+        assert!(refused || reply_to(id).0 == *status && seen.contains(id), "{id}: {status}");
     }
-    println!("{} orders, {} seen by the application, {} answered", told.len(), seen.len(), answered.len());
+    println!(
+        "{} orders, {} seen by the application, {} answered",
+        recorded.len(),
+        seen.len(),
+        answered.len()
+    );
     assert!(answered.len() as u64 > 5 * rounds);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn an_order_asked_for_again_after_a_crash_gets_what_is_known_and_never_a_second_run() {
+fn repeated_order_after_a_crash_gets_its_recorded_state_and_does_not_run_again() {
     let folder = folder("again");
     let app = App::start(|m| match m.header("req-id") {
         Some("broken") => Reply::Close,
@@ -204,12 +209,12 @@
     let first = sidecar(&folder, &app);
     assert_eq!(first.ask(&order("good")).status(), 200);
     assert_eq!(first.ask(&order("broken")).status(), 502);
-    // Also from the process that sent them.
+    // The process that sent it refuses the repeat as well.
     assert_eq!(first.ask(&order("broken")).status(), 409);
     drop(first);
     let second = sidecar(&folder, &app);
     let good = second.ask(&order("good"));
-    // What came back is noted behind the answer: the kill may have come first.
+    // The outcome is recorded after the answer, so the kill may have come first.
     assert!([Some("answered 200"), Some("unknown")].contains(&good.header("ivygate-order")), "{good:?}");
     let broken = second.ask(&order("broken"));
     assert_eq!((good.status(), broken.status()), (409, 409));
@@ -228,8 +233,8 @@
 }
 
 #[test]
-fn an_order_that_no_server_took_may_be_asked_for_again() {
-    let folder = folder("untaken");
+fn order_that_no_server_accepted_may_be_repeated() {
+    let folder = folder("unsent");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -246,7 +251,7 @@
 }
 
 #[test]
-fn operators_read_on_a_listener_of_their_own_and_clients_do_not() {
+fn journal_queries_are_answered_on_the_operator_listener_only() {
     let folder = folder("operators");
     let app = App::start(|m| match m.header("order-no") {
         Some("b") => Reply::Close,
@@ -269,20 +274,20 @@
     };
     assert_eq!((post("/orders", "a", ""), post("/orders", "b", "")), (200, 502));
     let key = "Idempotency-Key: k\r\n";
-    // A keyed one is recorded, and its id holds nothing.
+    // Keyed requests are recorded, but do not reserve their client id.
     assert_eq!((post("/keyed", "k", key), post("/keyed", "k", key)), (200, 200));
-    until("it says where", || sidecar.said().contains("operators ask on "));
+    until("the operator address is logged", || sidecar.said().contains("operator interface at "));
     let said = sidecar.said();
-    let address = said.split("operators ask on ").nth(1).and_then(|rest| rest.split_whitespace().next());
-    let address: std::net::SocketAddr = address.expect("told").parse().expect("an address");
+    let address = said.split("operator interface at ").nth(1).and_then(|rest| rest.split_whitespace().next());
+    let address: std::net::SocketAddr = address.expect("the address is logged").parse().expect("an address");
     let ask =
         |request: &str| support::connect(address).ask(&format!("{request} HTTP/1.1\r\nHost: h\r\n\r\n"));
     let text = |answer: &Message| String::from_utf8(answer.body.clone()).expect("text");
-    // What came of the last is noted a little later.
+    // The last outcome is recorded with a delay.
     let unknown = || text(&ask("GET /orders?state=unknown"));
-    until("one is left", || unknown().lines().count() == 1);
+    until("one order is unknown", || unknown().lines().count() == 1);
     assert!(unknown().contains("\"client_id\":\"b\""), "{}", unknown());
-    // Page by page, each order once.
+    // Paging returns each order once.
     let (mut after, mut seen) = (String::new(), 0);
     loop {
         let page = text(&ask(&format!("GET /orders?limit=1{after}")));
@@ -320,26 +325,28 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_told_apart_from_time_that_is_up() {
-    let folder = folder("left");
+fn client_disconnects_and_timeouts_are_distinguished() {
+    let folder = folder("end-reason");
     let app = App::start(|_| Reply::Silence);
     let sidecar = sidecar(&folder, &app);
-    let leaves = {
+    let disconnecting = {
         let mut client = sidecar.client();
         client.write(order("leaves").as_bytes());
         client
     };
     until("it is sent", || app.seen() == 1);
-    drop(leaves);
+    drop(disconnecting);
     assert_eq!(sidecar.ask(&order("waits")).status(), 504);
-    let ended = |id: &str| tool(&["show", id], &folder).0;
-    until("both are told", || ended("leaves").contains("had left") && ended("waits").contains("time was up"));
+    let ended = |id: &str| run_journal_command(&["show", id], &folder).0;
+    until("both end reasons are recorded", || {
+        ended("leaves").contains("client disconnected") && ended("waits").contains("timed out")
+    });
     drop(sidecar);
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Orders get no answer but 503 with `Retry-After`, nothing of them goes out, and all else goes on.
-fn refuses_orders_only(sidecar: &Sidecar, app: &App) {
+/// Asserts that orders are rejected with 503 and `Retry-After` and not sent, while other requests are served.
+fn assert_only_orders_are_rejected(sidecar: &Sidecar, app: &App) {
     let before = app.seen();
     let refused = sidecar.ask(&order("late"));
     assert_eq!(refused.status(), 503);
@@ -349,7 +356,7 @@
 }
 
 #[test]
-fn a_folder_that_vanishes_or_is_replaced_takes_no_more_orders() {
+fn orders_are_rejected_after_the_journal_folder_is_removed_or_replaced() {
     for replaced in [false, true] {
         let folder = folder("vanished");
         let app = App::start(|_| Reply::ok("done"));
@@ -360,16 +367,16 @@
             std::fs::create_dir(&folder).expect("made");
             std::fs::write(folder.join("orders.redb"), "x").expect("written");
         }
-        refuses_orders_only(&sidecar, &app);
+        assert_only_orders_are_rejected(&sidecar, &app);
         let _ = std::fs::remove_dir_all(folder);
     }
 }
 
 #[test]
-fn a_disk_that_takes_no_more_ends_orders_and_nothing_else() {
+fn full_disk_stops_orders_only() {
     let folder = folder("no-space");
     let app = App::start(|_| Reply::ok("done"));
-    // The process may write files up to so many blocks of 512 bytes, and hears of it by an error.
+    // The limit is in blocks of 512 bytes. Writes beyond it fail with an error, since SIGXFSZ is ignored.
     let sidecar = Sidecar::limited(
         "trap '' XFSZ; ulimit -f 6144",
         &[
@@ -391,15 +398,15 @@
             break;
         }
         taken += 1;
-        assert!(taken < 5000, "the disk takes all");
+        assert!(taken < 5000, "the file size limit has no effect");
     }
-    assert_eq!(app.seen(), taken, "what was refused was not sent");
-    refuses_orders_only(&sidecar, &app);
+    assert_eq!(app.seen(), taken, "rejected orders were not sent");
+    assert_only_orders_are_rejected(&sidecar, &app);
     drop(sidecar);
-    // What was taken is there.
-    assert!(tool(&["verify"], &folder).0.starts_with("whole: "));
+    // The accepted orders are in the journal.
+    assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: "));
     for id in ["o0".to_owned(), format!("o{}", taken - 1)] {
-        assert!(!tool(&["show", &id], &folder).0.contains("never sent"), "{id}");
+        assert!(!run_journal_command(&["show", &id], &folder).0.contains("never sent"), "{id}");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -1,4 +1,4 @@
-//! The sidecar's start, reload and end, over loopback sockets.
+//! End-to-end tests of the sidecar's start, reload and shutdown.
 
 mod support;
 
@@ -10,39 +10,42 @@
 use std::time::Duration;
 use support::*;
 
-fn serving(name: &str, apps: &[&App]) -> String {
+fn pool_and_route(name: &str, apps: &[&App]) -> String {
     let servers: Vec<_> = apps.iter().map(|a| (a.address, "north")).collect();
     pool(name, "", &servers) + &format!("route {name} {{ path prefix /{name}; class order; pool {name}; }}\n")
 }
 
 #[test]
-fn another_file_is_put_to_work_whole_and_a_bad_one_not_at_all() {
+fn reload_applies_a_valid_file_completely_and_an_invalid_one_not_at_all() {
     let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
-    let sidecar = Sidecar::with(&[serving("app", &[&a])]);
+    let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     assert_eq!(sidecar.get("/app").body, b"a");
-    assert!(sidecar.reload(&Sidecar::text("", &[serving("app", &[&b]), serving("new", &[&a])])));
+    assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("app", &[&b]), pool_and_route("new", &[&a])])));
     assert_eq!((sidecar.get("/app").body, sidecar.get("/new").body), (b"b".to_vec(), b"a".to_vec()));
-    for bad in
-        ["", "listen 127.0.0.1:0 { }", "nonsense {", &Sidecar::text("idle 30;", &[serving("app", &[&a])])]
-    {
+    for bad in [
+        "",
+        "listen 127.0.0.1:0 { }",
+        "nonsense {",
+        &Sidecar::text("idle 30;", &[pool_and_route("app", &[&a])]),
+    ] {
         assert!(!sidecar.reload(bad), "{bad}");
         assert_eq!((sidecar.get("/app").body, sidecar.get("/new").body), (b"b".to_vec(), b"a".to_vec()));
     }
-    // What was wrong is told with its place.
+    // The error is logged with its location.
     assert!(
         sidecar.said().contains("`30` is not a time with its unit") && sidecar.said().contains(":1:"),
         "{}",
         sidecar.said()
     );
-    assert!(sidecar.reload(&Sidecar::text("", &[serving("app", &[&a])])));
+    assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("app", &[&a])])));
     assert_eq!((sidecar.get("/app").body, sidecar.get("/new").status()), (b"a".to_vec(), 404));
 }
 
 #[test]
-fn a_file_may_name_the_port_that_the_system_chose() {
+fn reload_may_name_the_port_assigned_by_the_system() {
     let a = App::start(|_| Reply::ok("a"));
-    let sidecar = Sidecar::with(&[serving("app", &[&a])]);
-    let text = Sidecar::text("", &[serving("new", &[&a])]);
+    let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
+    let text = Sidecar::text("", &[pool_and_route("new", &[&a])]);
     assert!(sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())), "{}", sidecar.said());
     assert_eq!((sidecar.get("/app").status(), sidecar.get("/new").body), (404, b"a".to_vec()));
     assert!(sidecar.reload(&text), "{}", sidecar.said());
@@ -50,34 +53,34 @@
 }
 
 #[test]
-fn requests_in_flight_end_under_the_file_they_began_with() {
-    let go = Arc::new(AtomicBool::new(false));
+fn open_requests_finish_under_their_initial_configuration() {
+    let release = Arc::new(AtomicBool::new(false));
     let a = App::start({
-        let go = go.clone();
+        let release = release.clone();
         move |_| {
-            until("the test says go", || go.load(Ordering::SeqCst));
+            until("the test releases the answer", || release.load(Ordering::SeqCst));
             Reply::ok("a")
         }
     });
     let b = App::start(|_| Reply::ok("b"));
-    let sidecar = Sidecar::with(&[serving("app", &[&a])]);
+    let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     until("the application is asked", || a.seen() == 1);
-    // Its server, its pool and its route go.
-    assert!(sidecar.reload(&Sidecar::text("", &[serving("other", &[&b])])));
+    // The reload removes its server, pool and route.
+    assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
-    go.store(true, Ordering::SeqCst);
+    release.store(true, Ordering::SeqCst);
     assert_eq!(client.read().expect("an answer").body, b"a");
 }
 
 #[test]
-fn an_unchanged_pool_keeps_quotas_and_connections_and_a_changed_one_does_not() {
+fn unchanged_pool_keeps_quotas_and_connections_and_a_changed_one_does_not() {
     let app = App::start(|_| Reply::ok("x"));
     let plans = "plan narrow { quota 1/h; burst 3; }\nidentity { customer name all; default-plan narrow; }\n"
         .to_owned();
     let text = |extra: &str, more: &str| {
-        let pools = [plans.clone(), serving("app", &[&app]).replace("requests 64;", extra)];
+        let pools = [plans.clone(), pool_and_route("app", &[&app]).replace("requests 64;", extra)];
         Sidecar::text("", &pools) + more
     };
     let sidecar = Sidecar::start(&text("requests 64;", ""));
@@ -85,8 +88,8 @@
     assert_eq!(passed(), 3);
     let connections = app.accepted.load(Ordering::SeqCst);
     let other = App::start(|_| Reply::ok("y"));
-    // Lines move, comments come, another pool and a server are added: this pool has not changed.
-    let added = serving("other", &[&other]);
+    // Moved lines, comments and additional pools do not count as a change of this pool.
+    let added = pool_and_route("other", &[&other]);
     let more = text("requests 64;", &added).replace("    server s0", "# moved\n\n    server s0");
     assert!(sidecar.reload(&more));
     assert_eq!((passed(), app.accepted.load(Ordering::SeqCst)), (0, connections));
@@ -95,8 +98,8 @@
 }
 
 #[test]
-fn a_server_that_is_drained_between_the_choice_and_the_first_byte_gets_nothing() {
-    // Its queue is full, so that a connection to it does not come up until it accepts.
+fn server_drained_while_connecting_receives_nothing() {
+    // The accept queue is full, so that further connections are established only when it accepts.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a port");
@@ -111,7 +114,7 @@
     let sidecar = Sidecar::with(&[both.clone(), routed.to_owned()]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\npaid");
-    // Long enough for the attempt to be under way; the verdict does not rest on it.
+    // Gives the attempt time to start connecting; the result does not depend on it.
     std::thread::sleep(Duration::from_millis(100));
     let drained = both.replace("{ zone north; }", "{ zone north; state draining; }");
     let with = drained.replace(
@@ -120,37 +123,37 @@
     );
     assert!(sidecar.reload(&Sidecar::text("", &[with, routed.to_owned()])));
     drop(filling);
-    listener.set_nonblocking(true).expect("it can be");
-    let mut came: Vec<std::net::TcpStream> = Vec::new();
-    client.stream.get_ref().set_nonblocking(true).expect("it can be");
+    listener.set_nonblocking(true).expect("the socket accepts the option");
+    let mut accepted: Vec<std::net::TcpStream> = Vec::new();
+    client.stream.get_ref().set_nonblocking(true).expect("the socket accepts the option");
     let mut answer = None;
     until("the order is answered", || {
         if let Ok((stream, _)) = listener.accept() {
-            came.push(stream);
+            accepted.push(stream);
         }
         let mut peeked = [0; 1];
         if client.stream.get_ref().peek(&mut peeked).is_ok_and(|n| n > 0) {
-            client.stream.get_ref().set_nonblocking(false).expect("it can be");
+            client.stream.get_ref().set_nonblocking(false).expect("the socket accepts the option");
             answer = client.read();
         }
         answer.is_some()
     });
     assert_eq!(answer.expect("an answer").body, b"good");
-    for stream in came {
-        stream.set_nonblocking(true).expect("it can be");
+    for stream in accepted {
+        stream.set_nonblocking(true).expect("the socket accepts the option");
         let mut byte = [0; 1];
         assert!(!stream.peek(&mut byte).is_ok_and(|n| n > 0), "a byte went to a draining server");
     }
 }
 
 #[test]
-fn a_hundred_reloads_under_load_lose_nothing_and_send_nothing_to_what_is_gone() {
+fn reloads_under_load_lose_no_request_and_spare_removed_servers() {
     let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
     let texts = [
-        Sidecar::text("", &[serving("app", &[&a])]),
-        Sidecar::text("", &[serving("app", &[&b])]),
-        // A change of the pool itself, so that it begins anew.
-        Sidecar::text("", &[serving("app", &[&a, &b]).replace("requests 64;", "requests 60;")]),
+        Sidecar::text("", &[pool_and_route("app", &[&a])]),
+        Sidecar::text("", &[pool_and_route("app", &[&b])]),
+        // A change of the pool itself, so that it is restarted.
+        Sidecar::text("", &[pool_and_route("app", &[&a, &b]).replace("requests 64;", "requests 60;")]),
     ];
     let sidecar = Arc::new(Sidecar::start(&texts[0]));
     let stop = Arc::new(AtomicBool::new(false));
@@ -181,13 +184,13 @@
             1 => Some((&a, &b)),
             _ => None,
         };
-        if let Some((gone, left)) = only {
-            // Open requests end; then nothing comes any more to the one that is gone.
+        if let Some((removed, remaining)) = only {
+            // Once open requests have finished, the removed server must not receive any more.
             let now = answered.load(Ordering::SeqCst);
             until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
-            let (before, other) = (gone.seen(), left.seen());
-            until("others have come", || left.seen() > other + 4);
-            assert_eq!(gone.seen(), before, "reload {number}");
+            let (before, other) = (removed.seen(), remaining.seen());
+            until("further requests have been served", || remaining.seen() > other + 4);
+            assert_eq!(removed.seen(), before, "reload {number}");
         }
     }
     stop.store(true, Ordering::SeqCst);
@@ -196,12 +199,12 @@
 }
 
 #[test]
-fn listeners_come_and_go_with_the_file() {
+fn listeners_are_opened_and_closed_on_reload() {
     let app = App::start(|_| Reply::ok("x"));
-    let sidecar = Sidecar::with(&[serving("app", &[&app])]);
+    let sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let second = |address: SocketAddr| format!("listen {address} {{ connections 200; }}\n");
-    let text = Sidecar::text("", &[serving("app", &[&app])]);
+    let text = Sidecar::text("", &[pool_and_route("app", &[&app])]);
     assert!(sidecar.reload(&(second(free) + &text)));
     let get = |address: SocketAddr| {
         let stream = std::net::TcpStream::connect(address).ok()?;
@@ -210,38 +213,38 @@
         client.read().map(|answer| answer.status())
     };
     assert_eq!((get(free), get(sidecar.address)), (Some(200), Some(200)));
-    // An address that is taken changes nothing.
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    assert!(!sidecar.reload(&(second(taken.local_addr().expect("an address")) + &text)));
+    // An address in use makes the reload fail without any change.
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
+    assert!(!sidecar.reload(&(second(occupied.local_addr().expect("an address")) + &text)));
     assert_eq!((get(free), get(sidecar.address)), (Some(200), Some(200)));
     assert!(sidecar.reload(&text));
-    until("the second listener is gone", || std::net::TcpStream::connect(free).is_err());
+    until("the second listener is closed", || std::net::TcpStream::connect(free).is_err());
     assert_eq!(get(sidecar.address), Some(200));
 }
 
 #[test]
-fn the_signal_to_end_finishes_what_has_been_taken() {
-    let go = Arc::new(AtomicBool::new(false));
+fn sigterm_finishes_accepted_requests() {
+    let release = Arc::new(AtomicBool::new(false));
     let app = App::start({
-        let go = go.clone();
+        let release = release.clone();
         move |_| {
-            until("the test says go", || go.load(Ordering::SeqCst));
+            until("the test releases the answer", || release.load(Ordering::SeqCst));
             Reply::ok("x")
         }
     });
-    let mut sidecar = Sidecar::with(&[serving("app", &[&app])]);
+    let mut sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
     until("the application is asked", || app.seen() == 1);
     sidecar.terminate();
-    go.store(true, Ordering::SeqCst);
+    release.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"x"[..]));
     assert_eq!(sidecar.exit_code(), Some(0));
 }
 
 #[test]
-fn a_stream_that_does_not_end_holds_up_the_end_for_the_drain_only() {
+fn endless_stream_delays_shutdown_by_the_drain_timeout_only() {
     let app = Scripted::start(|stream, _| {
         read_message(stream);
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -258,7 +261,7 @@
     sidecar.terminate();
     assert_eq!(sidecar.exit_code(), Some(0));
     let mut rest = Vec::new();
-    // The last chunk is missing, so that the client can tell.
+    // The final chunk is missing, so that the client can detect the abort.
     let _ = client.stream.read_to_end(&mut rest);
     assert!(!rest.ends_with(b"0\r\n\r\n"));
 }
@@ -274,7 +277,7 @@
 }
 
 #[test]
-fn mistakes_in_a_file_or_on_the_command_line_exit_with_2_and_faults_with_1() {
+fn usage_and_configuration_errors_exit_with_2_and_runtime_errors_with_1() {
     let bad = scratch("listen 127.0.0.1:0 {\n    idle 30;\n}\n");
     let name = bad.display().to_string();
     for command in ["serve", "check", "routes"] {
@@ -286,10 +289,11 @@
     assert_eq!(run(&["serve"]).0, Some(2));
     assert_eq!(run(&["sing"]).0, Some(2));
     assert_eq!(run(&[]).0, Some(2));
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
     let app = App::start(|_| Reply::ok("x"));
-    let address = taken.local_addr().expect("an address").to_string();
-    let good = scratch(&Sidecar::text("", &[serving("app", &[&app])]).replace("127.0.0.1:0", &address));
+    let address = occupied.local_addr().expect("an address").to_string();
+    let good =
+        scratch(&Sidecar::text("", &[pool_and_route("app", &[&app])]).replace("127.0.0.1:0", &address));
     let (code, _, error) = run(&["serve", &good.display().to_string()]);
     assert_eq!(code, Some(1), "{error}");
     assert!(error.contains("cannot listen on"), "{error}");
@@ -299,18 +303,18 @@
 }
 
 #[test]
-fn the_examples_under_deploy_are_good_ones() {
+fn example_configurations_are_valid() {
     for file in [
         concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sidecar.conf"),
         concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sign-in.conf"),
     ] {
-        let (code, said, error) = run(&["check", file]);
-        assert_eq!((code, error.as_str()), (Some(0), ""), "{said}");
+        let (code, output, error) = run(&["check", file]);
+        assert_eq!((code, error.as_str()), (Some(0), ""), "{output}");
     }
 }
 
 #[test]
-fn the_routes_of_a_file_are_told_with_their_reasons() {
+fn routes_command_explains_the_matching_route() {
     let text = Sidecar::text(
         "",
         &["pool app { server a 127.0.0.1:9; }\n\
@@ -321,12 +325,12 @@
     );
     let file = scratch(&text);
     let name = file.display().to_string();
-    let (code, told, _) = run(&["routes", &name]);
+    let (code, output, _) = run(&["routes", &name]);
     assert_eq!(code, Some(0));
-    assert!(told.contains("one (") && told.contains("before tiles ("), "{told}");
-    let (code, told, _) = run(&["routes", &name, "GET", "http://Tiles.example.org/x/../tiles/%31"]);
-    assert!(code == Some(0) && told.contains("one: host tiles.example.org, exact /tiles/1"), "{told}");
-    let (code, told, _) = run(&["routes", &name, "DELETE", "/tiles/1"]);
-    assert!(code == Some(1) && told.contains("405"), "{told}");
+    assert!(output.contains("one (") && output.contains("before tiles ("), "{output}");
+    let (code, output, _) = run(&["routes", &name, "GET", "http://Tiles.example.org/x/../tiles/%31"]);
+    assert!(code == Some(0) && output.contains("one: host tiles.example.org, exact /tiles/1"), "{output}");
+    let (code, output, _) = run(&["routes", &name, "DELETE", "/tiles/1"]);
+    assert!(code == Some(1) && output.contains("405"), "{output}");
     let _ = std::fs::remove_file(file);
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,21 +1,21 @@
-//! A journal of requests that must not run twice: where each was sent, and what came back.
+//! Durable journal of requests that must not run twice: where each was sent, and the outcome of each attempt.
 //!
-//! Called by the sidecar, which records, and by the command line, which asks. It must never choose a server, send
-//! anything or decide that a request runs again. `order` holds what is known of one request and does no I/O; `store`
-//! keeps it in an embedded store; `writer` is the thread that does so for a process that must not wait; `asking` answers
-//! questions, also over a socket in the folder, which is `desk`.
+//! The sidecar records orders and the command line queries them. This crate never chooses a server, sends a request or
+//! decides to retry one. `order` is the state of one request and does no I/O; `store` persists it in an embedded
+//! database; `writer` is the thread that writes on behalf of the event loop; `query` answers queries; `query_socket`
+//! serves them over a Unix socket in the journal's folder.
 
-mod asking;
-mod desk;
 mod order;
 mod pseudonym;
+mod query;
+mod query_socket;
 mod store;
 mod writer;
 
-pub use asking::{answer_query, QueryResponse};
-pub use desk::{query_running_process, QuerySocket};
 pub use order::{Attempt, AttemptOutcome, EndReason, Order, State, Update};
 pub use pseudonym::Pseudonymizer;
+pub use query::{answer_query, QueryResponse};
+pub use query_socket::{query_running_process, QuerySocket};
 pub use store::{
     Cursor, DurabilityLevel, IdentifiedOrder, JournalError, RecordOutcome, Retention, Store, Usage,
     VerifyReport,
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -1,91 +1,92 @@
-//! What is known of one request, from what was recorded of it. No I/O, no clock.
+//! State of one request, derived from its recorded updates. No I/O, no clock.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What came of one attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptOutcome {
-    /// Nothing is known: it may have run.
+    /// Not known; the attempt may have run.
     #[default]
     Unknown,
-    /// Proof that it never ran.
+    /// Proven not to have run.
     NotRun,
-    /// The server's answer, with its status.
+    /// Answered by the server with this status.
     Answer(u16),
 }
 
-/// One attempt. It is recorded before its first byte goes out.
+/// Attempt to send a request to a server, recorded before its first byte is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Its number, in order of the sends, from 0.
+    /// Sequence number within the request, from 0.
     pub number: u32,
-    /// The server.
+    /// Address of the server.
     pub server: SocketAddr,
-    /// When it was about to be sent, in Unix milliseconds.
+    /// Time just before it was sent, in Unix milliseconds.
     pub sent_at: f64,
-    /// What came of it.
+    /// Its outcome.
     #[serde(rename = "came")]
     pub outcome: AttemptOutcome,
 }
 
-/// How it ended for its client, where that was not with the answer of an attempt.
+/// Reason why a request ended without the answer of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndReason {
-    /// The client left before there was an answer.
+    /// The client disconnected before the answer.
     ClientGone,
-    /// Its time was up.
+    /// The deadline passed.
     #[serde(rename = "given-up")]
     TimedOut,
 }
 
-/// A request that must not run twice, or a keyed one.
+/// Request that must not run twice, or one with an idempotency key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// The id that its client gave it.
+    /// Id assigned by the client.
     pub client_id: Option<String>,
-    /// Whether its key lets servers drop its repeats: then it may be sent again, and its id holds nothing.
+    /// Whether an idempotency key lets servers drop repeats of it; it may then be retried, and does not reserve its client
+    /// id.
     #[serde(default, skip_serializing_if = "is_false")]
     pub keyed: bool,
-    /// Its customer, or the customer's pseudonym.
+    /// Name or pseudonym of the customer.
     pub customer: String,
-    /// Its route.
+    /// Name of the route.
     pub route: String,
-    /// Its target.
+    /// Request target.
     pub target: String,
-    /// When it was taken, in Unix milliseconds.
+    /// Time at which it was accepted, in Unix milliseconds.
     #[serde(rename = "taken_at")]
     pub accepted_at: f64,
-    /// Its attempts, in order.
+    /// Attempts, in the order of sending.
     pub attempts: Vec<Attempt>,
-    /// How it ended, where no attempt tells.
+    /// Reason for its end, if it ended without an answer.
     #[serde(rename = "ended", default, skip_serializing_if = "Option::is_none")]
     pub end_reason: Option<EndReason>,
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref, reason = "asked for by serde")]
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "required by serde")]
 fn is_false(value: &bool) -> bool {
     !value
 }
 
-/// What can be said of an order.
+/// State of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// No byte of it went to a server, or every attempt is proved not to have run.
+    /// No attempt was sent, or every attempt is proven not to have run.
     NeverSent,
-    /// A server answered, with this status.
+    /// A server answered with this status.
     Answered(u16),
-    /// It was sent, and nothing is known of what it did: somebody must ask.
+    /// It was sent and its outcome is not known; it must be clarified with the customer.
     Unknown,
 }
 
 impl State {
-    /// The words for states.
+    /// Names of the states.
     pub const NAMES: [&'static str; 3] = ["never-sent", "answered", "unknown"];
 
-    /// The word for it, without the status.
+    /// Returns the name of the state, without the status.
     pub fn as_str(self) -> &'static str {
         match self {
             State::NeverSent => Self::NAMES[0],
@@ -95,21 +96,21 @@
     }
 }
 
-/// What is recorded.
+/// Update of an order, the unit of recording.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// It was taken, and its first attempt, which it holds, is about to be sent.
+    /// The order was accepted; its first attempt, which it contains, is about to be sent.
     Accepted(Order),
     /// A further attempt is about to be sent.
     AttemptStarted(Attempt),
-    /// What came of an attempt, by its number.
+    /// The attempt of this number has an outcome.
     AttemptEnded(u32, AttemptOutcome),
-    /// It ended for its client without an answer of an attempt.
+    /// The order ended without the answer of an attempt.
     Closed(EndReason),
 }
 
 impl Order {
-    /// Takes in what was recorded. What is known is never made less: an answer or a proof stands.
+    /// Applies an update. A known outcome is never overwritten.
     pub fn apply(&mut self, update: Update) {
         match update {
             Update::Accepted(order) => {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// What can be said of it.
+    /// Returns the state derived from the attempts.
     pub fn state(&self) -> State {
         let answer = self.attempts.iter().find_map(|attempt| match attempt.outcome {
             AttemptOutcome::Answer(status) => Some(status),
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -1,7 +1,7 @@
-//! Orders in an embedded store, a file in a folder of the journal's own.
+//! Persistence of orders in an embedded database, a single file in the journal's folder.
 //!
-//! The store writes pages anew and switches to them by one checksummed page behind a sync, so that after a crash at any
-//! moment the last whole commit is there.
+//! The database writes modified pages to new places and commits by a sync and one checksummed header page, so that the
+//! last complete commit survives a crash at any time.
 
 use crate::order::{Order, State, Update};
 use redb::backends::FileBackend;
@@ -19,45 +19,45 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Orders as JSON, by their id in this process's lives.
+/// Orders as JSON, by the id that the sidecar assigned.
 const ORDERS: TableDefinition<&str, &[u8]> = TableDefinition::new("orders-1");
-/// The order that holds a client's id.
-const KEYS: TableDefinition<&str, &str> = TableDefinition::new("client-ids-1");
-/// Orders by when they were taken, in Unix milliseconds: what is listed by, and what is dropped by.
+/// Id of the order that holds a client id, by the client id.
+const CLIENT_IDS: TableDefinition<&str, &str> = TableDefinition::new("client-ids-1");
+/// Order ids by the time of acceptance in Unix milliseconds, the order of listing and of expiry.
 const BY_TIME: TableDefinition<(u64, &str), ()> = TableDefinition::new("by-time-1");
-/// The format, the records' bytes, and the salt of pseudonyms.
-const ABOUT: TableDefinition<&str, &[u8]> = TableDefinition::new("about-1");
-/// The format that this program writes. Those without a number had no order by time.
+/// Metadata: the format, the size of all records in bytes, and the salt for pseudonyms.
+const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("about-1");
+/// Format that this version writes. Files without a format number have no index by time.
 const FORMAT: u64 = 2;
-/// What an order takes in the file for each byte of its record and ids, at most: pages are half full at worst, are
-/// written anew before the old ones are free, and the file grows by doubling.
-const SPREAD: u64 = 6;
-/// What each order's entries take besides.
-const ENTRY: u64 = 96;
-/// From this part of what may be recorded on people are warned.
-pub const NEAR: f64 = 0.8;
-/// Most orders that are dropped in one commit.
-const DROPPED_MOST: usize = 256;
-/// The store's file in the folder.
-const FILE: &str = "orders.redb";
-/// Most that the store keeps of its file in memory.
-const CACHE: usize = 16 << 20;
-
-/// How durable a record is when it counts as recorded.
+/// Maximum file size per byte of records and ids. Pages may be only half full, are copied before the old ones are freed,
+/// and the file grows by doubling.
+const FILE_SIZE_FACTOR: u64 = 6;
+/// Size of the table entries of an order in addition to its record and ids, in bytes.
+const ENTRY_OVERHEAD_BYTES: u64 = 96;
+/// Fraction of the size limit from which operators are warned.
+pub const WARNING_FRACTION: f64 = 0.8;
+/// Maximum number of expired orders removed per commit.
+const MAX_EXPIRED_PER_COMMIT: usize = 256;
+/// Name of the database file in the journal's folder.
+const FILE_NAME: &str = "orders.redb";
+/// Size of the database's page cache, in bytes.
+const CACHE_BYTES: usize = 16 << 20;
+
+/// Durability that a record must have before it counts as recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DurabilityLevel {
-    /// The system has it: it outlives the process, and not the machine's end.
+    /// Handed to the operating system: survives a crash of the process, but not of the machine.
     Written,
-    /// The disk has it.
+    /// Synced to the disk.
     Synced,
 }
 
-/// How long orders are kept, and how much of the disk they may take.
+/// Retention of orders: their maximum age and the maximum size of the file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retention {
-    /// Milliseconds since an order was taken.
+    /// Maximum age of an order since its acceptance, in milliseconds.
     pub max_age_ms: f64,
-    /// Bytes of the store's file.
+    /// Maximum size of the database file, in bytes.
     pub max_file_bytes: u64,
 }
 
@@ -67,49 +67,49 @@
     }
 }
 
-/// What became of an update.
+/// Result of recording an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// It is durable to the level.
+    /// Recorded with the configured durability.
     Recorded,
-    /// It was left out: an order with its client's id may have run, and this is known of it.
+    /// Skipped, since another order with the same client id may have run; holds the state of that order.
     Duplicate(State),
-    /// It was left out: the journal takes as much of the disk as it may.
+    /// Skipped, since the journal has reached its size limit.
     Full,
 }
 
-/// Where the journal stands.
+/// Current size of the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Orders in it.
+    /// Number of orders.
     pub orders: u64,
-    /// The part of what may be recorded that is.
+    /// Fraction of the size limit that is used.
     pub fraction: f64,
 }
 
 impl Usage {
-    /// Whether people should be warned.
+    /// Returns whether operators should be warned.
     pub fn is_near_limit(&self) -> bool {
-        self.fraction >= NEAR
+        self.fraction >= WARNING_FRACTION
     }
 }
 
-/// Why the journal can't be used.
+/// Error of opening, transaction or writing a journal.
 #[derive(Debug)]
 pub enum JournalError {
     /// Another process has it open.
     InUse(PathBuf),
-    /// There is none in this folder.
+    /// The folder has no journal.
     Missing(PathBuf),
-    /// The folder or file can't be used.
+    /// I/O error on the folder or the file.
     Io(PathBuf, io::Error),
-    /// The store reports this.
+    /// Error of the database.
     Store(PathBuf, String),
-    /// Another file has its name.
+    /// The file has been replaced by another.
     Replaced(PathBuf),
-    /// It was closed in order, and is not as it was then.
+    /// The journal was closed cleanly, but has changed since.
     ChangedAfterClose(PathBuf),
-    /// A later version of this program wrote it.
+    /// The journal was written by a later version, in this format.
     UnsupportedFormat(PathBuf, u64),
 }
 
@@ -117,7 +117,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             JournalError::InUse(path) => {
-                write!(f, "the journal {} is in use by another process; end that one first", path.display())
+                write!(f, "the journal {} is in use by another process; stop that process first", path.display())
             }
             JournalError::Missing(path) => write!(f, "there is no journal in {}", path.display()),
             JournalError::Io(path, error) => write!(f, "the journal {}: {error}", path.display()),
@@ -125,17 +125,18 @@
                 write!(f, "the journal {} cannot be read: {error}", path.display())
             }
             JournalError::Replaced(path) => {
-                write!(f, "another file took the place of the journal {}", path.display())
+                write!(f, "the file of the journal {} has been replaced by another file", path.display())
             }
             JournalError::ChangedAfterClose(path) => write!(
                 f,
-                "the journal {} was closed in order and has changed since: the disk may be failing, and orders in it may \
-                 be lost; move the folder away to begin a new one, and keep it for staff",
+                "the journal {} was closed cleanly but has changed since: the disk may be failing, and orders may be \
+                 lost; move the folder away to start a new journal, and keep it for investigation",
                 path.display()
             ),
             JournalError::UnsupportedFormat(path, format) => write!(
                 f,
-                "the journal {} has format {format}, and this version knows formats up to {FORMAT}; use a later one",
+                "the journal {} has format {format}, but this version supports formats up to {FORMAT} only; use a later \
+                 version",
                 path.display()
             ),
         }
@@ -144,14 +145,14 @@
 
 impl std::error::Error for JournalError {}
 
-/// A file whose syncs are left out where records need only be written.
+/// Storage backend that skips syncs at [`DurabilityLevel::Written`].
 #[derive(Debug)]
-struct Backend<B> {
+struct LevelBackend<B> {
     inner: B,
     level: DurabilityLevel,
 }
 
-impl<B: StorageBackend> StorageBackend for Backend<B> {
+impl<B: StorageBackend> StorageBackend for LevelBackend<B> {
     fn len(&self) -> io::Result<u64> {
         self.inner.len()
     }
@@ -162,8 +163,8 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         self.inner.set_len(len)?;
-        // The store takes for granted that its file is as long as its first page says; after a power cut that can be
-        // otherwise where both were on their way to the disk, and the store ends the process then.
+        // The database assumes that the file is as long as its header page says, and terminates the process otherwise.
+        // Without this sync a power cut could persist the header page but not the new length.
         self.sync_data(false)
     }
 
@@ -179,42 +180,43 @@
     }
 }
 
-/// An open journal. It may be read while it is written: a reader sees whole commits.
+/// Open journal. It can be read while it is written; a reader sees complete commits only.
 pub struct Store {
     database: Database,
     path: PathBuf,
     retention: Retention,
     repaired: bool,
     changed: bool,
-    /// Device and number of its file, where it is one.
-    file: Option<(u64, u64)>,
+    /// Device and inode number, if the backend is a file.
+    file_id: Option<(u64, u64)>,
 }
 
-/// An order and its id.
+/// Order with its id.
 pub type IdentifiedOrder = (String, Order);
 
-/// Where a listing goes on: behind the order that was taken then and has this id.
+/// Position in a listing: after the order of this acceptance time and id.
 pub type Cursor = (u64, String);
 
-/// What a look through the whole journal found.
+/// Result of verifying a journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VerifyReport {
-    /// Orders that can be read.
+    /// Number of readable orders.
     pub orders: u64,
-    /// Those of which nobody knows what they did.
+    /// Number of orders in state [`State::Unknown`], including unreadable ones.
     pub unknown: u64,
-    /// What is wrong, in words; at most a hundred.
+    /// Descriptions of the problems found, at most 100.
     pub problems: Vec<String>,
 }
 
+/// Maximum number of problems in a report.
 const MAX_PROBLEMS: usize = 100;
 
-#[allow(clippy::result_large_err, reason = "the store's own errors, which go no further than this module")]
+#[allow(clippy::result_large_err, reason = "the database's errors, which do not leave this module")]
 impl Store {
-    /// Opens the journal of a folder, and makes both where they are missing. Only one process can have it open.
+    /// Opens the journal of a folder, and creates both if they are missing. Only one process can have it open.
     ///
     /// # Errors
-    /// If it can't be opened, or was closed in order and has changed since.
+    /// Returns an error if it cannot be opened, or was closed cleanly and has changed since.
     pub fn create(folder: &Path, level: DurabilityLevel, retention: Retention) -> Result<Self, JournalError> {
         let io = |error| JournalError::Io(folder.to_owned(), error);
         fs::DirBuilder::new().recursive(true).mode(0o700).create(folder).map_err(io)?;
@@ -225,12 +227,12 @@
         Ok(store)
     }
 
-    /// Opens the journal of a folder where there is one.
+    /// Opens the existing journal of a folder.
     ///
     /// # Errors
-    /// If there is none or it can't be opened.
+    /// Returns an error if there is none, or it cannot be opened.
     pub fn open(folder: &Path) -> Result<Self, JournalError> {
-        if !folder.join(FILE).is_file() {
+        if !folder.join(FILE_NAME).is_file() {
             return Err(JournalError::Missing(folder.to_owned()));
         }
         Self::open_file(folder, DurabilityLevel::Synced, Retention::default(), false)
@@ -242,404 +244,412 @@
         retention: Retention,
         create: bool,
     ) -> Result<Self, JournalError> {
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         let file =
             OpenOptions::new().read(true).write(true).create(create).truncate(false).mode(0o600).open(&path);
         let file = file.map_err(|error| JournalError::Io(path.clone(), error))?;
         if create && level == DurabilityLevel::Synced {
-            // Without this a new file may be gone after a power cut, with all that is in it.
+            // Without this sync of the folder, a new file can be lost in a power cut with all its records.
             let synced = fs::File::open(folder).and_then(|folder| folder.sync_all());
             synced.map_err(|error| JournalError::Io(folder.to_owned(), error))?;
         }
-        let told = file.metadata().map_err(|error| JournalError::Io(path.clone(), error))?;
-        let backend = FileBackend::new(file).map_err(|error| opened(&path, error))?;
-        let mut store = Self::guarded(path, backend, level, retention)?;
-        store.file = Some((told.dev(), told.ino()));
+        let metadata = file.metadata().map_err(|error| JournalError::Io(path.clone(), error))?;
+        let backend = FileBackend::new(file).map_err(|error| open_error(&path, error))?;
+        let mut store = Self::open_catching_panics(path, backend, level, retention)?;
+        store.file_id = Some((metadata.dev(), metadata.ino()));
         Ok(store)
     }
 
-    /// Opens a journal on a storage of another kind.
+    /// Opens a journal on another storage backend.
     ///
     /// # Errors
-    /// If it can't be opened.
+    /// Returns an error if it cannot be opened.
     pub fn with_backend(
         path: PathBuf,
         backend: impl StorageBackend,
         retention: Retention,
     ) -> Result<Self, JournalError> {
-        Self::guarded(path, backend, DurabilityLevel::Synced, retention)
+        Self::open_catching_panics(path, backend, DurabilityLevel::Synced, retention)
     }
 
-    /// The store panics on some pages that the disk has changed; here that is one more way not to open.
-    fn guarded(
+    /// Opens the database and turns a panic into an error, since the database panics on some corrupted pages.
+    fn open_catching_panics(
         path: PathBuf,
         inner: impl StorageBackend,
         level: DurabilityLevel,
         retention: Retention,
     ) -> Result<Self, JournalError> {
-        let named = path.clone();
-        let opened = catch_unwind(AssertUnwindSafe(|| Self::with(path, inner, level, retention)));
-        opened
-            .unwrap_or_else(|_| Err(JournalError::Store(named, "its pages contradict each other".to_owned())))
+        let failed_path = path.clone();
+        let opened = catch_unwind(AssertUnwindSafe(|| Self::open_backend(path, inner, level, retention)));
+        opened.unwrap_or_else(|_| Err(JournalError::Store(failed_path, "inconsistent pages".to_owned())))
     }
 
-    fn with(
+    fn open_backend(
         path: PathBuf,
         inner: impl StorageBackend,
         level: DurabilityLevel,
         retention: Retention,
     ) -> Result<Self, JournalError> {
-        let backend = Backend { inner, level };
+        let backend = LevelBackend { inner, level };
         let repaired = Arc::new(AtomicBool::new(false));
-        let told = repaired.clone();
+        let on_repair = repaired.clone();
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE).set_repair_callback(move |_| told.store(true, Ordering::Relaxed));
-        let mut database = builder.create_with_backend(backend).map_err(|error| opened(&path, error))?;
+        builder
+            .set_cache_size(CACHE_BYTES)
+            .set_repair_callback(move |_| on_repair.store(true, Ordering::Relaxed));
+        let mut database = builder.create_with_backend(backend).map_err(|error| open_error(&path, error))?;
         let repaired = repaired.load(Ordering::Relaxed);
-        // After a crash all pages were checked. Where it was closed in order none was, and a record that the disk has
-        // changed since would be taken for what was written.
-        let whole = repaired || database.check_integrity().map_err(|error| opened(&path, error))?;
-        let mut store = Self { database, path, retention, repaired, changed: false, file: None };
-        store.changed = store.told(store.has_changed(!whole))?;
-        let format = store.told(store.prepare())?;
+        // After a crash the database has checked all pages. After a clean close it has not, and a record that the disk
+        // has corrupted since would be read as valid.
+        let intact = repaired || database.check_integrity().map_err(|error| open_error(&path, error))?;
+        let mut store = Self { database, path, retention, repaired, changed: false, file_id: None };
+        store.changed = store.database_result(store.has_changed(!intact))?;
+        let format = store.database_result(store.prepare())?;
         if format > FORMAT {
             return Err(JournalError::UnsupportedFormat(store.path, format));
         }
         Ok(store)
     }
 
-    fn told<T>(&self, result: Result<T, redb::Error>) -> Result<T, JournalError> {
+    fn database_result<T>(&self, result: Result<T, redb::Error>) -> Result<T, JournalError> {
         result.map_err(|error| JournalError::Store(self.path.clone(), error.to_string()))
     }
 
-    /// Whether it has ever been found changed. That is kept, since the check itself puts the last whole state in place.
+    /// Returns whether the journal has ever been found changed. This is stored, since the integrity check itself restores
+    /// the last consistent state.
     fn has_changed(&self, now: bool) -> Result<bool, redb::Error> {
-        let write = self.database.begin_write()?;
-        let before = write.open_table(ABOUT)?.get("changed")?.is_some();
+        let transaction = self.database.begin_write()?;
+        let before = transaction.open_table(METADATA)?.get("changed")?.is_some();
         if now && !before {
-            write.open_table(ABOUT)?.insert("changed", [1].as_slice())?;
-            write.commit()?;
+            transaction.open_table(METADATA)?.insert("changed", [1].as_slice())?;
+            transaction.commit()?;
         }
         Ok(now || before)
     }
 
-    /// Makes what is missing, also of a journal of an earlier format; gives the format where it is a later one.
+    /// Creates missing tables and migrates earlier formats. Returns the format of the file, which may be a later one.
     fn prepare(&self) -> Result<u64, redb::Error> {
-        let write = self.database.begin_write()?;
+        let transaction = self.database.begin_write()?;
         {
-            let mut about = write.open_table(ABOUT)?;
-            let format = number(&about, "format")?;
+            let mut metadata = transaction.open_table(METADATA)?;
+            let format = read_u64(&metadata, "format")?;
             if format >= FORMAT {
                 return Ok(format);
             }
-            let mut orders = write.open_table(ORDERS)?;
-            let mut by_time = write.open_table(BY_TIME)?;
+            let mut orders = transaction.open_table(ORDERS)?;
+            let mut by_time = transaction.open_table(BY_TIME)?;
             let mut bytes = 0;
-            // The first format had JSON alone.
+            // Records of the first format are plain JSON without a checksum.
             let ids = orders.iter()?.map(|entry| Ok(entry?.0.value().to_owned()));
             for id in ids.collect::<Result<Vec<_>, redb::Error>>()? {
                 let order = orders.get(id.as_str())?.map(|value| serde_json::from_slice(value.value()));
-                let order = order.and_then(Result::ok).unwrap_or_else(unreadable);
-                let value = written(&id, &order);
+                let order = order.and_then(Result::ok).unwrap_or_else(unreadable_order);
+                let value = encode(&id, &order);
                 by_time.insert((accepted_at(&order), id.as_str()), ())?;
-                bytes += weight(&id, order.client_id.as_deref(), value.len());
+                bytes += stored_size(&id, order.client_id.as_deref(), value.len());
                 orders.insert(id.as_str(), value.as_slice())?;
             }
-            write.open_table(KEYS)?;
-            about.insert("bytes", bytes.to_be_bytes().as_slice())?;
-            about.insert("format", FORMAT.to_be_bytes().as_slice())?;
+            transaction.open_table(CLIENT_IDS)?;
+            metadata.insert("bytes", bytes.to_be_bytes().as_slice())?;
+            metadata.insert("format", FORMAT.to_be_bytes().as_slice())?;
         }
-        write.commit()?;
+        transaction.commit()?;
         Ok(FORMAT)
     }
 
-    /// Whether it was closed in order and found changed later: orders in it may be lost.
+    /// Returns whether the journal was closed cleanly and later found changed, so that orders may be lost.
     pub fn changed_after_close(&self) -> bool {
         self.changed
     }
 
-    /// Whether it was not closed in order, so that it was gone through and what was not whole cut off.
+    /// Returns whether the journal was not closed cleanly, so that incomplete commits were discarded on opening.
     pub fn was_repaired(&self) -> bool {
         self.repaired
     }
 
-    /// A salt for pseudonyms, the same for as long as this journal lives; `fresh` is kept where there is none yet.
+    /// Returns the journal's permanent salt for pseudonyms; stores and returns `fresh` if there is none yet.
     ///
     /// # Errors
-    /// If it can't be kept.
+    /// Returns an error if it cannot be stored.
     pub fn get_or_insert_salt(&self, fresh: [u8; 32]) -> Result<Vec<u8>, JournalError> {
         let salt = || -> Result<Vec<u8>, redb::Error> {
-            let write = self.database.begin_write()?;
+            let transaction = self.database.begin_write()?;
             let salt = {
-                let mut about = write.open_table(ABOUT)?;
-                let kept = about.get("salt")?.map(|salt| salt.value().to_vec());
+                let mut metadata = transaction.open_table(METADATA)?;
+                let kept = metadata.get("salt")?.map(|salt| salt.value().to_vec());
                 match kept {
                     Some(kept) => kept,
                     None => {
-                        about.insert("salt", fresh.as_slice())?;
+                        metadata.insert("salt", fresh.as_slice())?;
                         fresh.to_vec()
                     }
                 }
             };
-            write.commit()?;
+            transaction.commit()?;
             Ok(salt)
         };
-        self.told(salt())
+        self.database_result(salt())
     }
 
-    /// The salt, if pseudonyms were ever made.
+    /// Returns the salt for pseudonyms, if there is one.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn salt(&self) -> Result<Option<Vec<u8>>, JournalError> {
         let salt = || -> Result<Option<Vec<u8>>, redb::Error> {
-            let about = self.database.begin_read()?.open_table(ABOUT)?;
-            Ok(about.get("salt")?.map(|salt| salt.value().to_vec()))
+            let metadata = self.database.begin_read()?.open_table(METADATA)?;
+            Ok(metadata.get("salt")?.map(|salt| salt.value().to_vec()))
         };
-        self.told(salt())
+        self.database_result(salt())
     }
 
-    /// Records updates durably to the level, all or none of those that are not left out, and tells what became of each
-    /// and where the journal stands. What is past its time is dropped meanwhile.
+    /// Records updates in one commit with the configured durability, and removes expired orders. Returns the result of each
+    /// update, since some may be skipped, and the size of the journal.
     ///
     /// # Errors
-    /// If they are not recorded, or it is not known whether they are.
+    /// Returns an error if the updates were not recorded, or possibly not.
     pub fn record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Usage), JournalError> {
-        // A file that nobody finds any more takes records and gives none back.
-        if let Some(file) = self.file {
-            let there =
+        // Records written to a deleted or replaced file could not be read back.
+        if let Some(file_id) = self.file_id {
+            let current =
                 fs::metadata(&self.path).map_err(|error| JournalError::Io(self.path.clone(), error))?;
-            if (there.dev(), there.ino()) != file {
+            if (current.dev(), current.ino()) != file_id {
                 return Err(JournalError::Replaced(self.path.clone()));
             }
         }
-        self.told(self.try_record(updates))
+        self.database_result(self.try_record(updates))
     }
 
     fn try_record(&self, updates: &[(String, Update)]) -> Result<(Vec<RecordOutcome>, Usage), redb::Error> {
-        let mut became = Vec::with_capacity(updates.len());
-        let mut write = self.database.begin_write()?;
-        write.set_durability(Durability::Immediate);
+        let mut outcomes = Vec::with_capacity(updates.len());
+        let mut transaction = self.database.begin_write()?;
+        transaction.set_durability(Durability::Immediate);
         let usage;
         {
-            let mut orders = write.open_table(ORDERS)?;
-            let mut keys = write.open_table(KEYS)?;
-            let mut by_time = write.open_table(BY_TIME)?;
-            let mut about = write.open_table(ABOUT)?;
-            let most = self.retention.max_file_bytes / SPREAD;
-            let mut bytes = number(&about, "bytes")?;
-            // The newest order tells the time; without one nothing is in the way.
-            let now = updates.iter().filter_map(|(_, update)| match update {
+            let mut orders = transaction.open_table(ORDERS)?;
+            let mut client_ids = transaction.open_table(CLIENT_IDS)?;
+            let mut by_time = transaction.open_table(BY_TIME)?;
+            let mut metadata = transaction.open_table(METADATA)?;
+            let max_bytes = self.retention.max_file_bytes / FILE_SIZE_FACTOR;
+            let mut bytes = read_u64(&metadata, "bytes")?;
+            // The newest order serves as the current time; without a new order nothing needs to expire.
+            let accepted = updates.iter().filter_map(|(_, update)| match update {
                 Update::Accepted(order) => Some(order.accepted_at),
                 _ => None,
             });
-            let oldest = (now.fold(f64::MIN, f64::max) - self.retention.max_age_ms).max(0.0) as u64;
-            for _ in 0..DROPPED_MOST {
-                let Some((at, id)) = by_time.first()?.map(|(key, _)| owned(key.value())) else { break };
+            let oldest = (accepted.fold(f64::MIN, f64::max) - self.retention.max_age_ms).max(0.0) as u64;
+            for _ in 0..MAX_EXPIRED_PER_COMMIT {
+                let Some((at, id)) = by_time.first()?.map(|(key, _)| to_cursor(key.value())) else { break };
                 if at >= oldest {
                     break;
                 }
                 by_time.remove((at, id.as_str()))?;
-                let gone = orders.remove(id.as_str())?.map(|v| (read(&id, v.value()), v.value().len()));
-                let Some((order, length)) = gone else { continue };
+                let removed =
+                    orders.remove(id.as_str())?.map(|v| (decode_or_unknown(&id, v.value()), v.value().len()));
+                let Some((order, length)) = removed else { continue };
                 let client_id = order.client_id.as_deref();
-                bytes = bytes.saturating_sub(weight(&id, client_id, length));
+                bytes = bytes.saturating_sub(stored_size(&id, client_id, length));
                 if let Some(client_id) = client_id {
-                    let holds = keys.get(client_id)?.is_some_and(|holder| holder.value() == id);
+                    let holds = client_ids.get(client_id)?.is_some_and(|holder| holder.value() == id);
                     if holds {
-                        keys.remove(client_id)?;
+                        client_ids.remove(client_id)?;
                     }
                 }
             }
             for (id, update) in updates {
                 if let Update::Accepted(order) = update {
-                    if bytes >= most {
-                        became.push(RecordOutcome::Full);
+                    if bytes >= max_bytes {
+                        outcomes.push(RecordOutcome::Full);
                         continue;
                     }
                     if let Some(client_id) = order.client_id.as_deref().filter(|_| !order.keyed) {
-                        let holder = keys.get(client_id)?.map(|holder| holder.value().to_owned());
+                        let holder = client_ids.get(client_id)?.map(|holder| holder.value().to_owned());
                         let other = match holder.filter(|holder| holder != id) {
-                            Some(holder) => {
-                                orders.get(holder.as_str())?.map(|order| read(&holder, order.value()).state())
-                            }
+                            Some(holder) => orders
+                                .get(holder.as_str())?
+                                .map(|order| decode_or_unknown(&holder, order.value()).state()),
                             None => None,
                         };
                         if let Some(state) = other.filter(|state| *state != State::NeverSent) {
-                            became.push(RecordOutcome::Duplicate(state));
+                            outcomes.push(RecordOutcome::Duplicate(state));
                             continue;
                         }
-                        keys.insert(client_id, id.as_str())?;
+                        client_ids.insert(client_id, id.as_str())?;
                     }
                 }
-                became.push(RecordOutcome::Recorded);
-                let before =
-                    orders.get(id.as_str())?.map(|found| (read(id, found.value()), found.value().len()));
-                let (mut order, had) = match before {
+                outcomes.push(RecordOutcome::Recorded);
+                let existing = orders
+                    .get(id.as_str())?
+                    .map(|found| (decode_or_unknown(id, found.value()), found.value().len()));
+                let (mut order, old_size) = match existing {
                     Some((order, length)) => {
-                        let weight = weight(id, order.client_id.as_deref(), length);
-                        (order, weight)
+                        let size = stored_size(id, order.client_id.as_deref(), length);
+                        (order, size)
                     }
-                    // What came of an order that was dropped or left out says nothing by itself.
+                    // The outcome of an expired or skipped order is of no use without the order.
                     None if matches!(update, Update::AttemptEnded(..) | Update::Closed(_)) => continue,
                     None => (Order::default(), 0),
                 };
-                let place = (had > 0).then(|| accepted_at(&order));
+                let old_time = (old_size > 0).then(|| accepted_at(&order));
                 order.apply(update.clone());
-                let moved = accepted_at(&order);
-                if place != Some(moved) {
-                    if let Some(place) = place {
-                        by_time.remove((place, id.as_str()))?;
+                let new_time = accepted_at(&order);
+                if old_time != Some(new_time) {
+                    if let Some(old_time) = old_time {
+                        by_time.remove((old_time, id.as_str()))?;
                     }
-                    by_time.insert((moved, id.as_str()), ())?;
+                    by_time.insert((new_time, id.as_str()), ())?;
                 }
-                let value = written(id, &order);
+                let value = encode(id, &order);
                 orders.insert(id.as_str(), value.as_slice())?;
-                bytes = bytes.saturating_sub(had) + weight(id, order.client_id.as_deref(), value.len());
+                bytes =
+                    bytes.saturating_sub(old_size) + stored_size(id, order.client_id.as_deref(), value.len());
             }
-            about.insert("bytes", bytes.to_be_bytes().as_slice())?;
-            usage = Usage { orders: orders.len()?, fraction: bytes as f64 / most.max(1) as f64 };
+            metadata.insert("bytes", bytes.to_be_bytes().as_slice())?;
+            usage = Usage { orders: orders.len()?, fraction: bytes as f64 / max_bytes.max(1) as f64 };
         }
-        write.commit()?;
-        Ok((became, usage))
+        transaction.commit()?;
+        Ok((outcomes, usage))
     }
 
-    /// Calls `each` with orders in the order in which they were taken, from behind a place, until it says that it has
-    /// enough or `most` were read. Gives where to go on, unless that was all.
+    /// Calls `visit` with the orders after a cursor by acceptance time, until it returns false or `max_orders` have been
+    /// read. Returns the cursor to continue from, or `None` at the end.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn list(
         &self,
         after: Option<&Cursor>,
-        most: usize,
-        mut each: impl FnMut(IdentifiedOrder) -> bool,
+        max_orders: usize,
+        mut visit: impl FnMut(IdentifiedOrder) -> bool,
     ) -> Result<Option<Cursor>, JournalError> {
         let mut try_list = || -> Result<Option<Cursor>, redb::Error> {
-            let reading = self.database.begin_read()?;
-            let (orders, by_time) = (reading.open_table(ORDERS)?, reading.open_table(BY_TIME)?);
+            let transaction = self.database.begin_read()?;
+            let (orders, by_time) = (transaction.open_table(ORDERS)?, transaction.open_table(BY_TIME)?);
             let from = match after {
                 Some((at, id)) => Bound::Excluded((*at, id.as_str())),
                 None => Bound::Unbounded,
             };
             for (number, entry) in by_time.range::<(u64, &str)>((from, Bound::Unbounded))?.enumerate() {
-                let (at, id) = owned(entry?.0.value());
-                let order = orders.get(id.as_str())?.map(|order| read(&id, order.value()));
-                let enough = order.is_some_and(|order| !each((id.clone(), order)));
-                if enough || number + 1 >= most {
+                let (at, id) = to_cursor(entry?.0.value());
+                let order = orders.get(id.as_str())?.map(|order| decode_or_unknown(&id, order.value()));
+                let stopped = order.is_some_and(|order| !visit((id.clone(), order)));
+                if stopped || number + 1 >= max_orders {
                     return Ok(Some((at, id)));
                 }
             }
             Ok(None)
         };
-        self.told(try_list())
+        self.database_result(try_list())
     }
 
-    /// Calls `each` with all orders, in the order in which they were taken.
+    /// Calls `visit` with all orders, by acceptance time.
     ///
     /// # Errors
-    /// If the journal can't be read.
-    pub fn for_each(&self, mut each: impl FnMut(IdentifiedOrder)) -> Result<(), JournalError> {
+    /// Returns an error if the journal cannot be read.
+    pub fn for_each(&self, mut visit: impl FnMut(IdentifiedOrder)) -> Result<(), JournalError> {
         self.list(None, usize::MAX, |found| {
-            each(found);
+            visit(found);
             true
         })
         .map(drop)
     }
 
-    /// The orders of an id: the client's or this program's own. A client's id may have been used again after an order
-    /// that never ran: the last one holds it.
+    /// Finds an order by its client id or its own id. A client id may be reused after an order that never ran; the latest
+    /// order holds it.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn find(&self, id: &str) -> Result<Option<IdentifiedOrder>, JournalError> {
         let find = || -> Result<Option<IdentifiedOrder>, redb::Error> {
-            let reading = self.database.begin_read()?;
-            let orders = reading.open_table(ORDERS)?;
-            let holder = reading.open_table(KEYS)?.get(id)?.map(|holder| holder.value().to_owned());
+            let transaction = self.database.begin_read()?;
+            let orders = transaction.open_table(ORDERS)?;
+            let holder = transaction.open_table(CLIENT_IDS)?.get(id)?.map(|holder| holder.value().to_owned());
             let own = holder.unwrap_or_else(|| id.to_owned());
-            Ok(orders.get(own.as_str())?.map(|order| (own.clone(), read(&own, order.value()))))
+            Ok(orders.get(own.as_str())?.map(|order| (own.clone(), decode_or_unknown(&own, order.value()))))
         };
-        self.told(find())
+        self.database_result(find())
     }
 
-    /// Looks through all that is recorded, also while it is written.
+    /// Checks all records and indexes. May run while the journal is written.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn verify(&self) -> Result<VerifyReport, JournalError> {
         let verify = || -> Result<VerifyReport, redb::Error> {
-            let reading = self.database.begin_read()?;
-            let (orders, by_time) = (reading.open_table(ORDERS)?, reading.open_table(BY_TIME)?);
+            let transaction = self.database.begin_read()?;
+            let (orders, by_time) = (transaction.open_table(ORDERS)?, transaction.open_table(BY_TIME)?);
             let mut report = VerifyReport::default();
             let mut problems: Vec<_> = self
                 .changed
                 .then(|| JournalError::ChangedAfterClose(self.path.clone()).to_string())
                 .into_iter()
                 .collect();
-            let mut told = |what: String| {
+            let mut report_problem = |problem: String| {
                 if problems.len() < MAX_PROBLEMS {
-                    problems.push(what);
+                    problems.push(problem);
                 }
             };
             for entry in orders.iter()? {
                 let (id, value) = entry?;
                 let id = id.value();
-                let Some(order) = whole(id, value.value()) else {
-                    told(format!("{id}: its record cannot be read; it counts as sent and unknown"));
+                let Some(order) = decode(id, value.value()) else {
+                    report_problem(format!("{id}: its record cannot be read; it counts as sent and unknown"));
                     report.unknown += 1;
                     continue;
                 };
                 report.orders += 1;
                 report.unknown += u64::from(order.state() == State::Unknown);
                 if by_time.get((accepted_at(&order), id))?.is_none() {
-                    told(format!("{id}: it is not found by its time"));
+                    report_problem(format!("{id}: it is not found by its time"));
                 }
                 if order.attempts.windows(2).any(|pair| pair[0].number >= pair[1].number) {
-                    told(format!("{id}: its attempts are out of order"));
+                    report_problem(format!("{id}: its attempts are out of order"));
                 }
             }
-            for entry in reading.open_table(KEYS)?.iter()? {
+            for entry in transaction.open_table(CLIENT_IDS)?.iter()? {
                 let (client_id, holder) = entry?;
                 if orders.get(holder.value())?.is_none() {
-                    told(format!("{}: the order that holds this id is gone", client_id.value()));
+                    report_problem(format!("{}: the order that holds this id is gone", client_id.value()));
                 }
             }
             if by_time.len()? != orders.len()? {
-                told(format!("{} orders, and {} places by time", orders.len()?, by_time.len()?));
+                report_problem(format!("{} orders, and {} places by time", orders.len()?, by_time.len()?));
             }
             report.problems = problems;
             Ok(report)
         };
-        self.told(verify())
+        self.database_result(verify())
     }
 
-    /// How many orders there are.
+    /// Returns the number of orders.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn len(&self) -> Result<u64, JournalError> {
         let len =
             || -> Result<u64, redb::Error> { Ok(self.database.begin_read()?.open_table(ORDERS)?.len()?) };
-        self.told(len())
+        self.database_result(len())
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no orders.
     ///
     /// # Errors
-    /// If the journal can't be read.
+    /// Returns an error if the journal cannot be read.
     pub fn is_empty(&self) -> Result<bool, JournalError> {
         Ok(self.len()? == 0)
     }
 }
 
-#[allow(clippy::result_large_err, reason = "the store's own errors, which go no further than this module")]
-fn number(about: &impl ReadableTable<&'static str, &'static [u8]>, name: &str) -> Result<u64, redb::Error> {
-    let value = about.get(name)?.and_then(|value| value.value().try_into().ok());
+#[allow(clippy::result_large_err, reason = "the database's errors, which do not leave this module")]
+fn read_u64(
+    metadata: &impl ReadableTable<&'static str, &'static [u8]>,
+    name: &str,
+) -> Result<u64, redb::Error> {
+    let value = metadata.get(name)?.and_then(|value| value.value().try_into().ok());
     Ok(value.map_or(0, u64::from_be_bytes))
 }
 
-fn owned((at, id): (u64, &str)) -> Cursor {
+fn to_cursor((at, id): (u64, &str)) -> Cursor {
     (at, id.to_owned())
 }
 
@@ -647,22 +657,22 @@
     order.accepted_at.max(0.0) as u64
 }
 
-/// What an order takes of what may be recorded.
-fn weight(id: &str, client_id: Option<&str>, value: usize) -> u64 {
+/// Size of an order for the size limit: its record, its ids in all tables, and the overhead.
+fn stored_size(id: &str, client_id: Option<&str>, record_bytes: usize) -> u64 {
     let client_id = client_id.map_or(0, str::len);
-    (2 * (id.len() + client_id) + id.len() + value) as u64 + ENTRY
+    (2 * (id.len() + client_id) + id.len() + record_bytes) as u64 + ENTRY_OVERHEAD_BYTES
 }
 
-fn opened(path: &Path, error: DatabaseError) -> JournalError {
+fn open_error(path: &Path, error: DatabaseError) -> JournalError {
     match error {
         DatabaseError::DatabaseAlreadyOpen => JournalError::InUse(path.to_owned()),
         other => JournalError::Store(path.to_owned(), other.to_string()),
     }
 }
 
-/// A record: the checksum of its id and JSON, and the JSON.
-fn written(id: &str, order: &Order) -> Vec<u8> {
-    // An order is plain data: it can always be written as JSON.
+/// Encodes an order as a record: the checksum of its id and JSON, followed by the JSON.
+fn encode(id: &str, order: &Order) -> Vec<u8> {
+    // An order is plain data, which can always be serialized.
     let json = serde_json::to_vec(order).unwrap_or_default();
     let mut value = checksum(id, &json).to_be_bytes().to_vec();
     value.extend_from_slice(&json);
@@ -676,21 +686,21 @@
     checksum.finalize()
 }
 
-/// An order as it was written, if it is as it was written.
-fn whole(id: &str, value: &[u8]) -> Option<Order> {
+/// Decodes a record, if its checksum is correct.
+fn decode(id: &str, value: &[u8]) -> Option<Order> {
     let (sum, json) = value.split_first_chunk()?;
     (checksum(id, json) == u32::from_be_bytes(*sum)).then(|| serde_json::from_slice(json).ok())?
 }
 
-/// An order as it was written. One that cannot be read was sent, and nothing else is known of it.
-fn read(id: &str, value: &[u8]) -> Order {
-    whole(id, value).unwrap_or_else(unreadable)
+/// Decodes a record. An unreadable one is treated as an order that was sent with unknown outcome.
+fn decode_or_unknown(id: &str, value: &[u8]) -> Order {
+    decode(id, value).unwrap_or_else(unreadable_order)
 }
 
-fn unreadable() -> Order {
+fn unreadable_order() -> Order {
     let server = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
     let attempt = crate::Attempt { number: 0, server, sent_at: 0.0, outcome: crate::AttemptOutcome::Unknown };
-    // It is not the oldest, which would be dropped first.
+    // The oldest orders expire first; this one must not.
     Order { attempts: vec![attempt], accepted_at: f64::MAX, ..Order::default() }
 }
 
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,66 +1,66 @@
-//! The thread that records. Whoever must not wait hands updates over and is told when they are recorded; one commit
-//! serves all that have been handed over meanwhile.
+//! Writer thread of the journal. The event loop queues updates without blocking and is notified when they are recorded;
+//! one commit covers all updates that have been queued in the meantime.
 
 use crate::order::{State, Update};
-use crate::store::{JournalError, RecordOutcome, Store, Usage, NEAR};
+use crate::store::{JournalError, RecordOutcome, Store, Usage, WARNING_FRACTION};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Most updates that wait for a commit; beyond that nothing that must be recorded is taken.
-const WAITING_MOST: usize = 8192;
-/// Most updates in one commit.
-const COMMIT_MOST: usize = 1024;
-/// What came of orders is kept back for so long where nobody waits for a commit: the next order's may serve it too.
-const LINGER: Duration = Duration::from_millis(10);
+/// Maximum number of queued updates; further ones are refused.
+const QUEUE_CAPACITY: usize = 8192;
+/// Maximum number of updates per commit.
+const MAX_UPDATES_PER_COMMIT: usize = 1024;
+/// Delay of a commit that nobody waits for, so that the commit of the next order may cover it.
+const COMMIT_DELAY: Duration = Duration::from_millis(10);
 
-/// It is not recorded, so it must not be sent.
+/// Reason why an update was not recorded; its request must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// The journal can't, or nobody knows whether it did.
+    /// The journal failed, or it is not known whether the update was recorded.
     Failed,
-    /// It takes as much of the disk as it may.
+    /// The journal has reached its size limit.
     Full,
-    /// An order with the same client's id may have run: this is known of it.
+    /// Another order with the same client id may have run; holds the state of that order.
     Duplicate(State),
 }
 
 struct Job {
     id: String,
     update: Update,
-    told: Option<Told>,
+    done: Option<DoneSender>,
 }
 
-/// Hears what became of an update.
-type Told = oneshot::Sender<RecordOutcome>;
+/// Receives the result of an update.
+type DoneSender = oneshot::Sender<RecordOutcome>;
 
-/// A journal that is being written.
+/// Handle of the writer thread of a journal.
 pub struct Journal {
     jobs: Option<SyncSender<Job>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Journal {
-    /// Begins to write to a store.
+    /// Starts the writer thread for a store.
     ///
     /// # Errors
-    /// If no thread can be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(store: Arc<Store>) -> std::io::Result<Self> {
-        let (jobs, incoming) = sync_channel(WAITING_MOST);
+        let (jobs, incoming) = sync_channel(QUEUE_CAPACITY);
         let thread =
             std::thread::Builder::new().name("journal".into()).spawn(move || write(&store, &incoming))?;
         Ok(Self { jobs: Some(jobs), thread: Some(thread) })
     }
 
-    /// Records an update, and waits until it is durable. Updates of one order are recorded in their order.
+    /// Records an update and waits until it is durable. Updates are recorded in the order of the calls.
     ///
     /// # Errors
-    /// If it is not recorded, or it is not known whether it is.
+    /// Returns an error if the update is not recorded, or possibly not.
     pub async fn record(&self, id: &str, update: Update) -> Result<(), RecordError> {
-        let (told, recorded) = oneshot::channel();
-        self.hand_over(id, update, Some(told))?;
+        let (done, recorded) = oneshot::channel();
+        self.send(id, update, Some(done))?;
         match recorded.await {
             Ok(RecordOutcome::Recorded) => Ok(()),
             Ok(RecordOutcome::Duplicate(state)) => Err(RecordError::Duplicate(state)),
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Hands an update over whose loss is on the safe side: the order is unknown until somebody asks.
+    /// Queues an update without waiting for it. Its loss is safe: the order then stays in the unknown state.
     ///
     /// # Errors
-    /// If too many wait, or nothing can be recorded any more.
+    /// Returns an error if the queue is full or the writer has failed.
     pub fn enqueue(&self, id: &str, update: Update) -> Result<(), RecordError> {
-        self.hand_over(id, update, None)
+        self.send(id, update, None)
     }
 
-    fn hand_over(&self, id: &str, update: Update, told: Option<Told>) -> Result<(), RecordError> {
+    fn send(&self, id: &str, update: Update, done: Option<DoneSender>) -> Result<(), RecordError> {
         let jobs = self.jobs.as_ref().ok_or(RecordError::Failed)?;
-        match jobs.try_send(Job { id: id.to_owned(), update, told }) {
+        match jobs.try_send(Job { id: id.to_owned(), update, done }) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(RecordError::Failed),
         }
@@ -87,11 +87,11 @@
 }
 
 impl Drop for Journal {
-    /// Waits until all that was handed over is recorded.
+    /// Waits until all queued updates are recorded.
     fn drop(&mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take() {
-            // A failure of its own was told where it happened.
+            // The thread reports its own failures.
             let _ = thread.join();
         }
     }
@@ -101,49 +101,49 @@
     let mut warned = false;
     while let Ok(first) = incoming.recv() {
         let mut jobs = vec![first];
-        let until = Instant::now() + LINGER;
-        while jobs.len() < COMMIT_MOST && jobs.iter().all(|job| job.told.is_none()) {
-            match incoming.recv_timeout(until.saturating_duration_since(Instant::now())) {
+        let commit_at = Instant::now() + COMMIT_DELAY;
+        while jobs.len() < MAX_UPDATES_PER_COMMIT && jobs.iter().all(|job| job.done.is_none()) {
+            match incoming.recv_timeout(commit_at.saturating_duration_since(Instant::now())) {
                 Ok(job) => jobs.push(job),
-                // The time is up, or this ends and hears of it next.
+                // The delay is over, or the channel is closed, which the next receive reports.
                 Err(_) => break,
             }
         }
-        jobs.extend(incoming.try_iter().take(COMMIT_MOST - jobs.len()));
-        let (updates, told): (Vec<_>, Vec<_>) =
-            jobs.into_iter().map(|job| ((job.id, job.update), job.told)).unzip();
-        let (became, usage) = match store.record(&updates) {
+        jobs.extend(incoming.try_iter().take(MAX_UPDATES_PER_COMMIT - jobs.len()));
+        let (updates, waiting): (Vec<_>, Vec<_>) =
+            jobs.into_iter().map(|job| ((job.id, job.update), job.done)).unzip();
+        let (outcomes, usage) = match store.record(&updates) {
             Ok(recorded) => recorded,
             Err(error) => {
-                // After a failed write or sync nobody knows what the disk holds: what the system shows may not be
-                // there. Nothing is recorded any more by this process, and so nothing that must be is sent.
-                failed(&error);
+                // After a failed write or sync the contents of the disk are not known; the page cache may show data that
+                // was never written. This process records nothing more, and so sends no request that must be recorded.
+                report_failure(&error);
                 return;
             }
         };
-        for (told, became) in told.into_iter().zip(became) {
-            if let Some(told) = told {
-                // One who has left needs no word.
-                let _ = told.send(became);
+        for (done, outcome) in waiting.into_iter().zip(outcomes) {
+            if let Some(done) = done {
+                // The receiver may have been dropped.
+                let _ = done.send(outcome);
             }
         }
         if usage.is_near_limit() && !warned {
-            near(&usage);
+            warn_near_limit(&usage);
         }
-        // Told again only after it was well below.
-        warned = usage.is_near_limit() || warned && usage.fraction > 0.9 * NEAR;
+        // Warns again only after the usage has been clearly below the limit.
+        warned = usage.is_near_limit() || warned && usage.fraction > 0.9 * WARNING_FRACTION;
     }
 }
 
-fn near(usage: &Usage) {
+fn warn_near_limit(usage: &Usage) {
     eprintln!(
-        "ivygate: the journal holds {} orders, {:.0} % of what its `disk` allows; at 100 % requests that must not run \
-         twice are refused until some are past their `keep`",
+        "ivygate: the journal holds {} orders and uses {:.0} % of its `disk` limit; at 100 % requests that must not run \
+         twice are refused until some orders exceed `keep`",
         usage.orders,
         100.0 * usage.fraction
     );
 }
 
-fn failed(error: &JournalError) {
+fn report_failure(error: &JournalError) {
     eprintln!("ivygate: {error}; requests that must not run twice are refused until a restart");
 }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/active_config.rs
@@ -1,9 +1,9 @@
-//! One configuration at work: its table, its routes, its pools. Requests end under the site they began with.
+//! Active configuration: its route table, routes and pools. A request finishes under the configuration it started with.
 
-use crate::floods::Floods;
-use crate::orders::Orders;
-use crate::pool::{once, Pool, Served};
-use crate::remembered::Remembered;
+use crate::check_cache::CheckCache;
+use crate::failure_limits::FailureLimits;
+use crate::order_recorder::OrderRecorder;
+use crate::pool::{once_class_name, Pool, ServedClass};
 use hyper::header::HeaderName;
 use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
 use ivygate_forward_auth::fold_header_name;
@@ -13,75 +13,75 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// How long a pool that is left behind may still send on what it had taken. Requests that are just being sent
-/// would else be refused for nothing.
-const RETIRE_GRACE: f64 = 500.0;
+/// Time for which a removed pool may still send the requests it has accepted, in milliseconds. Without it, requests that
+/// are about to be sent would be rejected needlessly.
+const RETIRE_GRACE_MS: f64 = 500.0;
 
-/// One configuration at work.
-pub struct Site {
-    /// How customers, plans and deadlines are read.
+/// Configuration in use, with its running pools.
+pub struct ActiveConfig {
+    /// Rules for reading customers, plans and deadlines from requests.
     pub identity: Identity,
     table: Table,
     routes: Vec<Route>,
     plans: Vec<Arc<str>>,
-    /// The class of each route, as the configuration names it.
+    /// Configured class name of each route, by route number.
     class_names: Vec<Arc<str>>,
     customers: HashMap<String, usize>,
-    /// Headers that only sign-in services set, folded.
-    pub vouched: HashSet<String>,
-    /// Folded names of headers that the configuration reads or sets.
-    pub kept: HashSet<String>,
-    /// The pools by their names.
+    /// Normalized names of the headers that only sign-in services may set.
+    pub sign_in_headers: HashSet<String>,
+    /// Normalized names of the headers that the configuration reads or sets.
+    pub protected_headers: HashSet<String>,
+    /// Pools by name.
     pub pools: HashMap<String, Rc<Pool>>,
 }
 
-/// A route at work.
+/// Route in use.
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Its class.
+    /// Class of its requests.
     pub class: Arc<str>,
-    /// Its class for requests without a key, and the header that would carry one; keyed classes only.
+    /// For keyed classes, the class of requests without a key, and the header that carries the key.
     pub unkeyed: Option<(Arc<str>, HeaderName)>,
-    /// Whether its requests must never run twice.
+    /// Whether its requests must not run twice.
     pub once: bool,
-    /// Its class's deadline.
+    /// Time limit of its requests, in milliseconds.
     pub deadline: f64,
-    /// What is added to that where a body is streamed.
-    pub upload: f64,
-    /// Units that a request takes.
+    /// Additional time limit for streamed bodies, in milliseconds.
+    pub upload_allowance: f64,
+    /// Quota units per request.
     pub units: f64,
-    /// Its pool.
+    /// Pool that serves it.
     pub pool: Rc<Pool>,
-    /// Its number, for telling routes apart.
+    /// Index of the route in the configuration.
     pub number: usize,
-    /// Its class's aim.
-    pub aim: f64,
-    /// The service that is asked first.
+    /// Latency target of its class, in milliseconds.
+    pub latency_target: f64,
+    /// Sign-in service that must allow its requests, if any.
     pub sign_in: Option<Rc<SignIn>>,
 }
 
-/// A sign-in service at work.
+/// Sign-in service in use.
 pub struct SignIn {
-    /// Its part of the configuration.
+    /// Configured settings.
     pub settings: ivygate_config::SignIn,
-    /// The class of its checks.
+    /// Class of its checks.
     pub class: Arc<str>,
-    /// The pool of its servers.
+    /// Pool of its servers.
     pub pool: Rc<Pool>,
-    /// What it has answered.
-    pub remembered: Remembered,
-    /// What has failed of late.
-    pub floods: Floods,
+    /// Cached answers.
+    pub check_cache: CheckCache,
+    /// Rate limits for failed checks.
+    pub failure_limits: FailureLimits,
 }
 
-/// Methods that a request may have whose method is not told.
-const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
+/// Methods assumed for a request whose method is not stated.
+const COMMON_METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
-/// The plan of checks: they take nothing from anybody's quota.
+/// Plan of sign-in checks, which do not count against any customer's quota.
 pub const CHECKS: &str = "(checks)";
 
-/// The class of a service's checks: safe, since asking changes nothing.
+/// Returns the class of a service's checks. They are safe, since a check has no side effects.
 fn check_class(sign_in: &ivygate_config::SignIn) -> Class {
     Class {
         name: format!("(sign-in) {}", sign_in.name),
@@ -99,8 +99,8 @@
     }
 }
 
-/// Headers that the configuration reads or sets, by their folded names.
-fn kept(model: &Model) -> HashSet<String> {
+/// Returns the normalized names of the headers that the configuration reads or sets.
+fn protected_headers(model: &Model) -> HashSet<String> {
     let identity = &model.identity;
     let customer = match &identity.customer {
         CustomerFrom::Header(name) => Some(name),
@@ -108,35 +108,35 @@
     };
     let named = [customer, identity.plan_header.as_ref(), identity.deadline_header.as_ref()];
     let keys = model.classes.iter().map(|class| &class.key_header).filter(|name| !name.is_empty());
-    let vouched = model.sign_ins.iter().flat_map(|s| &s.answer_headers);
+    let sign_in_headers = model.sign_ins.iter().flat_map(|s| &s.answer_headers);
     let ids = model.journal.iter().map(|journal| &journal.id_header);
     named
         .into_iter()
         .flatten()
         .chain(keys)
-        .chain(vouched)
+        .chain(sign_in_headers)
         .chain(ids)
         .map(|name| fold_header_name(name))
         .collect()
 }
 
-/// Whether repeats depend on a key.
+/// Returns whether requests of a class may be retried only with a key.
 fn is_keyed(class: &Class) -> bool {
     matches!(class.effect, Effect::Keyed(..)) && class.repeat == Repeat::Sent
 }
 
-/// Whether a route's requests may be repeated after less than its class says.
-fn narrows(route: &ivygate_config::Route, class: &Class) -> bool {
+/// Returns whether a route restricts retries further than its class.
+fn restricts_retries(route: &ivygate_config::Route, class: &Class) -> bool {
     route.repeat < class.repeat
 }
 
-impl Site {
-    /// Puts a configuration to work. Pools that another site has unchanged, but for their servers, carry on;
-    /// nothing happens to them before [`Self::begin`].
+impl ActiveConfig {
+    /// Prepares a configuration for use. Pools that differ from those of `before` only in their servers are reused; they
+    /// are not modified until [`Self::activate`].
     ///
     /// # Errors
     /// If a decision module cannot act on its settings, or routes contradict each other.
-    pub fn new(model: &Model, before: Option<&Site>, clock: Clock) -> Result<Self, String> {
+    pub fn new(model: &Model, before: Option<&ActiveConfig>, clock: Clock) -> Result<Self, String> {
         let table = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
         let mut pools = HashMap::new();
@@ -146,22 +146,25 @@
             let checks: Vec<Class> =
                 model.sign_ins.iter().filter(|s| s.pool == number).map(check_class).collect();
             if used.is_empty() && checks.is_empty() {
-                // No route leads there.
+                // The pool is not used by any route or sign-in service.
                 continue;
             }
             let served = |number: usize| {
                 let class = &model.classes[number];
-                let narrowed = |r: &&ivygate_config::Route| r.class == number && narrows(r, class);
-                Served { class, once: is_keyed(class) || model.routes.iter().any(|r| narrowed(&r)) }
+                let narrowed = |r: &&ivygate_config::Route| r.class == number && restricts_retries(r, class);
+                ServedClass {
+                    class,
+                    has_non_repeatable: is_keyed(class) || model.routes.iter().any(|r| narrowed(&r)),
+                }
             };
-            let mut classes: Vec<Served> = used.into_iter().map(served).collect();
-            classes.extend(checks.iter().map(|class| Served { class, once: false }));
+            let mut classes: Vec<ServedClass> = used.into_iter().map(served).collect();
+            classes.extend(checks.iter().map(|class| ServedClass { class, has_non_repeatable: false }));
             let mut plans = model.plans.clone();
             if !checks.is_empty() {
                 plans.push(Plan::without_quota(CHECKS));
             }
-            let old = before.and_then(|site| site.pools.get(&pool.name));
-            let pool = match old.and_then(|old| old.carried_on(pool, &classes, &plans)) {
+            let old = before.and_then(|active_config| active_config.pools.get(&pool.name));
+            let pool = match old.and_then(|old| old.reuse_with(pool, &classes, &plans)) {
                 Some(pool) => pool,
                 None => Pool::start(pool, &classes, &plans, clock)
                     .map_err(|error| format!("pool {}: {error}", pool.name))?,
@@ -174,31 +177,35 @@
             .map(|settings| {
                 let class = check_class(settings).name.into();
                 let pool = pools[&model.pools[settings.pool].name].clone();
-                let remembered = Remembered::new(settings.cache_size);
-                let floods = Floods::new(settings.address_limit, settings.credential_limit);
-                Rc::new(SignIn { settings: settings.clone(), class, pool, remembered, floods })
+                let check_cache = CheckCache::new(settings.cache_size);
+                let failure_limits = FailureLimits::new(settings.address_limit, settings.credential_limit);
+                Rc::new(SignIn { settings: settings.clone(), class, pool, check_cache, failure_limits })
             })
             .collect();
         let route = |(number, route): (usize, &ivygate_config::Route)| -> Result<Route, String> {
             let class = &model.classes[route.class];
-            let narrows = narrows(route, class);
-            let key = if is_keyed(class) && !narrows {
+            let restricts_retries = restricts_retries(route, class);
+            let key = if is_keyed(class) && !restricts_retries {
                 let header = HeaderName::try_from(&class.key_header).map_err(|error| error.to_string())?;
-                Some((once(&class.name).into(), header))
+                Some((once_class_name(&class.name).into(), header))
             } else {
                 None
             };
             Ok(Route {
                 name: route.name.as_str().into(),
-                class: if narrows { once(&class.name).into() } else { class.name.as_str().into() },
+                class: if restricts_retries {
+                    once_class_name(&class.name).into()
+                } else {
+                    class.name.as_str().into()
+                },
                 unkeyed: key,
                 once: route.repeat == Repeat::Unsent,
                 deadline: class.deadline,
-                upload: class.upload,
+                upload_allowance: class.upload,
                 units: class.units,
                 pool: pools[&model.pools[route.pool].name].clone(),
                 number,
-                aim: class.aim,
+                latency_target: class.aim,
                 sign_in: route.sign_in.map(|number| sign_ins[number].clone()),
             })
         };
@@ -207,13 +214,13 @@
             identity: model.identity.clone(),
             table,
             routes,
-            vouched: model
+            sign_in_headers: model
                 .sign_ins
                 .iter()
                 .flat_map(|s| &s.answer_headers)
                 .map(|name| fold_header_name(name))
                 .collect(),
-            kept: kept(model),
+            protected_headers: protected_headers(model),
             class_names: model.routes.iter().map(|r| model.classes[r.class].name.as_str().into()).collect(),
             plans: model.plans.iter().map(|p| p.name.as_str().into()).collect(),
             customers: model.customers.iter().map(|c| (c.name.clone(), c.plan)).collect(),
@@ -221,33 +228,33 @@
         })
     }
 
-    /// Takes over from another site: tells pools of their servers, and ends those that are left behind.
-    pub fn begin(&self, before: &Site) {
+    /// Replaces the configuration `before`: updates the servers of reused pools and retires removed ones.
+    pub fn activate(&self, before: &ActiveConfig) {
         for (name, pool) in &self.pools {
             let old = before.pools.get(name);
             if old.is_some_and(|old| Rc::ptr_eq(&old.driver, &pool.driver)) {
-                pool.list(old.map(|old| &old.settings));
+                pool.update_servers(old.map(|old| &old.settings));
             }
         }
         for (name, old) in &before.pools {
             let carried = self.pools.get(name).is_some_and(|new| Rc::ptr_eq(&new.driver, &old.driver));
             if !carried {
-                old.driver.retire(RETIRE_GRACE);
+                old.driver.retire(RETIRE_GRACE_MS);
             }
         }
     }
 
-    /// Has all pools record their requests that must not run twice.
-    pub fn record_in(&self, orders: Option<&Rc<Orders>>) {
+    /// Makes all pools record their requests that must not run twice.
+    pub fn record_in(&self, orders: Option<&Rc<OrderRecorder>>) {
         if let Some(orders) = orders {
             self.pools.values().for_each(|pool| pool.driver.record_in(orders.clone()));
         }
     }
 
-    /// The route that takes a request.
+    /// Finds the route of a request.
     ///
     /// # Errors
-    /// With the methods that the path is claimed for, none if it is not claimed at all.
+    /// Returns the methods for which routes match the host and path; empty if none does.
     pub fn route(&self, host: &str, path: &str, method: &str) -> Result<&Route, Vec<String>> {
         match self.table.find(host, path, method) {
             Found::Route(number, _) => Ok(&self.routes[number]),
@@ -256,12 +263,12 @@
         }
     }
 
-    /// The only route that takes a host and path, whatever the method.
+    /// Finds the route of a host and path that is the same for all methods.
     ///
     /// # Errors
-    /// With the names of those that take it by some methods, if it depends on them.
+    /// Returns the names of the matching routes if the route depends on the method.
     pub fn only_route(&self, host: &str, path: &str) -> Result<&Route, Vec<Arc<str>>> {
-        let found = METHODS.map(|method| self.route(host, path, method).ok());
+        let found = COMMON_METHODS.map(|method| self.route(host, path, method).ok());
         let mut names: Vec<Arc<str>> = found.iter().flatten().map(|route| route.name.clone()).collect();
         names.sort();
         names.dedup();
@@ -271,15 +278,15 @@
         }
     }
 
-    /// A route's class as the configuration names it.
+    /// Returns the configured class name of a route.
     pub fn class_of(&self, route: &Route) -> &Arc<str> {
         &self.class_names[route.number]
     }
 
-    /// The plan of a customer; `told` is what a trusted peer said.
-    pub fn plan(&self, customer: &str, told: Option<&str>) -> Arc<str> {
-        let told = told.and_then(|told| self.plans.iter().position(|plan| **plan == *told));
-        let number = told.or_else(|| self.customers.get(customer).copied());
+    /// Returns the plan of a customer; `given` is the plan named by a trusted peer or sign-in service.
+    pub fn plan(&self, customer: &str, given: Option<&str>) -> Arc<str> {
+        let given = given.and_then(|given| self.plans.iter().position(|plan| **plan == *given));
+        let number = given.or_else(|| self.customers.get(customer).copied());
         self.plans[number.unwrap_or(self.identity.default_plan)].clone()
     }
 }
--- a/crates/sidecar/src/forward.rs
+++ b/crates/sidecar/src/forward.rs
@@ -1,4 +1,4 @@
-//! Headers on their way to an application and back.
+//! Header rewriting between clients and applications.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use ivygate_forward_auth::fold_header_name;
@@ -8,34 +8,35 @@
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 const FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 const FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
-/// A request's id, made if missing.
+/// Header with the request id, added if missing.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("req-id");
 
-/// Where a request came from.
+/// Origin of a request.
 pub struct Origin<'a> {
-    /// The peer's address.
+    /// Address of the peer.
     pub peer: &'a str,
-    /// Whether its word is believed.
+    /// Whether the peer is a trusted proxy.
     pub trusted: bool,
-    /// The host that was asked for.
+    /// Requested host.
     pub host: &'a str,
-    /// Folded names of headers that the configuration reads or sets: no client takes them away.
-    pub kept: &'a HashSet<String>,
+    /// Normalized names of the headers that the configuration reads or sets; a client cannot remove them by naming them in
+    /// `Connection`.
+    pub protected_headers: &'a HashSet<String>,
 }
 
-/// Whether a header says what only a proxy that is trusted may say, in whatever spelling.
-fn is_said_by_proxies(folded: &str) -> bool {
+/// Returns whether only trusted proxies may set a header of this normalized name.
+fn is_proxy_header(folded: &str) -> bool {
     folded == "forwarded" || folded.starts_with("x-forwarded-") || folded.starts_with("x-original-")
 }
 
-/// Removes what proxies say of a request: all of it where the peer is not trusted, and from any peer in a spelling that
-/// only applications behind a gateway such as CGI take for it.
-fn without_spoofed(headers: &mut HeaderMap, trusted: bool) {
+/// Removes proxy headers: all of them if the peer is not trusted, and from any peer those spelled with `_`, which
+/// applications behind a gateway such as CGI cannot distinguish from the regular spelling.
+fn remove_spoofed_headers(headers: &mut HeaderMap, trusted: bool) {
     let spoofed = |name: &HeaderName| {
         let folded = fold_header_name(name.as_str());
-        is_said_by_proxies(&folded) && (!trusted || folded != name.as_str())
+        is_proxy_header(&folded) && (!trusted || folded != name.as_str())
     };
-    // Few requests have any, and most names tell by their first letter.
+    // Few requests have such headers; the first letter excludes most names cheaply.
     let may = |name: &&HeaderName| matches!(name.as_str().as_bytes().first(), Some(b'x' | b'f'));
     let names: Vec<HeaderName> = headers.keys().filter(may).filter(|name| spoofed(name)).cloned().collect();
     for name in names {
@@ -43,13 +44,14 @@
     }
 }
 
-/// The headers that an application gets. `trailers` says that trailers may come behind the body.
+/// Returns the headers for the application. `trailers` states that trailers may follow the body.
 pub fn to_application(headers: HeaderMap, origin: &Origin, trailers: bool, id: &str) -> HeaderMap {
     let announced: Vec<HeaderValue> = headers.get_all(header::TRAILER).iter().cloned().collect();
     let takes_trailers =
         headers.get_all(header::TE).iter().any(|v| v.as_bytes().eq_ignore_ascii_case(b"trailers"));
-    let mut headers = end_to_end(headers, |name| origin.kept.contains(&fold_header_name(name.as_str())));
-    without_spoofed(&mut headers, origin.trusted);
+    let mut headers =
+        end_to_end(headers, |name| origin.protected_headers.contains(&fold_header_name(name.as_str())));
+    remove_spoofed_headers(&mut headers, origin.trusted);
     if trailers {
         for value in announced {
             headers.append(header::TRAILER, value);
@@ -61,17 +63,17 @@
     }
     let peer = origin.peer;
     let chain = if origin.trusted {
-        let told = headers.get_all(&FORWARDED_FOR).iter().filter_map(|v| v.to_str().ok());
-        told.chain([peer]).collect::<Vec<_>>().join(", ")
+        let forwarded_for = headers.get_all(&FORWARDED_FOR).iter().filter_map(|v| v.to_str().ok());
+        forwarded_for.chain([peer]).collect::<Vec<_>>().join(", ")
     } else {
         peer.to_owned()
     };
     if let Ok(chain) = HeaderValue::try_from(chain) {
         headers.insert(FORWARDED_FOR, chain);
     }
-    if let Some(told) = headers.get(header::FORWARDED).and_then(|v| v.to_str().ok()) {
-        let own = if peer.contains(':') { format!("\"[{peer}]\"") } else { peer.to_owned() };
-        if let Ok(value) = HeaderValue::try_from(format!("{told}, for={own};proto=http")) {
+    if let Some(forwarded) = headers.get(header::FORWARDED).and_then(|v| v.to_str().ok()) {
+        let node = if peer.contains(':') { format!("\"[{peer}]\"") } else { peer.to_owned() };
+        if let Ok(value) = HeaderValue::try_from(format!("{forwarded}, for={node};proto=http")) {
             headers.insert(header::FORWARDED, value);
         }
     }
@@ -85,7 +87,7 @@
     headers
 }
 
-/// The headers of an application's answer that its client gets.
+/// Returns the headers of an application's response for the client.
 pub fn to_client(headers: HeaderMap) -> HeaderMap {
     let announced: Vec<HeaderValue> = headers.get_all(header::TRAILER).iter().cloned().collect();
     let chunked = headers.contains_key(header::TRANSFER_ENCODING);
--- a/crates/sidecar/src/forward/tests.rs
+++ b/crates/sidecar/src/forward/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of `forward` that need its private state.
+//! Unit tests of `forward`.
 
 use super::*;
 
 fn origin(trusted: bool) -> Origin<'static> {
-    let kept = Box::leak(Box::new(HashSet::from(["x-user".to_owned()])));
-    Origin { peer: "10.0.0.1", trusted, host: "h", kept }
+    let protected_headers = Box::leak(Box::new(HashSet::from(["x-user".to_owned()])));
+    Origin { peer: "10.0.0.1", trusted, host: "h", protected_headers }
 }
 
 #[test]
-fn what_a_client_calls_its_connections_own_takes_nothing_that_is_relied_on() {
-    let relied_on = [
+fn connection_header_cannot_remove_protected_headers() {
+    let protected = [
         "host",
         "req-id",
         "forwarded",
@@ -19,7 +19,7 @@
         "x-forwarded-port",
         "x-user",
     ];
-    for name in relied_on {
+    for name in protected {
         let mut headers = HeaderMap::new();
         headers.insert(name, HeaderValue::from_static("v"));
         headers.insert("connection", HeaderValue::try_from(format!("close, {name}")).expect("a value"));
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn what_proxies_say_is_believed_of_trusted_peers_only_and_in_one_spelling() {
-    let said =
+fn proxy_headers_are_accepted_from_trusted_peers_in_regular_spelling_only() {
+    let names =
         ["x_forwarded_for", "x-forwarded_host", "x-original-uri", "x_original_method", "x-forwarded-uri"];
-    for (trusted, name) in [true, false].into_iter().flat_map(|t| said.map(|name| (t, name))) {
+    for (trusted, name) in [true, false].into_iter().flat_map(|t| names.map(|name| (t, name))) {
         let mut headers = HeaderMap::new();
         headers.insert(name, HeaderValue::from_static("v"));
         let headers = to_application(headers, &origin(trusted), false, "id");
@@ -40,7 +40,7 @@
     }
 }
 
-fn told() -> HeaderMap {
+fn proxy_headers() -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("x-forwarded-for", "1.1.1.1"),
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn untrusted_peers_say_nothing_of_others() {
-    let headers = to_application(told(), &origin(false), false, "id");
+fn proxy_headers_of_untrusted_peers_are_replaced() {
+    let headers = to_application(proxy_headers(), &origin(false), false, "id");
     assert_eq!(headers["x-forwarded-for"], "10.0.0.1");
     assert_eq!(
         (&headers["x-forwarded-proto"], &headers["x-forwarded-host"]),
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn trusted_peers_are_passed_on_with_the_peer_behind_them() {
-    let headers = to_application(told(), &origin(true), false, "id");
+fn trusted_peer_is_appended_to_forwarding_headers() {
+    let headers = to_application(proxy_headers(), &origin(true), false, "id");
     assert_eq!(headers["x-forwarded-for"], "1.1.1.1, 10.0.0.1");
     assert_eq!(headers["forwarded"], "for=1.1.1.1, for=10.0.0.1;proto=http");
     assert_eq!(headers["x-forwarded-proto"], "https");
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn what_belongs_to_a_connection_stays_there() {
-    let headers = to_application(told(), &origin(false), false, "id");
-    for gone in ["connection", "x-mine", "keep-alive"] {
-        assert!(!headers.contains_key(gone), "{gone}");
+fn hop_by_hop_headers_are_removed() {
+    let headers = to_application(proxy_headers(), &origin(false), false, "id");
+    for removed in ["connection", "x-mine", "keep-alive"] {
+        assert!(!headers.contains_key(removed), "{removed}");
     }
     assert_eq!(headers["x-kept"], "1");
-    let back = to_client(told());
-    assert!(!back.contains_key("x-mine") && back["x-kept"] == "1");
+    let response = to_client(proxy_headers());
+    assert!(!response.contains_key("x-mine") && response["x-kept"] == "1");
 }
--- a/crates/sidecar/src/asker.rs
+++ b/crates/sidecar/src/forwarded_request.rs
@@ -1,34 +1,34 @@
-//! What another program asks about: read off the headers of its check, with no I/O.
+//! Parses the request that another proxy describes in the headers of its check. No I/O.
 //!
-//! Two forms are read: `X-Forwarded-Method`, `-Uri`, `-Host` (Traefik, Caddy, another ivygate) and `X-Original-Method`,
-//! `-URI`, `-URL` (nginx). What both tell must agree.
+//! Two sets of headers are supported: `X-Forwarded-Method`, `-Uri`, `-Host` (Traefik, Caddy, another ivygate) and
+//! `X-Original-Method`, `-URI`, `-URL` (nginx). If both are present, they must agree.
 
 use hyper::header::HeaderMap;
 use hyper::Method;
 use ivygate_routing::{host_of, Target};
 use ivygate_runtime::one;
 
-/// A request that somebody else has and asks about.
+/// Request described by another proxy.
 #[derive(Debug)]
-pub struct About {
-    /// Its method, if that is told.
+pub struct ForwardedRequest {
+    /// Method, if stated.
     pub method: Option<Method>,
-    /// Its target, in normal form.
+    /// Normalized target.
     pub target: Target,
-    /// Its host.
+    /// Host.
     pub host: String,
 }
 
-/// Reads what is asked about; `host` is the check's own.
+/// Parses the described request; `host` is the default, the host of the check itself.
 ///
 /// # Errors
-/// Says what is missing or contradicts itself.
-pub fn read(headers: &HeaderMap, host: &str) -> Result<About, String> {
+/// Returns a message if a header is missing, malformed or contradicts another.
+pub fn parse(headers: &HeaderMap, host: &str) -> Result<ForwardedRequest, String> {
     let uri = agreed(headers, "x-forwarded-uri", "x-original-uri")?;
-    // How the client came says nothing of where its request goes.
+    // The client's scheme does not affect routing.
     let url = one(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
     let parse = |text: &str| Target::parse(text).map_err(|error| format!("what is asked about: {error}"));
-    let (target, named) = match (uri, url) {
+    let (target, url_host) = match (uri, url) {
         (None, None) => {
             return Err("what is asked about is not told: X-Forwarded-Uri or X-Original-URI is missing".into())
         }
@@ -53,17 +53,17 @@
         None => None,
         Some(name) => Some(Method::from_bytes(name.as_bytes()).map_err(|_| "the method is malformed")?),
     };
-    let told = match one(headers, "x-forwarded-host")? {
+    let forwarded_host = match one(headers, "x-forwarded-host")? {
         None => None,
         Some(text) => Some(host_of(text).map_err(|error| format!("X-Forwarded-Host: {error}"))?),
     };
-    let host = match (told, named) {
-        (Some(told), Some(named)) if told != named => {
+    let host = match (forwarded_host, url_host) {
+        (Some(forwarded), Some(url)) if forwarded != url => {
             return Err("X-Forwarded-Host and X-Original-URL name different hosts".into())
         }
-        (told, named) => told.or(named).unwrap_or_else(|| host.to_owned()),
+        (forwarded, url) => forwarded.or(url).unwrap_or_else(|| host.to_owned()),
     };
-    Ok(About { method, target, host })
+    Ok(ForwardedRequest { method, target, host })
 }
 
 fn agreed<'a>(headers: &'a HeaderMap, first: &str, second: &str) -> Result<Option<&'a str>, String> {
--- a/crates/sidecar/src/asker/tests.rs
+++ b/crates/sidecar/src/forwarded_request/tests.rs
@@ -1,39 +1,39 @@
-//! Tests of `asker` that need its private state.
+//! Unit tests of `forwarded_request`.
 
 use super::*;
 use hyper::header::{HeaderName, HeaderValue};
 
-fn about(pairs: &[(&'static str, &'static str)]) -> Result<(Option<String>, String, String), String> {
+fn parse_headers(pairs: &[(&'static str, &'static str)]) -> Result<(Option<String>, String, String), String> {
     let mut headers = HeaderMap::new();
     for (name, value) in pairs {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
     }
-    let about = read(&headers, "asker.example")?;
-    Ok((about.method.map(|m| m.to_string()), about.target.path_and_query(), about.host))
+    let request = parse(&headers, "asker.example")?;
+    Ok((request.method.map(|m| m.to_string()), request.target.path_and_query(), request.host))
 }
 
 #[test]
-fn both_forms_are_read_and_targets_come_in_normal_form() {
-    let told = |method: Option<&str>, target: &str, host: &str| {
+fn both_header_sets_are_parsed_and_targets_normalized() {
+    let expected = |method: Option<&str>, target: &str, host: &str| {
         Ok((method.map(str::to_owned), target.to_owned(), host.to_owned()))
     };
     assert_eq!(
-        about(&[
+        parse_headers(&[
             ("x-forwarded-method", "POST"),
             ("x-forwarded-uri", "/a/../orders?x=1"),
             ("x-forwarded-host", "Shop.example:80"),
         ]),
-        told(Some("POST"), "/orders?x=1", "shop.example")
+        expected(Some("POST"), "/orders?x=1", "shop.example")
     );
-    assert_eq!(about(&[("x-original-uri", "/orders")]), told(None, "/orders", "asker.example"));
+    assert_eq!(parse_headers(&[("x-original-uri", "/orders")]), expected(None, "/orders", "asker.example"));
     assert_eq!(
-        about(&[("x-original-url", "https://shop.example/orders"), ("x-original-method", "PUT")]),
-        told(Some("PUT"), "/orders", "shop.example")
+        parse_headers(&[("x-original-url", "https://shop.example/orders"), ("x-original-method", "PUT")]),
+        expected(Some("PUT"), "/orders", "shop.example")
     );
 }
 
 #[test]
-fn what_is_missing_malformed_or_contradicts_itself_is_told() {
+fn missing_malformed_and_contradictory_headers_are_reported() {
     for (pairs, part) in [
         (&[("x-forwarded-method", "GET")][..], "not told"),
         (&[("x-forwarded-uri", "orders")], "does not begin with /"),
@@ -47,7 +47,7 @@
             "different",
         ),
     ] {
-        let error = about(pairs).expect_err("it is refused");
+        let error = parse_headers(pairs).expect_err("it is refused");
         assert!(error.contains(part), "{pairs:?}: {error}");
     }
 }
--- a/crates/sidecar/src/talk.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The socket on which processes tell each other what they see of zones.
+//! UDP gossip between processes about the zone failures that each observes.
 
 use crate::front::Shared;
 use ivygate_config as config;
@@ -15,23 +15,23 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// How often it looks whether there is something to be told.
-const LOOK: Duration = Duration::from_millis(10);
-/// Most packets that are read before anything else is done.
-const READ_AT_ONCE: usize = 64;
+/// Interval at which pending reports are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of packets read before reports are sent.
+const MAX_PACKETS_PER_WAKEUP: usize = 64;
 
-/// This process among those that tell each other.
-pub struct Talk {
+/// Membership of this process in a gossip group.
+pub struct Gossip {
     socket: UdpSocket,
     group: RefCell<Group>,
     peers: RefCell<Vec<SocketAddr>>,
-    /// Packets that could not be sent.
+    /// Number of packets that could not be sent.
     unsent: Cell<u64>,
     clock: Clock,
 }
 
-/// Reads the keys of a group.
-pub fn keys(group: &config::Group) -> Result<Vec<Key>, String> {
+/// Reads the keys of a gossip group.
+pub fn read_keys(group: &config::Group) -> Result<Vec<Key>, String> {
     let key = |path: &String| {
         let bytes = ivygate_files::read(Path::new(path)).map_err(|error| error.to_string())?;
         Key::new(&bytes).map_err(|error| format!("{path}: {error}"))
@@ -39,11 +39,11 @@
     group.keys.iter().map(key).collect()
 }
 
-impl Talk {
+impl Gossip {
     /// Opens the socket.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// Returns an error if the address cannot be bound.
     pub fn open(group: &config::Group, keys: Vec<Key>, clock: Clock) -> io::Result<Rc<Self>> {
         let socket = std::net::UdpSocket::bind(group.listen)?;
         socket.set_nonblocking(true)?;
@@ -56,80 +56,82 @@
         }))
     }
 
-    /// Takes over what a reload says of the others.
+    /// Applies reloaded peers and keys.
     pub fn handle_settings(&self, group: &config::Group, keys: Vec<Key>) {
         self.peers.replace(group.peers.clone());
         self.group.borrow_mut().set_keys(keys);
     }
 
-    /// Hears and tells for as long as the process runs.
+    /// Receives and sends reports for as long as the process runs.
     pub async fn run(self: Rc<Self>, shared: Rc<Shared>) {
-        let mut look = tokio::time::interval(LOOK);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(POLL_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut packet = [0; PACKET_MOST + 1];
         loop {
             tokio::select! {
-                _ = look.tick() => {}
+                _ = interval.tick() => {}
                 readable = self.socket.readable() => {
-                    // An error tells of an earlier packet that nobody took, or of a system that has no room just now.
+                    // An error is caused by an earlier packet to a closed port, or by a temporary lack of system resources.
                     if readable.is_err() {
-                        tokio::time::sleep(LOOK).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                     }
                 }
             }
-            for _ in 0..READ_AT_ONCE {
+            for _ in 0..MAX_PACKETS_PER_WAKEUP {
                 match self.socket.try_recv(&mut packet) {
-                    Ok(length) => self.hear(&shared, &packet[..length]),
+                    Ok(length) => self.receive(&shared, &packet[..length]),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                     Err(_) => {}
                 }
             }
-            self.tell(&shared);
+            self.send_report(&shared);
         }
     }
 
-    fn hear(&self, shared: &Shared, packet: &[u8]) {
+    fn receive(&self, shared: &Shared, packet: &[u8]) {
         let now = self.clock.now();
-        // What is dropped is counted there.
-        let Ok((author, words)) = self.group.borrow_mut().handle_packet(now.as_millis(), packet) else {
+        // The group counts dropped packets.
+        let Ok((author, tallies)) = self.group.borrow_mut().handle_packet(now.as_millis(), packet) else {
             return;
         };
         let mut by_pool: BTreeMap<String, Vec<Tally>> = BTreeMap::new();
-        for (pool, tally) in words {
+        for (pool, tally) in tallies {
             by_pool.entry(pool).or_default().push(tally);
         }
-        let site = shared.site.borrow().clone();
-        for (name, pool) in &site.pools {
+        let active_config = shared.active_config.borrow().clone();
+        for (name, pool) in &active_config.pools {
             if let Some(zones) = &pool.zones {
-                let told = by_pool.get(name).map_or(&[][..], Vec::as_slice);
-                zones.handle_report(now, author, told);
+                let tallies = by_pool.get(name).map_or(&[][..], Vec::as_slice);
+                zones.handle_report(now, author, tallies);
             }
         }
     }
 
-    fn tell(&self, shared: &Shared) {
-        let site = shared.site.borrow().clone();
-        let (mut due, mut words) = (false, Vec::new());
-        for (name, pool) in &site.pools {
-            if let Some(word) = pool.zones.as_ref().and_then(super::zones::Zones::poll_report) {
+    fn send_report(&self, shared: &Shared) {
+        let active_config = shared.active_config.borrow().clone();
+        let (mut due, mut tallies) = (false, Vec::new());
+        for (name, pool) in &active_config.pools {
+            if let Some(report) = pool.zones.as_ref().and_then(super::zones::Zones::poll_report) {
                 due = true;
-                words.extend(word.into_iter().map(|tally| (name.clone(), tally)));
+                tallies.extend(report.into_iter().map(|tally| (name.clone(), tally)));
             }
         }
         if !due {
             return;
         }
-        let Some(packet) = self.group.borrow_mut().seal(self.clock.now().as_millis(), words) else { return };
+        let Some(packet) = self.group.borrow_mut().seal(self.clock.now().as_millis(), tallies) else {
+            return;
+        };
         for peer in self.peers.borrow().iter() {
-            // What one peer or the system does not take is told anew within a second.
+            // A report that cannot be sent is repeated within a second.
             if self.socket.try_send_to(&packet, *peer).is_err() {
                 self.unsent.set(self.unsent.get() + 1);
             }
         }
     }
 
-    /// Who was heard of late, and what was dropped: a JSON document each.
-    pub fn told(&self) -> Vec<Value> {
+    /// Returns a JSON document for each recently heard member, and one with the counts of lost packets.
+    pub fn status(&self) -> Vec<Value> {
         let now = self.clock.now().as_millis();
         let group = self.group.borrow();
         let member = |member: &ivygate_peer_gossip::Member| {
@@ -138,11 +140,11 @@
                 "packets": member.packets,
             })
         };
-        let mut told: Vec<Value> = group.members(now).iter().map(member).collect();
+        let mut documents: Vec<Value> = group.members(now).iter().map(member).collect();
         let dropped: BTreeMap<&str, u64> = group.dropped().collect();
-        told.push(
+        documents.push(
             json!({ "peers": self.peers.borrow().len(), "unsent": self.unsent.get(), "dropped": dropped }),
         );
-        told
+        documents
     }
 }
--- a/crates/sidecar/src/identity.rs
+++ b/crates/sidecar/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks, by what plan, and for how long: read off a request's headers, with no I/O.
+//! Client address, customer and deadline, read from a request's headers. No I/O.
 
 use hyper::header::{self, HeaderMap};
 use ipnet::IpNet;
@@ -7,33 +7,33 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Longest name of a customer.
-const NAME_MOST: usize = 128;
+/// Maximum length of a customer's name.
+const MAX_CUSTOMER_BYTES: usize = 128;
 
-/// Whether a peer's word is believed.
+/// Returns whether a peer is a trusted proxy.
 pub fn is_trusted(trusted: &[IpNet], address: IpAddr) -> bool {
     let address = address.to_canonical();
     trusted.iter().any(|net| net.contains(&address))
 }
 
-/// The client's address: the peer's, or where that is trusted the last one told that is not.
+/// Returns the client's address: the peer's, or if that is trusted, the last untrusted address in `X-Forwarded-For`.
 pub fn client_address(peer: IpAddr, trusted: &[IpNet], headers: &HeaderMap) -> IpAddr {
     let mut address = peer.to_canonical();
     let values = headers.get_all("x-forwarded-for").iter().filter_map(|v| v.to_str().ok());
-    let told: Vec<&str> = values.flat_map(|v| v.split(',')).map(str::trim).collect();
-    for told in told.iter().rev() {
+    let addresses: Vec<&str> = values.flat_map(|v| v.split(',')).map(str::trim).collect();
+    for text in addresses.iter().rev() {
         if !is_trusted(trusted, address) {
             break;
         }
-        let bare = told.strip_prefix('[').and_then(|t| t.split(']').next()).unwrap_or(told);
-        // What cannot be read ends the chain of those who are believed.
+        let bare = text.strip_prefix('[').and_then(|t| t.split(']').next()).unwrap_or(text);
+        // An unreadable entry ends the trusted part of the chain.
         let Ok(next) = bare.parse::<IpAddr>() else { break };
         address = next.to_canonical();
     }
     address
 }
 
-/// The customer that a request is counted for; the client's address where it does not tell.
+/// Returns the customer to whom a request is attributed, by default the client's address.
 pub fn customer(
     from: &CustomerFrom,
     headers: &HeaderMap,
@@ -47,7 +47,7 @@
     };
     match named {
         None | Some("") => Ok(client()),
-        Some(name) if name.len() > NAME_MOST => Err("the customer's name is too long"),
+        Some(name) if name.len() > MAX_CUSTOMER_BYTES => Err("the customer's name is too long"),
         Some(name) => Ok(name.into()),
     }
 }
@@ -63,7 +63,7 @@
     Ok(value)
 }
 
-/// A time that a trusted peer allows: a number and `us`, `u`, `ms`, `m` (milliseconds) or `s`; milliseconds.
+/// Parses a time limit into milliseconds: a number with the unit `us`, `u`, `ms`, `m` (milliseconds) or `s`.
 pub fn duration(text: &str) -> Option<f64> {
     let end = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let number: f64 = text[..end].parse().ok()?;
