--- a/crates/sidecar/src/identity/tests.rs
+++ b/crates/sidecar/src/identity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `identity` that need its private state.
+//! Unit tests of `identity`.
 
 use super::*;
 use hyper::header::{HeaderName, HeaderValue};
@@ -10,22 +10,22 @@
 }
 
 #[test]
-fn only_trusted_peers_are_believed_about_addresses() {
+fn forwarded_addresses_are_accepted_from_trusted_peers_only() {
     let trusted: Vec<IpNet> = vec!["10.0.0.0/8".parse().unwrap()];
     let ip = |text: &str| text.parse::<IpAddr>().unwrap();
-    let told = headers(&[("x-forwarded-for", "1.1.1.1, 2.2.2.2"), ("x-forwarded-for", "10.0.0.9")]);
-    assert_eq!(client_address(ip("9.9.9.9"), &trusted, &told), ip("9.9.9.9"));
-    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &told), ip("2.2.2.2"));
-    assert_eq!(client_address(ip("10.0.0.1"), &[], &told), ip("10.0.0.1"));
-    assert_eq!(client_address(ip("::ffff:10.0.0.1"), &trusted, &told), ip("2.2.2.2"));
-    let nonsense = headers(&[("x-forwarded-for", "1.1.1.1, unknown")]);
-    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &nonsense), ip("10.0.0.1"));
-    let six = headers(&[("x-forwarded-for", "[2001:db8::1]:80")]);
-    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &six), ip("2001:db8::1"));
+    let forwarded = headers(&[("x-forwarded-for", "1.1.1.1, 2.2.2.2"), ("x-forwarded-for", "10.0.0.9")]);
+    assert_eq!(client_address(ip("9.9.9.9"), &trusted, &forwarded), ip("9.9.9.9"));
+    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &forwarded), ip("2.2.2.2"));
+    assert_eq!(client_address(ip("10.0.0.1"), &[], &forwarded), ip("10.0.0.1"));
+    assert_eq!(client_address(ip("::ffff:10.0.0.1"), &trusted, &forwarded), ip("2.2.2.2"));
+    let unparsable = headers(&[("x-forwarded-for", "1.1.1.1, unknown")]);
+    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &unparsable), ip("10.0.0.1"));
+    let ipv6 = headers(&[("x-forwarded-for", "[2001:db8::1]:80")]);
+    assert_eq!(client_address(ip("10.0.0.1"), &trusted, &ipv6), ip("2001:db8::1"));
 }
 
 #[test]
-fn a_customer_that_is_named_in_two_ways_is_refused() {
+fn conflicting_customer_names_are_rejected() {
     let client = || "9.9.9.9".into();
     let by = |from: &CustomerFrom, pairs| customer(from, &headers(pairs), client).map(|c| c.to_string());
     let (header, cookie) = (CustomerFrom::Header("x-c".into()), CustomerFrom::Cookie("c".into()));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn deadlines_have_units() {
+fn deadlines_require_units() {
     assert_eq!(duration("480m"), Some(480.0));
     assert_eq!(duration("1500u"), Some(1.5));
     assert_eq!(duration("2s"), Some(2000.0));
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,24 +1,24 @@
-//! The sidecar: several services in one process, chosen by a route table.
+//! Sidecar proxy: several server pools behind one process, selected by a route table.
 //!
-//! Called by the command line. It reads requests as ordinary applications have them, names their route, class,
-//! customer and plan, and hands all else to the pool's decision module: it must never choose a server, send
-//! anything again or refuse for quota or room by itself.
+//! The command line starts it. It reads plain HTTP requests, determines their route, class, customer and plan, and leaves
+//! all other decisions to the gateway of the pool: the sidecar itself never chooses a server, retries a request, or
+//! rejects one for quota or overload.
 
-mod answer;
-mod answering;
-mod asker;
-mod floods;
+mod active_config;
+mod auth_checks;
+mod check_cache;
+mod failure_limits;
 mod forward;
+mod forwarded_request;
 mod front;
+mod gossip;
 mod identity;
 mod operator;
-mod orders;
+mod order_recorder;
 mod pool;
-mod remembered;
+mod response;
 mod service;
 mod sign_in;
-mod site;
-mod talk;
 mod upload;
 mod zones;
 
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -1,4 +1,4 @@
-//! The listener for people who run this: read-only, and never one of the clients'.
+//! Read-only HTTP interface for operators, on a listener separate from those for clients.
 
 use crate::front::Shared;
 use bytes::Bytes;
@@ -12,47 +12,47 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// Questions that are answered at once; the others wait.
-const AT_ONCE: usize = 2;
-/// Longest head of a question.
-const HEAD: usize = 8 << 10;
-/// An operator's connection that says or reads nothing for this long is closed.
-const STALL: Duration = Duration::from_secs(10);
+/// Maximum number of journal queries answered concurrently; further ones wait.
+const MAX_CONCURRENT_QUERIES: usize = 2;
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Time without progress after which an operator's connection is closed.
+const READ_STALL: Duration = Duration::from_secs(10);
 
-/// Answers operators.
+/// Handler of operator requests.
 pub struct OperatorFront {
     shared: Rc<Shared>,
-    turns: Semaphore,
+    permits: Semaphore,
 }
 
 impl OperatorFront {
-    /// Of a sidecar.
+    /// Creates the handler for a sidecar.
     pub fn new(shared: Rc<Shared>) -> Self {
-        Self { shared, turns: Semaphore::new(AT_ONCE) }
+        Self { shared, permits: Semaphore::new(MAX_CONCURRENT_QUERIES) }
     }
 
-    /// What is believed of all zones that are judged, as JSON lines, by pool and zone.
+    /// Returns the state of all monitored zones as JSON lines, by pool and zone.
     fn domains(&self) -> QueryResponse {
-        let site = self.shared.site.borrow().clone();
-        let mut pools: Vec<_> = site.pools.values().filter(|pool| pool.zones.is_some()).collect();
+        let active_config = self.shared.active_config.borrow().clone();
+        let mut pools: Vec<_> = active_config.pools.values().filter(|pool| pool.zones.is_some()).collect();
         if pools.is_empty() {
             return QueryResponse::error(404, "no pool here has `domains`");
         }
         pools.sort_by(|a, b| a.settings.name.cmp(&b.settings.name));
-        let told = pools.iter().flat_map(|pool| {
-            pool.zones.iter().flat_map(|zones| zones.told(pool.driver.now())).collect::<Vec<_>>()
+        let documents = pools.iter().flat_map(|pool| {
+            pool.zones.iter().flat_map(|zones| zones.status(pool.driver.now())).collect::<Vec<_>>()
         });
-        QueryResponse { status: 200, lines: told.map(|document| format!("{document}\n")).collect() }
+        QueryResponse { status: 200, lines: documents.map(|document| format!("{document}\n")).collect() }
     }
 
-    async fn told(&self, method: &Method, target: &str) -> QueryResponse {
+    async fn respond(&self, method: &Method, target: &str) -> QueryResponse {
         if method != Method::GET && method != Method::HEAD {
             return QueryResponse::error(405, "this is read-only: ask with GET");
         }
         if target == "/members" {
-            let talk = self.shared.talk.borrow().clone();
-            let Some(talk) = talk else { return QueryResponse::error(404, "there is no `group` here") };
-            let lines = talk.told().iter().map(|document| format!("{document}\n")).collect();
+            let gossip = self.shared.gossip.borrow().clone();
+            let Some(gossip) = gossip else { return QueryResponse::error(404, "there is no `group` here") };
+            let lines = gossip.status().iter().map(|document| format!("{document}\n")).collect();
             return QueryResponse { status: 200, lines };
         }
         if target == "/domains" {
@@ -61,20 +61,20 @@
         let Some(store) = self.shared.orders.as_ref().and_then(|orders| orders.store()) else {
             return QueryResponse::error(404, "there is no journal here");
         };
-        // It is never closed.
-        let _turn = self.turns.acquire().await;
+        // The semaphore is never closed.
+        let _permit = self.permits.acquire().await;
         let target = target.to_owned();
-        // Reads the disk, and so not on the thread that serves clients.
-        let told = tokio::task::spawn_blocking(move || answer_query(&store, &target)).await;
-        told.unwrap_or_else(|_| QueryResponse::error(500, "the answer failed"))
+        // Reads the disk, so it must not run on the event loop.
+        let response = tokio::task::spawn_blocking(move || answer_query(&store, &target)).await;
+        response.unwrap_or_else(|_| QueryResponse::error(500, "the answer failed"))
     }
 }
 
-/// How its clients are bounded.
+/// Returns the limits for operator connections.
 pub fn limits() -> ClientLimits {
     ClientLimits {
-        strict_head: Some(HEAD),
-        read_stall: Some(STALL),
+        strict_head: Some(MAX_HEAD_BYTES),
+        read_stall: Some(READ_STALL),
         ..ClientLimits::new(Operator::CONNECTIONS)
     }
 }
@@ -86,17 +86,17 @@
         let Asked { request, flaw, turn, .. } = asked;
         turn.open();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
-        let told = match flaw {
+        let reply = match flaw {
             Some(flaw) => QueryResponse::error(400, &flaw.to_string()),
-            None => self.told(request.method(), target).await,
+            None => self.respond(request.method(), target).await,
         };
-        let mut response = Response::new(Full::new(Bytes::from(told.lines)));
+        let mut response = Response::new(Full::new(Bytes::from(reply.lines)));
         *response.status_mut() =
-            StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+            StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
         headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-        if told.status == 405 {
+        if reply.status == 405 {
             headers.insert(header::ALLOW, HeaderValue::from_static("GET, HEAD"));
         }
         Ok(response)
--- a/crates/sidecar/src/orders.rs
+++ b/crates/sidecar/src/order_recorder.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice, on their way into the journal.
+//! Records requests that must not run twice in the journal.
 
 use crate::forward::REQUEST_ID;
 use hyper::header::HeaderName;
@@ -18,37 +18,38 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The journal of this process, and requests on their way into it.
-pub struct Orders {
-    /// Empty once the process ends.
-    open: RefCell<Option<Open>>,
+/// Recorder of orders, with the journal of this process.
+pub struct OrderRecorder {
+    /// `None` after the journal has been closed.
+    open: RefCell<Option<OpenJournal>>,
     /// Whether keyed requests are recorded too.
     pub keyed: bool,
-    /// The header with a client's id.
+    /// Header with the client id.
     pub id_header: HeaderName,
-    /// Where customers are not recorded by name.
+    /// Set if customers are recorded by pseudonym.
     pseudonymizer: Option<Pseudonymizer>,
-    taken: RefCell<HashMap<RequestId, Entry>>,
+    accepted: RefCell<HashMap<RequestId, Entry>>,
 }
 
-struct Open {
+struct OpenJournal {
     journal: Rc<Journal>,
     store: Arc<Store>,
     _query_socket: Option<QuerySocket>,
 }
 
+/// Accepted request whose response is pending.
 struct Entry {
-    /// Until it is recorded, with its first attempt.
+    /// Order that is yet to be recorded with its first attempt.
     order: Option<Order>,
-    /// What is known of another with the same client's id: then this one is never sent.
-    known: Option<State>,
+    /// State of another order with the same client id, because of which this one is not sent.
+    duplicate_of: Option<State>,
 }
 
-impl Orders {
-    /// Begins to record in a journal of this configuration.
+impl OrderRecorder {
+    /// Opens the configured journal.
     ///
     /// # Errors
-    /// If it can't be opened.
+    /// Returns an error if it cannot be opened.
     pub fn open(settings: &ivygate_config::Journal) -> Result<Rc<Self>, JournalError> {
         let folder = Path::new(&settings.folder);
         let io = |error| JournalError::Io(folder.to_owned(), error);
@@ -58,58 +59,62 @@
         if store.was_repaired() {
             let orders = store.len()?;
             eprintln!(
-                "ivygate: the journal {} was not closed in order; what was not whole is cut off, and {orders} orders are \
-                 there",
+                "ivygate: the journal {} was not closed cleanly; incomplete commits were discarded, and it holds {orders} \
+                 orders",
                 folder.display()
             );
         }
         let pseudonymizer = if settings.hashed {
-            let mut fresh = [0; 32];
-            getrandom::fill(&mut fresh).map_err(|error| io(std::io::Error::other(error.to_string())))?;
-            let made = Pseudonymizer::new(&store.get_or_insert_salt(fresh)?);
-            Some(made.ok_or_else(|| io(std::io::ErrorKind::InvalidData.into()))?)
+            let mut new_salt = [0; 32];
+            getrandom::fill(&mut new_salt).map_err(|error| io(std::io::Error::other(error.to_string())))?;
+            let pseudonymizer = Pseudonymizer::new(&store.get_or_insert_salt(new_salt)?);
+            Some(pseudonymizer.ok_or_else(|| io(std::io::ErrorKind::InvalidData.into()))?)
         } else {
             None
         };
         let store = Arc::new(store);
         let query_socket = QuerySocket::open(folder, store.clone()).map_err(|error| {
-            // Nothing that clients get rests on it.
-            eprintln!("ivygate: the journal {} can be asked when this ends only: {error}", folder.display());
+            // Clients do not depend on the socket, so the journal is used without it.
+            eprintln!(
+                "ivygate: the journal {} can be queried only after this process has ended: {error}",
+                folder.display()
+            );
         });
         let journal = Rc::new(Journal::start(store.clone()).map_err(io)?);
         Ok(Rc::new(Self {
-            open: RefCell::new(Some(Open { journal, store, _query_socket: query_socket.ok() })),
+            open: RefCell::new(Some(OpenJournal { journal, store, _query_socket: query_socket.ok() })),
             keyed: settings.keyed,
             id_header: HeaderName::try_from(&settings.id_header).unwrap_or(REQUEST_ID),
             pseudonymizer,
-            taken: RefCell::default(),
+            accepted: RefCell::default(),
         }))
     }
 
-    /// The store, to be read.
+    /// Returns the store for reading, unless the journal has been closed.
     pub fn store(&self) -> Option<Arc<Store>> {
         Some(self.open.borrow().as_ref()?.store.clone())
     }
 
-    /// A customer as it is recorded.
+    /// Returns the customer's name as recorded, possibly a pseudonym.
     pub fn customer(&self, customer: &str) -> String {
         self.pseudonymizer
             .as_ref()
             .map_or_else(|| customer.to_owned(), |pseudonymizer| pseudonymizer.pseudonym(customer))
     }
 
-    /// A request has been taken; it is recorded with its first attempt. Forgotten when what comes back is dropped.
-    pub fn taken(self: &Rc<Self>, id: &RequestId, order: Order) -> Taken {
-        self.taken.borrow_mut().insert(id.clone(), Entry { order: Some(order), known: None });
-        Taken { orders: self.clone(), id: id.clone(), answered: Cell::new(false) }
+    /// Registers an accepted request, to be recorded with its first attempt. It is unregistered when the returned value is
+    /// dropped.
+    pub fn accept(self: &Rc<Self>, id: &RequestId, order: Order) -> AcceptedOrder {
+        self.accepted.borrow_mut().insert(id.clone(), Entry { order: Some(order), duplicate_of: None });
+        AcceptedOrder { orders: self.clone(), id: id.clone(), answered: Cell::new(false) }
     }
 
     async fn record(&self, id: &RequestId, attempt: Attempt) -> Result<(), RecordError> {
         let journal = self.journal().ok_or(RecordError::Failed)?;
-        let order = match self.taken.borrow_mut().get_mut(id) {
-            // Whoever asked has its answer or has left.
+        let order = match self.accepted.borrow_mut().get_mut(id) {
+            // The client has its response, or has disconnected.
             None => return Err(RecordError::Failed),
-            Some(Entry { known: Some(state), .. }) => return Err(RecordError::Duplicate(*state)),
+            Some(Entry { duplicate_of: Some(state), .. }) => return Err(RecordError::Duplicate(*state)),
             Some(entry) => entry.order.take(),
         };
         let update = match order {
@@ -119,7 +124,7 @@
         journal.record(id, update).await
     }
 
-    /// Ends the journal: waits until all that was handed over is recorded.
+    /// Closes the journal after all queued updates have been recorded.
     pub fn close(&self) {
         let open = self.open.borrow_mut().take();
         drop(open);
@@ -129,17 +134,17 @@
         Some(self.open.borrow().as_ref()?.journal.clone())
     }
 
-    fn note(&self, id: &RequestId, update: Update) {
+    fn enqueue(&self, id: &RequestId, update: Update) {
         if let Some(journal) = self.journal() {
-            // What is not noted leaves the order unknown, which is the safe side.
+            // A lost update leaves the order in the unknown state, which is safe.
             let _ = journal.enqueue(id, update);
         }
     }
 }
 
-impl Ledger for Orders {
+impl Ledger for OrderRecorder {
     fn wants(&self, id: &RequestId) -> bool {
-        self.keyed && self.taken.borrow().contains_key(id)
+        self.keyed && self.accepted.borrow().contains_key(id)
     }
 
     fn sending<'a>(
@@ -156,14 +161,15 @@
                 sent_at: now.as_millis(),
                 outcome: AttemptOutcome::Unknown,
             };
-            // Given up while its record waits, by now or later, it is never sent.
-            let mut unsent = Unsent { orders: self, id, attempt: Some(attempt.number) };
+            // If this future is dropped while the record is pending, the attempt is never sent, even if it is recorded
+            // later.
+            let mut unsent = UnsentAttempt { orders: self, id, attempt: Some(attempt.number) };
             let recorded = self.record(id, attempt).await;
             unsent.attempt = None;
             if let (Err(RecordError::Duplicate(state)), Some(entry)) =
-                (recorded, self.taken.borrow_mut().get_mut(id))
+                (recorded, self.accepted.borrow_mut().get_mut(id))
             {
-                entry.known = Some(state);
+                entry.duplicate_of = Some(state);
             }
             recorded.is_ok()
         })
@@ -171,66 +177,66 @@
 
     fn came(&self, id: &RequestId, attempt: u32, never_ran: bool, status: Option<u16>) {
         let outcome = match status {
-            // A server that turned it away has answered too, and the proof says more.
+            // A server that rejected the attempt has answered too, but the proof that it never ran is stronger.
             _ if never_ran => AttemptOutcome::NotRun,
             Some(status) => AttemptOutcome::Answer(status),
             None => return,
         };
-        self.note(id, Update::AttemptEnded(attempt, outcome));
+        self.enqueue(id, Update::AttemptEnded(attempt, outcome));
     }
 }
 
-/// An attempt whose record waits.
-struct Unsent<'a> {
-    orders: &'a Orders,
+/// Attempt whose record is pending; recorded as not run on drop, unless `attempt` has been cleared.
+struct UnsentAttempt<'a> {
+    orders: &'a OrderRecorder,
     id: &'a RequestId,
     attempt: Option<u32>,
 }
 
-impl Drop for Unsent<'_> {
+impl Drop for UnsentAttempt<'_> {
     fn drop(&mut self) {
         if let Some(attempt) = self.attempt {
-            self.orders.note(self.id, Update::AttemptEnded(attempt, AttemptOutcome::NotRun));
+            self.orders.enqueue(self.id, Update::AttemptEnded(attempt, AttemptOutcome::NotRun));
         }
     }
 }
 
-/// A request that was taken.
-pub struct Taken {
-    orders: Rc<Orders>,
+/// Accepted request, registered until dropped.
+pub struct AcceptedOrder {
+    orders: Rc<OrderRecorder>,
     id: RequestId,
     answered: Cell<bool>,
 }
 
-impl Taken {
-    /// It has its answer.
+impl AcceptedOrder {
+    /// Notes that the client has its response; a timeout is recorded.
     pub fn answered(&self, answer: &Answer) {
         self.answered.set(true);
         if matches!(answer, Answer::TimeUp) {
-            self.ended(EndReason::TimedOut);
+            self.close(EndReason::TimedOut);
         }
     }
 
-    fn ended(&self, reason: EndReason) {
-        let recorded = self.orders.taken.borrow().get(&self.id).is_some_and(|entry| entry.order.is_none());
+    fn close(&self, reason: EndReason) {
+        let recorded = self.orders.accepted.borrow().get(&self.id).is_some_and(|entry| entry.order.is_none());
         if recorded {
-            self.orders.note(&self.id, Update::Closed(reason));
+            self.orders.enqueue(&self.id, Update::Closed(reason));
         }
     }
 
-    /// What is known of an earlier order with the same client's id, if that is why this one was not sent.
-    pub fn known(&self) -> Option<State> {
-        self.orders.taken.borrow().get(&self.id)?.known
+    /// Returns the state of an earlier order with the same client id, if this one was not sent because of it.
+    pub fn duplicate_of(&self) -> Option<State> {
+        self.orders.accepted.borrow().get(&self.id)?.duplicate_of
     }
 }
 
-impl Drop for Taken {
+impl Drop for AcceptedOrder {
     fn drop(&mut self) {
-        // Nobody waits for an answer any more.
+        // The client has disconnected without a response.
         if !self.answered.get() {
-            self.ended(EndReason::ClientGone);
+            self.close(EndReason::ClientGone);
         }
-        self.orders.taken.borrow_mut().remove(&self.id);
+        self.orders.accepted.borrow_mut().remove(&self.id);
     }
 }
 
--- a/crates/sidecar/src/orders/tests.rs
+++ b/crates/sidecar/src/order_recorder/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `orders` that need its private state.
+//! Unit tests of `order_recorder`.
 
 use super::*;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
 
-fn open(name: &str) -> (std::path::PathBuf, Rc<Orders>) {
+fn open(name: &str) -> (std::path::PathBuf, Rc<OrderRecorder>) {
     let folder = std::env::temp_dir().join(format!("ivygate-taken-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let (text, synced, keyed) = (folder.display().to_string(), true, false);
@@ -18,16 +18,16 @@
         id_header: "req-id".into(),
         at: ivygate_config::At::default(),
     };
-    (folder, Orders::open(&settings).expect("it opens"))
+    (folder, OrderRecorder::open(&settings).expect("it opens"))
 }
 
 #[test]
-fn an_order_given_up_while_its_record_waits_is_told_as_never_sent() {
+fn order_cancelled_while_its_record_is_pending_is_recorded_as_never_sent() {
     let (folder, orders) = open("given-up");
     let mut waited = Vec::new();
     for n in 0..20 {
         let id = RequestId::from(format!("o{n}").as_str());
-        let taken = orders.taken(&id, Order { customer: orders.customer("alice"), ..Order::default() });
+        let accepted = orders.accept(&id, Order { customer: orders.customer("alice"), ..Order::default() });
         let server = SocketAddr::from(([127, 0, 0, 1], 9301));
         {
             let mut sending = pin!(orders.sending(&id, 0, server, Timestamp::from_millis(1.0)));
@@ -35,13 +35,13 @@
                 waited.push(id.to_string());
             }
         }
-        drop(taken);
+        drop(accepted);
     }
     orders.close();
     assert!(!waited.is_empty());
     let store = Store::open(&folder).expect("it opens");
     for id in waited {
-        let (_, order) = store.find(&id).expect("read").expect("it is there");
+        let (_, order) = store.find(&id).expect("read").expect("the order exists");
         assert_eq!(
             (order.state(), order.end_reason),
             (State::NeverSent, Some(EndReason::ClientGone)),
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -1,4 +1,4 @@
-//! A pool at work: its decision module on sockets, and what its requests may take of the process.
+//! Server pool: its gateway connected to sockets, and the limits on open requests and buffered bytes.
 
 use crate::zones::Zones;
 use hyper::header::{HeaderName, HeaderValue};
@@ -13,77 +13,79 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What is added to a class's name for its requests that must not run twice all the same: those of a keyed class
-/// that come without a key, since nobody drops their repeats, and those of a route that says so.
-const ONCE: &str = " (once)";
-/// Longest advice to stay away.
-const RETRY_AFTER_MOST: Millis = 60_000.0;
+/// Suffix of the class name for requests that must not run twice although their class allows it: requests of a keyed class
+/// without a key, since no server can deduplicate them, and requests of a route that forbids retries.
+const ONCE_SUFFIX: &str = " (once)";
+/// Maximum value of `Retry-After`.
+const MAX_RETRY_AFTER_MS: Millis = 60_000.0;
 
-/// Most that hyper holds of an answer at once: enough for bodies to go on in few pieces.
-const BUFFER: usize = 128 << 10;
+/// Size of hyper's buffer per server connection; large enough to relay bodies in few chunks.
+const READ_BUFFER_BYTES: usize = 128 << 10;
 
-/// A pool at work.
+/// Running pool of servers.
 pub struct Pool {
-    /// Its part of the configuration.
+    /// Configured settings.
     pub settings: config::Pool,
-    /// All that its decisions rest on, for telling whether it has changed.
-    basis: Basis,
-    /// Its decision module on sockets.
+    /// Everything that its decisions depend on, to detect whether it can be reused on reload.
+    reuse_key: ReuseKey,
+    /// Gateway connected to sockets.
     pub driver: Rc<Driver>,
-    /// How its zones are judged, if they are.
+    /// Zone failure detection, if configured.
     pub zones: Option<Zones>,
-    counts: Rc<Counts>,
+    usage: Rc<PoolUsage>,
 }
 
+/// Settings that must be equal for a pool to be reused on reload.
 #[derive(Clone, PartialEq)]
-struct Basis {
+struct ReuseKey {
     classes: Vec<(config::Class, bool)>,
     plans: Vec<config::Plan>,
-    /// Without its servers, and without how its zones are judged, but whether they are.
+    /// Settings without the servers and without the details of zone failure detection.
     pool: config::Pool,
 }
 
+/// Resources used by the open requests of a pool.
 #[derive(Default)]
-struct Counts {
-    open: Cell<usize>,
-    bytes: Cell<usize>,
+struct PoolUsage {
+    open_requests: Cell<usize>,
+    buffered_bytes: Cell<usize>,
 }
 
-/// A class's name for those of its requests that must not run twice.
-pub fn once(class: &str) -> String {
-    format!("{class}{ONCE}")
+/// Returns the name of the class variant for requests that must not run twice.
+pub fn once_class_name(class: &str) -> String {
+    format!("{class}{ONCE_SUFFIX}")
 }
 
-/// A class as a pool serves it.
+/// Class served by a pool.
 #[derive(Clone, Copy)]
-pub struct Served<'a> {
-    /// The class.
+pub struct ServedClass<'a> {
+    /// Configured class.
     pub class: &'a config::Class,
-    /// Whether some of its requests must not run twice.
-    pub once: bool,
+    /// Whether some of its requests must not run twice, so that the class variant for them is needed.
+    pub has_non_repeatable: bool,
 }
 
 impl Pool {
     /// Starts a pool.
     ///
     /// # Errors
-    /// If the decision module cannot act on its settings.
+    /// Returns an error if the settings are invalid.
     pub fn start(
         pool: &config::Pool,
-        classes: &[Served],
+        classes: &[ServedClass],
         plans: &[config::Plan],
         clock: Clock,
     ) -> Result<Rc<Self>, String> {
-        let settings = settings(pool, classes, plans);
+        let settings = gateway_settings(pool, classes, plans);
         let gateway = Gateway::new(settings.clone(), fastrand::u64(..)).map_err(|error| error.to_string())?;
         let limits = UpstreamLimits {
             connections: pool.connections,
             connect: millis(pool.connect),
             keep: millis(pool.keep),
             idle: usize::MAX,
-            // What is there to be read is seen without a rest.
+            // Unexpected input on an idle connection is detected without a rest period.
             rest: Duration::ZERO,
-            buffer: BUFFER,
+            buffer: READ_BUFFER_BYTES,
         };
         let declined = pool.declined.as_ref().and_then(|(name, value)| {
             Some((HeaderName::try_from(name).ok()?, HeaderValue::try_from(value).ok()?))
@@ -102,35 +104,35 @@
             None => (Driver::new(gateway, clock, upstream), None),
         };
         tokio::task::spawn_local(driver.clone().run_timers());
-        let started = Self {
+        let pool = Self {
             settings: pool.clone(),
-            basis: Basis::new(pool, classes, plans),
+            reuse_key: ReuseKey::new(pool, classes, plans),
             driver,
             zones,
-            counts: Rc::default(),
+            usage: Rc::default(),
         };
-        started.list(None);
-        Ok(Rc::new(started))
+        pool.update_servers(None);
+        Ok(Rc::new(pool))
     }
 
-    /// The same pool under a configuration in which at most its servers, and how its zones are judged, have changed: counts, health and
-    /// connections stay. `None` if more has changed. Nothing happens before [`Self::list`].
-    pub fn carried_on(
+    /// Returns the same pool with new settings if they differ only in the servers and the details of zone failure detection,
+    /// so that usage, health and connections are kept; otherwise `None`. The gateway is not updated before
+    /// [`Self::update_servers`].
+    pub fn reuse_with(
         &self,
         pool: &config::Pool,
-        classes: &[Served],
+        classes: &[ServedClass],
         plans: &[config::Plan],
     ) -> Option<Rc<Self>> {
-        let basis = Basis::new(pool, classes, plans);
-        (basis == self.basis).then(|| {
-            let (driver, zones, counts) = (self.driver.clone(), self.zones.clone(), self.counts.clone());
-            Rc::new(Self { settings: pool.clone(), basis, driver, zones, counts })
+        let reuse_key = ReuseKey::new(pool, classes, plans);
+        (reuse_key == self.reuse_key).then(|| {
+            let (driver, zones, usage) = (self.driver.clone(), self.zones.clone(), self.usage.clone());
+            Rc::new(Self { settings: pool.clone(), reuse_key, driver, zones, usage })
         })
     }
 
-    /// Tells the decision module of the servers. Those that `before` did not have count as just started where
-    /// cold servers are to be spared.
-    pub fn list(&self, before: Option<&config::Pool>) {
+    /// Passes the servers to the gateway. Servers missing in `before` count as just started if slow start is configured.
+    pub fn update_servers(&self, before: Option<&config::Pool>) {
         let now = self.driver.now();
         if let Some(zones) = &self.zones {
             zones.handle_settings(now, &self.settings);
@@ -139,7 +141,7 @@
             before.is_some_and(|b| !b.servers.iter().any(|o| o.name == s.name && o.address == s.address))
         };
         let target = |server: &config::Server| Target {
-            // A server that has moved is another one.
+            // A server with another address is a different server.
             uid: format!("{}@{}", server.name, server.address),
             endpoint: Some(server.address),
             az: server.zone.clone(),
@@ -154,25 +156,25 @@
         self.driver.list(Listing { rev: 0, all: true, targets });
     }
 
-    /// A place for one more open request; `None` if the pool has as many as it may.
-    pub fn place(&self) -> Option<Place> {
-        let open = self.counts.open.get();
+    /// Reserves a slot for an open request; `None` if the pool has reached its limit.
+    pub fn acquire_slot(&self) -> Option<RequestSlot> {
+        let open = self.usage.open_requests.get();
         (open < self.settings.requests).then(|| {
-            self.counts.open.set(open + 1);
-            Place(self.counts.clone())
+            self.usage.open_requests.set(open + 1);
+            RequestSlot(self.usage.clone())
         })
     }
 
-    /// Room for a request's body, of no size yet.
-    pub fn hold(&self) -> Bytewise {
-        Bytewise { counts: self.counts.clone(), most: self.settings.buffered, bytes: 0 }
+    /// Starts to account for the buffered body of a request, initially empty.
+    pub fn start_buffering(&self) -> BufferedBytes {
+        BufferedBytes { usage: self.usage.clone(), limit: self.settings.buffered, bytes: 0 }
     }
 }
 
-impl Basis {
-    fn new(pool: &config::Pool, classes: &[Served], plans: &[config::Plan]) -> Self {
+impl ReuseKey {
+    fn new(pool: &config::Pool, classes: &[ServedClass], plans: &[config::Plan]) -> Self {
         Self {
-            classes: classes.iter().map(|c| (c.class.clone(), c.once)).collect(),
+            classes: classes.iter().map(|c| (c.class.clone(), c.has_non_repeatable)).collect(),
             plans: plans.to_vec(),
             pool: config::Pool {
                 servers: Vec::new(),
@@ -187,44 +189,44 @@
     }
 }
 
-/// One open request's place in its pool.
-pub struct Place(Rc<Counts>);
+/// Slot of an open request in its pool, released on drop.
+pub struct RequestSlot(Rc<PoolUsage>);
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
-/// Bytes of a body that a pool holds.
-pub struct Bytewise {
-    counts: Rc<Counts>,
-    most: usize,
+/// Buffered bytes of a body, released on drop.
+pub struct BufferedBytes {
+    usage: Rc<PoolUsage>,
+    limit: usize,
     bytes: usize,
 }
 
-impl Bytewise {
-    /// Takes room for more, unless the pool holds as much as it may.
+impl BufferedBytes {
+    /// Reserves more bytes; returns false if the pool has reached its limit.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let all = self.counts.bytes.get() + bytes;
-        if all > self.most {
+        let total = self.usage.buffered_bytes.get() + bytes;
+        if total > self.limit {
             return false;
         }
-        self.counts.bytes.set(all);
+        self.usage.buffered_bytes.set(total);
         self.bytes += bytes;
         true
     }
 }
 
-impl Drop for Bytewise {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.counts.bytes.set(self.counts.bytes.get() - self.bytes);
+        self.usage.buffered_bytes.set(self.usage.buffered_bytes.get() - self.bytes);
     }
 }
 
-fn settings(pool: &config::Pool, classes: &[Served], plans: &[config::Plan]) -> Settings {
-    let mut all = Vec::new();
-    for Served { class, once: some_once } in classes {
+fn gateway_settings(pool: &config::Pool, classes: &[ServedClass], plans: &[config::Plan]) -> Settings {
+    let mut request_classes = Vec::new();
+    for ServedClass { class, has_non_repeatable } in classes {
         let (effect, key_window) = match class.effect {
             _ if class.repeat == config::Repeat::Unsent => (Effect::Unsafe, 0.0),
             config::Effect::Safe => (Effect::Safe, 0.0),
@@ -238,7 +240,7 @@
                 (Effect::Keyed(scope), window)
             }
         };
-        let made = RequestClass {
+        let request_class = RequestClass {
             name: class.name.clone(),
             latency_target: class.aim,
             deadline: class.deadline,
@@ -248,32 +250,32 @@
             initial_work: Some(class.work),
             key_window,
         };
-        if *some_once {
-            all.push(RequestClass {
-                name: once(&class.name),
+        if *has_non_repeatable {
+            request_classes.push(RequestClass {
+                name: once_class_name(&class.name),
                 effect: Effect::Unsafe,
                 key_window: 0.0,
-                ..made.clone()
+                ..request_class.clone()
             });
         }
-        all.push(made);
+        request_classes.push(request_class);
     }
     let cold = pool.cold.unwrap_or(config::Cold { from: 1.0, warm: 0.0, fall: 2.0, window: 1000.0 });
     Settings {
         gateways: pool.sidecars,
         rank: 0,
         zone: pool.zone.clone(),
-        classes: all,
-        plans: plans.iter().map(plan).collect(),
+        classes: request_classes,
+        plans: plans.iter().map(gateway_plan).collect(),
         max_attempts: pool.attempts,
         allow_hedging: pool.second_copies,
-        // A pool of unsafe requests only would else never learn that an ejected server is back.
+        // Without health checks, a pool of unsafe requests only would never notice that an ejected server has recovered.
         allow_health_checks: true,
         allow_trial_requests: true,
         retry_budget: RetryBudget::DEFAULT,
         allow_cancellation: true,
         subscribe_to_list: false,
-        max_retry_after: Some(RETRY_AFTER_MOST),
+        max_retry_after: Some(MAX_RETRY_AFTER_MS),
         meter_period: None,
         cross_zone_cost: pool.cross_zone,
         slow_start_capacity: cold.from,
@@ -283,7 +285,7 @@
     }
 }
 
-fn plan(plan: &config::Plan) -> Plan {
+fn gateway_plan(plan: &config::Plan) -> Plan {
     Plan {
         rate: plan.quota,
         burst: plan.burst,
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -1,10 +1,10 @@
-//! The process round the fronts: listeners, reload, signals, end.
+//! Process lifecycle: listeners, reload, signals and shutdown.
 
+use crate::active_config::ActiveConfig;
 use crate::front::{Shared, SidecarFront};
+use crate::gossip::{read_keys, Gossip};
 use crate::operator::{self, OperatorFront};
-use crate::orders::Orders;
-use crate::site::Site;
-use crate::talk::{keys, Talk};
+use crate::order_recorder::OrderRecorder;
 use ivygate_config::{Listener, Model, Severity};
 use ivygate_files::Unreadable;
 use ivygate_journal::JournalError;
@@ -21,35 +21,35 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::timeout;
 
-/// SIGXFSZ, for which the crate has no name.
-const FILE_SIZE: i32 = 25;
+/// Signal sent when a file reaches the size limit; tokio has no constant for it.
+const SIGXFSZ: i32 = 25;
 
-/// Why a sidecar does not start.
+/// Error that prevents a sidecar from starting or reloading.
 #[derive(Debug)]
 pub enum StartError {
-    /// The configuration's file can't be read.
+    /// The configuration file cannot be read.
     Unreadable(Unreadable),
-    /// A file can't be written.
+    /// A file cannot be written.
     Unwritable(String, std::io::Error),
-    /// It can't be used; the report says where and why.
+    /// The configuration is invalid; holds the report.
     Configuration(String),
-    /// An address can't be listened on.
+    /// A listener cannot be opened.
     Listen(SocketAddr, std::io::Error),
-    /// The journal can't be written.
+    /// The journal cannot be opened.
     Journal(JournalError),
-    /// A key of the group can't be read.
+    /// A key of the gossip group cannot be read.
     Key(String),
-    /// The system refuses something else that is needed.
+    /// Another system call failed.
     System(std::io::Error),
 }
 
 impl StartError {
-    /// Whether it is a whole report, with places and all.
+    /// Returns whether the error is a complete report with source locations.
     pub fn is_report(&self) -> bool {
         matches!(self, StartError::Configuration(_))
     }
 
-    /// Whether the configuration is to blame, rather than a fault at run time.
+    /// Returns whether the configuration is at fault, rather than the environment.
     pub fn is_configuration(&self) -> bool {
         matches!(self, StartError::Unreadable(_) | StartError::Configuration(_) | StartError::Key(_))
     }
@@ -63,7 +63,7 @@
             StartError::Configuration(report) => f.write_str(report.trim_end()),
             StartError::Listen(address, error) => write!(f, "cannot listen on {address}: {error}"),
             StartError::Journal(error) => error.fmt(f),
-            StartError::Key(why) => write!(f, "the group's key: {why}"),
+            StartError::Key(error) => write!(f, "cannot read the group's key: {error}"),
             StartError::System(error) => error.fmt(f),
         }
     }
@@ -71,202 +71,220 @@
 
 impl std::error::Error for StartError {}
 
-/// A listener at work.
-struct Port {
-    /// As the configuration has it; its port may be 0.
-    named: SocketAddr,
+/// Open listener for clients.
+struct ClientListener {
+    /// Configured address; its port may be 0.
+    configured: SocketAddr,
     bound: SocketAddr,
     clients: Rc<Clients<SidecarFront>>,
     accepting: JoinHandle<()>,
 }
 
-impl Port {
-    /// Whether it is the listener of a configuration: also one that names the port which the system chose.
-    fn is(&self, address: SocketAddr) -> bool {
-        address == self.named || address == self.bound
+impl ClientListener {
+    /// Returns whether this listener serves a configured address, either as first configured or with the port that the
+    /// system assigned.
+    fn serves(&self, address: SocketAddr) -> bool {
+        address == self.configured || address == self.bound
     }
 }
 
-/// The operators' listener at work.
-struct Desk {
-    named: SocketAddr,
+/// Open listener for operators.
+struct OperatorListener {
+    configured: SocketAddr,
     bound: SocketAddr,
     clients: Rc<Clients<OperatorFront>>,
     accepting: JoinHandle<()>,
 }
 
-/// A sidecar at work, on the thread that started it.
+/// Running sidecar; stays on the thread that started it.
 pub struct Sidecar {
     clock: Clock,
     shared: Rc<Shared>,
-    ports: RefCell<Vec<Port>>,
-    desk: RefCell<Option<Desk>>,
-    drain: Cell<f64>,
-    /// The group's address that this process began with.
+    listeners: RefCell<Vec<ClientListener>>,
+    operator_listener: RefCell<Option<OperatorListener>>,
+    drain_timeout_ms: Cell<f64>,
+    /// Address of the gossip group at startup.
     group: Option<SocketAddr>,
-    /// The journal that this process began with.
+    /// Journal settings at startup.
     journal: Option<ivygate_config::Journal>,
 }
 
 impl Sidecar {
-    /// Starts one; to be called within a `LocalSet`.
+    /// Starts a sidecar. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// If an address can't be listened on or a decision module can't act on its settings.
+    /// Returns an error if a listener cannot be opened, or the settings, keys or journal cannot be used.
     pub fn start(model: &Model) -> Result<Self, StartError> {
         let clock = Clock::new();
         let bound = bind(model.listeners.iter())?;
-        let desk = model.operator.as_ref().map(|o| bind_one(o.address)).transpose()?;
-        let talk = match &model.group {
+        let operator_listener = model.operator.as_ref().map(|o| bind_address(o.address)).transpose()?;
+        let gossip = match &model.group {
             Some(group) => {
-                let keys = keys(group).map_err(StartError::Key)?;
+                let keys = read_keys(group).map_err(StartError::Key)?;
                 Some(
-                    Talk::open(group, keys, clock)
+                    Gossip::open(group, keys, clock)
                         .map_err(|error| StartError::Listen(group.listen, error))?,
                 )
             }
             None => None,
         };
-        let site = Site::new(model, None, clock).map_err(StartError::Configuration)?;
-        let orders = model.journal.as_ref().map(Orders::open).transpose().map_err(StartError::Journal)?;
-        site.record_in(orders.as_ref());
+        let active_config = ActiveConfig::new(model, None, clock).map_err(StartError::Configuration)?;
+        let orders =
+            model.journal.as_ref().map(OrderRecorder::open).transpose().map_err(StartError::Journal)?;
+        active_config.record_in(orders.as_ref());
         let sidecar = Self {
             clock,
-            shared: Shared::new(site, orders),
+            shared: Shared::new(active_config, orders),
             journal: model.journal.clone(),
-            ports: RefCell::default(),
-            desk: RefCell::default(),
-            drain: Cell::new(model.limits.drain),
+            listeners: RefCell::default(),
+            operator_listener: RefCell::default(),
+            drain_timeout_ms: Cell::new(model.limits.drain),
             group: model.group.as_ref().map(|group| group.listen),
         };
-        if let Some(talk) = talk {
-            sidecar.shared.talk.replace(Some(talk.clone()));
-            tokio::task::spawn_local(talk.run(sidecar.shared.clone()));
+        if let Some(gossip) = gossip {
+            sidecar.shared.gossip.replace(Some(gossip.clone()));
+            tokio::task::spawn_local(gossip.run(sidecar.shared.clone()));
         }
         sidecar.open(bound);
-        sidecar.open_desk(model, desk);
+        sidecar.open_operator_listener(model, operator_listener);
         Ok(sidecar)
     }
 
-    /// Where operators ask, if they may.
+    /// Returns the address of the operator listener, if there is one.
     pub fn operator(&self) -> Option<SocketAddr> {
-        Some(self.desk.borrow().as_ref()?.bound)
+        Some(self.operator_listener.borrow().as_ref()?.bound)
     }
 
-    fn open_desk(&self, model: &Model, socket: Option<(TcpListener, SocketAddr)>) {
+    fn open_operator_listener(&self, model: &Model, socket: Option<(TcpListener, SocketAddr)>) {
         if let Some((operator, (socket, bound))) = model.operator.as_ref().zip(socket) {
             let front = Rc::new(OperatorFront::new(self.shared.clone()));
             let clients = Clients::new(front, operator::limits());
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
-            self.desk.replace(Some(Desk { named: operator.address, bound, clients, accepting }));
+            self.operator_listener.replace(Some(OperatorListener {
+                configured: operator.address,
+                bound,
+                clients,
+                accepting,
+            }));
         }
     }
 
-    /// Where clients connect.
+    /// Returns the addresses of the client listeners.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.ports.borrow().iter().map(|port| port.bound).collect()
+        self.listeners.borrow().iter().map(|listener| listener.bound).collect()
     }
 
     fn open(&self, bound: Vec<(Listener, TcpListener, SocketAddr)>) {
         for (listener, socket, address) in bound {
-            let (named, limits) = (listener.address, client_limits(&listener));
+            let (configured, limits) = (listener.address, client_limits(&listener));
             let front = Rc::new(SidecarFront::new(self.shared.clone(), listener));
             let clients = Clients::new(front, limits);
             let accepting = tokio::task::spawn_local(clients.clone().accept(socket));
-            self.ports.borrow_mut().push(Port { named, bound: address, clients, accepting });
+            self.listeners.borrow_mut().push(ClientListener {
+                configured,
+                bound: address,
+                clients,
+                accepting,
+            });
         }
     }
 
-    /// Puts another configuration to work, whole or not at all. Requests that are open end under the one they
-    /// began with.
+    /// Replaces the configuration, completely or not at all. Open requests finish under the previous one.
     ///
     /// # Errors
-    /// If it can't be put to work; then nothing has changed.
+    /// Returns an error if the configuration cannot be used; nothing has changed then.
     pub fn reload(&self, model: &Model) -> Result<(), StartError> {
-        let is_open = |l: &&Listener| self.ports.borrow().iter().any(|port| port.is(l.address));
+        let is_open =
+            |l: &&Listener| self.listeners.borrow().iter().any(|listener| listener.serves(l.address));
         let bound = bind(model.listeners.iter().filter(|l| !is_open(l)))?;
-        let kept = self.desk.borrow().as_ref().map(|desk| desk.named);
-        let named = model.operator.as_ref().map(|operator| operator.address);
-        let desk = named.filter(|_| kept != named).map(bind_one).transpose()?;
-        let before = self.shared.site.borrow().clone();
-        let keys = model.group.as_ref().map(keys).transpose().map_err(StartError::Key)?;
-        let site = Site::new(model, Some(&before), self.clock).map_err(StartError::Configuration)?;
-        site.record_in(self.shared.orders.as_ref());
+        let current = self.operator_listener.borrow().as_ref().map(|listener| listener.configured);
+        let configured = model.operator.as_ref().map(|operator| operator.address);
+        let operator_listener = configured.filter(|_| current != configured).map(bind_address).transpose()?;
+        let before = self.shared.active_config.borrow().clone();
+        let keys = model.group.as_ref().map(read_keys).transpose().map_err(StartError::Key)?;
+        let active_config =
+            ActiveConfig::new(model, Some(&before), self.clock).map_err(StartError::Configuration)?;
+        active_config.record_in(self.shared.orders.as_ref());
         if model.journal != self.journal {
-            eprintln!("ivygate: another journal needs a restart; the one from the start stays in use");
+            eprintln!(
+                "ivygate: changed journal settings take effect after a restart; the initial ones stay in use"
+            );
         }
         if model.group.as_ref().map(|group| group.listen) != self.group {
             eprintln!(
-                "ivygate: another address of the group needs a restart; the one from the start stays in use"
+                "ivygate: a changed group address takes effect after a restart; the initial one stays in use"
             );
         }
-        // From here on nothing can fail.
-        if let (Some(talk), Some(group)) = (&*self.shared.talk.borrow(), &model.group) {
-            talk.handle_settings(group, keys.unwrap_or_default());
+        // Nothing below this line can fail.
+        if let (Some(gossip), Some(group)) = (&*self.shared.gossip.borrow(), &model.group) {
+            gossip.handle_settings(group, keys.unwrap_or_default());
         }
-        site.begin(&before);
-        self.drain.set(model.limits.drain);
-        self.shared.site.replace(Rc::new(site));
-        let mut gone = Vec::new();
-        self.ports.borrow_mut().retain_mut(|port| {
-            let Some(listener) = model.listeners.iter().find(|l| port.is(l.address)) else {
-                let ended = tokio::task::spawn_local(async {});
-                gone.push((port.clients.clone(), std::mem::replace(&mut port.accepting, ended)));
+        active_config.activate(&before);
+        self.drain_timeout_ms.set(model.limits.drain);
+        self.shared.active_config.replace(Rc::new(active_config));
+        let mut removed = Vec::new();
+        self.listeners.borrow_mut().retain_mut(|open| {
+            let Some(listener) = model.listeners.iter().find(|l| open.serves(l.address)) else {
+                let finished = tokio::task::spawn_local(async {});
+                removed.push((open.clients.clone(), std::mem::replace(&mut open.accepting, finished)));
                 return false;
             };
-            port.clients.set_limits(client_limits(listener));
-            port.clients.front().listener.replace(Rc::new(listener.clone()));
+            open.clients.set_limits(client_limits(listener));
+            open.clients.front().listener.replace(Rc::new(listener.clone()));
             true
         });
-        for (clients, accepting) in gone {
+        for (clients, accepting) in removed {
             tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
         }
         self.open(bound);
-        if kept != named {
-            if let Some(Desk { clients, accepting, .. }) = self.desk.take() {
+        if current != configured {
+            if let Some(OperatorListener { clients, accepting, .. }) = self.operator_listener.take() {
                 tokio::task::spawn_local(async move { clients.wind_up(accepting).await });
             }
-            self.open_desk(model, desk);
+            self.open_operator_listener(model, operator_listener);
         }
         Ok(())
     }
 
-    /// Ends in good order: finishes what has been taken and tells clients to go. Streams that take longer than
-    /// the configuration allows are broken off, which their clients can tell.
-    pub async fn wind_up(&self) {
-        if timeout(millis(self.drain.get()), self.finish()).await.is_err() {
-            eprintln!("ivygate: broke off what was still open after {} s", self.drain.get() / 1000.0);
+    /// Shuts down gracefully: finishes accepted requests and closes client connections. Requests that exceed the drain
+    /// timeout are aborted, which their clients can detect.
+    pub async fn shut_down(&self) {
+        if timeout(millis(self.drain_timeout_ms.get()), self.close_listeners()).await.is_err() {
+            eprintln!(
+                "ivygate: aborted the requests still open after {} s",
+                self.drain_timeout_ms.get() / 1000.0
+            );
         }
         if let Some(orders) = &self.shared.orders {
             orders.close();
         }
     }
 
-    async fn finish(&self) {
-        let ports = self.ports.take();
-        let desk = self.desk.take();
-        let mut ending: Vec<_> = ports
+    async fn close_listeners(&self) {
+        let listeners = self.listeners.take();
+        let operator_listener = self.operator_listener.take();
+        let mut tasks: Vec<_> = listeners
             .into_iter()
-            .map(|port| tokio::task::spawn_local(async move { port.clients.wind_up(port.accepting).await }))
+            .map(|listener| {
+                tokio::task::spawn_local(async move { listener.clients.wind_up(listener.accepting).await })
+            })
             .collect();
-        ending.extend(
-            desk.map(|desk| {
-                tokio::task::spawn_local(async move { desk.clients.wind_up(desk.accepting).await })
-            }),
-        );
-        for one in ending {
-            // A failure of its own changes nothing about the end.
-            let _ = one.await;
+        tasks.extend(operator_listener.map(|listener| {
+            tokio::task::spawn_local(async move { listener.clients.wind_up(listener.accepting).await })
+        }));
+        for task in tasks {
+            // A panic of a task does not change the shutdown of the others.
+            let _ = task.await;
         }
     }
 }
 
-/// Most that hyper holds of a connection at once: enough for answers to go on in few pieces.
-const BUFFER: usize = 64 << 10;
+/// Size of hyper's buffer per client connection; large enough to relay responses in few chunks.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 fn client_limits(listener: &Listener) -> ClientLimits {
     ClientLimits {
-        buffer: listener.head.max(BUFFER),
+        buffer: listener.head.max(READ_BUFFER_BYTES),
         strict_head: Some(listener.head),
         read_stall: Some(millis(listener.read_stall)),
         whole_request: millis(listener.head_within),
@@ -281,20 +299,20 @@
 ) -> Result<Vec<(Listener, TcpListener, SocketAddr)>, StartError> {
     listeners
         .map(|listener| {
-            let (socket, address) = bind_one(listener.address)?;
+            let (socket, address) = bind_address(listener.address)?;
             Ok((listener.clone(), socket, address))
         })
         .collect()
 }
 
-fn bind_one(address: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
-    let fail = |error| StartError::Listen(address, error);
-    let socket = listen(address).map_err(fail)?;
-    let bound = socket.local_addr().map_err(fail)?;
+fn bind_address(address: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
+    let listen_error = |error| StartError::Listen(address, error);
+    let socket = listen(address).map_err(listen_error)?;
+    let bound = socket.local_addr().map_err(listen_error)?;
     Ok((socket, bound))
 }
 
-/// Reads and checks a file; warnings go to standard error.
+/// Loads and validates a configuration; warnings go to standard error.
 fn load(path: &Path) -> Result<Model, StartError> {
     let loaded = ivygate_files::load(path).map_err(StartError::Unreadable)?;
     let report = loaded.report(Severity::Warning, std::io::stderr().is_terminal());
@@ -307,16 +325,18 @@
     }
 }
 
-/// Serves by a configuration's file until a signal ends it. `events` is called before there can be any, perhaps more than
-/// once, and not where there are none: whoever takes them costs memory.
+/// Serves a configuration file until a signal ends the process.
+///
+/// `init_events` is called before any event can be logged, possibly more than once, and only if the configuration can cause
+/// events, since the subscriber costs memory.
 ///
 /// # Errors
-/// If it does not start.
-pub fn run(path: &Path, events: impl Fn() + 'static) -> Result<(), StartError> {
+/// Returns an error if it does not start.
+pub fn run(path: &Path, init_events: impl Fn() + 'static) -> Result<(), StartError> {
     let load = move |path: &Path| {
         let model = load(path)?;
         if model.pools.iter().any(|pool| pool.domains.is_some()) {
-            events();
+            init_events();
         }
         Ok(model)
     };
@@ -327,17 +347,17 @@
         let listen_for = |kind| signal(kind).map_err(StartError::System);
         let mut terminate = listen_for(SignalKind::terminate())?;
         let mut interrupt = listen_for(SignalKind::interrupt())?;
-        // Asked for before anything else is done: until then a signal would end the process.
+        // Registered before anything else, since an unhandled SIGHUP would end the process.
         let hangups = listen_for(SignalKind::hangup())?;
-        // Taken and not heeded: a file that has reached the limit of its size is then a write that fails, as on a
-        // full disk, and not the end of the process.
-        let _ = listen_for(SignalKind::from_raw(FILE_SIZE))?;
+        // Handled and ignored, so that a write beyond the file size limit fails like one to a full disk instead of killing
+        // the process.
+        let _ = listen_for(SignalKind::from_raw(SIGXFSZ))?;
         let sidecar = Rc::new(Sidecar::start(&model)?);
         for address in sidecar.addresses() {
             eprintln!("ivygate: listening on {address}");
         }
         if let Some(address) = sidecar.operator() {
-            eprintln!("ivygate: operators ask on {address}");
+            eprintln!("ivygate: operator interface at {address}");
         }
         let reloading = tokio::task::spawn_local(reload_on(hangups, sidecar.clone(), path.to_owned(), load));
         tokio::select! {
@@ -345,8 +365,8 @@
             _ = interrupt.recv() => {}
         }
         reloading.abort();
-        sidecar.wind_up().await;
-        // What has been passed on to the system may still be on its way out.
+        sidecar.shut_down().await;
+        // Leaves the system a moment to send the last data.
         tokio::time::sleep(Duration::from_millis(1)).await;
         Ok(())
     })
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -1,9 +1,9 @@
-//! Asks a sign-in service whether a request may go on.
+//! Checks requests with a sign-in service before they are forwarded.
 
+use crate::active_config::{SignIn, CHECKS};
+use crate::check_cache::CachedAnswer;
 use crate::forward::{to_client, Origin};
-use crate::front::FULL_RETRY_AFTER;
-use crate::remembered::Remember;
-use crate::site::{SignIn, CHECKS};
+use crate::front::FULL_RETRY_AFTER_MS;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -18,96 +18,104 @@
 use std::sync::Arc;
 use tokio::time::timeout;
 
-/// Most of a yes's body that is read, so that its connection can be used again.
-const BODY_MOST: usize = 64 << 10;
+/// Maximum size of a response body that is read from a sign-in service. Even unused bodies are read, so that the
+/// connection can be reused.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Names the processes that a check has passed through, so that none asks itself.
-pub const CHAIN: &str = "ivygate-checks";
+/// Header with the processes that a check has passed through, to detect loops.
+pub const CHAIN_HEADER: &str = "ivygate-checks";
 
-/// What is asked about.
-pub struct Question<'a> {
-    /// The request's method.
+/// Request to be checked.
+pub struct CheckRequest<'a> {
+    /// Method of the request.
     pub method: &'a Method,
-    /// Its path and query, in normal form.
+    /// Normalized path and query.
     pub target: &'a str,
-    /// Its headers.
+    /// Headers of the request.
     pub headers: &'a HeaderMap,
-    /// Where it came from.
+    /// Origin of the request.
     pub origin: &'a Origin<'a>,
-    /// The client's address.
+    /// Address of the client.
     pub client: Arc<str>,
-    /// The processes that this check has passed through, this one last.
+    /// Processes that this check has passed through, this one last.
     pub chain: &'a str,
-    /// The body that goes with it, where the service wants one.
+    /// Body of the request, if the service requires it.
     pub body: Bytes,
-    /// The check's id.
+    /// Id of the check.
     pub id: RequestId,
-    /// The number of its route.
+    /// Index of the route.
     pub route: usize,
     /// Whether the request must not run twice.
     pub once: bool,
-    /// How long the check may take, in milliseconds.
-    pub time: f64,
-    /// When the request's own time is up, in milliseconds of the pool's clock.
+    /// Time limit of the check, in milliseconds.
+    pub time_limit: f64,
+    /// Deadline of the request itself, in milliseconds of the pool's clock.
     pub deadline: f64,
 }
 
-/// What comes of a check.
-pub enum Outcome {
-    /// The request goes on, with these headers set.
-    GoOn(Vec<(HeaderName, HeaderValue)>),
-    /// The service's answer is the client's.
-    PassOn(Box<Response<Streamed>>),
-    /// And so is this one, which is here as a whole.
-    No(StatusCode, HeaderMap, Bytes),
-    /// The service has no room; the client should stay away this long, in milliseconds.
-    Refused(f64),
-    /// Too many checks failed for this client; it should stay away this long, in milliseconds.
-    Limited(f64),
-    /// The service gives no usable answer.
+/// Outcome of a check.
+pub enum CheckOutcome {
+    /// The request is forwarded with these headers added.
+    Forward(Vec<(HeaderName, HeaderValue)>),
+    /// The service's response is streamed to the client.
+    Relay(Box<Response<Streamed>>),
+    /// The request is denied with this complete response.
+    Denied(StatusCode, HeaderMap, Bytes),
+    /// The service has no capacity; the client should retry after this time, in milliseconds.
+    Overloaded(f64),
+    /// Too many checks have failed for this client; it should retry after this time, in milliseconds.
+    RateLimited(f64),
+    /// The service gave no usable answer.
     Unavailable,
-    /// The request's time is up.
-    TimeUp,
+    /// The request's deadline has passed.
+    TimedOut,
 }
 
-/// Removes what only sign-in services say, in every spelling that a server might take for it.
-pub fn strip(headers: &mut HeaderMap, vouched: &HashSet<String>) {
-    if vouched.is_empty() {
+/// Removes the headers that only sign-in services may set, in every spelling that a server might accept.
+pub fn strip_sign_in_headers(headers: &mut HeaderMap, sign_in_headers: &HashSet<String>) {
+    if sign_in_headers.is_empty() {
         return;
     }
-    let spoofed: Vec<HeaderName> =
-        headers.keys().filter(|name| vouched.contains(&fold_header_name(name.as_str()))).cloned().collect();
+    let spoofed: Vec<HeaderName> = headers
+        .keys()
+        .filter(|name| sign_in_headers.contains(&fold_header_name(name.as_str())))
+        .cloned()
+        .collect();
     for name in spoofed {
         headers.remove(name);
     }
 }
 
-/// Asks, or remembers, and waits for the answer. Dropping the future ends the check.
-pub async fn ask(sign_in: &SignIn, question: Question<'_>) -> Outcome {
+/// Checks a request, using a cached answer if possible. Dropping the future cancels the check.
+pub async fn check(sign_in: &SignIn, request: CheckRequest<'_>) -> CheckOutcome {
     let settings = &sign_in.settings;
-    let remembers = settings.cache_yes > 0.0 || settings.cache_no > 0.0;
-    if !remembers || (question.once && !settings.cache_unsafe) {
-        return ask_limited(sign_in, &question, question.time).await.0;
+    let uses_cache = settings.cache_yes > 0.0 || settings.cache_no > 0.0;
+    if !uses_cache || (request.once && !settings.cache_unsafe) {
+        return check_with_limits(sign_in, &request, request.time_limit).await.0;
     }
     let driver = &sign_in.pool.driver;
-    let begun = driver.now();
-    let key = sign_in.remembered.key(question.route, &settings.request_headers, question.headers);
-    let looking = sign_in.remembered.look(|| driver.now().as_millis(), key);
-    let asking = match timeout(millis(question.time), looking).await {
-        Ok(Ok(Remember::Yes(headers))) => return Outcome::GoOn(headers),
-        Ok(Ok(Remember::No(status, headers, body))) => return Outcome::No(status, headers, body),
-        Ok(Err(asking)) => asking,
-        // Whoever asks gets no answer either.
-        Err(_) => return unanswered(settings, driver.now().as_millis(), question.deadline),
+    let started_at = driver.now();
+    let key = sign_in.check_cache.key(request.route, &settings.request_headers, request.headers);
+    let lookup = sign_in.check_cache.lookup(|| driver.now().as_millis(), key);
+    let pending = match timeout(millis(request.time_limit), lookup).await {
+        Ok(Ok(CachedAnswer::Allowed(headers))) => return CheckOutcome::Forward(headers),
+        Ok(Ok(CachedAnswer::Denied(status, headers, body))) => {
+            return CheckOutcome::Denied(status, headers, body)
+        }
+        Ok(Err(pending)) => pending,
+        // The caller that sent the check has not received an answer either.
+        Err(_) => return unanswered_outcome(settings, driver.now().as_millis(), request.deadline),
     };
-    let left = (question.time - (driver.now().millis_since(begun))).max(0.0);
-    let (outcome, lifetime) = ask_limited(sign_in, &question, left).await;
-    let remember = match &outcome {
-        Outcome::GoOn(headers) => Some(Remember::Yes(headers.clone())),
-        Outcome::No(status, headers, body) => Some(Remember::No(*status, headers.clone(), body.clone())),
+    let remaining = (request.time_limit - (driver.now().millis_since(started_at))).max(0.0);
+    let (outcome, lifetime) = check_with_limits(sign_in, &request, remaining).await;
+    let cached = match &outcome {
+        CheckOutcome::Forward(headers) => Some(CachedAnswer::Allowed(headers.clone())),
+        CheckOutcome::Denied(status, headers, body) => {
+            Some(CachedAnswer::Denied(*status, headers.clone(), body.clone()))
+        }
         _ => None,
     };
-    asking.done(driver.now().as_millis(), remember.map(|answer| (answer, lifetime)));
+    pending.complete(driver.now().as_millis(), cached.map(|answer| (answer, lifetime)));
     outcome
 }
 
@@ -115,192 +123,203 @@
     AuthCheck::new(if settings.open { FailurePolicy::Open } else { FailurePolicy::Closed }, deadline)
 }
 
-fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
+fn unanswered_outcome(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> CheckOutcome {
     match auth_check(settings, deadline).handle(now, CheckEvent::NoAnswer) {
-        CheckAction::Forward { .. } => Outcome::GoOn(Vec::new()),
-        CheckAction::TimedOut => Outcome::TimeUp,
-        _ => Outcome::Unavailable,
+        CheckAction::Forward { .. } => CheckOutcome::Forward(Vec::new()),
+        CheckAction::TimedOut => CheckOutcome::TimedOut,
+        _ => CheckOutcome::Unavailable,
     }
 }
 
-/// Asks, unless too many checks have failed for this client. A client that leaves before its answer has spent what the
-/// check took: else a flood would only have to hang up.
-async fn ask_limited(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Outcome, f64) {
+/// Sends the check, unless too many have failed for this client. A client that disconnects before the answer is not
+/// refunded; otherwise it could bypass the limits by disconnecting.
+async fn check_with_limits(
+    sign_in: &SignIn,
+    request: &CheckRequest<'_>,
+    time_limit: f64,
+) -> (CheckOutcome, f64) {
     let (settings, driver) = (&sign_in.settings, &sign_in.pool.driver);
-    let credential = sign_in.remembered.credential(&settings.request_headers, question.headers);
-    let taken = match sign_in.floods.take(driver.now().as_millis(), question.client.clone(), credential) {
-        Ok(taken) => taken,
-        Err(wait) => {
-            let action = auth_check(settings, question.deadline)
-                .handle(driver.now().as_millis(), CheckEvent::RateLimited);
-            let outcome =
-                if action == CheckAction::RateLimited { Outcome::Limited(wait) } else { Outcome::TimeUp };
-            return (outcome, 0.0);
-        }
-    };
-    let (outcome, good) = ask_now(sign_in, question, time).await;
-    // Neither a service that fails nor one that sends visitors to its door tells of a bad pass.
+    let credential = sign_in.check_cache.credential(&settings.request_headers, request.headers);
+    let charge =
+        match sign_in.failure_limits.charge(driver.now().as_millis(), request.client.clone(), credential) {
+            Ok(charge) => charge,
+            Err(wait) => {
+                let action = auth_check(settings, request.deadline)
+                    .handle(driver.now().as_millis(), CheckEvent::RateLimited);
+                let outcome = if action == CheckAction::RateLimited {
+                    CheckOutcome::RateLimited(wait)
+                } else {
+                    CheckOutcome::TimedOut
+                };
+                return (outcome, 0.0);
+            }
+        };
+    let (outcome, lifetime) = send_check(sign_in, request, time_limit).await;
+    // Neither a failure of the service nor a redirection to its login page indicates invalid credentials.
     let status = match &outcome {
-        Outcome::PassOn(response) => response.status(),
-        Outcome::No(status, ..) => *status,
+        CheckOutcome::Relay(response) => response.status(),
+        CheckOutcome::Denied(status, ..) => *status,
         _ => StatusCode::OK,
     };
     if !matches!(status, StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN) {
-        sign_in.floods.give_back(driver.now().as_millis(), &taken);
+        sign_in.failure_limits.refund(driver.now().as_millis(), &charge);
     }
-    (outcome, good)
+    (outcome, lifetime)
 }
 
-/// Asks. The second part is how long the answer may be remembered.
-async fn ask_now(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Outcome, f64) {
+/// Sends the check and interprets the answer. Also returns how long the answer may be cached, in milliseconds.
+async fn send_check(sign_in: &SignIn, request: &CheckRequest<'_>, time_limit: f64) -> (CheckOutcome, f64) {
     let settings = &sign_in.settings;
     let driver = &sign_in.pool.driver;
-    let mut check = auth_check(settings, question.deadline);
-    let asked = driver.now();
-    let (answer, wait) = answer(sign_in, question, time).await;
-    let mut no = None;
+    let mut check = auth_check(settings, request.deadline);
+    let sent_at = driver.now();
+    let (answer, wait) = send(sign_in, request, time_limit).await;
+    let mut denied = None;
     let mut headers = Vec::new();
-    let mut good = 0.0;
-    let input = match answer {
+    let mut lifetime = 0.0;
+    let event = match answer {
         Answer::Passed(response) => {
-            let mut meaning = Verdict::from_status(response.status().as_u16());
-            let left = time - (driver.now().millis_since(asked));
-            let told =
+            let mut verdict = Verdict::from_status(response.status().as_u16());
+            let remaining = time_limit - (driver.now().millis_since(sent_at));
+            let cache_control =
                 response.headers().get(header::CACHE_CONTROL).map(|v| v.to_str().unwrap_or("no-store"));
-            // A cookie is one client's, however equal the questions were.
-            let own = response.headers().contains_key(header::SET_COOKIE);
-            let configured = if meaning == Verdict::Allowed { settings.cache_yes } else { settings.cache_no };
-            good = if own { 0.0 } else { cache_lifetime(configured, told) };
-            if meaning == Verdict::Allowed {
+            // A cookie belongs to a single client, even if the checks were identical.
+            let sets_cookie = response.headers().contains_key(header::SET_COOKIE);
+            let configured = if verdict == Verdict::Allowed { settings.cache_yes } else { settings.cache_no };
+            lifetime = if sets_cookie { 0.0 } else { cache_lifetime(configured, cache_control) };
+            if verdict == Verdict::Allowed {
                 let (parts, body) = response.into_parts();
-                // A yes that breaks off may be half of something else.
-                if read_out(body, left).await.is_none() {
-                    meaning = Verdict::Unusable;
+                // An incomplete allow response cannot be relied on.
+                if read_body(body, remaining).await.is_none() {
+                    verdict = Verdict::Unusable;
                 }
                 for name in &settings.answer_headers {
                     let Ok(name) = HeaderName::try_from(name) else { continue };
                     headers.extend(parts.headers.get_all(&name).iter().map(|v| (name.clone(), v.clone())));
                 }
-            } else if meaning == Verdict::Denied && good > 0.0 {
+            } else if verdict == Verdict::Denied && lifetime > 0.0 {
                 let (parts, body) = response.into_parts();
-                match read_out(body, left).await {
-                    Some(body) => no = Some(Outcome::No(parts.status, to_client(parts.headers), body)),
-                    None => meaning = Verdict::Unusable,
+                match read_body(body, remaining).await {
+                    Some(body) => {
+                        denied = Some(CheckOutcome::Denied(parts.status, to_client(parts.headers), body))
+                    }
+                    None => verdict = Verdict::Unusable,
                 }
             } else {
                 let mut response = response;
                 *response.headers_mut() = to_client(std::mem::take(response.headers_mut()));
-                no = Some(Outcome::PassOn(response));
+                denied = Some(CheckOutcome::Relay(response));
             }
-            CheckEvent::Answered(meaning)
+            CheckEvent::Answered(verdict)
         }
         Answer::Refused(_, _, false) => CheckEvent::Rejected,
-        // It was asked, and there is nobody left to ask again.
+        // The check was sent, and no further attempt is possible.
         Answer::Refused(_, _, true)
         | Answer::Served(..)
         | Answer::Whole(_)
         | Answer::Failed
         | Answer::TimeUp => CheckEvent::NoAnswer,
     };
-    let outcome = match (check.handle(driver.now().as_millis(), input), no) {
-        (CheckAction::Forward { checked: true }, _) => Outcome::GoOn(headers),
+    let outcome = match (check.handle(driver.now().as_millis(), event), denied) {
+        (CheckAction::Forward { checked: true }, _) => CheckOutcome::Forward(headers),
         (CheckAction::Forward { checked: false }, _) => {
-            // Nobody said so, so there is nothing to remember.
-            good = 0.0;
-            Outcome::GoOn(Vec::new())
+            // The service has not decided, so there is nothing to cache.
+            lifetime = 0.0;
+            CheckOutcome::Forward(Vec::new())
         }
-        (CheckAction::Relay, Some(no)) => no,
-        (CheckAction::Overloaded | CheckAction::RateLimited, _) => Outcome::Refused(wait),
-        (CheckAction::TimedOut, _) => Outcome::TimeUp,
-        (CheckAction::Unavailable | CheckAction::Ignore | CheckAction::Relay, _) => Outcome::Unavailable,
+        (CheckAction::Relay, Some(denied)) => denied,
+        (CheckAction::Overloaded | CheckAction::RateLimited, _) => CheckOutcome::Overloaded(wait),
+        (CheckAction::TimedOut, _) => CheckOutcome::TimedOut,
+        (CheckAction::Unavailable | CheckAction::Ignore | CheckAction::Relay, _) => CheckOutcome::Unavailable,
     };
-    (outcome, good)
+    (outcome, lifetime)
 }
 
-/// The answer of the service's pool, and how long to stay away if it refuses.
-async fn answer(sign_in: &SignIn, question: &Question<'_>, time: f64) -> (Answer, f64) {
+/// Sends the check to the service's pool. Also returns the retry delay in milliseconds if the pool rejects it.
+async fn send(sign_in: &SignIn, request: &CheckRequest<'_>, time_limit: f64) -> (Answer, f64) {
     let settings = &sign_in.settings;
     let Ok(uri) = Uri::try_from(&settings.path) else { return (Answer::Failed, 0.0) };
-    // The check takes a place of its pool like any other request.
-    let Some(_place) = sign_in.pool.place() else {
-        return (Answer::Refused(FULL_RETRY_AFTER, RejectReason::Overload, false), FULL_RETRY_AFTER);
+    // A check occupies a request slot of its pool like any other request.
+    let Some(_slot) = sign_in.pool.acquire_slot() else {
+        return (Answer::Refused(FULL_RETRY_AFTER_MS, RejectReason::Overload, false), FULL_RETRY_AFTER_MS);
     };
     let ask = Ask {
         head: Head {
-            id: question.id.clone(),
+            id: request.id.clone(),
             class: sign_in.class.clone(),
             plan: CHECKS.into(),
-            customer: question.client.clone(),
+            customer: request.client.clone(),
             units: 1.0,
             width: sign_in.pool.settings.sidecars,
-            wait: time,
+            wait: time_limit,
             once: false,
             zones: None,
             tries: None,
         },
-        deadline: sign_in.pool.driver.now().plus_millis(time),
+        deadline: sign_in.pool.driver.now().plus_millis(time_limit),
         message: Message {
             method: if settings.body.is_some() { Method::POST } else { Method::GET },
             uri,
-            headers: headers(settings, question),
-            body: Rc::new(Payload::whole(question.body.clone())),
+            headers: check_headers(settings, request),
+            body: Rc::new(Payload::whole(request.body.clone())),
             tells: None,
         },
     };
     let driver = sign_in.pool.driver.clone();
     let Some(answer) = driver.arrive(ask) else { return (Answer::Failed, 0.0) };
-    let leaving = Leaving::new(driver, question.id.clone());
+    let disconnect_guard = Leaving::new(driver, request.id.clone());
     let answer = answer.await.unwrap_or(Answer::Failed);
-    leaving.answered();
+    disconnect_guard.answered();
     let wait = if let Answer::Refused(wait, ..) = &answer { *wait } else { 0.0 };
     (answer, wait)
 }
 
-fn headers(settings: &ivygate_config::SignIn, question: &Question) -> HeaderMap {
+fn check_headers(settings: &ivygate_config::SignIn, request: &CheckRequest) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for name in &settings.request_headers {
         let Ok(name) = HeaderName::try_from(name) else { continue };
-        for value in question.headers.get_all(&name) {
+        for value in request.headers.get_all(&name) {
             headers.append(name.clone(), value.clone());
         }
     }
-    if let Some(kind) = question.headers.get(header::CONTENT_TYPE).filter(|_| settings.body.is_some()) {
-        headers.insert(header::CONTENT_TYPE, kind.clone());
+    if let Some(content_type) = request.headers.get(header::CONTENT_TYPE).filter(|_| settings.body.is_some())
+    {
+        headers.insert(header::CONTENT_TYPE, content_type.clone());
     }
-    let told = |name: &str| question.headers.get(name).filter(|_| question.origin.trusted).cloned();
-    let proto = told("x-forwarded-proto").unwrap_or(HeaderValue::from_static("http"));
+    let from_trusted = |name: &str| request.headers.get(name).filter(|_| request.origin.trusted).cloned();
+    let proto = from_trusted("x-forwarded-proto").unwrap_or(HeaderValue::from_static("http"));
     headers.insert("x-forwarded-proto", proto);
     for (name, value) in [
-        ("x-forwarded-method", question.method.as_str()),
-        ("x-forwarded-uri", question.target),
-        ("x-forwarded-host", question.origin.host),
-        ("x-forwarded-for", &question.client),
-        (CHAIN, question.chain),
+        ("x-forwarded-method", request.method.as_str()),
+        ("x-forwarded-uri", request.target),
+        ("x-forwarded-host", request.origin.host),
+        ("x-forwarded-for", &request.client),
+        (CHAIN_HEADER, request.chain),
     ] {
-        // What was read off a request can be written into another.
+        // Values read from a request are valid in another one.
         if let Ok(value) = HeaderValue::try_from(value) {
             headers.insert(HeaderName::from_static(name), value);
         }
     }
-    if let Ok(host) = HeaderValue::try_from(question.origin.host) {
+    if let Ok(host) = HeaderValue::try_from(request.origin.host) {
         headers.insert(header::HOST, host);
     }
     headers
 }
 
-/// Reads a body to its end; `None` if it does not come whole, in time and not too long.
-async fn read_out(mut body: Streamed, time: f64) -> Option<Bytes> {
-    let reading = async {
-        let mut read = BytesMut::new();
+/// Reads a body to its end; `None` if it is incomplete, too long, or late.
+async fn read_body(mut body: Streamed, time_limit: f64) -> Option<Bytes> {
+    let read_all = async {
+        let mut collected = BytesMut::new();
         while let Some(frame) = body.frame().await {
             if let Ok(data) = frame.ok()?.into_data() {
-                read.extend_from_slice(&data);
+                collected.extend_from_slice(&data);
             }
-            if read.len() > BODY_MOST {
+            if collected.len() > MAX_BODY_BYTES {
                 return None;
             }
         }
-        Some(read.freeze())
+        Some(collected.freeze())
     };
-    timeout(millis(time), reading).await.ok().flatten()
+    timeout(millis(time_limit), read_all).await.ok().flatten()
 }
--- a/crates/sidecar/src/upload.rs
+++ b/crates/sidecar/src/upload.rs
@@ -1,6 +1,6 @@
-//! A client's body: held up to a pool's limit so that it can be sent again, streamed beyond it.
+//! Request bodies from clients: buffered up to the pool's limit so that they can be resent, and streamed beyond it.
 
-use crate::pool::{Bytewise, Pool};
+use crate::pool::{BufferedBytes, Pool};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -13,73 +13,76 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a body is not taken.
-pub enum Unread {
-    /// It stood still for too long.
+/// Error of reading a request body.
+pub enum BodyReadError {
+    /// No data arrived within the stall timeout.
     Stalled,
-    /// The pool holds as many bytes as it may.
-    NoRoom,
-    /// It can't be read.
+    /// The pool has reached its limit of buffered bytes.
+    BufferFull,
+    /// The body is malformed.
     Malformed,
-    /// Its connection broke.
-    Lost(hyper::Error),
+    /// The connection failed.
+    Disconnected(hyper::Error),
 }
 
-/// Reads a body, whole if it is within the limit. What is held counts against the pool for as long as the
-/// second part of the answer lives.
+/// Reads a body, completely if it is within the limit. The buffered bytes count against the pool until the returned
+/// [`BufferedBytes`] is dropped.
 pub async fn read(
     mut body: Incoming,
     pool: &Rc<Pool>,
     stall: Duration,
-    spoilt: Rc<Cell<bool>>,
-) -> Result<(Payload, Bytewise), Unread> {
+    body_malformed: Rc<Cell<bool>>,
+) -> Result<(Payload, BufferedBytes), BodyReadError> {
     let limit = pool.settings.repeat_limit;
-    let mut held = BytesMut::new();
-    let mut taken = pool.hold();
+    let mut buffer = BytesMut::new();
+    let mut reserved = pool.start_buffering();
     if body.is_end_stream() {
-        return Ok((Payload::whole(Bytes::new()), taken));
+        return Ok((Payload::whole(Bytes::new()), reserved));
     }
     if body.size_hint().lower() > limit as u64 {
-        // It could not be sent again anyway, so nothing of it is held.
-        return Ok((Payload::streamed(Bytes::new(), Box::pin(Upload::new(body, stall, spoilt))), taken));
+        // A body this long cannot be resent, so none of it is buffered.
+        return Ok((
+            Payload::streamed(Bytes::new(), Box::pin(Upload::new(body, stall, body_malformed))),
+            reserved,
+        ));
     }
     loop {
         let frame = match timeout(stall, body.frame()).await {
-            Err(_) => return Err(Unread::Stalled),
-            Ok(None) => return Ok((Payload::held(held.freeze(), None), taken)),
-            Ok(Some(Err(error))) if is_malformed(&error) => return Err(Unread::Malformed),
-            Ok(Some(Err(error))) => return Err(Unread::Lost(error)),
+            Err(_) => return Err(BodyReadError::Stalled),
+            Ok(None) => return Ok((Payload::held(buffer.freeze(), None), reserved)),
+            Ok(Some(Err(error))) if is_malformed(&error) => return Err(BodyReadError::Malformed),
+            Ok(Some(Err(error))) => return Err(BodyReadError::Disconnected(error)),
             Ok(Some(Ok(frame))) => frame,
         };
         match frame.into_data() {
             Ok(data) => {
-                if !taken.grow(data.len()) {
-                    return Err(Unread::NoRoom);
+                if !reserved.grow(data.len()) {
+                    return Err(BodyReadError::BufferFull);
                 }
-                held.extend_from_slice(&data);
-                if held.len() > limit {
-                    let rest = Box::pin(Upload::new(body, stall, spoilt));
-                    return Ok((Payload::streamed(held.freeze(), rest), taken));
+                buffer.extend_from_slice(&data);
+                if buffer.len() > limit {
+                    let rest = Box::pin(Upload::new(body, stall, body_malformed));
+                    return Ok((Payload::streamed(buffer.freeze(), rest), reserved));
                 }
             }
             Err(frame) => {
                 if let Ok(trailers) = frame.into_trailers() {
-                    return Ok((Payload::held(held.freeze(), Some(trailers)), taken));
+                    return Ok((Payload::held(buffer.freeze(), Some(trailers)), reserved));
                 }
             }
         }
     }
 }
 
-/// The part of a body that is still coming in.
+/// Remainder of a body that is still being received.
 struct Upload {
     incoming: Incoming,
-    pauses: StallWatch,
-    /// Told when it can't be read.
-    spoilt: Rc<Cell<bool>>,
+    stall_watch: StallWatch,
+    /// Set if the body turns out to be malformed.
+    body_malformed: Rc<Cell<bool>>,
 }
 
-/// Whether a body ended with bytes that are no part of one, and not with its connection.
+/// Returns whether an error was caused by malformed data rather than by the connection.
 fn is_malformed(error: &hyper::Error) -> bool {
     let mut cause = error.source();
     while let Some(error) = cause {
@@ -93,8 +96,8 @@
 }
 
 impl Upload {
-    fn new(incoming: Incoming, stall: Duration, spoilt: Rc<Cell<bool>>) -> Self {
-        Self { incoming, pauses: StallWatch::new(stall), spoilt }
+    fn new(incoming: Incoming, stall: Duration, body_malformed: Rc<Cell<bool>>) -> Self {
+        Self { incoming, stall_watch: StallWatch::new(stall), body_malformed }
     }
 }
 
@@ -108,13 +111,13 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
         if let Poll::Ready(frame) = Pin::new(&mut this.incoming).poll_frame(cx) {
-            this.pauses.came();
+            this.stall_watch.came();
             if let Some(Err(error)) = &frame {
-                this.spoilt.set(is_malformed(error));
+                this.body_malformed.set(is_malformed(error));
             }
             return Poll::Ready(frame.map(|frame| frame.map_err(Into::into)));
         }
-        this.pauses.poll(cx).map(|stalled| Some(Err(Box::new(stalled) as BodyError)))
+        this.stall_watch.poll(cx).map(|stalled| Some(Err(Box::new(stalled) as BodyError)))
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -1,5 +1,4 @@
-//! A pool whose zones are judged as a whole: what its configuration says of that, its events, and what operators are
-//! told of it.
+//! Zone failure detection of a pool: its policy, its events, and its status for operators.
 
 use ivygate_config as config;
 use ivygate_failure_domains::{Belief, DomainEvent, DomainState, GuardedGateway, Kind, Policy, Tally};
@@ -10,7 +9,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A decision module with the domains of its pool.
+/// Gateway with zone failure detection.
 #[derive(Clone)]
 pub struct Zones {
     pool: Rc<str>,
@@ -18,7 +17,7 @@
 }
 
 impl Zones {
-    /// The domains of a pool whose configuration has them judged.
+    /// Creates the failure detection for a pool with `domains` settings.
     pub fn new(
         pool: &config::Pool,
         domains: &config::Domains,
@@ -31,36 +30,36 @@
         Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
     }
 
-    /// Takes over what a reload says of it.
+    /// Applies reloaded settings.
     pub fn handle_settings(&self, now: Timestamp, pool: &config::Pool) {
         if let Some(domains) = &pool.domains {
             self.guarded.borrow_mut().handle_policy(now, policy(pool, domains));
         }
     }
 
-    /// Another process tells something of the pool's zones.
+    /// Handles a report of another process about the zones of this pool.
     pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[Tally]) {
         self.guarded.borrow_mut().handle_report(now, author, tallies);
     }
 
-    /// What is to be told to the other processes now, if anything.
+    /// Returns the report that is due for the other processes, if any.
     pub fn poll_report(&self) -> Option<Vec<Tally>> {
         self.guarded.borrow_mut().poll_report()
     }
 
-    /// What is believed of each zone, one JSON document each; ages in milliseconds.
-    pub fn told(&self, now: Timestamp) -> Vec<Value> {
+    /// Returns the state of each zone as a JSON document, with ages in milliseconds.
+    pub fn status(&self, now: Timestamp) -> Vec<Value> {
         let (beliefs, distrusted) = self.guarded.borrow().beliefs();
-        let one = |belief: &Belief| {
+        let document = |belief: &Belief| {
             json!({
                 "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.word(),
                 "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
                 "safe": belief.shares.0, "other": belief.shares.1,
-                "because": because(belief), "others_good": belief.votes.good, "others_bad": belief.votes.bad,
+                "because": reason(belief), "others_good": belief.votes.good, "others_bad": belief.votes.bad,
                 "failed_again": belief.failed_again, "distrusted": distrusted,
             })
         };
-        beliefs.iter().map(one).collect()
+        beliefs.iter().map(document).collect()
     }
 }
 
@@ -68,67 +67,78 @@
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         let mut guarded = self.guarded.borrow_mut();
         guarded.handle(now, event, actions);
-        while let Some(happening) = guarded.poll_event() {
-            tell(&self.pool, &happening);
+        while let Some(event) = guarded.poll_event() {
+            log_event(&self.pool, &event);
         }
     }
 }
 
 fn policy(pool: &config::Pool, domains: &config::Domains) -> Policy {
-    let usual = Policy::default();
+    let defaults = Policy::default();
     Policy {
         automatic: domains.leave,
         works: domains.works.iter().cloned().collect(),
         distrust: domains.distrust,
         processes: pool.sidecars,
-        cold_from: pool.cold.map_or(usual.cold_from, |cold| cold.from),
-        warm: pool.cold.map_or(usual.warm, |cold| cold.warm),
+        cold_from: pool.cold.map_or(defaults.cold_from, |cold| cold.from),
+        warm: pool.cold.map_or(defaults.warm, |cold| cold.warm),
     }
 }
 
-/// What a belief rests on, in words.
-fn because(belief: &Belief) -> String {
-    let found = &belief.because;
-    let own = match found.kind {
-        Some(kind) => format!("{} of {} signs bad, most of them {}", found.bad, found.signs, kind.word()),
+/// Describes the evidence for the state of a zone.
+fn reason(belief: &Belief) -> String {
+    let evidence = &belief.because;
+    let local = match evidence.kind {
+        Some(kind) => {
+            format!("{} of {} signs bad, most of them {}", evidence.bad, evidence.signs, kind.word())
+        }
         None => "nothing against it".to_owned(),
     };
-    let voices = belief.votes;
-    if voices.good + voices.bad == 0 {
-        return own;
+    let votes = belief.votes;
+    if votes.good + votes.bad == 0 {
+        return local;
     }
-    format!("{own}; {} others say it fails, {} that it serves", voices.bad, voices.good)
+    format!("{local}; {} others say it fails, {} that it serves", votes.bad, votes.good)
 }
 
-/// One event for each happening, and none for a request.
-fn tell(pool: &str, happening: &DomainEvent) {
-    match happening {
-        // Two late answers make a suspicion, and it changes little.
+/// Logs a state change of a zone; never called per request.
+fn log_event(pool: &str, event: &DomainEvent) {
+    match event {
+        // Two late answers suffice for the suspect state, which has little effect, so
+        // transitions to and from it are logged only if the zone is then judged bad.
         DomainEvent::StateChanged { from, to }
             if *from == DomainState::Suspect || to.state == DomainState::Suspect =>
         {
             if to.state.judged_bad() {
-                tell_turn(pool, *from, to);
+                log_state_change(pool, *from, to);
             }
         }
-        DomainEvent::StateChanged { from, to } => tell_turn(pool, *from, to),
+        DomainEvent::StateChanged { from, to } => log_state_change(pool, *from, to),
         DomainEvent::Distrusted(part) => {
-            tracing::warn!(pool, part, "too much is judged bad to be believed: requests go to all zones");
+            tracing::warn!(
+                pool,
+                part,
+                "too many zones are judged bad for the judgement to be trusted: requests go to all zones"
+            );
         }
-        DomainEvent::Trusted => tracing::warn!(pool, "judgements are believed again"),
+        DomainEvent::Trusted => tracing::warn!(pool, "zone judgements are trusted again"),
         DomainEvent::ProcessPaused(time) => {
-            tracing::warn!(pool, for_ms = time.round(), "stood still: what was seen before says nothing now");
+            tracing::warn!(
+                pool,
+                for_ms = time.round(),
+                "the process stood still: earlier observations are discarded"
+            );
         }
     }
 }
 
-fn tell_turn(pool: &str, from: DomainState, to: &Belief) {
+fn log_state_change(pool: &str, from: DomainState, to: &Belief) {
     tracing::warn!(
         pool,
         zone = &*to.zone,
         from = from.word(),
         to = to.state.word(),
-        because = because(to),
+        because = reason(to),
         failed_again = to.failed_again,
         "zone judged anew"
     );
