--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Journals on a disk that fails: power cuts at every moment, with the unsynced writes lost or kept by chance, and
-//! errors of every kind.
+//! Journals on a simulated failing disk: power cuts at every operation, with unsynced writes lost or kept at random, and
+//! I/O errors.
 
 use ivygate_journal::{
     Attempt, AttemptOutcome, DurabilityLevel, Journal, JournalError, Order, RecordOutcome, Retention, State,
@@ -11,28 +11,29 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 
-/// A disk with a page cache of its own: what is not synced is lost at a power cut, in any part.
+/// Simulated disk with a page cache. A power cut loses any part of the unsynced data.
 #[derive(Debug, Default)]
 struct Disk {
     durable: Vec<u8>,
     cached: Vec<u8>,
-    /// Writes and lengths since the last sync.
+    /// Writes and length changes since the last sync.
     unsynced: Vec<(u64, Option<Vec<u8>>)>,
-    /// Operations until the power fails; writes and syncs count.
-    left: u64,
-    /// The error that comes then, in place of an end.
+    /// Number of write, resize and sync operations until the failure.
+    operations_left: u64,
+    /// Error returned from then on.
     error: Option<io::ErrorKind>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Power(Arc<Mutex<Disk>>);
+/// Storage backend on a simulated disk.
+struct SimulatedDisk(Arc<Mutex<Disk>>);
 
 impl Disk {
     fn step(&mut self) -> io::Result<()> {
-        if self.left == 0 {
+        if self.operations_left == 0 {
             return Err(self.error.unwrap_or(io::ErrorKind::Other).into());
         }
-        self.left -= 1;
+        self.operations_left -= 1;
         Ok(())
     }
 
@@ -49,8 +50,8 @@
         }
     }
 
-    /// What is left after a power cut: of the unsynced writes any, in whole or torn.
-    fn after_a_cut(&self, rng: &mut fastrand::Rng) -> Vec<u8> {
+    /// Returns the contents after a power cut: each unsynced write is lost, complete or torn.
+    fn after_power_cut(&self, rng: &mut fastrand::Rng) -> Vec<u8> {
         let mut left = self.durable.clone();
         for (offset, data) in &self.unsynced {
             match (rng.u32(0..3), data) {
@@ -62,7 +63,7 @@
                 _ => Self::apply(&mut left, *offset, data.as_ref()),
             }
         }
-        // A file never ends before what was synced.
+        // Synced data is never truncated.
         if left.len() < self.durable.len() {
             left.resize(self.durable.len(), 0);
         }
@@ -70,7 +71,7 @@
     }
 }
 
-impl StorageBackend for Power {
+impl StorageBackend for SimulatedDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.0.lock().unwrap().cached.len() as u64)
     }
@@ -107,8 +108,8 @@
     }
 }
 
-fn open(power: &Power) -> Result<Store, JournalError> {
-    Store::with_backend(PathBuf::from("simulated"), power.clone(), Retention::default())
+fn open(backend: &SimulatedDisk) -> Result<Store, JournalError> {
+    Store::with_backend(PathBuf::from("simulated"), backend.clone(), Retention::default())
 }
 
 fn taken(n: u32) -> Update {
@@ -128,8 +129,8 @@
     })
 }
 
-/// Orders as an application would see them: recorded, sent only when that is durable, answered, noted.
-fn work(store: &Store, orders: u32) -> (BTreeMap<String, Option<u16>>, Option<JournalError>) {
+/// Records orders and their outcomes. Returns the recorded orders with their answers, and the first error.
+fn record_orders(store: &Store, orders: u32) -> (BTreeMap<String, Option<u16>>, Option<JournalError>) {
     let mut seen = BTreeMap::new();
     for n in 0..orders {
         let id = format!("o{n}");
@@ -150,22 +151,23 @@
 }
 
 #[test]
-fn after_a_power_cut_at_every_moment_no_order_that_was_sent_is_called_unsent() {
+fn no_sent_order_is_reported_as_never_sent_after_a_power_cut() {
     let mut cuts = 0;
     for left in 0..150 {
-        let power = Power::default();
-        power.0.lock().unwrap().left = left;
-        let seen = match open(&power) {
-            Ok(store) => work(&store, 8).0,
+        let backend = SimulatedDisk::default();
+        backend.0.lock().unwrap().operations_left = left;
+        let seen = match open(&backend) {
+            Ok(store) => record_orders(&store, 8).0,
             Err(_) => BTreeMap::new(),
         };
         for seed in 0..2 {
             let mut rng = fastrand::Rng::with_seed(left * 2 + seed);
-            let after = power.0.lock().unwrap().after_a_cut(&mut rng);
-            let disk = Disk { durable: after.clone(), cached: after, left: u64::MAX, ..Disk::default() };
-            let store = match open(&Power(Arc::new(Mutex::new(disk)))) {
+            let after = backend.0.lock().unwrap().after_power_cut(&mut rng);
+            let disk =
+                Disk { durable: after.clone(), cached: after, operations_left: u64::MAX, ..Disk::default() };
+            let store = match open(&SimulatedDisk(Arc::new(Mutex::new(disk)))) {
                 Ok(store) => store,
-                // A cut before the first commit leaves what is no journal yet; then nothing was sent.
+                // A cut before the first commit leaves no valid journal, but then nothing was sent.
                 Err(error) => {
                     assert!(seen.is_empty(), "cut {left}, seed {seed}: {error}");
                     continue;
@@ -186,30 +188,30 @@
 }
 
 #[test]
-fn after_an_error_of_any_kind_nothing_more_is_called_recorded() {
+fn nothing_is_reported_as_recorded_after_an_io_error() {
     for kind in [io::ErrorKind::StorageFull, io::ErrorKind::PermissionDenied, io::ErrorKind::Other] {
-        let power = Power::default();
-        power.0.lock().unwrap().left = u64::MAX;
-        let store = open(&power).expect("it opens");
+        let backend = SimulatedDisk::default();
+        backend.0.lock().unwrap().operations_left = u64::MAX;
+        let store = open(&backend).expect("it opens");
         store.record(&[("a".into(), sending())]).expect("it is recorded");
         {
-            let mut disk = power.0.lock().unwrap();
-            (disk.left, disk.error) = (0, Some(kind));
+            let mut disk = backend.0.lock().unwrap();
+            (disk.operations_left, disk.error) = (0, Some(kind));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         let journal = Journal::start(Arc::new(store)).expect("a thread");
         assert!(runtime.block_on(journal.record("b", sending())).is_err(), "{kind}");
-        // The disk is well again, and the journal does not trust it.
-        power.0.lock().unwrap().left = u64::MAX;
+        // The journal stays failed even after the disk has recovered.
+        backend.0.lock().unwrap().operations_left = u64::MAX;
         assert!(runtime.block_on(journal.record("c", sending())).is_err(), "{kind}");
     }
 }
 
 #[test]
-fn what_is_handed_over_is_recorded_in_order_and_by_few_commits() {
-    let power = Power::default();
-    power.0.lock().unwrap().left = u64::MAX;
-    let journal = Journal::start(Arc::new(open(&power).expect("it opens"))).expect("a thread");
+fn queued_updates_are_recorded_in_order() {
+    let backend = SimulatedDisk::default();
+    backend.0.lock().unwrap().operations_left = u64::MAX;
+    let journal = Journal::start(Arc::new(open(&backend).expect("it opens"))).expect("a thread");
     for n in 0..2000 {
         let id = format!("o{n}");
         journal.enqueue(&id, taken(n)).expect("there is room");
@@ -217,7 +219,7 @@
         journal.enqueue(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(201))).expect("there is room");
     }
     drop(journal);
-    let store = open(&power).expect("it opens again");
+    let store = open(&backend).expect("it opens again");
     let mut answered = 0;
     store
         .for_each(|(_, order)| answered += usize::from(order.state() == State::Answered(201)))
@@ -226,7 +228,7 @@
 }
 
 #[test]
-fn a_second_process_is_refused_and_a_missing_journal_is_told() {
+fn second_process_and_missing_journal_are_reported() {
     let folder = std::env::temp_dir().join(format!("ivygate-journal-{}", std::process::id()));
     assert!(matches!(Store::open(&folder), Err(JournalError::Missing(_))));
     let store = Store::create(&folder, DurabilityLevel::Synced, Retention::default()).expect("it is made");
@@ -237,53 +239,55 @@
     store.record(&[("a".into(), sending())]).expect("it is recorded");
     drop(store);
     assert_eq!(Store::open(&folder).expect("it opens").len().expect("read"), 1);
-    // No journal at all: told, and left as it is.
+    // A file that is not a journal is reported and not modified.
     std::fs::write(folder.join("orders.redb"), b"something else").expect("written");
     assert!(matches!(Store::open(&folder), Err(JournalError::Store(..))));
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
-fn disk_with(bytes: Vec<u8>) -> Power {
-    let disk = Disk { durable: bytes.clone(), cached: bytes, left: u64::MAX, ..Disk::default() };
-    Power(Arc::new(Mutex::new(disk)))
+fn disk_with(bytes: Vec<u8>) -> SimulatedDisk {
+    let disk = Disk { durable: bytes.clone(), cached: bytes, operations_left: u64::MAX, ..Disk::default() };
+    SimulatedDisk(Arc::new(Mutex::new(disk)))
 }
 
 #[test]
-fn a_bit_that_the_disk_changed_is_found_or_changes_nothing() {
-    let power = disk_with(Vec::new());
-    let seen = work(&open(&power).expect("it opens"), 12).0;
-    let sound = power.0.lock().unwrap().cached.clone();
-    let used: Vec<usize> = (0..sound.len()).filter(|at| sound[*at] != 0).collect();
-    let (mut found, mut same) = (0, 0);
+fn flipped_bit_is_detected_or_has_no_effect() {
+    let backend = disk_with(Vec::new());
+    let seen = record_orders(&open(&backend).expect("it opens"), 12).0;
+    let intact = backend.0.lock().unwrap().cached.clone();
+    let used: Vec<usize> = (0..intact.len()).filter(|at| intact[*at] != 0).collect();
+    let (mut detected, mut unaffected) = (0, 0);
     std::panic::set_hook(Box::new(|_| {}));
     for flip in 0..300 {
         let mut rng = fastrand::Rng::with_seed(flip);
-        let mut bytes = sound.clone();
+        let mut bytes = intact.clone();
         bytes[used[rng.usize(0..used.len())]] ^= 1 << rng.u32(0..8);
         let Ok(store) = open(&disk_with(bytes)) else {
-            found += 1;
+            detected += 1;
             continue;
         };
         if store.changed_after_close() {
             assert!(!store.verify().expect("read").problems.is_empty());
-            found += 1;
+            detected += 1;
             continue;
         }
         for (id, answer) in &seen {
-            let order = store.find(id).expect("read").unwrap_or_else(|| panic!("flip {flip}: {id} is gone"));
+            let order =
+                store.find(id).expect("read").unwrap_or_else(|| panic!("flip {flip}: {id} is missing"));
             assert_eq!(order.1.state(), answer.map_or(State::Unknown, State::Answered), "flip {flip}, {id}");
         }
-        same += 1;
+        unaffected += 1;
     }
     let _ = std::panic::take_hook();
-    assert!(found > 50 && same > 50, "{found} found, {same} of no effect");
+    assert!(detected > 50 && unaffected > 50, "{detected} detected, {unaffected} without effect");
 }
 
 #[test]
-fn orders_are_dropped_when_their_time_is_past_and_new_ones_refused_at_the_bound() {
-    let power = disk_with(Vec::new());
+fn orders_expire_and_new_ones_are_refused_at_the_size_limit() {
+    let backend = disk_with(Vec::new());
     let retention = Retention { max_age_ms: 1000.0, max_file_bytes: 4 << 20 };
-    let store = Store::with_backend(PathBuf::from("simulated"), power.clone(), retention).expect("it opens");
+    let store =
+        Store::with_backend(PathBuf::from("simulated"), backend.clone(), retention).expect("it opens");
     let order = |n: u32, at: f64| {
         let attempt = Attempt {
             number: 0,
@@ -301,72 +305,72 @@
     };
     let mut taken = 0;
     let full = loop {
-        let (became, usage) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
-        if became == [RecordOutcome::Full] {
+        let (outcome, usage) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
+        if outcome == [RecordOutcome::Full] {
             break usage;
         }
         taken += 1;
-        assert!(taken < 20_000, "there is no bound");
+        assert!(taken < 20_000, "there is no size limit");
     };
     assert!(full.is_near_limit() && u64::from(taken) == full.orders && taken > 1000, "{taken} {full:?}");
-    let length = power.0.lock().unwrap().cached.len();
+    let length = backend.0.lock().unwrap().cached.len();
     assert!(length <= 4 << 20, "the file has {length} bytes");
-    // What came of those that are there, and further attempts, are still recorded.
-    let came = store
+    // Updates of existing orders are still recorded.
+    let outcome = store
         .record(&[("o1".into(), Update::AttemptEnded(0, AttemptOutcome::Answer(200)))])
         .expect("recorded")
         .0;
-    assert_eq!(came, [RecordOutcome::Recorded]);
+    assert_eq!(outcome, [RecordOutcome::Recorded]);
     assert_eq!(store.find("c1").expect("read").expect("there").1.state(), State::Answered(200));
-    // The same client's id again is known, and after its time it is not.
+    // The same client id is refused until the earlier order has expired.
     let again = |at| {
         (
             "again".to_owned(),
             Update::Accepted(Order { client_id: Some("c1".into()), accepted_at: at, ..Order::default() }),
         )
     };
-    let (became, _) = store.record(&[again(5000.0)]).expect("recorded");
-    assert_eq!(became, [RecordOutcome::Full]);
+    let (outcome, _) = store.record(&[again(5000.0)]).expect("recorded");
+    assert_eq!(outcome, [RecordOutcome::Full]);
     let mut turns = 0;
     let last = loop {
-        let became = store.record(&[again(6001.0)]).expect("recorded").0;
+        let outcome = store.record(&[again(6001.0)]).expect("recorded").0;
         turns += 1;
         if store.len().expect("read") == 1 {
-            break became;
+            break outcome;
         }
-        assert!(turns < taken, "nothing is dropped");
+        assert!(turns < taken, "no order expires");
     };
     assert_eq!(last, [RecordOutcome::Recorded]);
     assert!(store.verify().expect("read").problems.is_empty());
-    assert!(power.0.lock().unwrap().cached.len() <= 4 << 20);
+    assert!(backend.0.lock().unwrap().cached.len() <= 4 << 20);
 }
 
 #[test]
-fn a_journal_of_an_earlier_format_is_read_and_one_of_a_later_is_refused() {
+fn earlier_format_is_migrated_and_a_later_one_is_refused() {
     const ORDERS: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("orders-1");
     const ABOUT: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("about-1");
-    let power = disk_with(Vec::new());
-    let written = |insert: &dyn Fn(&redb::WriteTransaction)| {
-        let database = redb::Builder::new().create_with_backend(power.clone()).expect("it opens");
+    let backend = disk_with(Vec::new());
+    let write_tables = |insert: &dyn Fn(&redb::WriteTransaction)| {
+        let database = redb::Builder::new().create_with_backend(backend.clone()).expect("it opens");
         let write = database.begin_write().expect("a transaction");
         insert(&write);
         write.commit().expect("committed");
     };
-    written(&|write| {
+    write_tables(&|write| {
         let mut orders = write.open_table(ORDERS).expect("a table");
         let first = br#"{"client_id":"c","customer":"m","route":"r","target":"/","taken_at":7.0,"attempts":[
             {"number":0,"server":"127.0.0.1:1","sent_at":8.0,"came":{"answer":201}}]}"#;
         orders.insert("o", first.as_slice()).expect("inserted");
-        orders.insert("spoilt", b"{".as_slice()).expect("inserted");
+        orders.insert("corrupt", b"{".as_slice()).expect("inserted");
     });
-    let store = open(&power).expect("it opens");
+    let store = open(&backend).expect("it opens");
     let state = |id: &str| store.find(id).expect("read").expect("there").1.state();
-    assert_eq!((state("o"), state("spoilt")), (State::Answered(201), State::Unknown));
+    assert_eq!((state("o"), state("corrupt")), (State::Answered(201), State::Unknown));
     assert_eq!(store.verify().expect("read").problems, Vec::<String>::new());
     drop(store);
-    written(&|write| {
+    write_tables(&|write| {
         let mut about = write.open_table(ABOUT).expect("a table");
         about.insert("format", 3_u64.to_be_bytes().as_slice()).expect("inserted");
     });
-    assert!(matches!(open(&power), Err(JournalError::UnsupportedFormat(_, 3))));
+    assert!(matches!(open(&backend), Err(JournalError::UnsupportedFormat(_, 3))));
 }
