--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -179,10 +179,10 @@
             Scheduled::ServerList(side) => self.send_server_list(side),
             Scheduled::Timer(side, token) => self.handle_event(side, Event::Timer { token }),
             Scheduled::AttemptTimeout(side, id, attempt) => {
-                self.end_attempt(side, &id, attempt, Outcome::Timeout, Verdict::Unusable)
+                self.end_attempt(side, &id, attempt, Outcome::Timeout, Verdict::Unusable);
             }
             Scheduled::AttemptEnd(side, id, attempt, outcome, verdict) => {
-                self.end_attempt(side, &id, attempt, outcome, verdict)
+                self.end_attempt(side, &id, attempt, outcome, verdict);
             }
             Scheduled::CheckTimeout(number) => self.check_event(number, CheckEvent::NoAnswer),
             Scheduled::Deadline(number) => {
