--- a/crates/ivygate/src/bin/ivygate-adapter.rs
+++ b/crates/ivygate/src/bin/ivygate-adapter.rs
@@ -1,4 +1,4 @@
-//! The decisions on the simulator's wire.
+//! Adapter that exposes the gateway's decisions to the simulator.
 
 use std::process::ExitCode;
 
--- a/crates/ivygate/src/check.rs
+++ b/crates/ivygate/src/check.rs
@@ -1,47 +1,46 @@
 //! `ivygate check` and `ivygate explain`.
 
-use crate::{Form, MISUSED};
+use crate::{OutputFormat, EXIT_USAGE};
 use ivygate_config::Severity;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Checks a configuration.
-pub fn run(file: &Path, form: Form) -> ExitCode {
-    let loaded = match form {
-        Form::Text => crate::load(file),
-        Form::Json => crate::load_quietly(file),
+/// Checks a configuration and prints the findings.
+pub fn run(file: &Path, format: OutputFormat) -> ExitCode {
+    let loaded = match format {
+        OutputFormat::Text => crate::load(file),
+        OutputFormat::Json => crate::load_without_report(file),
     };
     let loaded = match loaded {
         Ok(loaded) => loaded,
         Err(code) => return code,
     };
-    match (form, &loaded.model) {
-        (Form::Json, _) => println!("{}", ivygate_tool::findings_as_json(&loaded)),
-        (Form::Text, Some(model)) => println!(
+    match (format, &loaded.model) {
+        (OutputFormat::Json, _) => println!("{}", ivygate_tool::findings_as_json(&loaded)),
+        (OutputFormat::Text, Some(model)) => println!(
             "{}: {} to {}, {}",
             file.display(),
-            number(model.routes.len(), "route"),
-            number(model.pools.len(), "pool"),
-            number(loaded.count(Severity::Warning), "warning")
+            count_of(model.routes.len(), "route"),
+            count_of(model.pools.len(), "pool"),
+            count_of(loaded.count(Severity::Warning), "warning")
         ),
-        (Form::Text, None) => {
-            let errors = loaded.count(Severity::Error);
-            let errors = number(errors, "error");
-            eprintln!("{}: {errors}; `ivygate explain CODE` says more", file.display());
+        (OutputFormat::Text, None) => {
+            let errors = count_of(loaded.count(Severity::Error), "error");
+            eprintln!("{}: {errors}; `ivygate explain CODE` has details", file.display());
         }
     }
     if loaded.model.is_some() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(MISUSED)
+        ExitCode::from(EXIT_USAGE)
     }
 }
 
-fn number(count: usize, what: &str) -> String {
-    format!("{count} {what}{}", if count == 1 { "" } else { "s" })
+fn count_of(count: usize, noun: &str) -> String {
+    format!("{count} {noun}{}", if count == 1 { "" } else { "s" })
 }
 
-/// Explains a code, or all of them.
+/// Explains an error code, or all of them.
 pub fn explain(code: Option<&str>) -> ExitCode {
     let Some(code) = code else {
         print!("{}", ivygate_tool::all_as_markdown());
@@ -54,7 +53,7 @@
         }
         None => {
             eprintln!("ivygate: there is no code `{code}`; `ivygate explain --all` lists them");
-            ExitCode::from(MISUSED)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
--- a/crates/ivygate/src/compare.rs
+++ b/crates/ivygate/src/compare.rs
@@ -1,40 +1,40 @@
-//! `ivygate diff`: what a new configuration does differently.
+//! `ivygate diff`: compares the behaviour of two configurations.
 
-use crate::{Form, MISUSED};
+use crate::{OutputFormat, EXIT_USAGE};
 use ivygate_tool::{Difference, Side};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Compares two configurations and prints what differs.
-pub fn run(old: &Path, new: &Path, form: Form) -> ExitCode {
-    let (old, new) = match (crate::load_quietly(old), crate::load_quietly(new)) {
+/// Compares two configurations and prints the differences.
+pub fn run(old: &Path, new: &Path, format: OutputFormat) -> ExitCode {
+    let (old, new) = match (crate::load_without_report(old), crate::load_without_report(new)) {
         (Ok(old), Ok(new)) => (old, new),
         (Err(code), _) | (_, Err(code)) => return code,
     };
     for loaded in [&old, &new] {
         if loaded.model.is_none() {
-            eprint!("{}", crate::worded(loaded, ivygate_config::Severity::Error));
+            eprint!("{}", crate::render_report(loaded, ivygate_config::Severity::Error));
         }
     }
     if old.model.is_none() || new.model.is_none() {
-        return ExitCode::from(MISUSED);
+        return ExitCode::from(EXIT_USAGE);
     }
     let Ok(differences) = ivygate_tool::compare(&old, &new) else {
-        eprintln!("ivygate: these route tables have too many regions of requests to compare them all");
-        return ExitCode::from(MISUSED);
+        eprintln!("ivygate: the route tables partition requests into too many regions to compare");
+        return ExitCode::from(EXIT_USAGE);
     };
-    match form {
-        Form::Json => match serde_json::to_string_pretty(&differences) {
+    match format {
+        OutputFormat::Json => match serde_json::to_string_pretty(&differences) {
             Ok(text) => println!("{text}"),
             Err(error) => eprintln!("ivygate: {error}"),
         },
-        Form::Text => {
+        OutputFormat::Text => {
             for difference in &differences {
-                print!("{}", words(difference));
+                print!("{}", describe(difference));
             }
             let risky = differences.iter().filter(|d| d.risk.is_some()).count();
             match differences.len() {
-                0 => println!("no difference in what they do"),
+                0 => println!("no difference in behaviour"),
                 count => println!("{count} differences, {risky} of them risky"),
             }
         }
@@ -46,7 +46,7 @@
     }
 }
 
-fn words(difference: &Difference) -> String {
+fn describe(difference: &Difference) -> String {
     let mark = if difference.risk.is_some() { "!" } else { " " };
     let mut text = format!("{mark} {}: {}\n", difference.subject, difference.what);
     let side = |sign: &str, side: &Side| format!("    {sign} {} ({})\n", side.value, side.place);
--- a/crates/ivygate/src/demo.rs
+++ b/crates/ivygate/src/demo.rs
@@ -1,4 +1,4 @@
-//! `ivygate demo`: three stand-in applications and a sidecar in one process.
+//! `ivygate demo`: three example applications and a sidecar in one process.
 
 use ivygate_sidecar::StartError;
 use ivygate_test_servers::{App, Message, Reply};
@@ -6,46 +6,46 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The configuration, with places for addresses.
+/// Configuration template with placeholders for addresses.
 const CONFIG: &str = include_str!("demo.conf");
 
-/// Starts all, writes the configuration, and serves until a signal.
+/// Starts the applications, writes the configuration, and serves until a signal ends the process.
 pub fn run(write: &Path) -> Result<(), StartError> {
     let mut text = CONFIG.replace("LISTEN", &free_address().to_string());
-    for (place, app) in [
+    for (placeholder, app) in [
         ("TILES-A", App::start(tiles)),
         ("TILES-B", App::start(tiles)),
         ("EDITS-A", App::start(flaky_edits())),
         ("EDITS-B", App::start(edits)),
         ("ORDERS", App::start(orders)),
     ] {
-        text = text.replace(place, &app.address.to_string());
+        text = text.replace(placeholder, &app.address.to_string());
     }
-    let unwritten = |error| StartError::Unwritable(write.display().to_string(), error);
-    std::fs::write(write, &text).map_err(unwritten)?;
+    let write_error = |error| StartError::Unwritable(write.display().to_string(), error);
+    std::fs::write(write, &text).map_err(write_error)?;
     let listen = text.lines().find_map(|l| l.strip_prefix("listen ")).and_then(|l| l.split(' ').next());
     let base = format!("http://{}", listen.unwrap_or_default());
-    println!("Three stand-in applications and a sidecar run in this process until Ctrl-C.");
+    println!("Three example applications and a sidecar run in this process until Ctrl-C.");
     println!("The sidecar's configuration is in {}.\n\nTry:", write.display());
-    for (what, line) in [
+    for (description, command) in [
         ("a tile, from either of two servers", "curl -i BASE/tiles/7/33/52.png"),
         ("a quota: 5 a second pass, the others get 429", "for n in $(seq 20); do curl -s -o /dev/null -w '%{http_code} ' -H 'X-Customer: trial' BASE/tiles/1; done; echo"),
-        ("an edit whose first server breaks off: sent again, since it has a key", "curl -i -X POST -H 'Idempotency-Key: k1' -d x=1 BASE/trails/9/edits"),
-        ("an order whose server breaks off: never sent again, 502", "curl -i -X POST -d fail=1 BASE/orders"),
-        ("an order that goes through", "curl -i -X POST -d n=1 BASE/orders"),
-        ("an application's own 404, passed unchanged", "curl -i BASE/tiles/none"),
-        ("a path that no route takes", "curl -i BASE/elsewhere"),
-        ("a method that no route takes here", "curl -i -X DELETE BASE/tiles/1"),
-        ("which route takes what, and why", "ivygate routes FILE GET BASE/tiles/1"),
+        ("an edit whose first server closes the connection: retried, since it has a key", "curl -i -X POST -H 'Idempotency-Key: k1' -d x=1 BASE/trails/9/edits"),
+        ("an order whose server closes the connection: never retried, 502", "curl -i -X POST -d fail=1 BASE/orders"),
+        ("an order that succeeds", "curl -i -X POST -d n=1 BASE/orders"),
+        ("an application's own 404, relayed unchanged", "curl -i BASE/tiles/none"),
+        ("a path that no route matches", "curl -i BASE/elsewhere"),
+        ("a method that no route matches on this path", "curl -i -X DELETE BASE/tiles/1"),
+        ("the route that matches a request, and why", "ivygate routes FILE GET BASE/tiles/1"),
     ] {
-        let line = line.replace("BASE", &base).replace("FILE", &write.display().to_string());
-        println!("  # {what}\n  {line}");
+        let command = command.replace("BASE", &base).replace("FILE", &write.display().to_string());
+        println!("  # {description}\n  {command}");
     }
     println!();
     ivygate_sidecar::run(write, || {})
 }
 
-/// An address that was free a moment ago.
+/// Returns a loopback address with a free port.
 fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0");
     listener.and_then(|l| l.local_addr()).unwrap_or_else(|_| SocketAddr::from(([127, 0, 0, 1], 8080)))
@@ -63,7 +63,7 @@
     Reply::ok(&format!("edited, key {}\n", request.header("idempotency-key").unwrap_or("none")))
 }
 
-/// Breaks off the first request, and serves those that come later.
+/// Closes the connection on the first request, and answers later ones.
 fn flaky_edits() -> impl Fn(&Message) -> Reply + Send + Sync + 'static {
     let count = AtomicUsize::new(0);
     move |request| match count.fetch_add(1, Ordering::SeqCst) {
--- a/crates/ivygate/src/domains.rs
+++ b/crates/ivygate/src/domains.rs
@@ -1,7 +1,7 @@
-//! `ivygate domains` and `ivygate members`: what a running sidecar believes of the zones of its pools, and which other
-//! processes it hears. Asks its operators' address.
+//! `ivygate domains` and `ivygate members`: zone states and gossip members of a running sidecar, queried from its operator
+//! address.
 
-use crate::{load_quietly, worded, Form, MISUSED};
+use crate::{load_without_report, render_report, OutputFormat, EXIT_USAGE};
 use ivygate_config::Severity;
 use serde_json::Value;
 use std::io::{self, Read, Write};
@@ -10,40 +10,42 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest time for an answer, and its most bytes.
-const WITHIN: Duration = Duration::from_secs(5);
-const MOST: u64 = 4 << 20;
+/// Timeout for connecting, reading and writing.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// What is asked.
+/// Query to a sidecar.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
-    /// What is believed of zones.
+pub enum Query {
+    /// States of the zones.
     Domains,
-    /// Who is heard.
+    /// Members of the gossip group.
     Members,
 }
 
-/// Asks, and shows what is told.
-pub fn run(file: &Path, format: Form, asked: Asked) -> ExitCode {
-    let loaded = match load_quietly(file) {
+/// Sends a query and prints the response.
+pub fn run(file: &Path, format: OutputFormat, query: Query) -> ExitCode {
+    let loaded = match load_without_report(file) {
         Ok(loaded) => loaded,
         Err(code) => return code,
     };
     let Some(model) = &loaded.model else {
-        eprint!("{}", worded(&loaded, Severity::Error));
-        return ExitCode::from(MISUSED);
+        eprint!("{}", render_report(&loaded, Severity::Error));
+        return ExitCode::from(EXIT_USAGE);
     };
     let Some(operator) = &model.operator else {
         eprintln!("ivygate: {} names no operators' address: write `operator ADDRESS:PORT;`", file.display());
-        return ExitCode::from(MISUSED);
+        return ExitCode::from(EXIT_USAGE);
     };
-    let path = if asked == Asked::Domains { "/domains" } else { "/members" };
-    let told = match ask(operator.address, path) {
+    let path = if query == Query::Domains { "/domains" } else { "/members" };
+    let lines = match send_query(operator.address, path) {
         Ok((200, lines)) => lines,
         Ok((_, lines)) => {
-            let why = serde_json::from_str::<Value>(lines.trim()).ok();
-            let why = why.as_ref().and_then(|why| why["error"].as_str()).unwrap_or("the answer is malformed");
-            eprintln!("ivygate: {}: {why}", operator.address);
+            let document = serde_json::from_str::<Value>(lines.trim()).ok();
+            let error = document.as_ref().and_then(|document| document["error"].as_str());
+            let error = error.unwrap_or("the response is malformed");
+            eprintln!("ivygate: {}: {error}", operator.address);
             return ExitCode::FAILURE;
         }
         Err(error) => {
@@ -51,57 +53,60 @@
             return ExitCode::FAILURE;
         }
     };
-    let shown = match (format, asked) {
-        (Form::Json, _) => told,
-        (Form::Text, Asked::Domains) => table(&told),
-        (Form::Text, Asked::Members) => members(&told),
+    let output = match (format, query) {
+        (OutputFormat::Json, _) => lines,
+        (OutputFormat::Text, Query::Domains) => domains_table(&lines),
+        (OutputFormat::Text, Query::Members) => members_list(&lines),
     };
-    // A reader that has seen enough is no failure.
-    let _ = io::stdout().write_all(shown.as_bytes());
+    // A reader that closes the pipe early is not an error.
+    let _ = io::stdout().write_all(output.as_bytes());
     ExitCode::SUCCESS
 }
 
-fn ask(address: SocketAddr, path: &str) -> io::Result<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&address, WITHIN)?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    stream.set_write_timeout(Some(WITHIN))?;
-    let question = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
-    stream.write_all(question.as_bytes())?;
-    let mut answer = String::new();
-    stream.take(MOST).read_to_string(&mut answer)?;
-    let bad = || io::Error::new(io::ErrorKind::InvalidData, "the answer is malformed");
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(bad)?;
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(bad)?;
+fn send_query(address: SocketAddr, path: &str) -> io::Result<(u16, String)> {
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.set_write_timeout(Some(TIMEOUT))?;
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
+    stream.write_all(request.as_bytes())?;
+    let mut response = String::new();
+    stream.take(MAX_RESPONSE_BYTES).read_to_string(&mut response)?;
+    let malformed = || io::Error::new(io::ErrorKind::InvalidData, "the response is malformed");
+    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(malformed)?;
+    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(malformed)?;
     Ok((status, body.to_owned()))
 }
 
-fn members(lines: &str) -> String {
-    let mut shown = String::new();
-    for told in lines.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
-        if let Some(member) = told["member"].as_str() {
-            let ago = told["heard_ms_ago"].as_f64().unwrap_or(0.0) / 1000.0;
-            shown += &format!("{member}  heard {ago:.1} s ago, {} packets\n", told["packets"]);
+fn members_list(lines: &str) -> String {
+    let mut output = String::new();
+    for document in lines.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
+        if let Some(member) = document["member"].as_str() {
+            let ago = document["heard_ms_ago"].as_f64().unwrap_or(0.0) / 1000.0;
+            output += &format!("{member}  heard {ago:.1} s ago, {} packets\n", document["packets"]);
             continue;
         }
-        shown += &format!("{} peers named, {} packets not sent; dropped:", told["peers"], told["unsent"]);
-        for (reason, count) in told["dropped"].as_object().into_iter().flatten() {
-            shown += &format!(" {count} {reason}");
+        output += &format!(
+            "{} peers configured, {} packets not sent; dropped:",
+            document["peers"], document["unsent"]
+        );
+        for (reason, count) in document["dropped"].as_object().into_iter().flatten() {
+            output += &format!(" {count} {reason}");
         }
-        shown += "\n";
+        output += "\n";
     }
-    shown
+    output
 }
 
-fn table(lines: &str) -> String {
-    let mut shown = format!(
+fn domains_table(lines: &str) -> String {
+    let mut output = format!(
         "{:<16} {:<12} {:<10} {:>9} {:>5} {:>5}  because\n",
         "pool", "zone", "degree", "for", "safe", "other"
     );
-    for told in lines.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
-        let text = |key: &str| told[key].as_str().unwrap_or("?").to_owned();
-        let number = |key: &str| told[key].as_f64().unwrap_or(0.0);
-        let degree = if told["distrusted"] == true { text("degree") + "?" } else { text("degree") };
-        shown += &format!(
+    for document in lines.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
+        let text = |key: &str| document[key].as_str().unwrap_or("?").to_owned();
+        let number = |key: &str| document[key].as_f64().unwrap_or(0.0);
+        let degree = if document["distrusted"] == true { text("degree") + "?" } else { text("degree") };
+        output += &format!(
             "{:<16} {:<12} {:<10} {:>8.1}s {:>5.2} {:>5.2}  {}\n",
             text("pool"),
             text("zone"),
@@ -112,5 +117,5 @@
             text("because")
         );
     }
-    shown
+    output
 }
--- a/crates/ivygate/src/format.rs
+++ b/crates/ivygate/src/format.rs
@@ -1,13 +1,13 @@
-//! `ivygate fmt`: files laid out in the one way.
+//! `ivygate fmt`: formats configuration files.
 
-use crate::MISUSED;
+use crate::EXIT_USAGE;
 use similar::TextDiff;
 use std::fs;
 use std::io::{self, IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Formats files in place, or tells what would change.
+/// Formats files in place, or reports what would change.
 pub fn run(files: &[PathBuf], check: bool, diff: bool) -> ExitCode {
     let (mut changed, mut unreadable, mut failed) = (false, false, false);
     for file in files {
@@ -33,7 +33,7 @@
         }
         let written = match file == Path::new("-") {
             true => io::stdout().write_all(after.as_bytes()),
-            false if differs => replace(file, &after),
+            false if differs => replace_file(file, &after),
             false => Ok(()),
         };
         if let Err(error) = written {
@@ -42,7 +42,7 @@
         }
     }
     if unreadable {
-        ExitCode::from(MISUSED)
+        ExitCode::from(EXIT_USAGE)
     } else if failed || (check && changed) {
         ExitCode::FAILURE
     } else {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A file's text as it is and as it should be laid out.
+/// Returns the text of a file before and after formatting.
 fn formatted(file: &Path) -> Result<(String, String), String> {
     let bytes = ivygate_files::read(file).map_err(|error| format!("ivygate: {error}"))?;
     let name = file.display().to_string();
@@ -63,24 +63,24 @@
     }
 }
 
-/// Puts a new text in a file's place at once: whoever reads it, or a power cut, sees the old one or the new.
-pub fn replace(file: &Path, text: &str) -> io::Result<()> {
-    // A link stays one.
+/// Replaces the text of a file atomically: readers see either the old or the new text, also after a power cut.
+pub fn replace_file(file: &Path, text: &str) -> io::Result<()> {
+    // A symbolic link is kept; its target is replaced.
     let file = file.canonicalize().unwrap_or_else(|_| file.to_owned());
     let name = file.file_name().unwrap_or_default().to_string_lossy().into_owned();
-    let beside = file.with_file_name(format!(".{name}.{}.tmp", std::process::id()));
+    let temporary = file.with_file_name(format!(".{name}.{}.tmp", std::process::id()));
     let written = (|| {
-        let mut new = fs::File::create_new(&beside)?;
+        let mut new = fs::File::create_new(&temporary)?;
         if let Ok(old) = fs::metadata(&file) {
             new.set_permissions(old.permissions())?;
         }
         new.write_all(text.as_bytes())?;
         new.sync_all()?;
-        fs::rename(&beside, &file)
+        fs::rename(&temporary, &file)
     })();
     if written.is_err() {
-        // What is left of it is of no use; that it can't be removed changes nothing about the error.
-        let _ = fs::remove_file(&beside);
+        // A failure to remove the temporary file does not matter: the original error is reported.
+        let _ = fs::remove_file(&temporary);
     }
     written
 }
--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -1,5 +1,5 @@
-//! `ivygate journal`: what became of requests that must not run twice. Asks the process that has the journal open, or
-//! opens it where none has.
+//! `ivygate journal`: shows the outcomes of requests that must not run twice. Queries the process that has the journal
+//! open, or opens the journal if there is none.
 
 use clap::{Args, Subcommand, ValueEnum};
 use ivygate_journal::{
@@ -12,91 +12,91 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Orders that are asked for at once.
-const PAGE: usize = 1000;
+/// Orders per query.
+const PAGE_SIZE: usize = 1000;
 
-/// What is asked.
+/// Subcommands of `ivygate journal`.
 #[derive(Subcommand)]
-pub enum Question {
-    /// Orders, in the order in which they were taken
-    List(List),
-    /// Orders that were sent and of which nobody knows what they did: the ones to call members about
-    Unknown(Unknown),
-    /// One order
+pub enum JournalCommand {
+    /// List orders by the time of their acceptance
+    List(ListArgs),
+    /// List orders that were sent and whose outcome is unknown: the ones to clarify with customers
+    Unknown(CommonArgs),
+    /// Show one order
     Show {
         /// The journal's folder
         folder: PathBuf,
-        /// The client's id of it, or the sidecar's own
+        /// The client's id of the order, or the sidecar's own
         id: String,
-        /// For people, or as one JSON document
-        #[arg(long, value_enum, default_value_t = crate::Form::Text)]
-        format: crate::Form,
+        /// Human-readable text, or one JSON document
+        #[arg(long, value_enum, default_value_t = crate::OutputFormat::Text)]
+        format: crate::OutputFormat,
     },
-    /// Look through the whole journal: records, their checksums, and what finds them
+    /// Check the whole journal: records, checksums and indexes
     Verify {
         /// The journal's folder
         folder: PathBuf,
     },
-    /// All orders as JSON, one a line
+    /// Export all orders as JSON, one per line
     Export {
         /// The journal's folder
         folder: PathBuf,
-        /// Where they are written, in one piece or not at all; standard output without it
+        /// The file to write, completely or not at all; standard output by default
         #[arg(short, long)]
         output: Option<PathBuf>,
     },
 }
 
-/// Which orders.
+/// Arguments of `ivygate journal list`.
 #[derive(Args)]
-pub struct List {
+pub struct ListArgs {
     #[command(flatten)]
-    common: Unknown,
+    common: CommonArgs,
     /// Only orders in this state
     #[arg(long, value_enum)]
-    state: Option<Asked>,
+    state: Option<StateFilter>,
 }
 
-/// Whose orders, and how they are shown.
+/// Arguments shared by the subcommands that list orders.
 #[derive(Args)]
-pub struct Unknown {
+pub struct CommonArgs {
     /// The journal's folder
     folder: PathBuf,
-    /// Only this customer's, by name also where the journal holds pseudonyms
+    /// Only orders of this customer; the name also works if the journal holds pseudonyms
     #[arg(long)]
     customer: Option<String>,
-    /// A table for people, or one JSON document a line
-    #[arg(long, value_enum, default_value_t = crate::Form::Text)]
-    format: crate::Form,
+    /// A human-readable table, or one JSON document per line
+    #[arg(long, value_enum, default_value_t = crate::OutputFormat::Text)]
+    format: crate::OutputFormat,
 }
 
-/// A state to ask for.
+/// State of orders to list.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum Asked {
-    /// No server can have run it.
+enum StateFilter {
+    /// No server can have run the order.
     NeverSent,
     /// A server answered.
     Answered,
-    /// It was sent, and nobody knows what became of it.
+    /// The order was sent and its outcome is unknown.
     Unknown,
 }
 
-impl Asked {
-    fn word(self) -> &'static str {
+impl StateFilter {
+    fn as_str(self) -> &'static str {
         match self {
-            Asked::NeverSent => State::NeverSent.as_str(),
-            Asked::Answered => State::Answered(0).as_str(),
-            Asked::Unknown => State::Unknown.as_str(),
+            StateFilter::NeverSent => State::NeverSent.as_str(),
+            StateFilter::Answered => State::Answered(0).as_str(),
+            StateFilter::Unknown => State::Unknown.as_str(),
         }
     }
 }
 
-/// Why there is no answer.
+/// Error of a journal command.
 enum Failure {
     Journal(JournalError),
     Io(PathBuf, io::Error),
-    /// What the journal says instead, or that what it says is malformed.
-    Said(String),
+    /// Error reported by the journal, or a malformed response.
+    Response(String),
 }
 
 impl std::fmt::Display for Failure {
@@ -104,71 +104,71 @@
         match self {
             Failure::Journal(error) => error.fmt(f),
             Failure::Io(path, error) => write!(f, "{}: {error}", path.display()),
-            Failure::Said(text) => f.write_str(text),
+            Failure::Response(text) => f.write_str(text),
         }
     }
 }
 
-/// Whom to ask.
+/// Journal to query.
 enum Journal {
-    /// It is open here.
-    Here(Box<Store>),
-    /// A process has it open.
-    Running(PathBuf),
+    /// Opened by this process.
+    Local(Box<Store>),
+    /// Open in another process; holds the folder.
+    Remote(PathBuf),
 }
 
 impl Journal {
-    fn of(folder: &Path) -> Result<Self, Failure> {
+    fn open(folder: &Path) -> Result<Self, Failure> {
         match Store::open(folder) {
             Ok(store) => {
                 if store.changed_after_close() {
                     eprintln!("ivygate: {}", JournalError::ChangedAfterClose(folder.to_owned()));
                 }
-                Ok(Journal::Here(Box::new(store)))
+                Ok(Journal::Local(Box::new(store)))
             }
-            Err(JournalError::InUse(_)) => Ok(Journal::Running(folder.to_owned())),
+            Err(JournalError::InUse(_)) => Ok(Journal::Remote(folder.to_owned())),
             Err(error) => Err(Failure::Journal(error)),
         }
     }
 
-    fn ask(&self, target: &str) -> Result<QueryResponse, Failure> {
-        let told = match self {
-            Journal::Here(store) => answer_query(store, target),
-            Journal::Running(folder) => query_running_process(folder, target).map_err(|error| {
-                Failure::Said(format!(
+    fn query(&self, target: &str) -> Result<QueryResponse, Failure> {
+        let response = match self {
+            Journal::Local(store) => answer_query(store, target),
+            Journal::Remote(folder) => query_running_process(folder, target).map_err(|error| {
+                Failure::Response(format!(
                     "the journal {} is in use by a process that does not answer: {error}",
                     folder.display()
                 ))
             })?,
         };
-        if told.status == 200 {
-            return Ok(told);
+        if response.status == 200 {
+            return Ok(response);
         }
-        let said = serde_json::from_str::<Value>(&told.lines).ok();
-        let error =
-            said.as_ref().and_then(|said| said["error"].as_str()).unwrap_or("the answer is malformed");
-        Err(Failure::Said(error.to_owned()))
+        let document = serde_json::from_str::<Value>(&response.lines).ok();
+        let error = document.as_ref().and_then(|document| document["error"].as_str());
+        let error = error.unwrap_or("the response is malformed");
+        Err(Failure::Response(error.to_owned()))
     }
 
-    /// All orders that fit, page by page: however many there are, one page is held.
-    fn each(
+    /// Calls `visit` with each matching order and returns their number. Reads page by page, so that memory stays bounded.
+    fn for_each(
         &self,
         state: Option<&str>,
         customer: Option<&str>,
-        mut each: impl FnMut(&str) -> Result<(), Failure>,
+        mut visit: impl FnMut(&str) -> Result<(), Failure>,
     ) -> Result<u64, Failure> {
         let (mut after, mut count) = (None::<String>, 0);
         loop {
             let mut query = form_urlencoded::Serializer::new(String::new());
-            query.append_pair("limit", &PAGE.to_string());
+            query.append_pair("limit", &PAGE_SIZE.to_string());
             for (name, value) in [("state", state), ("customer", customer), ("after", after.as_deref())] {
                 if let Some(value) = value {
                     query.append_pair(name, value);
                 }
             }
-            let told = self.ask(&format!("/orders?{}", query.finish()))?;
+            let response = self.query(&format!("/orders?{}", query.finish()))?;
             after = None;
-            for line in told.lines.lines() {
+            for line in response.lines.lines() {
                 #[derive(Deserialize)]
                 #[serde(deny_unknown_fields)]
                 struct Next {
@@ -177,7 +177,7 @@
                 if let Ok(Next { next }) = serde_json::from_str(line) {
                     after = Some(next);
                 } else {
-                    each(line)?;
+                    visit(line)?;
                     count += 1;
                 }
             }
@@ -194,11 +194,11 @@
     order: Order,
 }
 
-/// Answers a question. Ends with 1 if it can't, an order is not there, or something is wrong with the journal.
-pub fn run(question: &Question) -> ExitCode {
-    match answered(question) {
+/// Runs a journal command. The exit code is 1 if it fails, an order does not exist, or the journal is damaged.
+pub fn run(command: &JournalCommand) -> ExitCode {
+    match execute(command) {
         Ok(code) => code,
-        // Whoever reads has seen enough.
+        // A reader that closes the pipe early is not an error.
         Err(Failure::Io(_, error)) if error.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("ivygate: {failure}");
@@ -207,62 +207,63 @@
     }
 }
 
-fn answered(question: &Question) -> Result<ExitCode, Failure> {
-    match question {
-        Question::List(List { common, state }) => list(common, state.map(Asked::word))?,
-        Question::Unknown(common) => list(common, Some(Asked::Unknown.word()))?,
-        Question::Show { folder, id, format } => {
+fn execute(command: &JournalCommand) -> Result<ExitCode, Failure> {
+    match command {
+        JournalCommand::List(ListArgs { common, state }) => list(common, state.map(StateFilter::as_str))?,
+        JournalCommand::Unknown(common) => list(common, Some(StateFilter::Unknown.as_str()))?,
+        JournalCommand::Show { folder, id, format } => {
             let query = form_urlencoded::Serializer::new(String::new()).append_pair("id", id).finish();
-            let told = Journal::of(folder)?.ask(&format!("/orders?{query}"))?;
-            print(told.lines.trim_end(), *format)?;
+            let response = Journal::open(folder)?.query(&format!("/orders?{query}"))?;
+            print(response.lines.trim_end(), *format)?;
         }
-        Question::Verify { folder } => return verify(folder),
-        Question::Export { folder, output } => export(folder, output.as_deref())?,
+        JournalCommand::Verify { folder } => return verify(folder),
+        JournalCommand::Export { folder, output } => export(folder, output.as_deref())?,
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn list(asked: &Unknown, state: Option<&str>) -> Result<(), Failure> {
-    let journal = Journal::of(&asked.folder)?;
-    let count = journal.each(state, asked.customer.as_deref(), |line| print(line, asked.format))?;
-    if asked.format == crate::Form::Text {
+fn list(arguments: &CommonArgs, state: Option<&str>) -> Result<(), Failure> {
+    let journal = Journal::open(&arguments.folder)?;
+    let count =
+        journal.for_each(state, arguments.customer.as_deref(), |line| print(line, arguments.format))?;
+    if arguments.format == crate::OutputFormat::Text {
         eprintln!("{count} orders");
     }
     Ok(())
 }
 
-fn print(line: &str, form: crate::Form) -> Result<(), Failure> {
-    let text = match form {
-        crate::Form::Json => line.to_owned(),
-        crate::Form::Text => {
-            let malformed = |error| Failure::Said(format!("the answer is malformed: {error}"));
+fn print(line: &str, format: crate::OutputFormat) -> Result<(), Failure> {
+    let text = match format {
+        crate::OutputFormat::Json => line.to_owned(),
+        crate::OutputFormat::Text => {
+            let malformed = |error| Failure::Response(format!("the response is malformed: {error}"));
             let found: Document = serde_json::from_str(line).map_err(malformed)?;
-            self::line(&found.id, &found.order)
+            format_order(&found.id, &found.order)
         }
     };
     writeln!(io::stdout(), "{text}").map_err(|error| Failure::Io("standard output".into(), error))
 }
 
 fn verify(folder: &Path) -> Result<ExitCode, Failure> {
-    // Opening it looks at the checksums of all pages.
-    let told = Journal::of(folder)?.ask("/verify")?;
-    let malformed = || Failure::Said("the answer is malformed".to_owned());
-    let found: Value = serde_json::from_str(&told.lines).map_err(|_| malformed())?;
-    let wrong = found["wrong"].as_array().ok_or_else(malformed)?;
-    for what in wrong.iter().filter_map(Value::as_str) {
-        eprintln!("ivygate: {what}");
+    // Opening the journal verifies the checksums of all pages.
+    let response = Journal::open(folder)?.query("/verify")?;
+    let malformed = || Failure::Response("the response is malformed".to_owned());
+    let found: Value = serde_json::from_str(&response.lines).map_err(|_| malformed())?;
+    let problems = found["wrong"].as_array().ok_or_else(malformed)?;
+    for problem in problems.iter().filter_map(Value::as_str) {
+        eprintln!("ivygate: {problem}");
     }
-    let whole = wrong.is_empty();
-    let word = if whole { "whole" } else { "NOT whole" };
+    let intact = problems.is_empty();
+    let word = if intact { "whole" } else { "NOT whole" };
     println!("{word}: {} orders, {} unknown", found["orders"], found["unknown"]);
-    Ok(if whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if intact { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn export(folder: &Path, output: Option<&Path>) -> Result<(), Failure> {
-    let journal = Journal::of(folder)?;
+    let journal = Journal::open(folder)?;
     let write = |out: &mut dyn Write, path: &Path| {
         let failed = |error| Failure::Io(path.to_owned(), error);
-        let count = journal.each(None, None, |line| writeln!(out, "{line}").map_err(failed))?;
+        let count = journal.for_each(None, None, |line| writeln!(out, "{line}").map_err(failed))?;
         out.flush().map_err(failed)?;
         Ok(count)
     };
@@ -270,24 +271,24 @@
         write(&mut io::BufWriter::new(io::stdout()), Path::new("standard output"))?;
         return Ok(());
     };
-    // Beside it, and put in its place when it is whole: an export that is cut off is none.
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".part");
-    let beside = PathBuf::from(beside);
-    let failed = |error| Failure::Io(beside.clone(), error);
-    let made = create_private(&beside).map_err(failed).and_then(|file| {
-        let count = write(&mut io::BufWriter::new(&file), &beside)?;
+    // Written to a temporary file and renamed when complete, so that an interrupted export leaves no partial file.
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".part");
+    let temporary = PathBuf::from(temporary);
+    let failed = |error| Failure::Io(temporary.clone(), error);
+    let written = create_private(&temporary).map_err(failed).and_then(|file| {
+        let count = write(&mut io::BufWriter::new(&file), &temporary)?;
         file.sync_all().map_err(failed)?;
         Ok(count)
     });
-    let put = made.and_then(|count| {
-        std::fs::rename(&beside, path).map_err(|error| Failure::Io(path.to_owned(), error))?;
+    let renamed = written.and_then(|count| {
+        std::fs::rename(&temporary, path).map_err(|error| Failure::Io(path.to_owned(), error))?;
         Ok(count)
     });
-    match put {
+    match renamed {
         Ok(count) => eprintln!("{count} orders"),
         Err(failure) => {
-            let _ = std::fs::remove_file(&beside);
+            let _ = std::fs::remove_file(&temporary);
             return Err(failure);
         }
     }
@@ -299,7 +300,7 @@
     std::fs::OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(path)
 }
 
-fn line(id: &str, order: &Order) -> String {
+fn format_order(id: &str, order: &Order) -> String {
     let word = match order.state() {
         State::NeverSent => "never sent".to_owned(),
         State::Answered(status) => format!("answered {status}"),
--- a/crates/ivygate/src/main.rs
+++ b/crates/ivygate/src/main.rs
@@ -1,6 +1,6 @@
-//! The command line. With no arguments it is the platform's edge node, told by `RELAY_CONFIG`.
+//! Command line. Without arguments it runs the platform's edge node, configured by `RELAY_CONFIG`.
 //!
-//! It reads arguments and files, and words what the other packages say; it must never decide anything else.
+//! It parses arguments, reads files and formats the output of the other crates; it contains no other logic.
 
 mod check;
 mod compare;
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A sidecar that holds customers to their quotas, chooses servers and repeats what may be repeated.
+/// A sidecar that enforces customer quotas, balances load across servers and retries requests where that is safe
 #[derive(Parser)]
 #[command(name = "ivygate", version, arg_required_else_help = true)]
 struct Cli {
@@ -27,80 +27,80 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve by a configuration until SIGTERM; SIGHUP reads it anew
+    /// Serve a configuration until SIGTERM; SIGHUP reloads it
     Serve {
         /// The configuration
         file: PathBuf,
-        /// How events are written to standard error
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        log: Form,
+        /// Format of events on standard error
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        log: OutputFormat,
     },
-    /// Show what a running sidecar believes of the zones of its pools, and why
+    /// Show the zone states of a running sidecar's pools and the evidence for them
     Domains {
-        /// Its configuration, which names the operators' address
+        /// Its configuration, which contains the operator address
         file: PathBuf,
-        /// For people, or one JSON document a line
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        format: Form,
+        /// Human-readable text, or one JSON document per line
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        format: OutputFormat,
     },
-    /// Show which other processes a running sidecar hears
+    /// Show the gossip members that a running sidecar receives reports from
     Members {
-        /// Its configuration, which names the operators' address
+        /// Its configuration, which contains the operator address
         file: PathBuf,
-        /// For people, or one JSON document a line
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        format: Form,
+        /// Human-readable text, or one JSON document per line
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        format: OutputFormat,
     },
-    /// Check a configuration and say what is wrong with it
+    /// Check a configuration and report errors
     Check {
         /// The configuration; `-` for standard input
         file: PathBuf,
-        /// For people, or as one JSON document for editors and other programs
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        format: Form,
+        /// Human-readable text, or one JSON document for editors and other programs
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        format: OutputFormat,
     },
-    /// Explain a code such as IV0021
+    /// Explain an error code such as IV0021
     Explain {
         /// The code
         #[arg(required_unless_present = "all")]
         code: Option<String>,
-        /// All codes, as the reference's page
+        /// All codes, formatted as the reference page
         #[arg(long)]
         all: bool,
     },
-    /// Lay configurations out in the one way; included files are named one by one
+    /// Format configurations; included files must be named individually
     Fmt {
         /// The files; `-` reads standard input and writes standard output
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Change nothing; end with 1 if something would change
+        /// Change nothing; exit with 1 if a file would change
         #[arg(long)]
         check: bool,
-        /// Change nothing; show what would change
+        /// Change nothing; show the differences
         #[arg(long)]
         diff: bool,
     },
-    /// Show what a new configuration does differently from an old one; ends with 1 if anything
+    /// Show the differences in behaviour between two configurations; exits with 1 if there are any
     Diff {
-        /// The old one
+        /// The old configuration
         old: PathBuf,
-        /// The new one
+        /// The new configuration
         new: PathBuf,
-        /// For people, or as JSON
-        #[arg(long, value_enum, default_value_t = Form::Text)]
-        format: Form,
+        /// Human-readable text, or JSON
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        format: OutputFormat,
     },
-    /// Write a configuration for an application; asks on a terminal where nothing is told
+    /// Write a configuration for an application; asks interactively if no options are given
     New(new::Options),
-    /// The language's statements, units and codes as JSON, for editors
+    /// Print the configuration language's statements, units and codes as JSON, for editors
     Keywords,
-    /// A shell's completions for this program
+    /// Print shell completions for this program
     Completions {
         /// The shell
         #[arg(value_enum)]
         shell: clap_complete::Shell,
     },
-    /// Show the routes in the order in which they are tried, or which one takes a request and why
+    /// Show the routes in the order in which they are matched, or the route of a request and why it matches
     Routes {
         /// The configuration
         file: PathBuf,
@@ -110,48 +110,48 @@
         /// A URL with scheme and host, or a path
         url: Option<String>,
     },
-    /// Show what became of requests that must not run twice, from the journal of a process that runs or has ended
+    /// Show the outcomes of requests that must not run twice, from the journal of a running or ended process
     #[command(subcommand)]
-    Journal(journal::Question),
-    /// Run three small applications and a sidecar in one process, to try things out
+    Journal(journal::JournalCommand),
+    /// Run three example applications and a sidecar in one process
     Demo {
-        /// Where the configuration is written
+        /// The file to write the configuration to
         #[arg(long, default_value = "ivygate-demo.conf")]
         write: PathBuf,
     },
 }
 
-/// How results are shown.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-enum Form {
-    /// For people.
+enum OutputFormat {
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON for other programs.
     Json,
 }
 
-/// The system's allocator took a tenth of the processor time of a request.
+/// mimalloc instead of the system allocator, which took a tenth of the processor time per request.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// For usage and configuration.
-const MISUSED: u8 = 2;
+/// Exit code for usage and configuration errors.
+const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     if std::env::args_os().len() <= 1 {
         if std::env::var_os("RELAY_CONFIG").is_some() {
-            return node();
+            return run_node();
         }
-        eprintln!("ivygate: no command is given and RELAY_CONFIG is not set; `ivygate --help` tells more");
-        return ExitCode::from(MISUSED);
+        eprintln!("ivygate: no command given and RELAY_CONFIG not set; see `ivygate --help`");
+        return ExitCode::from(EXIT_USAGE);
     }
     match Cli::parse().command {
         Command::Serve { file, log } => {
             let once = std::sync::Once::new();
-            served(ivygate_sidecar::run(&file, move || once.call_once(|| events(log))))
+            exit_code(ivygate_sidecar::run(&file, move || once.call_once(|| init_event_log(log))))
         }
-        Command::Domains { file, format } => domains::run(&file, format, domains::Asked::Domains),
-        Command::Members { file, format } => domains::run(&file, format, domains::Asked::Members),
+        Command::Domains { file, format } => domains::run(&file, format, domains::Query::Domains),
+        Command::Members { file, format } => domains::run(&file, format, domains::Query::Members),
         Command::Check { file, format } => check::run(&file, format),
         Command::Explain { code, all } => check::explain(code.as_deref().filter(|_| !all)),
         Command::Fmt { files, check, diff } => format::run(&files, check, diff),
@@ -166,21 +166,22 @@
             ExitCode::SUCCESS
         }
         Command::Routes { file, method, url } => routes::show(&file, method.as_deref().zip(url.as_deref())),
-        Command::Journal(question) => journal::run(&question),
-        Command::Demo { write } => served(demo::run(&write)),
+        Command::Journal(command) => journal::run(&command),
+        Command::Demo { write } => exit_code(demo::run(&write)),
     }
 }
 
-/// Writes events to standard error.
-fn events(form: Form) {
-    let written = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
-    match form {
-        Form::Text => written.init(),
-        Form::Json => written.json().flatten_event(true).init(),
+/// Initializes the logging of events to standard error.
+fn init_event_log(format: OutputFormat) {
+    let subscriber =
+        tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
+    match format {
+        OutputFormat::Text => subscriber.init(),
+        OutputFormat::Json => subscriber.json().flatten_event(true).init(),
     }
 }
 
-fn node() -> ExitCode {
+fn run_node() -> ExitCode {
     match ivygate_node::run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -190,13 +191,13 @@
     }
 }
 
-fn served(result: Result<(), ivygate_sidecar::StartError>) -> ExitCode {
+fn exit_code(result: Result<(), ivygate_sidecar::StartError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{}{error}", if error.is_report() { "" } else { "ivygate: " });
             if error.is_configuration() {
-                ExitCode::from(MISUSED)
+                ExitCode::from(EXIT_USAGE)
             } else {
                 ExitCode::FAILURE
             }
@@ -204,22 +205,22 @@
     }
 }
 
-/// Reads a configuration; what is found goes to standard error.
+/// Loads a configuration and prints the findings to standard error.
 fn load(file: &Path) -> Result<Loaded, ExitCode> {
-    let loaded = load_quietly(file)?;
-    eprint!("{}", worded(&loaded, Severity::Note));
+    let loaded = load_without_report(file)?;
+    eprint!("{}", render_report(&loaded, Severity::Note));
     Ok(loaded)
 }
 
-/// Reads a configuration.
-fn load_quietly(file: &Path) -> Result<Loaded, ExitCode> {
+/// Loads a configuration without printing the findings.
+fn load_without_report(file: &Path) -> Result<Loaded, ExitCode> {
     ivygate_files::load(file).map_err(|error| {
         eprintln!("ivygate: {error}");
-        ExitCode::from(MISUSED)
+        ExitCode::from(EXIT_USAGE)
     })
 }
 
-/// What was found, for standard error.
-fn worded(loaded: &Loaded, least: Severity) -> String {
-    loaded.report(least, std::io::stderr().is_terminal())
+/// Renders the findings of at least a severity for standard error.
+fn render_report(loaded: &Loaded, min_severity: Severity) -> String {
+    loaded.report(min_severity, std::io::stderr().is_terminal())
 }
--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -1,7 +1,8 @@
-//! `ivygate new`: a configuration for an application, from flags, a description, an OpenAPI document or answers.
+//! `ivygate new`: generates a configuration for an application from options, a description file, an OpenAPI document or
+//! interactive input.
 
-use crate::format::replace;
-use crate::MISUSED;
+use crate::format::replace_file;
+use crate::EXIT_USAGE;
 use clap::Args;
 use ivygate_config::Severity;
 use ivygate_tool::{from_openapi, generate, Description, Route, Wish};
@@ -11,135 +12,143 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The first port that is taken for a listener.
+/// First port considered for a listener.
 const FIRST_PORT: u16 = 8080;
 
-/// What is told of the application.
+/// Options that describe the application.
 #[derive(Args)]
 pub struct Options {
-    /// The application's name; its configuration is NAME.conf
+    /// The application's name; its configuration is written to NAME.conf
     #[arg(long, value_name = "NAME")]
     app: Option<String>,
-    /// Where the sidecar listens; without it the first port from 8080 on that no configuration beside it uses
+    /// The sidecar's listening address; by default the first port from 8080 on not used by other configurations in the folder
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
-    /// Where the application listens; may be given again
+    /// The application's listening address; may be repeated
     #[arg(long = "server", value_name = "ADDRESS")]
     servers: Vec<SocketAddr>,
-    /// Requests and their effect, such as `/tiles safe` or `POST /orders unsafe`; may be given again
+    /// Requests and their effect, such as `/tiles safe` or `POST /orders unsafe`; may be repeated
     #[arg(long = "route", value_name = "ROUTE")]
     routes: Vec<Route>,
-    /// A plan and its quota for each customer, such as `standard=20/s`; may be given again
+    /// A plan and its quota per customer, such as `standard=20/s`; may be repeated
     #[arg(long = "plan", value_name = "NAME=RATE")]
     plans: Vec<String>,
     /// The header that names the customer
     #[arg(long, value_name = "HEADER")]
     customer_header: Option<String>,
-    /// Descriptions in a file, `app NAME { listen ...; server ...; route ...; }` each
+    /// A file with descriptions of the form `app NAME { listen ...; server ...; route ...; }`
     #[arg(long, value_name = "FILE", conflicts_with_all = ["app", "openapi"])]
     from: Option<PathBuf>,
-    /// Routes from an OpenAPI 3 document, JSON or YAML
+    /// An OpenAPI 3 document with the routes, JSON or YAML
     #[arg(long, value_name = "FILE")]
     openapi: Option<PathBuf>,
-    /// The effect of an operation of that document, such as `POST /search safe`; may be given again
+    /// The effect of an operation of that document, such as `POST /search safe`; may be repeated
     #[arg(long = "effect", value_name = "OPERATION", requires = "openapi")]
     effects: Vec<String>,
-    /// Where the configurations are written
+    /// The folder to write the configurations to
     #[arg(long, default_value = ".")]
     dir: PathBuf,
     /// Write to standard output
     #[arg(long)]
     print: bool,
-    /// Replace a file that is there
+    /// Overwrite an existing file
     #[arg(long)]
     force: bool,
 }
 
-/// Why nothing, or not all, was written: in words, and the code to end with.
-struct Fault(String, u8);
+/// Error message and exit code.
+struct Failure(String, u8);
 
-fn misuse(text: impl Into<String>) -> Fault {
-    Fault(text.into(), MISUSED)
+fn usage_error(text: impl Into<String>) -> Failure {
+    Failure(text.into(), EXIT_USAGE)
 }
 
-/// Writes what is asked for.
+/// Writes the requested configurations.
 pub fn run(options: &Options) -> ExitCode {
     match write(options) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Fault(text, code)) => {
+        Err(Failure(text, code)) => {
             eprintln!("{}", text.trim_end());
             ExitCode::from(code)
         }
     }
 }
 
-fn write(options: &Options) -> Result<(), Fault> {
-    let apps = described(options)?;
-    let mut taken = ports_beside(&options.dir);
+fn write(options: &Options) -> Result<(), Failure> {
+    let apps = descriptions(options)?;
+    let mut used_ports = ports_in_folder(&options.dir);
     for app in &apps {
         if app.name.is_empty()
             || !app.name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
             || app.name.starts_with('.')
         {
-            return Err(misuse(format!(
-                "ivygate: `{}` cannot be a file's name; write letters, digits and `-`",
+            return Err(usage_error(format!(
+                "ivygate: `{}` is not a valid name; use letters, digits and `-`",
                 app.name
             )));
         }
         if app.servers.is_empty() {
-            return Err(misuse(format!(
-                "ivygate: it is not told where {} listens; write `--server 127.0.0.1:9000`",
+            return Err(usage_error(format!(
+                "ivygate: {} has no server address; add `--server 127.0.0.1:9000`",
                 app.name
             )));
         }
         if app.routes.is_empty() {
-            return Err(misuse(format!("ivygate: {} has no route; write `--route '/ safe'`", app.name)));
+            return Err(usage_error(format!("ivygate: {} has no route; add `--route '/ safe'`", app.name)));
         }
         let listen = match app.listen {
             Some(listen) => listen,
-            None => free(&taken).ok_or_else(|| Fault("ivygate: no port is free".to_owned(), 1))?,
+            None => {
+                free_address(&used_ports).ok_or_else(|| Failure("ivygate: no free port".to_owned(), 1))?
+            }
         };
-        taken.insert(listen.port());
+        used_ports.insert(listen.port());
         let text = generate(app, listen);
         let name = format!("{}.conf", app.name);
         let file = if options.dir == Path::new(".") { PathBuf::from(name) } else { options.dir.join(name) };
         let name = file.display().to_string();
         let loaded = ivygate_config::load(&name, &text);
         if loaded.model.is_none() {
-            let report = crate::worded(&loaded, Severity::Error);
-            return Err(misuse(format!(
-                "{report}ivygate: what is told cannot be used; nothing is written for {}",
+            let report = crate::render_report(&loaded, Severity::Error);
+            return Err(usage_error(format!(
+                "{report}ivygate: the description is invalid; nothing is written for {}",
                 app.name
             )));
         }
-        eprint!("{}", crate::worded(&loaded, Severity::Warning));
+        eprint!("{}", crate::render_report(&loaded, Severity::Warning));
         if options.print {
             print!("{text}");
             continue;
         }
         if file.exists() && !options.force {
-            return Err(misuse(format!("ivygate: {name} is there already; `--force` replaces it")));
+            return Err(usage_error(format!(
+                "ivygate: {name} already exists; use `--force` to overwrite it"
+            )));
         }
-        replace(&file, &text).map_err(|error| Fault(format!("ivygate: cannot write {name}: {error}"), 1))?;
+        replace_file(&file, &text)
+            .map_err(|error| Failure(format!("ivygate: cannot write {name}: {error}"), 1))?;
         println!("{name}: listens on {listen}; try `ivygate serve {name}`");
     }
     Ok(())
 }
 
-/// The applications that are told of.
-fn described(options: &Options) -> Result<Vec<Description>, Fault> {
+/// Returns the descriptions of the applications.
+fn descriptions(options: &Options) -> Result<Vec<Description>, Failure> {
     let read = |path: &Path| {
-        let bytes = ivygate_files::read(path).map_err(|error| misuse(format!("ivygate: {error}")))?;
-        String::from_utf8(bytes).map_err(|_| misuse(format!("ivygate: {} is not UTF-8", path.display())))
+        let bytes = ivygate_files::read(path).map_err(|error| usage_error(format!("ivygate: {error}")))?;
+        String::from_utf8(bytes).map_err(|_| usage_error(format!("ivygate: {} is not UTF-8", path.display())))
     };
     if let Some(path) = &options.from {
         let text = read(path)?;
         let apps = Description::read(&path.display().to_string(), &text)
-            .map_err(|(sources, errors)| misuse(sources.render(&errors, io::stderr().is_terminal())))?;
+            .map_err(|(sources, errors)| usage_error(sources.render(&errors, io::stderr().is_terminal())))?;
         let names: BTreeSet<&str> = apps.iter().map(|app| app.name.as_str()).collect();
         return match names.len() == apps.len() && !apps.is_empty() {
             true => Ok(apps),
-            false => Err(misuse(format!("ivygate: {} needs apps, each of another name", path.display()))),
+            false => Err(usage_error(format!(
+                "ivygate: {} must contain apps with different names",
+                path.display()
+            ))),
         };
     }
     let mut app = Description {
@@ -154,40 +163,42 @@
     for plan in &options.plans {
         let pair = plan
             .split_once('=')
-            .ok_or_else(|| misuse(format!("ivygate: `{plan}` is no plan; write `standard=20/s`")))?;
+            .ok_or_else(|| usage_error(format!("ivygate: `{plan}` is not a plan; write `standard=20/s`")))?;
         app.plans.push((pair.0.to_owned(), pair.1.to_owned()));
     }
     if let Some(path) = &options.openapi {
-        let told = options.effects.iter().map(|text| effect(text)).collect::<Result<Vec<_>, _>>()?;
+        let effects = options.effects.iter().map(|text| parse_effect(text)).collect::<Result<Vec<_>, _>>()?;
         let text = read(path)?;
-        let document = from_openapi(&text, &told)
-            .map_err(|error| misuse(format!("ivygate: {}: {error}", path.display())))?;
+        let document = from_openapi(&text, &effects)
+            .map_err(|error| usage_error(format!("ivygate: {}: {error}", path.display())))?;
         app.routes.extend(document.routes);
         app.remarks = document.remarks;
     }
-    let nothing_told = app.name.is_empty() && app.servers.is_empty() && app.routes.is_empty();
-    if nothing_told && io::stdin().is_terminal() {
-        app = asked(&mut io::stdin().lock(), &mut io::stdout())
-            .map_err(|error| Fault(format!("ivygate: {error}"), 1))?;
+    let no_options = app.name.is_empty() && app.servers.is_empty() && app.routes.is_empty();
+    if no_options && io::stdin().is_terminal() {
+        app = prompt(&mut io::stdin().lock(), &mut io::stdout())
+            .map_err(|error| Failure(format!("ivygate: {error}"), 1))?;
     }
     if app.name.is_empty() {
-        return Err(misuse("ivygate: the application has no name; write `--app NAME`, or `--from FILE`"));
+        return Err(usage_error("ivygate: the application has no name; add `--app NAME` or `--from FILE`"));
     }
     Ok(vec![app])
 }
 
-/// An operation and its effect.
-fn effect(text: &str) -> Result<(String, Wish), Fault> {
+/// Parses an operation and its effect.
+fn parse_effect(text: &str) -> Result<(String, Wish), Failure> {
     let words: Vec<&str> = text.split_whitespace().collect();
     let [method, path, wish] = words[..] else {
-        return Err(misuse(format!("ivygate: `{text}` is no effect; write one such as `POST /search safe`")));
+        return Err(usage_error(format!(
+            "ivygate: `{text}` is not an effect; write one such as `POST /search safe`"
+        )));
     };
-    let wish = wish.parse().map_err(|error| misuse(format!("ivygate: {error}")))?;
+    let wish = wish.parse().map_err(|error| usage_error(format!("ivygate: {error}")))?;
     Ok((format!("{} {path}", method.to_uppercase()), wish))
 }
 
-/// Asks for what is needed, line by line; what cannot be read is asked for again.
-fn asked(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<Description> {
+/// Prompts for the description line by line, and repeats a prompt after invalid input.
+fn prompt(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<Description> {
     let mut ask = |question: &str| -> io::Result<Option<String>> {
         write!(output, "{question} ")?;
         output.flush()?;
@@ -195,8 +206,7 @@
         let read = input.read_line(&mut line)?;
         Ok((read > 0).then(|| line.trim().to_owned()))
     };
-    let ended =
-        || io::Error::new(io::ErrorKind::UnexpectedEof, "the answers ended early; nothing is written");
+    let ended = || io::Error::new(io::ErrorKind::UnexpectedEof, "the input ended early; nothing is written");
     let mut app = Description::default();
     while app.name.is_empty() {
         app.name = ask("Name of the application:")?.ok_or_else(ended)?;
@@ -231,10 +241,10 @@
     Ok(app)
 }
 
-/// The ports of the listeners in the configurations of a folder.
-fn ports_beside(dir: &Path) -> BTreeSet<u16> {
+/// Returns the ports of the listeners in the configurations of a folder.
+fn ports_in_folder(dir: &Path) -> BTreeSet<u16> {
     let mut ports = BTreeSet::new();
-    // A folder that can't be read shows when the file is written.
+    // An unreadable folder is reported when the file is written.
     for entry in std::fs::read_dir(dir).into_iter().flatten().flatten() {
         let path = entry.path();
         if path.extension().is_none_or(|extension| extension != "conf") {
@@ -250,10 +260,10 @@
     ports
 }
 
-/// The first port that is not taken and can be listened on now.
-fn free(taken: &BTreeSet<u16>) -> Option<SocketAddr> {
+/// Returns the first address whose port is unused and can be bound.
+fn free_address(used_ports: &BTreeSet<u16>) -> Option<SocketAddr> {
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let ports = (FIRST_PORT..=u16::MAX).filter(|port| !taken.contains(port));
+    let ports = (FIRST_PORT..=u16::MAX).filter(|port| !used_ports.contains(port));
     ports.map(address).find(|address| TcpListener::bind(address).is_ok())
 }
 
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -1,30 +1,30 @@
-//! `ivygate routes`: the table in words.
+//! `ivygate routes`: prints the route table, or the route of a request.
 
-use crate::MISUSED;
+use crate::EXIT_USAGE;
 use ivygate_config::{Model, Route};
 use ivygate_routing::{Found, Methods, Reason, Table, Target};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Shows all routes and their overlaps, or the one that takes a request.
+/// Prints all routes and their overlaps, or the route that matches a request.
 pub fn show(file: &Path, request: Option<(&str, &str)>) -> ExitCode {
     let loaded = match crate::load(file) {
         Ok(loaded) => loaded,
         Err(code) => return code,
     };
-    let Some(model) = &loaded.model else { return ExitCode::from(MISUSED) };
+    let Some(model) = &loaded.model else { return ExitCode::from(EXIT_USAGE) };
     let Ok(table) = Table::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
-        return ExitCode::from(MISUSED);
+        return ExitCode::from(EXIT_USAGE);
     };
     let place = |route: &Route| loaded.sources.place(route.at.0).to_string();
     match request {
         None => {
             for route in &model.routes {
-                println!("{}", line(model, route, &place(route)));
+                println!("{}", format_route(model, route, &place(route)));
             }
             let overlaps = table.overlaps();
             if !overlaps.is_empty() {
-                println!("\nclaimed by two routes, and taken by the first of each pair:");
+                println!("\nmatched by two routes; the first of each pair takes precedence:");
             }
             for overlap in overlaps {
                 let (first, second) = (&model.routes[overlap.taken_by], &model.routes[overlap.also]);
@@ -45,24 +45,24 @@
             match table.find(&host, &target.path, method) {
                 Found::Route(number, reason) => {
                     let route = &model.routes[number];
-                    let why = match reason {
-                        Reason::Exact => "its path is this one exactly",
-                        Reason::Prefix => "its prefix is the longest",
-                        Reason::Pattern => "its pattern is the first that matches",
+                    let explanation = match reason {
+                        Reason::Exact => "its path is equal to this path",
+                        Reason::Prefix => "it has the longest matching prefix",
+                        Reason::Pattern => "it has the first matching pattern",
                     };
                     println!(
-                        "{}\ntaken since {why}; its host is {}",
-                        line(model, route, &place(route)),
+                        "{}\nmatched because {explanation}; its host is {}",
+                        format_route(model, route, &place(route)),
                         route.claim.host
                     );
                     ExitCode::SUCCESS
                 }
                 Found::OtherMethods(methods) => {
-                    println!("405: routes claim this path for {} only", methods.join(", "));
+                    println!("405: routes match this path for {} only", methods.join(", "));
                     ExitCode::FAILURE
                 }
                 Found::Nothing => {
-                    println!("404: no route claims this host and path");
+                    println!("404: no route matches this host and path");
                     ExitCode::FAILURE
                 }
             }
@@ -70,7 +70,7 @@
     }
 }
 
-fn line(model: &Model, route: &Route, place: &str) -> String {
+fn format_route(model: &Model, route: &Route, place: &str) -> String {
     let methods = match &route.claim.methods {
         Methods::Any => "any method".to_owned(),
         Methods::Named(names) => names.join(" "),
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as ordinary applications have them, through the sidecar over loopback sockets.
+//! End-to-end tests of HTTP requests and responses that pass through the sidecar.
 
 mod support;
 
@@ -9,15 +9,15 @@
 
 const NORTH: &str = "north";
 
-/// One application in one pool, reached under `/app` with each class's methods.
-fn one(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (App, Sidecar) {
+/// Starts an application behind a sidecar, reached under `/app` with any method.
+fn start_with_app(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (App, Sidecar) {
     let app = App::start(reply);
     let parts = [pool("app", "", &[(app.address, NORTH)]), any_route("app")];
     let sidecar = Sidecar::with(&parts);
     (app, sidecar)
 }
 
-/// A route that takes any method and is never repeated.
+/// Returns a route for any method whose requests are never retried.
 fn any_route(pool: &str) -> String {
     format!("route {pool} {{ path prefix /{pool}; class order; pool {pool}; }}\n")
 }
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn any_method_path_query_and_body_go_on_unchanged() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn method_path_query_and_body_are_forwarded_unchanged() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     for method in ["GET", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND", "X-OWN"] {
         let request = format!("{method} /app/a%2Fb;c=1?q=%20&q=//.. HTTP/1.1\r\nHost: h\r\nX-Mine: 1\r\nContent-Length: 3\r\n\r\nabc");
         assert_eq!(sidecar.ask(&request).status(), 200, "{method}");
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn what_is_matched_is_what_the_application_gets() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn application_receives_the_normalized_path_that_was_matched() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     for (path, seen) in [
         ("/app//a", "/app/a"),
         ("/x/../app/%61", "/app/a"),
@@ -65,14 +65,14 @@
     ] {
         assert_eq!(sidecar.ask(&format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n")).status(), 400, "{path}");
     }
-    // Leads out of the prefix, so that it is no route's.
+    // The normalized path leaves the prefix, so that no route matches.
     assert_eq!(sidecar.get("/app/../secret").status(), 404);
     assert_eq!(app.seen(), before);
 }
 
 #[test]
-fn a_host_that_is_missing_or_given_twice_is_refused() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn missing_or_repeated_host_is_rejected() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     for head in ["Host: h\r\nHost: h\r\n", "", "Host: a b\r\n", "Host: h/x\r\n"] {
         assert_eq!(sidecar.ask(&format!("GET /app HTTP/1.1\r\n{head}\r\n")).status(), 400, "{head:?}");
     }
@@ -80,12 +80,13 @@
 }
 
 #[test]
-fn the_applications_status_and_body_pass_whatever_they_are() {
+fn status_and_body_of_the_application_are_relayed() {
     for status in
         ["201 Created", "301 Moved", "404 Not Found", "418 Teapot", "429 Slow", "500 Broken", "503 Busy"]
     {
-        let (app, sidecar) =
-            one(move |_| Reply::Answer(status, "X-App: 1\r\nRetry-After: 7\r\n", b"words".to_vec()));
+        let (app, sidecar) = start_with_app(move |_| {
+            Reply::Answer(status, "X-App: 1\r\nRetry-After: 7\r\n", b"words".to_vec())
+        });
         let answer = sidecar.post("/app", "", "x");
         assert_eq!(format!("{}", answer.status()), status[..3]);
         assert_eq!((answer.body.as_slice(), answer.header("x-app")), (&b"words"[..], Some("1")));
@@ -94,14 +95,14 @@
 }
 
 #[test]
-fn answers_without_a_body_keep_what_they_say_of_it() {
-    let (_app, sidecar) = one(|request| match request.start.split(' ').next() {
+fn responses_without_a_body_keep_their_headers() {
+    let (_app, sidecar) = start_with_app(|request| match request.start.split(' ').next() {
         Some("HEAD") => Reply::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\nX: 1\r\n\r\n".to_vec()),
         Some("PUT") => Reply::Raw(b"HTTP/1.1 204 No Content\r\n\r\n".to_vec()),
         _ => Reply::Raw(b"HTTP/1.1 304 Not Modified\r\nETag: \"e\"\r\n\r\n".to_vec()),
     });
     let mut client = sidecar.client();
-    // All on one connection: none may leave the next out of step.
+    // All on one connection, so that a framing error would affect the next response.
     for _ in 0..3 {
         client.write(b"HEAD /app HTTP/1.1\r\nHost: h\r\n\r\n");
         let head = read_head(&mut client.stream).expect("a head");
@@ -115,8 +116,8 @@
 }
 
 #[test]
-fn chunked_bodies_and_trailers_pass_both_ways() {
-    let (app, sidecar) = one(|_| {
+fn chunked_bodies_and_trailers_are_relayed_in_both_directions() {
+    let (app, sidecar) = start_with_app(|_| {
         let answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n\
                       3\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n";
         Reply::Raw(answer.as_bytes().to_vec())
@@ -132,14 +133,14 @@
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_is_whole() {
-    let (_app, sidecar) = one(|_| Reply::Bytes(b"HTTP/1.0 200 OK\r\n\r\nold words"));
+fn response_that_ends_with_its_connection_is_complete() {
+    let (_app, sidecar) = start_with_app(|_| Reply::Bytes(b"HTTP/1.0 200 OK\r\n\r\nold words"));
     assert_eq!(sidecar.get("/app").body, b"old words");
 }
 
 #[test]
 fn expect_continue_is_answered_before_the_body() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
     assert_eq!(read_head(&mut client.stream).expect("an interim answer").status(), 100);
@@ -149,8 +150,8 @@
 }
 
 #[test]
-fn an_interim_answer_of_the_application_is_not_the_answer() {
-    let (_app, sidecar) = one(|_| {
+fn interim_response_of_the_application_is_skipped() {
+    let (_app, sidecar) = start_with_app(|_| {
         Reply::Raw(
             b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny"
                 .to_vec(),
@@ -161,8 +162,8 @@
 }
 
 #[test]
-fn what_belongs_to_a_connection_is_not_passed_on() {
-    let (app, sidecar) = one(|_| {
+fn hop_by_hop_headers_are_not_forwarded() {
+    let (app, sidecar) = start_with_app(|_| {
         Reply::Answer(
             "200 OK",
             "Connection: x-app\r\nX-App: 1\r\nKeep-Alive: 1\r\nX-Kept: 1\r\n",
@@ -177,7 +178,7 @@
     let seen = last(&app);
     assert_eq!((seen.header("x-mine"), seen.header("x-kept")), (None, Some("1")));
     assert_eq!(seen.header("host"), Some("Tiles.example.org:81"));
-    // This peer is no trusted one.
+    // This peer is not trusted.
     assert_eq!((seen.header("x-forwarded-for"), seen.header("forwarded")), (Some("127.0.0.1"), None));
     assert_eq!(
         (seen.header("x-forwarded-proto"), seen.header("x-forwarded-host")),
@@ -187,8 +188,8 @@
 }
 
 #[test]
-fn other_protocols_are_not_offered() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn upgrade_and_connect_are_rejected() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let upgrade = "GET /app HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n";
     assert_eq!(sidecar.ask(upgrade).status(), 501);
     assert_eq!(sidecar.ask("CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n").status(), 501);
@@ -196,8 +197,8 @@
 }
 
 #[test]
-fn requests_that_can_be_read_in_two_ways_are_refused_and_what_follows_is_not_read() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn ambiguous_requests_are_rejected_and_close_the_connection() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let hidden = "GET /app/hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     for (name, head, body) in [
         ("CL+TE", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
@@ -240,8 +241,8 @@
 }
 
 #[test]
-fn a_head_that_does_not_end_is_refused_at_its_limit() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn oversized_request_head_is_rejected() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let good = format!("GET /app HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(15_000));
     assert_eq!(sidecar.ask(&good).status(), 200);
     for header in [
@@ -258,8 +259,8 @@
 }
 
 #[test]
-fn requests_behind_each_other_get_their_answers_in_order() {
-    let (_app, sidecar) = one(|request| Reply::ok(request.start.split(' ').nth(1).unwrap_or("")));
+fn pipelined_requests_are_answered_in_order() {
+    let (_app, sidecar) = start_with_app(|request| Reply::ok(request.start.split(' ').nth(1).unwrap_or("")));
     let mut client = sidecar.client();
     let mut all = String::new();
     for number in 0..20 {
@@ -275,15 +276,15 @@
     }
 }
 
-/// Bytes that differ from place to place.
+/// Returns bytes that depend on their position.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length as u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8).collect()
 }
 
 #[test]
-fn large_bodies_are_streamed_both_ways_in_bounded_memory() {
+fn large_bodies_are_streamed_in_both_directions_in_bounded_memory() {
     const LARGE: usize = 48 << 20;
-    // Sends back what it is sent, while it comes.
+    // Echoes the body while receiving it.
     let echo = Scripted::start(|stream, _| {
         let Some(head) = read_head(stream) else { return };
         let length: usize = head.header("content-length").and_then(|l| l.parse().ok()).expect("a length");
@@ -312,22 +313,22 @@
         let head = format!("PUT /app HTTP/1.1\r\nHost: h\r\nContent-Length: {LARGE}\r\n\r\n");
         writing.write_all(head.as_bytes()).and_then(|()| writing.write_all(&body)).expect("it is taken");
     });
-    let mut most = before;
+    let mut peak = before;
     let head = read_head(&mut client.stream).expect("a head");
     assert_eq!(head.status(), 200);
     let (mut read, mut piece) = (0, vec![0; 1 << 20]);
     while read < LARGE {
-        let came = client.stream.read(&mut piece).expect("the body");
-        assert!(came > 0 && sent[read..read + came] == piece[..came], "other bytes from {read}");
-        read += came;
-        most = most.max(sidecar.memory());
+        let received = client.stream.read(&mut piece).expect("the body");
+        assert!(received > 0 && sent[read..read + received] == piece[..received], "other bytes from {read}");
+        read += received;
+        peak = peak.max(sidecar.memory());
     }
     writer.join().expect("the writer");
-    assert!(most < before + 8 * 1024, "memory grew from {before} to {most} KB");
+    assert!(peak < before + 8 * 1024, "memory grew from {before} to {peak} KB");
 }
 
 #[test]
-fn a_client_that_stops_reading_is_given_up_and_holds_up_nobody() {
+fn client_that_stops_reading_is_disconnected_and_delays_no_other() {
     let app = App::start(|request| {
         Reply::Answer(
             "200 OK",
@@ -342,19 +343,19 @@
     slow.write(b"GET /app/large HTTP/1.1\r\nHost: h\r\n\r\n");
     until("the application is asked", || app.seen() == 1);
     assert_eq!(sidecar.get("/app/small").status(), 200);
-    // The application's thread ends when its connection is closed in the middle of the answer.
-    until("the connection behind is closed", || {
+    // The application's thread ends when its connection is closed during the response.
+    until("the connection to the application is closed", || {
         let open = app.open();
         open <= 1
     });
     assert_eq!(sidecar.get("/app/small").status(), 200);
     let mut rest = Vec::new();
-    let whole = slow.stream.read_to_end(&mut rest).is_ok() && rest.len() > 32 << 20;
-    assert!(!whole, "an answer given up looks whole");
+    let complete = slow.stream.read_to_end(&mut rest).is_ok() && rest.len() > 32 << 20;
+    assert!(!complete, "an aborted response looks complete");
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_of_an_answer_ends_it_behind() {
+fn client_disconnect_closes_the_connection_to_the_application() {
     let app = Scripted::start(|stream, _| {
         read_message(stream);
         let piece = [b'x'; 1 << 10];
@@ -375,7 +376,7 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_shows_as_broken_and_is_not_begun_anew() {
+fn truncated_response_is_relayed_as_truncated_and_not_retried() {
     for end in ["close", "reset", "stall"] {
         let app = Scripted::start(move |stream, _| {
             if read_message(stream).is_none() {
@@ -393,15 +394,15 @@
         let sidecar = Sidecar::with(&parts);
         let mut client = sidecar.client();
         client.write(b"GET /app HTTP/1.1\r\nHost: h\r\n\r\n");
-        assert!(client.read().is_none(), "{end}: it looks whole");
+        assert!(client.read().is_none(), "{end}: it looks complete");
         assert_eq!(app.accepted(), 1, "{end}");
     }
 }
 
 #[test]
-fn a_body_cut_in_the_middle_never_reaches_the_application_whole() {
-    let whole = Arc::new(AtomicUsize::new(0));
-    let counted = whole.clone();
+fn truncated_request_body_never_reaches_the_application_as_complete() {
+    let complete = Arc::new(AtomicUsize::new(0));
+    let counted = complete.clone();
     let app = Scripted::start(move |stream, _| {
         while read_message(stream).is_some() {
             counted.fetch_add(1, Ordering::SeqCst);
@@ -416,40 +417,40 @@
         client.write(
             format!("POST /app HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n{body}").as_bytes(),
         );
-        // Some of it is on its way when the client goes.
+        // Part of the body is being sent when the client disconnects.
         std::thread::sleep(std::time::Duration::from_millis(20));
         drop(client);
     }
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 5000\r\n\r\nabc");
     drop(client);
-    // The server is not blamed: it is still sent what is whole.
+    // The failures do not count against the server: it still receives complete requests.
     assert_eq!(sidecar.post("/app", "", "y").status(), 200);
-    assert_eq!(whole.load(Ordering::SeqCst), 1);
+    assert_eq!(complete.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn a_body_that_cannot_be_read_is_answered_400_wherever_it_breaks() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn malformed_body_is_answered_400() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let head = "POST /app HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
-    // Whole requests that are held, and one that is streamed on before it breaks.
+    // Two bodies that are buffered, and one that is already streamed when the error occurs.
     let long = format!("40000\r\n{}\r\n", "x".repeat(0x40000));
     for before in ["", "3\r\nabc\r\n", long.as_str()] {
         for broken in
             ["-5\r\n", "0x5\r\nabcde\r\n", "3\nabc\r\n", "3\r\nabcXX\r\n0\r\n\r\n", "0\r\nT: v\n\r\n"]
         {
             let answer = sidecar.ask(&format!("{head}{before}{broken}"));
-            let told = (answer.status(), answer.header("connection"));
-            assert_eq!(told, (400, Some("close")), "{} {broken:?}", before.len());
+            let result = (answer.status(), answer.header("connection"));
+            assert_eq!(result, (400, Some("close")), "{} {broken:?}", before.len());
         }
     }
-    until("no attempt is left", || app.open.load(Ordering::SeqCst) == 0);
-    assert!(app.requests.lock().expect("no panic").is_empty(), "no request was whole");
+    until("all attempts have ended", || app.open.load(Ordering::SeqCst) == 0);
+    assert!(app.requests.lock().expect("no panic").is_empty(), "a truncated request was seen as complete");
 }
 
 #[test]
-fn a_client_takes_no_header_away_that_an_application_relies_on() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn client_cannot_remove_headers_by_naming_them_in_connection() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let own = "Connection: X-Own, Host, Cookie, X-Forwarded-For\r\nX-Own: 1\r\nCookie: a=b\r\nX_Forwarded_For: 6.6.6.6\r\n";
     assert_eq!(sidecar.ask(&format!("GET /app HTTP/1.1\r\nHost: h\r\n{own}\r\n")).status(), 200);
     let seen = last(&app);
@@ -459,8 +460,8 @@
 }
 
 #[test]
-fn heads_that_are_too_long_and_expectations_have_statuses_of_their_own() {
-    let (app, sidecar) = one(|_| Reply::ok("x"));
+fn oversized_heads_and_unknown_expectations_have_specific_statuses() {
+    let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let long = format!("GET /app HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(200_000));
     assert_eq!(sidecar.ask(&long).status(), 431);
     let expecting = "GET /app HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\n\r\n";
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -1,4 +1,4 @@
-//! What the sidecar repeats, refuses and keeps apart, over loopback sockets.
+//! End-to-end tests of retries, rejections and the isolation of pools.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use support::*;
 
-/// Answers the first request of all with `first` and the others with 200.
+/// Answers the first request with `first` and all others with 200.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&Message) -> Reply + Clone + Send + Sync + 'static {
     let count = Arc::new(AtomicUsize::new(0));
     move |_| if count.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { Reply::ok("second") }
 }
 
-fn two(
+fn start_with_two_servers(
     reply: impl Fn(&Message) -> Reply + Clone + Send + Sync + 'static,
     zones: [&str; 2],
     extra: &str,
@@ -32,23 +32,23 @@
     (apps, sidecar)
 }
 
-fn seen(apps: &[App]) -> usize {
+fn total_seen(apps: &[App]) -> usize {
     apps.iter().map(App::seen).sum()
 }
 
 const KEY: &str = "Idempotency-Key: k\r\n";
 
 #[test]
-fn an_order_whose_connection_breaks_after_the_last_byte_is_never_sent_again() {
-    let (apps, sidecar) = two(|_| Reply::Close, ["north", "south"], "");
+fn order_is_not_retried_after_its_last_byte_was_sent() {
+    let (apps, sidecar) = start_with_two_servers(|_| Reply::Close, ["north", "south"], "");
     let answer = sidecar.post("/o", "", "paid");
-    // No refusal either: that would tell the client to try again.
-    assert_eq!((answer.status(), seen(&apps)), (502, 1));
+    // Not 503 either, which would invite the client to retry.
+    assert_eq!((answer.status(), total_seen(&apps)), (502, 1));
 }
 
 #[test]
-fn an_order_whose_connection_breaks_before_the_last_byte_is_sent_again() {
-    // Small buffers, so that a large body can't be written whole to one who does not read.
+fn order_is_retried_if_the_connection_fails_before_its_last_byte() {
+    // A small receive buffer, so that a large body cannot be written completely to a server that does not read.
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     listener.set_recv_buffer_size(8 << 10).expect("a size");
@@ -56,8 +56,8 @@
     listener.bind(&any.into()).and_then(|()| listener.listen(16)).expect("a port");
     let listener: TcpListener = listener.into();
     let address = listener.local_addr().expect("an address");
-    let whole = Arc::new(AtomicUsize::new(0));
-    let counted = whole.clone();
+    let complete = Arc::new(AtomicUsize::new(0));
+    let counted = complete.clone();
     let app = Scripted::on(listener, move |stream, number| {
         if number == 0 {
             read_head(stream);
@@ -72,82 +72,86 @@
     let parts = [pool("app", extra, &[(address, "north")]), route("app", "order")];
     let sidecar = Sidecar::with(&parts);
     let answer = sidecar.post("/app", "", &"x".repeat(16 << 20));
-    assert_eq!((answer.status(), app.accepted(), whole.load(Ordering::SeqCst)), (200, 2, 1));
+    assert_eq!((answer.status(), app.accepted(), complete.load(Ordering::SeqCst)), (200, 2, 1));
 }
 
 #[test]
-fn an_order_that_no_server_took_is_refused_and_may_come_again() {
+fn order_that_no_server_accepted_is_rejected_as_retryable() {
     let nowhere = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let parts = [pool("app", "", &[(nowhere, "north")]), route("app", "order")];
     let sidecar = Sidecar::with(&parts);
     let answer = sidecar.post("/app", "", "paid");
     assert_eq!(answer.status(), 503);
-    let wait: u64 = answer.header("retry-after").expect("advice").parse().expect("whole seconds");
+    let wait: u64 = answer.header("retry-after").expect("a delay").parse().expect("whole seconds");
     assert!(wait >= 1);
 }
 
 #[test]
-fn a_bare_503_may_have_run_unless_the_pool_says_what_proves_that_it_did_not() {
+fn order_answered_503_is_retried_only_with_the_configured_proof() {
     let busy = || Reply::Answer("503 Busy", "Srv-Declined: 1\r\n", b"theirs".to_vec());
-    let (apps, sidecar) = two(first_then_ok(busy), ["north", "south"], "");
+    let (apps, sidecar) = start_with_two_servers(first_then_ok(busy), ["north", "south"], "");
     let answer = sidecar.post("/o", "", "paid");
-    assert_eq!((answer.status(), answer.body.as_slice(), seen(&apps)), (503, &b"theirs"[..], 1));
-    let (apps, sidecar) = two(first_then_ok(busy), ["north", "south"], "declined Srv-Declined 1;");
-    assert_eq!((sidecar.post("/o", "", "paid").status(), seen(&apps)), (200, 2));
+    assert_eq!((answer.status(), answer.body.as_slice(), total_seen(&apps)), (503, &b"theirs"[..], 1));
+    let (apps, sidecar) =
+        start_with_two_servers(first_then_ok(busy), ["north", "south"], "declined Srv-Declined 1;");
+    assert_eq!((sidecar.post("/o", "", "paid").status(), total_seen(&apps)), (200, 2));
 }
 
 #[test]
-fn a_safe_request_is_sent_again_after_a_reset_or_a_503() {
+fn safe_request_is_retried_after_a_reset_or_503() {
     for first in [|| Reply::Close, || Reply::Answer("503 Busy", "", Vec::new())] {
-        let (apps, sidecar) = two(first_then_ok(first), ["north", "south"], "");
+        let (apps, sidecar) = start_with_two_servers(first_then_ok(first), ["north", "south"], "");
         let answer = sidecar.get("/app");
-        assert_eq!((answer.status(), answer.body.as_slice(), seen(&apps)), (200, &b"second"[..], 2));
+        assert_eq!((answer.status(), answer.body.as_slice(), total_seen(&apps)), (200, &b"second"[..], 2));
     }
 }
 
 #[test]
-fn a_failure_that_repeats_passes_in_the_last_servers_words() {
-    let (apps, sidecar) =
-        two(|_| Reply::Answer("503 Busy", "X: 1\r\n", b"theirs".to_vec()), ["north", "south"], "");
+fn repeated_failure_is_relayed_as_answered_by_the_last_server() {
+    let (apps, sidecar) = start_with_two_servers(
+        |_| Reply::Answer("503 Busy", "X: 1\r\n", b"theirs".to_vec()),
+        ["north", "south"],
+        "",
+    );
     let answer = sidecar.get("/app");
     assert_eq!(
         (answer.status(), answer.body.as_slice(), answer.header("x")),
         (503, &b"theirs"[..], Some("1"))
     );
-    assert!(seen(&apps) >= 2);
+    assert!(total_seen(&apps) >= 2);
 }
 
 #[test]
-fn an_edit_that_may_have_run_is_repeated_in_its_zone_only() {
-    let (apps, sidecar) = two(first_then_ok(|| Reply::Close), ["north", "north"], "");
-    assert_eq!((sidecar.post("/w", KEY, "x").status(), seen(&apps)), (200, 2));
+fn keyed_request_that_may_have_run_is_retried_in_its_zone_only() {
+    let (apps, sidecar) = start_with_two_servers(first_then_ok(|| Reply::Close), ["north", "north"], "");
+    assert_eq!((sidecar.post("/w", KEY, "x").status(), total_seen(&apps)), (200, 2));
     let sent = apps
         .iter()
         .flat_map(|a| a.requests.lock().expect("no panic").clone())
         .all(|m| m.header("idempotency-key") == Some("k"));
-    assert!(sent, "both carry the key");
-    let (apps, sidecar) = two(first_then_ok(|| Reply::Close), ["north", "south"], "");
+    assert!(sent, "both attempts carry the key");
+    let (apps, sidecar) = start_with_two_servers(first_then_ok(|| Reply::Close), ["north", "south"], "");
     let answer = sidecar.post("/w", KEY, "x");
-    // The only other server of its zone is the one that broke; it may be tried again, the other zone never.
+    // The only server of its zone is the one that failed. It may be retried there, but never in the other zone.
     assert!(apps.iter().any(|a| a.seen() == 0), "{}", answer.status());
 }
 
 #[test]
-fn an_edit_without_a_key_is_not_repeated() {
-    let (apps, sidecar) = two(|_| Reply::Close, ["north", "north"], "");
-    assert_eq!((sidecar.post("/w", "", "x").status(), seen(&apps)), (502, 1));
-    // Two keys are none, and a server may look at either.
+fn keyed_class_without_a_key_is_not_retried() {
+    let (apps, sidecar) = start_with_two_servers(|_| Reply::Close, ["north", "north"], "");
+    assert_eq!((sidecar.post("/w", "", "x").status(), total_seen(&apps)), (502, 1));
+    // Conflicting keys are rejected, since a server may use either.
     let both = "Idempotency-Key: a\r\nIdempotency-Key: b\r\n";
-    assert_eq!((sidecar.post("/w", both, "x").status(), seen(&apps)), (400, 1));
+    assert_eq!((sidecar.post("/w", both, "x").status(), total_seen(&apps)), (400, 1));
 }
 
 #[test]
-fn an_edit_is_not_repeated_past_its_window() {
+fn keyed_request_is_not_retried_after_its_window() {
     let slow_break = || {
         std::thread::sleep(Duration::from_millis(700));
         Reply::Close
     };
-    for (window, wanted) in [("300ms meant", 1), ("15s", 2)] {
+    for (window, expected) in [("300ms meant", 1), ("15s", 2)] {
         let reply = first_then_ok(slow_break);
         let apps = [App::start(reply.clone()), App::start(reply)];
         let servers = [(apps[0].address, "north"), (apps[1].address, "north")];
@@ -155,26 +159,28 @@
             .replace("window 15s", &format!("window {window}"));
         let sidecar = Sidecar::start(&text);
         let answer = sidecar.post("/app", KEY, "x");
-        assert_eq!((seen(&apps), answer.status() == 200), (wanted, wanted == 2), "{window}");
+        assert_eq!((total_seen(&apps), answer.status() == 200), (expected, expected == 2), "{window}");
     }
 }
 
 #[test]
-fn a_body_over_the_repeat_limit_is_not_sent_again() {
-    let (apps, sidecar) = two(first_then_ok(|| Reply::Close), ["north", "north"], "repeat-limit 1KiB;");
+fn body_beyond_the_repeat_limit_is_not_resent() {
+    let (apps, sidecar) =
+        start_with_two_servers(first_then_ok(|| Reply::Close), ["north", "north"], "repeat-limit 1KiB;");
     let request = |size: usize| {
         let body = "x".repeat(size);
         format!("PUT /app HTTP/1.1\r\nHost: h\r\nContent-Length: {size}\r\n\r\n{body}")
     };
     let answer = sidecar.ask(&request(4096));
     assert!(answer.status() >= 500, "{}", answer.status());
-    assert_eq!(seen(&apps), 1);
-    let (apps, sidecar) = two(first_then_ok(|| Reply::Close), ["north", "north"], "repeat-limit 1KiB;");
-    assert_eq!((sidecar.ask(&request(1024)).status(), seen(&apps)), (200, 2));
+    assert_eq!(total_seen(&apps), 1);
+    let (apps, sidecar) =
+        start_with_two_servers(first_then_ok(|| Reply::Close), ["north", "north"], "repeat-limit 1KiB;");
+    assert_eq!((sidecar.ask(&request(1024)).status(), total_seen(&apps)), (200, 2));
 }
 
 #[test]
-fn a_large_body_goes_to_another_server_while_nothing_of_it_has_gone() {
+fn large_body_is_sent_to_another_server_if_none_of_it_was_sent() {
     let nowhere = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let app = App::start(|m| Reply::ok(&m.body.len().to_string()));
     let parts = [
@@ -189,7 +195,7 @@
 }
 
 #[test]
-fn bodies_held_at_once_are_bounded_for_each_pool() {
+fn buffered_bodies_are_bounded_per_pool() {
     let app = App::start(|_| Reply::Silence);
     let other = App::start(|_| Reply::ok("x"));
     let parts = [
@@ -208,9 +214,9 @@
     assert!(answer.header("retry-after").is_some());
     assert_eq!(sidecar.post("/other", "", &body).status(), 200);
     drop(first);
-    // Asked with the same body until there is room: the place of the one that left is free again.
+    // Retries until the memory of the disconnected client's body has been released.
     let mut again = sidecar.client();
-    until("the room is free again", || {
+    until("the buffer space is released", || {
         again = sidecar.client();
         again.write(
             format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes(),
@@ -221,7 +227,7 @@
 }
 
 #[test]
-fn quotas_hold_by_customer_and_plan() {
+fn quotas_apply_per_customer_and_plan() {
     let app = App::start(|_| Reply::ok("x"));
     let plans = "plan wide { } plan narrow { quota 1/h; burst 2; }
         identity { customer header X-Customer; plan header X-Plan; default-plan wide; }
@@ -247,7 +253,7 @@
 }
 
 #[test]
-fn a_trusted_peer_shortens_the_deadline_and_nobody_lengthens_it() {
+fn trusted_peer_can_shorten_but_not_extend_the_deadline() {
     let app = App::start(|request| {
         let stalls = request.start.contains("stall");
         if stalls {
@@ -261,7 +267,7 @@
     let text = Sidecar::text("trusted 127.0.0.1;", &parts);
     let sidecar =
         Sidecar::start(&text.replace("aim 8s; deadline 20s; worth 5", "aim 200ms; deadline 600s; worth 5"));
-    // The class alone would wait for ten minutes.
+    // The deadline of the class is ten minutes.
     assert_eq!(sidecar.post("/app/stall", "Req-Deadline: 300ms\r\n", "x").status(), 504);
     assert_eq!(sidecar.post("/app", "Req-Deadline: soon\r\n", "x").status(), 400);
     let sidecar =
@@ -269,9 +275,9 @@
     assert_eq!(sidecar.post("/app/stall", "Req-Deadline: 600s\r\n", "x").status(), 504);
 }
 
-/// What a server can do wrong, and the answer that is due.
-fn faults() -> Vec<(&'static str, Scripted)> {
-    let answering = |answer: &'static [u8], every: Duration| {
+/// Returns servers with different faults.
+fn faulty_servers() -> Vec<(&'static str, Scripted)> {
+    let repeat_slowly = |answer: &'static [u8], interval: Duration| {
         Scripted::start(move |stream, _| {
             if read_message(stream).is_none() {
                 return;
@@ -280,7 +286,7 @@
                 if stream.get_mut().write_all(&[*byte]).is_err() {
                     return;
                 }
-                std::thread::sleep(every);
+                std::thread::sleep(interval);
             }
         })
     };
@@ -300,7 +306,7 @@
             }),
         ),
         ("hangs up", Scripted::start(|_, _| {})),
-        ("trickles its head", answering(b"HTTP/1.1 200 OK\r\nX: ", Duration::from_millis(20))),
+        ("trickles its head", repeat_slowly(b"HTTP/1.1 200 OK\r\nX: ", Duration::from_millis(20))),
         (
             "floods headers",
             Scripted::start(|stream, _| {
@@ -317,7 +323,7 @@
             }),
         ),
         (
-            "talks nonsense",
+            "sends invalid HTTP",
             Scripted::start(|stream, _| {
                 read_message(stream);
                 let _ = stream.get_mut().write_all(b"220 mail.example.org ESMTP\r\n");
@@ -327,8 +333,8 @@
 }
 
 #[test]
-fn a_pool_whose_servers_all_fail_leaves_another_alone() {
-    for (fault, bad) in faults() {
+fn failing_pool_does_not_affect_another() {
+    for (fault, bad) in faulty_servers() {
         let good = App::start(|_| Reply::ok("x"));
         let parts = [
             pool("bad", "requests 8; connections 16;", &[(bad.address, "north")])
@@ -343,7 +349,7 @@
         );
         let sidecar = Arc::new(Sidecar::start(&text));
         let stop = Arc::new(AtomicBool::new(false));
-        let floods: Vec<_> = (0..24)
+        let load: Vec<_> = (0..24)
             .map(|_| {
                 let (sidecar, stop) = (sidecar.clone(), stop.clone());
                 std::thread::spawn(move || {
@@ -358,18 +364,18 @@
             })
             .collect();
         for number in 0..40 {
-            // Far within 20 s; all are served, none refused.
+            // All are served well within 20 s, none is rejected.
             assert_eq!(sidecar.post("/good", "", "paid").status(), 200, "{fault}, order {number}");
         }
         stop.store(true, Ordering::SeqCst);
-        let answers: usize = floods.into_iter().map(|f| f.join().expect("each has one answer")).sum();
+        let answers: usize = load.into_iter().map(|f| f.join().expect("no client panics")).sum();
         assert!(answers >= 24, "{fault}");
         assert_eq!(good.seen(), 40, "{fault}");
     }
 }
 
 #[test]
-fn each_of_three_applications_slowed_in_turn_leaves_the_others_alone() {
+fn slow_application_does_not_affect_the_others() {
     let names = ["tiles", "edits", "orders"];
     let slow: Vec<_> = names.iter().map(|_| Arc::new(AtomicBool::new(false))).collect();
     let apps: Vec<_> = slow
@@ -412,7 +418,7 @@
 }
 
 #[test]
-fn a_flood_of_one_route_leaves_connections_for_the_others() {
+fn flooded_route_leaves_connections_for_the_others() {
     let stuck = App::start(|_| Reply::Silence);
     let good = App::start(|_| Reply::ok("x"));
     let parts = [
@@ -435,7 +441,7 @@
 }
 
 #[test]
-fn a_pool_of_orders_only_finds_out_that_its_server_is_back() {
+fn pool_of_unsafe_requests_notices_that_its_server_has_recovered() {
     let down = Arc::new(AtomicBool::new(true));
     let app = App::start({
         let down = down.clone();
@@ -449,14 +455,14 @@
         assert!(sidecar.post("/app", "", "paid").status() >= 500);
     }
     down.store(false, Ordering::SeqCst);
-    // Past the longest ejection, three aims: from then on orders are kept from it until it has proved itself, and
-    // no other class is there to prove it. The verdict does not rest on the length of this.
+    // Waits longer than the longest ejection, three latency targets. From then on orders avoid the server until it has
+    // answered something else, but the pool has no other class. The result does not depend on the exact time.
     std::thread::sleep(Duration::from_secs(1));
-    until("orders go through again", || sidecar.post("/app", "", "paid").status() == 200);
+    until("orders are served again", || sidecar.post("/app", "", "paid").status() == 200);
 }
 
 #[test]
-fn a_pool_that_was_slow_beyond_its_aim_takes_requests_again() {
+fn pool_slower_than_its_latency_target_accepts_requests_again() {
     let slow = Arc::new(AtomicBool::new(true));
     let app = App::start({
         let slow = slow.clone();
@@ -471,7 +477,8 @@
     let text = Sidecar::text("", &parts)
         .replace("aim 8s; deadline 20s; worth 5", "aim 100ms; deadline 10s; worth 5");
     let sidecar = Sidecar::start(&text);
-    // Twenty answers that take three times the aim: it is known to be slow. One at a time is let through still.
+    // After twenty answers at three times the latency target the server counts as slow, but single requests are still
+    // admitted.
     for _ in 0..20 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 200);
     }
@@ -482,13 +489,13 @@
 }
 
 #[test]
-fn a_stray_second_answer_is_not_the_next_ones() {
+fn unsolicited_second_response_is_not_used_for_the_next_request() {
     let app = Scripted::start(|stream, _| {
         while let Some(request) = read_message(stream) {
             let path = request.start.split(' ').nth(1).unwrap_or("").to_owned();
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}", path.len());
-            let stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
-            let _ = stream.get_mut().write_all((answer + stray).as_bytes());
+            let unsolicited = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
+            let _ = stream.get_mut().write_all((answer + unsolicited).as_bytes());
         }
     });
     let parts = [pool("app", "", &[(app.address, "north")]), route("app", "read")];
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a sign-in service: what goes on, what does not, and what never happens twice.
+//! End-to-end tests of sign-in checks: which requests are forwarded or denied, and that none is forwarded twice.
 
 mod support;
 
@@ -10,41 +10,46 @@
 use std::time::Duration;
 use support::{pool, Sidecar};
 
-/// A sidecar whose `/app` asks first, with both sides as scripted.
-struct Rig {
+/// Sidecar with a sign-in check for `/app`, and scripted sign-in service and application.
+struct TestSetup {
     accounts: App,
     app: App,
-    /// Heads that the service and the application got.
-    asked: Arc<Mutex<Vec<Message>>>,
-    got: Arc<Mutex<Vec<Message>>>,
+    /// Requests received by the sign-in service.
+    checks: Arc<Mutex<Vec<Message>>>,
+    /// Requests received by the application.
+    forwarded: Arc<Mutex<Vec<Message>>>,
     sidecar: Sidecar,
 }
 
-fn rig(class: &str, extra: &str, accounts: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Rig {
-    rig_with(class, extra, accounts, |_| Reply::ok("done"))
+fn start(
+    class: &str,
+    extra: &str,
+    accounts: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+) -> TestSetup {
+    start_with_app(class, extra, accounts, |_| Reply::ok("done"))
 }
 
-fn rig_with(
+fn start_with_app(
     class: &str,
     extra: &str,
     accounts: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     app: impl Fn(&Message) -> Reply + Send + Sync + 'static,
-) -> Rig {
-    let (asked, got) = (Arc::<Mutex<Vec<Message>>>::default(), Arc::<Mutex<Vec<Message>>>::default());
-    let noted = |into: &Arc<Mutex<Vec<Message>>>, message: &Message| {
+) -> TestSetup {
+    let (checks, forwarded) = (Arc::<Mutex<Vec<Message>>>::default(), Arc::<Mutex<Vec<Message>>>::default());
+    let record = |into: &Arc<Mutex<Vec<Message>>>, message: &Message| {
         into.lock().expect("a list").push(message.clone());
     };
     let accounts = {
-        let asked = asked.clone();
+        let checks = checks.clone();
         App::start(move |m| {
-            noted(&asked, m);
+            record(&checks, m);
             accounts(m)
         })
     };
     let app = {
-        let got = got.clone();
+        let forwarded = forwarded.clone();
         App::start(move |m| {
-            noted(&got, m);
+            record(&forwarded, m);
             app(m)
         })
     };
@@ -61,23 +66,24 @@
         ],
     );
     let sidecar = Sidecar::start(&text);
-    Rig { accounts, app, asked, got, sidecar }
+    TestSetup { accounts, app, checks, forwarded, sidecar }
 }
 
-fn post(rig: &Rig, path: &str, headers: &str) -> Message {
-    rig.sidecar
+fn post(setup: &TestSetup, path: &str, headers: &str) -> Message {
+    setup
+        .sidecar
         .client()
         .ask(&format!("POST {path} HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 3\r\n{headers}\r\nx=1"))
 }
 
 #[test]
-fn a_yes_lets_the_request_on_with_the_services_headers_and_the_service_sees_what_was_asked() {
-    let rig =
-        rig("order", "", |_| Reply::Answer("204 No Content", "X-User: ann\r\nX-Other: no\r\n", Vec::new()));
-    let answer = post(&rig, "/app/a?b=c", "Authorization: Bearer t\r\nCookie: k=v\r\nX-Secret: s\r\n");
+fn allowed_request_is_forwarded_with_the_services_headers() {
+    let setup =
+        start("order", "", |_| Reply::Answer("204 No Content", "X-User: ann\r\nX-Other: no\r\n", Vec::new()));
+    let answer = post(&setup, "/app/a?b=c", "Authorization: Bearer t\r\nCookie: k=v\r\nX-Secret: s\r\n");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"done"[..]));
-    let asked = rig.asked.lock().expect("a list");
-    let check = &asked[0];
+    let checks = setup.checks.lock().expect("a list");
+    let check = &checks[0];
     assert!(check.start.starts_with("GET /check "), "{}", check.start);
     for (name, value) in [
         ("x-forwarded-method", Some("POST")),
@@ -92,135 +98,136 @@
         assert_eq!(check.header(name), value, "{name}");
     }
     assert!(check.body.is_empty());
-    let got = rig.got.lock().expect("a list");
-    assert_eq!((got[0].header("x-user"), got[0].header("x-other")), (Some("ann"), None));
-    assert_eq!((got.len(), got[0].body.as_slice()), (1, &b"x=1"[..]));
+    let forwarded = setup.forwarded.lock().expect("a list");
+    assert_eq!((forwarded[0].header("x-user"), forwarded[0].header("x-other")), (Some("ann"), None));
+    assert_eq!((forwarded.len(), forwarded[0].body.as_slice()), (1, &b"x=1"[..]));
 }
 
 #[test]
-fn a_no_is_the_clients_answer_with_its_headers_and_nothing_goes_on() {
+fn denial_is_relayed_with_its_headers_and_nothing_is_forwarded() {
     for (status, header) in [
         ("401 Unauthorized", "WWW-Authenticate: Bearer\r\n"),
         ("403 Forbidden", "Set-Cookie: tried=1\r\n"),
         ("302 Found", "Location: /login\r\n"),
     ] {
-        let rig = rig("order", "on-failure closed;", move |_| Reply::Answer(status, header, b"no".to_vec()));
-        let answer = post(&rig, "/app", "");
+        let setup =
+            start("order", "on-failure closed;", move |_| Reply::Answer(status, header, b"no".to_vec()));
+        let answer = post(&setup, "/app", "");
         let (name, value) = header.trim().split_once(": ").expect("a header");
         assert_eq!(answer.status().to_string(), status[..3]);
         assert_eq!(
             (answer.header(&name.to_ascii_lowercase()), answer.body.as_slice()),
             (Some(value), &b"no"[..])
         );
-        assert_eq!(rig.app.seen(), 0);
+        assert_eq!(setup.app.seen(), 0);
     }
 }
 
 #[test]
-fn a_service_that_fails_closes_by_default_and_opens_only_where_that_is_said() {
+fn failing_service_rejects_requests_unless_configured_to_fail_open() {
     type Script = fn(&Message) -> Reply;
     let failures: [(&str, Script); 6] = [
         ("500", |_| Reply::Answer("500 Internal Server Error", "", Vec::new())),
         ("404", |_| Reply::Answer("404 Not Found", "", Vec::new())),
         ("hangs up", |_| Reply::Close),
-        ("nonsense", |_| Reply::Bytes(b"what?\r\n\r\n")),
-        ("half a yes", |_| Reply::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")),
+        ("invalid HTTP", |_| Reply::Bytes(b"what?\r\n\r\n")),
+        ("incomplete allow response", |_| Reply::Bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")),
         ("silence", |_| Reply::Silence),
     ];
     for (name, script) in failures {
-        let closed = rig("order", "within 300ms;", script);
+        let closed = start("order", "within 300ms;", script);
         let answer = post(&closed, "/app", "");
         assert_eq!(answer.status(), 503, "{name}");
         assert!(answer.header("retry-after").is_some(), "{name}");
         assert_eq!(closed.app.seen(), 0, "{name}");
-        let open = rig("read", "within 300ms; on-failure open;", script);
+        let open = start("read", "within 300ms; on-failure open;", script);
         assert_eq!(post(&open, "/app", "").status(), 200, "{name}");
         assert_eq!(open.app.seen(), 1, "{name}");
     }
 }
 
 #[test]
-fn identity_headers_of_clients_go_on_in_no_spelling_also_where_nothing_is_asked() {
+fn identity_headers_of_clients_are_removed_in_every_spelling() {
     let spellings = [
         "X-User", "x-user", "X-USER", "X_User", "x_user", "X_USER", "x-User", "X-uSER", "x_USER", "X-usER",
         "X_uSeR", "x-UsEr",
     ];
     for path in ["/app", "/free"] {
-        let rig = rig("order", "", |_| Reply::Answer("200 OK", "X-User: ann\r\n", Vec::new()));
+        let setup = start("order", "", |_| Reply::Answer("200 OK", "X-User: ann\r\n", Vec::new()));
         for spelling in spellings {
-            assert_eq!(post(&rig, path, &format!("{spelling}: root\r\n")).status(), 200);
+            assert_eq!(post(&setup, path, &format!("{spelling}: root\r\n")).status(), 200);
         }
-        let got = rig.got.lock().expect("a list");
-        assert_eq!(got.len(), spellings.len());
-        for message in got.iter() {
+        let forwarded = setup.forwarded.lock().expect("a list");
+        assert_eq!(forwarded.len(), spellings.len());
+        for message in forwarded.iter() {
             let named: Vec<_> = message
                 .headers
                 .iter()
                 .filter(|(name, _)| name.to_ascii_lowercase().replace('_', "-") == "x-user")
                 .map(|(_, value)| value.as_str())
                 .collect();
-            let wanted: &[&str] = if path == "/app" { &["ann"] } else { &[] };
-            assert_eq!(named, wanted, "{path}");
+            let expected: &[&str] = if path == "/app" { &["ann"] } else { &[] };
+            assert_eq!(named, expected, "{path}");
         }
     }
 }
 
 #[test]
-fn a_check_that_is_repeated_lets_the_order_on_once() {
+fn retried_check_forwards_the_order_once() {
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
-    let rig = rig("order", "", move |_| match counted.fetch_add(1, Ordering::SeqCst) {
+    let setup = start("order", "", move |_| match counted.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Close,
         _ => Reply::ok("yes"),
     });
-    // The pool may try its only server again, or refuse; never does the order go on twice.
-    let status = post(&rig, "/app", "").status();
+    // The pool may retry its only server or reject the check; either way the order is forwarded at most once.
+    let status = post(&setup, "/app", "").status();
     assert!([200, 503].contains(&status), "{status}");
-    assert_eq!(rig.app.seen(), usize::from(status == 200));
+    assert_eq!(setup.app.seen(), usize::from(status == 200));
 }
 
 #[test]
-fn an_order_that_the_application_breaks_off_is_not_sent_again_by_another_check() {
-    let rig = rig_with("order", "", |_| Reply::ok("yes"), |_| Reply::Close);
-    assert_eq!(post(&rig, "/app", "").status(), 502);
-    assert_eq!((rig.accounts.seen(), rig.app.seen()), (1, 1));
+fn failed_order_is_not_resent_by_another_check() {
+    let setup = start_with_app("order", "", |_| Reply::ok("yes"), |_| Reply::Close);
+    assert_eq!(post(&setup, "/app", "").status(), 502);
+    assert_eq!((setup.accounts.seen(), setup.app.seen()), (1, 1));
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_check_and_nothing_goes_on() {
-    let rig = rig("order", "within 5s;", |_| Reply::Silence);
-    let mut client = rig.sidecar.client();
+fn client_disconnect_cancels_the_check() {
+    let setup = start("order", "within 5s;", |_| Reply::Silence);
+    let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || rig.accounts.seen() == 1);
+    until("the service is asked", || setup.accounts.seen() == 1);
     drop(client);
-    until("the check's connection is closed", || rig.accounts.open() == 0);
-    assert_eq!(rig.app.seen(), 0);
+    until("the check's connection is closed", || setup.accounts.open() == 0);
+    assert_eq!(setup.app.seen(), 0);
 }
 
 #[test]
-fn a_service_slower_than_its_time_leaves_the_application_nothing_and_the_client_one_answer() {
-    let rig = rig("order", "within 200ms;", |_| Reply::Slow(Duration::from_millis(1500)));
-    let mut client = rig.sidecar.client();
+fn check_timeout_forwards_nothing_and_gives_one_answer() {
+    let setup = start("order", "within 200ms;", |_| Reply::Slow(Duration::from_millis(1500)));
+    let mut client = setup.sidecar.client();
     let answer = client.ask("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
     assert_eq!(answer.status(), 503);
-    // The late yes changes nothing: the same connection goes on with the next request.
+    // The late allow response has no effect; the connection stays usable for the next request.
     let next = client.ask("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!((next.status(), rig.app.seen()), (404, 0));
+    assert_eq!((next.status(), setup.app.seen()), (404, 0));
 }
 
 #[test]
-fn a_remembered_yes_is_for_the_same_credentials_on_the_same_route_and_not_for_orders() {
-    let rig = rig("read", "cache-yes 1m;", |m| {
+fn cached_allow_applies_to_the_same_credentials_and_not_to_unsafe_requests() {
+    let setup = start("read", "cache-yes 1m;", |m| {
         let user = m.header("authorization").unwrap_or("nobody").to_owned();
         Reply::Answer("200 OK", Box::leak(format!("X-User: {user}\r\n").into_boxed_str()), Vec::new())
     });
     for (credential, asked) in [("a", 1), ("a", 1), ("b", 2), ("a", 2), ("b", 2)] {
-        assert_eq!(post(&rig, "/app", &format!("Authorization: {credential}\r\n")).status(), 200);
-        assert_eq!(rig.accounts.seen(), asked);
-        let got = rig.got.lock().expect("a list");
-        assert_eq!(got.last().and_then(|m| m.header("x-user")), Some(credential));
+        assert_eq!(post(&setup, "/app", &format!("Authorization: {credential}\r\n")).status(), 200);
+        assert_eq!(setup.accounts.seen(), asked);
+        let forwarded = setup.forwarded.lock().expect("a list");
+        assert_eq!(forwarded.last().and_then(|m| m.header("x-user")), Some(credential));
     }
-    let orders = self::rig("order", "cache-yes 1m;", |_| Reply::ok("yes"));
+    let orders = start("order", "cache-yes 1m;", |_| Reply::ok("yes"));
     for asked in 1..4 {
         assert_eq!(post(&orders, "/app", "Authorization: a\r\n").status(), 200);
         assert_eq!(orders.accounts.seen(), asked);
@@ -228,64 +235,64 @@
 }
 
 #[test]
-fn a_remembered_no_is_given_whole_again_but_never_with_a_cookie_or_against_the_services_word() {
+fn cached_denial_is_repeated_unless_it_sets_a_cookie_or_forbids_caching() {
     for (headers, asked) in
         [("X-Why: late\r\n", 1), ("Set-Cookie: a=b\r\n", 3), ("Cache-Control: no-store\r\n", 3)]
     {
-        let rig =
-            rig("read", "cache-no 1m;", move |_| Reply::Answer("403 Forbidden", headers, b"no".to_vec()));
+        let setup =
+            start("read", "cache-no 1m;", move |_| Reply::Answer("403 Forbidden", headers, b"no".to_vec()));
         for _ in 0..3 {
-            let answer = post(&rig, "/app", "Authorization: a\r\n");
+            let answer = post(&setup, "/app", "Authorization: a\r\n");
             let name = headers.split(':').next().expect("a name").to_ascii_lowercase();
             assert_eq!((answer.status(), answer.body.as_slice()), (403, &b"no"[..]));
             assert!(answer.header(&name).is_some(), "{headers}");
         }
-        assert_eq!((rig.accounts.seen(), rig.app.seen()), (asked, 0), "{headers}");
+        assert_eq!((setup.accounts.seen(), setup.app.seen()), (asked, 0), "{headers}");
     }
 }
 
 #[test]
-fn equal_questions_at_one_time_are_asked_once_and_one_that_dies_wakes_the_others() {
+fn identical_concurrent_checks_are_sent_once_and_retried_if_the_client_disconnects() {
     let open = Arc::new(AtomicUsize::new(0));
-    let gate = open.clone();
-    let rig = rig("read", "cache-yes 1m; within 5s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+    let may_answer = open.clone();
+    let setup = start("read", "cache-yes 1m; within 5s;", move |_| {
+        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = "POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1";
-    let mut first = rig.sidecar.client();
+    let mut first = setup.sidecar.client();
     first.write(request.as_bytes());
-    until("the first has asked", || rig.accounts.seen() == 1);
-    let mut others: Vec<_> = (0..5).map(|_| rig.sidecar.client()).collect();
+    until("the first check is sent", || setup.accounts.seen() == 1);
+    let mut others: Vec<_> = (0..5).map(|_| setup.sidecar.client()).collect();
     for other in &mut others {
         other.write(request.as_bytes());
     }
-    // Whoever asked leaves: one of the others asks in its place.
+    // When the client whose check was sent disconnects, one of the others sends it instead.
     drop(first);
-    until("another has asked", || rig.accounts.seen() == 2);
+    until("another check is sent", || setup.accounts.seen() == 2);
     open.store(1, Ordering::SeqCst);
     for other in &mut others {
         assert_eq!(other.read().expect("an answer").status(), 200);
     }
-    assert_eq!(rig.accounts.seen(), 2);
+    assert_eq!(setup.accounts.seen(), 2);
 }
 
 #[test]
-fn a_failure_that_let_a_request_on_is_not_remembered() {
+fn fail_open_result_is_not_cached() {
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
-    let rig = rig("read", "cache-yes 1m; on-failure open;", move |_| {
+    let setup = start("read", "cache-yes 1m; on-failure open;", move |_| {
         match counted.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::Answer("500 Internal Server Error", "", Vec::new()),
             _ => Reply::Answer("403 Forbidden", "", Vec::new()),
         }
     });
-    assert_eq!(post(&rig, "/app", "").status(), 200);
-    assert_eq!(post(&rig, "/app", "").status(), 403);
+    assert_eq!(post(&setup, "/app", "").status(), 200);
+    assert_eq!(post(&setup, "/app", "").status(), 403);
 }
 
 #[test]
-fn a_flood_of_bad_passes_from_one_address_is_turned_away_before_the_service_and_good_ones_elsewhere_go_on() {
+fn failed_checks_are_limited_per_address_and_per_credential() {
     let trusted = "trusted 127.0.0.1;";
     let accounts = App::start(|m| match m.header("authorization") {
         Some("good") => Reply::ok("yes"),
@@ -305,128 +312,130 @@
     let ask = |address: &str, pass: &str| {
         sidecar.post("/app", &format!("X-Forwarded-For: {address}\r\nAuthorization: {pass}\r\n"), "x")
     };
-    // Ten fail, each with another pass; then the service is not asked any more.
+    // After ten failures with different credentials the service is no longer queried.
     let statuses: Vec<u16> = (0..30).map(|n| ask("192.0.2.1", &format!("bad-{n}")).status()).collect();
     assert_eq!(statuses[..10], [401; 10]);
     assert_eq!(statuses[10..], [429; 20]);
     assert_eq!(accounts.seen(), 10);
     assert!(ask("192.0.2.1", "bad").header("retry-after").is_some());
-    // A good pass costs its address nothing, however often it comes.
+    // Successful checks do not count against the limit.
     for _ in 0..50 {
         assert_eq!(ask("192.0.2.2", "good").status(), 200);
     }
-    // One bad pass from many addresses has its own limit.
+    // A credential that fails from many addresses has its own limit.
     let statuses: Vec<u16> = (0..30).map(|n| ask(&format!("198.51.100.{n}"), "one").status()).collect();
     assert_eq!((statuses[..10].to_vec(), statuses[10..].to_vec()), (vec![401; 10], vec![429; 20]));
     assert_eq!(app.seen(), 50);
 }
 
 #[test]
-fn failures_of_the_service_and_redirections_are_nobodys_bad_passes() {
-    for (status, told) in [("500 Internal Server Error", 503), ("302 Found", 302)] {
-        let rig = rig("order", "address-limit 0.01/s meant;", move |_| Reply::Answer(status, "", Vec::new()));
+fn service_failures_and_redirections_do_not_count_as_failed_checks() {
+    for (status, expected) in [("500 Internal Server Error", 503), ("302 Found", 302)] {
+        let setup =
+            start("order", "address-limit 0.01/s meant;", move |_| Reply::Answer(status, "", Vec::new()));
         for _ in 0..30 {
-            assert_eq!(post(&rig, "/app", "").status(), told);
+            assert_eq!(post(&setup, "/app", "").status(), expected);
         }
-        assert_eq!(rig.app.seen(), 0);
+        assert_eq!(setup.app.seen(), 0);
     }
 }
 
 #[test]
-fn a_body_goes_into_its_check_and_one_that_is_too_long_goes_nowhere() {
-    let rig = rig("order", "body 1KiB;", |m| match m.body.as_slice() {
+fn body_is_sent_with_its_check_and_rejected_if_too_long() {
+    let setup = start("order", "body 1KiB;", |m| match m.body.as_slice() {
         b"x=1" => Reply::ok("yes"),
         _ => Reply::Answer("403 Forbidden", "", Vec::new()),
     });
-    assert_eq!(post(&rig, "/app", "Content-Type: text/x\r\n").status(), 200);
-    assert_eq!(rig.sidecar.post("/app", "", "x=2").status(), 403);
-    assert_eq!(rig.sidecar.post("/app", "", &"x".repeat(1025)).status(), 413);
-    assert_eq!(rig.sidecar.post("/app", "", &"x".repeat(100_000)).status(), 413);
-    let asked = rig.asked.lock().expect("a list");
-    assert_eq!(asked.len(), 2);
-    assert!(asked[0].start.starts_with("POST /check "), "{}", asked[0].start);
-    assert_eq!((asked[0].header("content-type"), asked[0].body.as_slice()), (Some("text/x"), &b"x=1"[..]));
-    let got = rig.got.lock().expect("a list");
-    assert_eq!((got.len(), got[0].body.as_slice()), (1, &b"x=1"[..]));
+    assert_eq!(post(&setup, "/app", "Content-Type: text/x\r\n").status(), 200);
+    assert_eq!(setup.sidecar.post("/app", "", "x=2").status(), 403);
+    assert_eq!(setup.sidecar.post("/app", "", &"x".repeat(1025)).status(), 413);
+    assert_eq!(setup.sidecar.post("/app", "", &"x".repeat(100_000)).status(), 413);
+    let checks = setup.checks.lock().expect("a list");
+    assert_eq!(checks.len(), 2);
+    assert!(checks[0].start.starts_with("POST /check "), "{}", checks[0].start);
+    assert_eq!((checks[0].header("content-type"), checks[0].body.as_slice()), (Some("text/x"), &b"x=1"[..]));
+    let forwarded = setup.forwarded.lock().expect("a list");
+    assert_eq!((forwarded.len(), forwarded[0].body.as_slice()), (1, &b"x=1"[..]));
 }
 
 #[test]
-fn a_yes_that_ends_between_check_and_send_still_sends_once_and_is_asked_for_anew() {
-    // The application holds the first order until the remembered yes has long ended.
-    let rig = rig_with(
+fn allow_that_expires_before_the_answer_is_checked_again_next_time() {
+    // The application delays the first answer until the cached allow has expired.
+    let setup = start_with_app(
         "read",
         "cache-yes 100ms;",
         |_| Reply::ok("yes"),
         |_| Reply::Slow(Duration::from_millis(300)),
     );
     for asked in 1..3 {
-        assert_eq!(post(&rig, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!((rig.accounts.seen(), rig.app.seen()), (asked, asked));
+        assert_eq!(post(&setup, "/app", "Authorization: a\r\n").status(), 200);
+        assert_eq!((setup.accounts.seen(), setup.app.seen()), (asked, asked));
     }
 }
 
 #[test]
-fn a_reload_between_check_and_send_ends_the_request_under_the_sign_in_it_began_with() {
+fn pending_check_finishes_under_its_initial_configuration_after_a_reload() {
     let open = Arc::new(AtomicUsize::new(0));
-    let gate = open.clone();
-    let rig = rig("order", "within 8s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+    let may_answer = open.clone();
+    let setup = start("order", "within 8s;", move |_| {
+        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::Answer("403 Forbidden", "", Vec::new())
     });
-    let mut client = rig.sidecar.client();
+    let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || rig.accounts.seen() == 1);
-    // The new configuration asks nobody.
-    let anew =
-        std::fs::read_to_string(&rig.sidecar.config).expect("the file").replace("sign-in members; ", "");
-    let anew = anew.lines().filter(|l| !l.starts_with("sign-in")).collect::<Vec<_>>().join("\n");
-    assert!(rig.sidecar.reload(&anew));
+    until("the service is asked", || setup.accounts.seen() == 1);
+    // The new configuration has no sign-in.
+    let without_sign_in =
+        std::fs::read_to_string(&setup.sidecar.config).expect("the file").replace("sign-in members; ", "");
+    let without_sign_in =
+        without_sign_in.lines().filter(|l| !l.starts_with("sign-in")).collect::<Vec<_>>().join("\n");
+    assert!(setup.sidecar.reload(&without_sign_in));
     open.store(1, Ordering::SeqCst);
     assert_eq!(client.read().expect("an answer").status(), 403);
-    assert_eq!(rig.app.seen(), 0);
-    assert_eq!(post(&rig, "/app", "").status(), 200);
+    assert_eq!(setup.app.seen(), 0);
+    assert_eq!(post(&setup, "/app", "").status(), 200);
 }
 
 #[test]
-fn the_clients_second_order_while_the_first_ones_check_is_out_is_another_order() {
+fn second_order_during_a_pending_check_is_independent() {
     let open = Arc::new(AtomicUsize::new(0));
-    let gate = open.clone();
-    let rig = rig("order", "within 8s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+    let may_answer = open.clone();
+    let setup = start("order", "within 8s;", move |_| {
+        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = b"POST /app HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nContent-Length: 3\r\n\r\nx=1";
-    let mut clients = [rig.sidecar.client(), rig.sidecar.client()];
+    let mut clients = [setup.sidecar.client(), setup.sidecar.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request);
-        until("the service is asked", || rig.accounts.seen() == number + 1);
+        until("the service is asked", || setup.accounts.seen() == number + 1);
     }
-    // The first one leaves: its order must not go on, and the other's must once.
+    // The first client disconnects: its order must not be forwarded, and the other one exactly once.
     let [first, mut second] = clients;
     drop(first);
     open.store(1, Ordering::SeqCst);
     assert_eq!(second.read().expect("an answer").status(), 200);
-    assert_eq!(rig.app.seen(), 1);
+    assert_eq!(setup.app.seen(), 1);
 }
 
 #[test]
-fn a_service_that_answers_twice_or_floods_headers_lets_nothing_on_by_it() {
+fn double_response_or_header_flood_forwards_nothing() {
     let twice =
         "HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    let rig = rig("order", "", move |_| Reply::Raw(twice.as_bytes().to_vec()));
+    let setup = start("order", "", move |_| Reply::Raw(twice.as_bytes().to_vec()));
     for _ in 0..3 {
-        let status = post(&rig, "/app", "").status();
+        let status = post(&setup, "/app", "").status();
         assert!([403, 503].contains(&status), "{status}");
     }
-    assert_eq!(rig.app.seen(), 0);
+    assert_eq!(setup.app.seen(), 0);
     let flood = format!("HTTP/1.1 200 OK\r\n{}\r\n", "X-Flood: 1\r\n".repeat(50_000));
-    let rig = self::rig("order", "", move |_| Reply::Raw(flood.as_bytes().to_vec()));
-    assert_eq!(post(&rig, "/app", "").status(), 503);
-    assert_eq!(rig.app.seen(), 0);
+    let setup = start("order", "", move |_| Reply::Raw(flood.as_bytes().to_vec()));
+    assert_eq!(post(&setup, "/app", "").status(), 503);
+    assert_eq!(setup.app.seen(), 0);
 }
 
-/// A sidecar whose `/app` asks a service that is at this address, and its application.
-fn asks(service: SocketAddr, extra: &str) -> (App, Sidecar, String) {
+/// Starts a sidecar with a sign-in service at this address for `/app`, and its application.
+fn start_with_service(service: SocketAddr, extra: &str) -> (App, Sidecar, String) {
     let app = App::start(|_| Reply::ok("done"));
     let text = Sidecar::text(
         "",
@@ -444,7 +453,7 @@
 }
 
 #[test]
-fn a_service_that_resets_before_in_or_after_its_head_lets_nothing_on() {
+fn service_that_resets_the_connection_forwards_nothing() {
     for part in [
         "",
         "HTTP/1.1 200 O",
@@ -456,30 +465,30 @@
             let _ = stream.get_mut().write_all(part.as_bytes());
             reset(stream.get_ref());
         });
-        let (app, sidecar, _) = asks(service.address, "within 2s;");
+        let (app, sidecar, _) = start_with_service(service.address, "within 2s;");
         assert_eq!(sidecar.post("/app", "", "x").status(), 503, "{part:?}");
         assert_eq!(app.seen(), 0, "{part:?}");
     }
 }
 
 #[test]
-fn a_yes_that_closes_its_connection_behind_it_is_a_yes() {
+fn allow_that_ends_with_its_connection_is_valid() {
     let service = Scripted::start(|stream, _| {
         let _ = read_message(stream);
         let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nyes");
     });
-    let (app, sidecar, _) = asks(service.address, "");
+    let (app, sidecar, _) = start_with_service(service.address, "");
     for orders in 1..4 {
         assert_eq!((sidecar.post("/app", "", "x").status(), app.seen()), (200, orders));
     }
 }
 
 #[test]
-fn a_service_that_comes_back_after_a_break_is_asked_again() {
+fn recovered_service_is_queried_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let (app, sidecar, _) = asks(address, "");
+    let (app, sidecar, _) = start_with_service(address, "");
     for _ in 0..5 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 503);
     }
@@ -489,17 +498,17 @@
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    until("orders go on again", || sidecar.post("/app", "", "x").status() == 200);
+    until("orders are forwarded again", || sidecar.post("/app", "", "x").status() == 200);
     assert_eq!(app.seen(), 1);
 }
 
 #[test]
-fn a_service_that_drains_is_asked_nothing_new_and_its_successor_is() {
+fn draining_service_gets_no_new_checks() {
     let old = App::start(|_| Reply::ok("yes"));
-    let (app, sidecar, text) = asks(old.address, "");
+    let (app, sidecar, text) = start_with_service(old.address, "");
     assert_eq!(sidecar.post("/app", "", "x").status(), 200);
     let new = App::start(|_| Reply::ok("yes"));
-    // The new one has just started, so it is cold, and is spared at first.
+    // The new server has just started, so it is in slow start.
     let line = format!("    server s0 {} {{ zone north; }}", old.address);
     let both = format!(
         "    server s0 {} {{ zone north; state draining; }}\n    server s1 {} {{ zone north; }}",
@@ -513,7 +522,7 @@
 }
 
 #[test]
-fn a_cold_service_turns_a_rush_of_checks_away_and_takes_more_when_it_is_warm() {
+fn cold_service_rejects_a_burst_of_checks_until_it_is_warm() {
     let service = App::start(|_| Reply::Slow(Duration::from_millis(100)));
     let app = App::start(|_| Reply::ok("done"));
     let cold = "cold { from 0.1; warm 2s; fall 2; for 500ms; }";
@@ -544,10 +553,10 @@
 }
 
 #[test]
-fn an_application_that_fails_while_a_check_is_repeated_is_sent_the_order_once() {
+fn order_is_sent_once_if_its_check_is_retried_and_the_application_fails() {
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
-    let rig = rig_with(
+    let setup = start_with_app(
         "order",
         "",
         move |_| match counted.fetch_add(1, Ordering::SeqCst) {
@@ -556,7 +565,7 @@
         },
         |_| Reply::Close,
     );
-    let status = post(&rig, "/app", "").status();
+    let status = post(&setup, "/app", "").status();
     assert!([502, 503].contains(&status), "{status}");
-    assert_eq!(rig.app.seen(), usize::from(status == 502));
+    assert_eq!(setup.app.seen(), usize::from(status == 502));
 }
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own.
+//! Nodes and sidecars run as child processes, shared by the tests.
 
 #![allow(dead_code, unused_imports, reason = "each test file uses a part of this")]
 
@@ -8,14 +8,14 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A node that runs.
+/// Running node process.
 pub struct Node {
     pub address: SocketAddr,
     config: std::path::PathBuf,
     child: Child,
 }
 
-/// A file of this test's own, named by a number.
+/// Writes a temporary file with a unique name.
 pub fn scratch(text: &str) -> std::path::PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// Starts a node that knows these app servers and hears no more of them.
+    /// Starts a node with these app servers, whose discovery sends no updates.
     pub fn with(targets: &[String]) -> Self {
         let list = listing(1, true, targets);
         let discovery = Discovery::start(list.clone());
@@ -43,7 +43,7 @@
         Self::started(Command::new(env!("CARGO_BIN_EXE_ivygate")), config)
     }
 
-    /// Starts one by a command that has an environment of its own.
+    /// Starts a node with a prepared command, for example with additional environment variables.
     pub fn started(mut command: Command, config: &str) -> Self {
         let path = scratch(config);
         command.env("RELAY_CONFIG", &path).stderr(Stdio::piped());
@@ -67,7 +67,7 @@
         connect(self.address)
     }
 
-    /// Asks on a connection of its own and waits for the answer.
+    /// Sends a request on a new connection and waits for the response.
     pub fn ask(&self, request: &str) -> Message {
         self.client().ask(request)
     }
@@ -77,13 +77,13 @@
         signal(&self.child, "-TERM");
     }
 
-    /// Replaces the file of its configuration and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("the file is written");
         signal(&self.child, "-HUP");
     }
 
-    /// Waits for the end and gives the exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         exit_code(&mut self.child)
     }
@@ -92,12 +92,12 @@
         self.child.try_wait().expect("it can be waited for").is_none()
     }
 
-    /// Memory that it holds, in KB.
+    /// Returns the resident memory, in KB.
     pub fn memory(&self) -> u64 {
         memory(&self.child)
     }
 
-    /// File descriptors that it holds.
+    /// Returns the number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// A sidecar as a process of its own.
+/// Running sidecar process.
 pub struct Sidecar {
     pub address: SocketAddr,
     pub config: std::path::PathBuf,
@@ -119,14 +119,14 @@
     child: Child,
 }
 
-/// Classes, plans and customers under which the tests of the sidecar run.
+/// Request classes used by the sidecar tests.
 pub const CLASSES: &str = "
 class read  { effect safe; aim 8s; deadline 20s; }
 class edit  { effect keyed; scope zone meant; window 15s; aim 8s; deadline 20s; worth 3; }
 class order { effect unsafe; aim 8s; deadline 20s; worth 5; }
 ";
 
-/// A pool named as its route's path, of servers that lie in these zones.
+/// Returns the configuration of a pool with these servers and their zones.
 pub fn pool(name: &str, extra: &str, servers: &[(SocketAddr, &str)]) -> String {
     let servers: String = servers
         .iter()
@@ -136,7 +136,7 @@
     format!("pool {name} {{\n    zone north; requests 64; connections 64; {extra}\n{servers}}}\n")
 }
 
-/// A route to a pool of the same name.
+/// Returns a route for the path prefix and pool of the same name.
 pub fn route(pool: &str, class: &str) -> String {
     let methods = if class == "read" { "GET HEAD OPTIONS PUT" } else { "POST PUT" };
     format!(
@@ -145,7 +145,7 @@
 }
 
 impl Sidecar {
-    /// Starts one with a listener, the tests' classes and what else is given.
+    /// Starts a sidecar with a listener, the default classes and these configuration parts.
     pub fn with(parts: &[String]) -> Self {
         Self::start(&Self::text("", parts))
     }
@@ -154,7 +154,7 @@
         format!("listen 127.0.0.1:0 {{ connections 400; {listener} }}\n{CLASSES}{}", parts.concat())
     }
 
-    /// Starts one from a shell that has set limits for it.
+    /// Starts a sidecar from a shell that sets resource limits first.
     pub fn limited(limits: &str, parts: &[String]) -> Self {
         let path = scratch(&Self::text("", parts));
         let mut shell = Command::new("sh");
@@ -175,16 +175,16 @@
         let mut lines = BufReader::new(child.stderr.take().expect("it has standard error")).lines();
         let mut before = String::new();
         let address = loop {
-            let line = lines.next().unwrap_or_else(|| panic!("it ended: {before}")).expect("text");
+            let line = lines.next().unwrap_or_else(|| panic!("it exited: {before}")).expect("text");
             if let Some(address) = line.strip_prefix("ivygate: listening on ") {
                 break address.parse().expect("an address");
             }
             before += &(line + "\n");
         };
         let said = std::sync::Arc::<std::sync::Mutex<Vec<String>>>::default();
-        let hears = said.clone();
+        let log = said.clone();
         std::thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|l| hears.lock().expect("no panic").push(l));
+            lines.map_while(Result::ok).for_each(|l| log.lock().expect("no panic").push(l));
         });
         Self { address, config: path, said, child }
     }
@@ -193,7 +193,7 @@
         connect(self.address)
     }
 
-    /// Asks on a connection of its own and waits for the answer.
+    /// Sends a request on a new connection and waits for the response.
     pub fn ask(&self, request: &str) -> Message {
         self.client().ask(request)
     }
@@ -209,39 +209,39 @@
         ))
     }
 
-    /// What it has said on standard error since it listens.
+    /// Returns the standard error output since startup.
     pub fn said(&self) -> String {
         self.said.lock().expect("no panic").join("\n")
     }
 
-    /// Replaces its configuration, sends SIGHUP and waits until it has said that it was taken or not.
+    /// Replaces the configuration, sends SIGHUP, and returns whether the log reports success.
     pub fn reload(&self, config: &str) -> bool {
         std::fs::write(&self.config, config).expect("the file is written");
-        let heard = self.said.lock().expect("no panic").len();
+        let lines_before = self.said.lock().expect("no panic").len();
         signal(&self.child, "-HUP");
-        let mut taken = None;
+        let mut applied = None;
         until("the sidecar has read its configuration", || {
             let said = self.said.lock().expect("no panic");
-            taken = said[heard..].iter().find_map(|line| match line {
+            applied = said[lines_before..].iter().find_map(|line| match line {
                 line if line.ends_with(" read anew") => Some(true),
                 line if line.contains("stays as it was") => Some(false),
                 _ => None,
             });
-            taken.is_some()
+            applied.is_some()
         });
-        taken == Some(true)
+        applied == Some(true)
     }
 
     pub fn terminate(&self) {
         signal(&self.child, "-TERM");
     }
 
-    /// Waits for the end and gives the exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         exit_code(&mut self.child)
     }
 
-    /// Memory that it holds, in KB.
+    /// Returns the resident memory, in KB.
     pub fn memory(&self) -> u64 {
         memory(&self.child)
     }
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The configuration tool as people use it: commands, messages, exit codes, and files that then serve.
+//! End-to-end tests of the configuration commands: output, exit codes, and generated files.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use support::{scratch, Sidecar};
 
-/// A folder that goes with the test.
+/// Temporary folder, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -47,31 +47,31 @@
     }
 }
 
-fn code(output: &Output) -> i32 {
+fn exit_code(output: &Output) -> i32 {
     output.status.code().expect("it ends by itself")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn err(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 const GOOD: &str = include_str!("../../../deploy/sidecar.conf");
 
 #[test]
-fn check_takes_what_serve_takes_and_refuses_what_it_refuses() {
+fn check_and_serve_accept_the_same_files() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../tool/tests/files");
     let key = scratch("a key that is long enough");
     let key = key.to_str().expect("a path");
-    let mut refused = 0;
+    let mut rejected = 0;
     for kind in ["mistakes", "good"] {
         for entry in fs::read_dir(format!("{folder}/{kind}")).expect("the seeded files") {
             let path = entry.expect("one of them").path();
             let mut text = fs::read_to_string(&path).expect("text").replace("127.0.0.1:8080", "127.0.0.1:0");
-            // The address of a group is to be had, and its keys are there.
+            // The group's address and keys are replaced by usable ones.
             text = text.replace("listen 127.0.0.1:7900", "listen 127.0.0.1:0");
             for name in ["group.key", "new.key", "old.key"] {
                 text = text.replace(name, key);
@@ -82,28 +82,28 @@
                 ivygate.arg(command).arg(&file).stdout(Stdio::null()).stderr(Stdio::piped());
                 ivygate
             };
-            let taken = run("check").status().expect("it runs").success();
-            let serves = if taken {
+            let accepted = run("check").status().expect("it runs").success();
+            let serves = if accepted {
                 drop(Sidecar::start(&text));
                 true
             } else {
                 run("serve").status().expect("it runs").code() != Some(2)
             };
-            assert_eq!(taken, serves, "{}", path.display());
-            refused += usize::from(!taken);
+            assert_eq!(accepted, serves, "{}", path.display());
+            rejected += usize::from(!accepted);
         }
     }
-    assert!(refused > 50);
+    assert!(rejected > 50);
 }
 
 #[test]
-fn exit_codes_are_0_for_good_1_for_differences_and_2_for_what_cannot_be_used() {
+fn exit_codes_are_0_for_success_1_for_differences_and_2_for_errors() {
     let folder = Folder::new();
     folder.write("good.conf", GOOD);
     folder.write("same.conf", &format!("# c\n{}", GOOD.replace("quota 50/s;", "quota   50/s;")));
     folder.write("other.conf", &GOOD.replace("quota 50/s", "quota 60/s"));
     folder.write("bad.conf", "limits {");
-    for (arguments, wanted) in [
+    for (arguments, expected) in [
         (&["check", "good.conf"][..], 0),
         (&["check", "bad.conf"], 2),
         (&["check", "gone.conf"], 2),
@@ -124,21 +124,21 @@
         (&["routes", "bad.conf"], 2),
     ] {
         let output = folder.run(arguments);
-        assert_eq!(code(&output), wanted, "{arguments:?}: {}{}", out(&output), err(&output));
+        assert_eq!(exit_code(&output), expected, "{arguments:?}: {}{}", stdout(&output), stderr(&output));
     }
 }
 
 #[test]
-fn json_is_one_document_with_places_for_editors() {
+fn check_json_is_one_document_with_locations() {
     let folder = Folder::new();
     folder.write("bad.conf", &GOOD.replace("window 15s", "window 15ms"));
     let output = folder.run(&["check", "--format", "json", "bad.conf"]);
-    assert_eq!(code(&output), 2);
+    assert_eq!(exit_code(&output), 2);
     let document: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     let finding = &document["findings"][0];
     assert_eq!((&document["errors"], &finding["code"]), (&1.into(), &"IV0080".into()));
     assert_eq!((&finding["at"]["line"], &finding["at"]["file"]), (&12.into(), &"bad.conf".into()));
-    assert!(err(&output).is_empty(), "{}", err(&output));
+    assert!(stderr(&output).is_empty(), "{}", stderr(&output));
     folder.write("good.conf", GOOD);
     let document: serde_json::Value =
         serde_json::from_slice(&folder.run(&["check", "--format", "json", "good.conf"]).stdout)
@@ -147,31 +147,31 @@
 }
 
 #[test]
-fn fmt_changes_files_in_place_keeps_their_mode_and_links_and_can_only_show() {
+fn fmt_edits_in_place_and_keeps_mode_and_links() {
     use std::os::unix::fs::{symlink, PermissionsExt};
     let folder = Folder::new();
-    let odd = GOOD.replace("quota 50/s;", "quota   50/s;");
-    folder.write("a.conf", &odd);
+    let unformatted = GOOD.replace("quota 50/s;", "quota   50/s;");
+    folder.write("a.conf", &unformatted);
     fs::set_permissions(folder.0.join("a.conf"), fs::Permissions::from_mode(0o640)).expect("a mode");
     symlink("a.conf", folder.0.join("link.conf")).expect("a link");
     let shown = folder.run(&["fmt", "--diff", "a.conf"]);
     assert!(
-        out(&shown).contains("-plan standard { quota   50/s;")
-            && out(&shown).contains("+plan standard { quota 50/s;")
+        stdout(&shown).contains("-plan standard { quota   50/s;")
+            && stdout(&shown).contains("+plan standard { quota 50/s;")
     );
-    assert_eq!(folder.read("a.conf"), odd);
-    assert_eq!(code(&folder.run(&["fmt", "link.conf"])), 0);
+    assert_eq!(folder.read("a.conf"), unformatted);
+    assert_eq!(exit_code(&folder.run(&["fmt", "link.conf"])), 0);
     assert_eq!(folder.read("a.conf"), GOOD);
     let mode = fs::metadata(folder.0.join("a.conf")).expect("it is there").permissions().mode();
     assert_eq!(mode & 0o777, 0o640);
     assert!(fs::symlink_metadata(folder.0.join("link.conf")).expect("it is there").is_symlink());
-    assert_eq!(fs::read_dir(&folder.0).expect("the folder").count(), 2, "nothing is left beside them");
+    assert_eq!(fs::read_dir(&folder.0).expect("the folder").count(), 2, "no temporary files are left");
 }
 
 #[test]
-fn new_writes_what_passes_and_never_over_a_file_that_is_there() {
+fn new_writes_valid_files_and_overwrites_none() {
     let folder = Folder::new();
-    let tell = [
+    let arguments = [
         "new",
         "--app",
         "shop",
@@ -182,31 +182,31 @@
         "--route",
         "POST /orders",
     ];
-    let output = folder.run(&tell);
-    assert_eq!(code(&output), 0, "{}", err(&output));
-    assert_eq!(code(&folder.run(&["check", "shop.conf"])), 0);
-    assert_eq!(code(&folder.run(&["fmt", "--check", "shop.conf"])), 0);
+    let output = folder.run(&arguments);
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
+    assert_eq!(exit_code(&folder.run(&["check", "shop.conf"])), 0);
+    assert_eq!(exit_code(&folder.run(&["fmt", "--check", "shop.conf"])), 0);
     let before = folder.read("shop.conf");
-    let again = folder.run(&tell);
-    assert_eq!(code(&again), 2);
-    assert!(err(&again).contains("--force"), "{}", err(&again));
+    let again = folder.run(&arguments);
+    assert_eq!(exit_code(&again), 2);
+    assert!(stderr(&again).contains("--force"), "{}", stderr(&again));
     assert_eq!(folder.read("shop.conf"), before);
-    for wrong in
+    for invalid in
         [&["--plan", "a=often"][..], &["--plan", "often"], &["--route", "/a//b safe"], &["--openapi", "gone"]]
     {
-        let output = folder.run(&[&tell[..], &["--force"], wrong].concat());
-        assert_eq!(code(&output), 2, "{wrong:?}");
-        assert!(!err(&output).is_empty());
+        let output = folder.run(&[&arguments[..], &["--force"], invalid].concat());
+        assert_eq!(exit_code(&output), 2, "{invalid:?}");
+        assert!(!stderr(&output).is_empty());
         assert_eq!(folder.read("shop.conf"), before);
     }
 }
 
 #[test]
-fn several_applications_side_by_side_get_ports_that_do_not_clash() {
+fn generated_configurations_get_distinct_ports() {
     let folder = Folder::new();
     for name in ["tiles", "edits", "orders"] {
         let output = folder.run(&["new", "--app", name, "--server", "127.0.0.1:9001", "--route", "/ safe"]);
-        assert_eq!(code(&output), 0, "{}", err(&output));
+        assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     }
     let port = |name: &str| {
         let text = folder.read(name);
@@ -218,8 +218,8 @@
     assert_eq!(ports.len(), 3, "{ports:?}");
 }
 
-/// Three applications as the users have them: tiles, edits, paid orders.
-fn three(folder: &Folder) -> [App; 3] {
+/// Starts three applications (tiles, edits, paid orders) and generates their configurations.
+fn start_three_apps(folder: &Folder) -> [App; 3] {
     let apps = ["a tile", "edited", "ordered"].map(|words| App::start(move |_| Reply::ok(words)));
     let [tiles, edits, orders] = apps.each_ref().map(|app| app.address);
     folder.write(
@@ -231,20 +231,20 @@
         ),
     );
     let output = folder.run(&["new", "--from", "apps"]);
-    assert_eq!(code(&output), 0, "{}", err(&output));
+    assert_eq!(exit_code(&output), 0, "{}", stderr(&output));
     apps
 }
 
 #[test]
 fn three_generated_sidecars_serve_their_applications() {
     let folder = Folder::new();
-    let apps = three(&folder);
+    let apps = start_three_apps(&folder);
     for (name, method, path, words) in [
         ("tiles", "GET", "/tiles/1", "a tile"),
         ("edits", "POST", "/trails/7/edits", "edited"),
         ("orders", "POST", "/orders", "ordered"),
     ] {
-        assert_eq!(code(&folder.run(&["fmt", "--check", &format!("{name}.conf")])), 0);
+        assert_eq!(exit_code(&folder.run(&["fmt", "--check", &format!("{name}.conf")])), 0);
         let sidecar = Sidecar::start(&folder.read(&format!("{name}.conf")));
         let request = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
         let answer = sidecar.client().ask(&request);
@@ -256,10 +256,10 @@
 }
 
 #[test]
-fn mistakes_planted_in_generated_files_are_all_caught() {
+fn check_finds_errors_seeded_into_generated_files() {
     let folder = Folder::new();
-    let _apps = three(&folder);
-    let planted = [
+    let _apps = start_three_apps(&folder);
+    let seeded_errors = [
         ("tiles", "deadline 5s", "deadline 5", "IV0021"),
         ("tiles", "class reads; pool", "class read; pool", "IV0033"),
         ("tiles", "aim 500ms", "aim 500s", "IV0041"),
@@ -274,26 +274,26 @@
         ("orders", "quota 100/s", "quota 100/s; ceiling 10/s", "IV0040"),
         ("orders", "connections 256", "connections 2560", "IV0056"),
     ];
-    for (name, from, to, wanted) in planted {
+    for (name, from, to, expected) in seeded_errors {
         let text = folder.read(&format!("{name}.conf"));
         assert!(text.contains(from), "{from}: {text}");
-        folder.write("planted.conf", &text.replacen(from, to, 1));
-        let output = folder.run(&["check", "planted.conf"]);
-        assert_eq!(code(&output), if wanted.is_empty() { 0 } else { 2 }, "{to}: {}", err(&output));
-        assert!(err(&output).contains(wanted), "{to}: {}", err(&output));
+        folder.write("seeded.conf", &text.replacen(from, to, 1));
+        let output = folder.run(&["check", "seeded.conf"]);
+        assert_eq!(exit_code(&output), if expected.is_empty() { 0 } else { 2 }, "{to}: {}", stderr(&output));
+        assert!(stderr(&output).contains(expected), "{to}: {}", stderr(&output));
     }
 }
 
 #[test]
-fn a_first_copy_is_still_waited_for_only_where_second_copies_are_allowed() {
+fn first_attempt_is_awaited_only_if_hedging_is_allowed() {
     for (allowed, answered) in [("yes", true), ("no", false)] {
         let seen = Arc::new(AtomicUsize::new(0));
         let reply = {
             let seen = seen.clone();
             move |_: &Message| match seen.fetch_add(1, Ordering::SeqCst) {
-                // The first copy is answered once there is a second one, which never is.
+                // The first attempt is answered once there is a second one, which is never answered.
                 0 => {
-                    until("there is a second copy", || seen.load(Ordering::SeqCst) > 1);
+                    until("there is a second attempt", || seen.load(Ordering::SeqCst) > 1);
                     Reply::ok("first")
                 }
                 _ => Reply::Silence,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -201,7 +201,7 @@
                 let (parts, body) = response.into_parts();
                 match read_body(body, remaining).await {
                     Some(body) => {
-                        denied = Some(CheckOutcome::Denied(parts.status, to_client(parts.headers), body))
+                        denied = Some(CheckOutcome::Denied(parts.status, to_client(parts.headers), body));
                     }
                     None => verdict = Verdict::Unusable,
                 }
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -118,7 +118,7 @@
             tracing::warn!(
                 pool,
                 part,
-                "too many zones are judged bad for the judgement to be trusted: requests go to all zones"
+                "too large a part of the servers is judged bad for the judgement to be trusted: requests go to all zones"
             );
         }
         DomainEvent::Trusted => tracing::warn!(pool, "zone judgements are trusted again"),
