--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -66,7 +66,7 @@
 pub enum CheckAction {
     /// Forward the request to the application.
     Forward {
-        /// Whether the service has allowed it.
+        /// True if the service has allowed the request, false if it is forwarded by [`FailurePolicy::Open`].
         checked: bool,
     },
     /// Relay the service's answer to the client.
--- a/crates/forward-auth/src/limits.rs
+++ b/crates/forward-auth/src/limits.rs
@@ -21,8 +21,8 @@
 }
 
 impl<K: Clone + Eq + Hash + Ord> RateLimiter<K> {
-    /// Creates a limiter of `rate` checks per second and `burst` at once that stores at most `capacity` keys. A rate of 0
-    /// disables it.
+    /// Creates a limiter of `rate` checks per second and `burst` at once that stores at most `capacity` keys. A rate of
+    /// 0 disables it.
     pub fn new(rate: f64, burst: f64, capacity: usize) -> Self {
         let interval = if rate > 0.0 { 1000.0 / rate } else { 0.0 };
         Self {
--- a/crates/forward-auth/src/limits/tests.rs
+++ b/crates/forward-auth/src/limits/tests.rs
@@ -5,13 +5,13 @@
 #[test]
 fn key_is_limited_to_its_burst_and_then_its_rate() {
     let mut limit = RateLimiter::new(10.0, 5.0, 100);
-    let taken = (0..50).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
-    assert_eq!(taken, 5);
+    let acquired = (0..50).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
+    assert_eq!(acquired, 5);
     assert_eq!(limit.acquire(0.0, &"a"), Err(100.0));
     assert_eq!(limit.acquire(0.0, &"b"), Ok(()), "other keys have their own limit");
     // The rate allows 100 more in ten seconds, regardless of the number of attempts.
-    let taken = (1..=10_000).filter(|ms| limit.acquire(f64::from(*ms), &"a").is_ok()).count();
-    assert_eq!(taken, 100);
+    let acquired = (1..=10_000).filter(|ms| limit.acquire(f64::from(*ms), &"a").is_ok()).count();
+    assert_eq!(acquired, 100);
 }
 
 #[test]
@@ -31,8 +31,8 @@
     for _ in 0..10 {
         limit.refund(0.0, &"a");
     }
-    let taken = (0..10).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
-    assert_eq!(taken, 2);
+    let acquired = (0..10).filter(|_| limit.acquire(0.0, &"a").is_ok()).count();
+    assert_eq!(acquired, 2);
 }
 
 #[test]
--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Randomized simulation of orders behind a sign-in check, with faults on both sides and a simulated clock: the real
-//! check state machine between two real gateways, one for the service's pool and one for the application's. Ten thousand
-//! seeded runs.
+//! check state machine between two real gateways, one for the service's pool and one for the application's. Ten
+//! thousand seeded runs.
 //!
 //! The simulation stands in for the sidecar's sockets: attempts end early, late, exactly at a time limit or never, and
 //! time out; servers drain, fail and start cold; clients disconnect and order again.
--- a/crates/ivygate/src/domains.rs
+++ b/crates/ivygate/src/domains.rs
@@ -1,5 +1,5 @@
-//! `ivygate domains` and `ivygate members`: zone states and gossip members of a running sidecar, queried from its operator
-//! address.
+//! `ivygate domains` and `ivygate members`: zone states and gossip members of a running sidecar, queried from its
+//! operator address.
 
 use crate::{load_without_report, render_report, OutputFormat, EXIT_USAGE};
 use ivygate_config::Severity;
--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -150,7 +150,8 @@
         Err(Failure::Response(error.to_owned()))
     }
 
-    /// Calls `visit` with each matching order and returns their number. Reads page by page, so that memory stays bounded.
+    /// Calls `visit` with each matching order and returns their number. Reads page by page, so that memory stays
+    /// bounded.
     fn for_each(
         &self,
         state: Option<&str>,
--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -21,7 +21,8 @@
     /// The application's name; its configuration is written to NAME.conf
     #[arg(long, value_name = "NAME")]
     app: Option<String>,
-    /// The sidecar's listening address; by default the first port from 8080 on not used by other configurations in the folder
+    /// The sidecar's listening address; by default the first port from 8080 on not used by other configurations in the
+    /// folder
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<SocketAddr>,
     /// The application's listening address; may be repeated
--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -75,8 +75,9 @@
     assert_eq!(setup.app.seen(), 0, "only the asking proxy sends the request");
 }
 
-/// Subrequest of nginx's `auth_request` according to its documentation: HTTP/1.0, the client's headers without those of the
-/// body, and the target in X-Original-URI. It names no method, which suffices only if the route does not depend on it.
+/// Subrequest of nginx's `auth_request` according to its documentation: HTTP/1.0, the client's headers without those of
+/// the body, and the target in X-Original-URI. It names no method, which suffices only if the route does not depend on
+/// it.
 #[test]
 fn nginx_check_is_understood() {
     let setup = start();
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -1,4 +1,5 @@
-//! End-to-end tests of the order journal. After kills and failures, its records are compared with the application's log.
+//! End-to-end tests of the order journal. After kills and failures, its records are compared with the application's
+//! log.
 
 mod support;
 
@@ -122,8 +123,8 @@
     }
 }
 
-/// Kills the sidecar at random times under load, repeatedly on the same journal. `IVYGATE_KILL_ROUNDS` sets the number of
-/// rounds, `IVYGATE_KILL_SEED` the seed.
+/// Kills the sidecar at random times under load, repeatedly on the same journal. `IVYGATE_KILL_ROUNDS` sets the number
+/// of rounds, `IVYGATE_KILL_SEED` the seed.
 #[test]
 fn journal_agrees_with_the_application_log_after_kills_under_load() {
     let from_env =
--- a/crates/journal/src/order.rs
+++ b/crates/journal/src/order.rs
@@ -46,8 +46,8 @@
 pub struct Order {
     /// Id assigned by the client.
     pub client_id: Option<String>,
-    /// Whether an idempotency key lets servers drop repeats of it; it may then be retried, and does not reserve its client
-    /// id.
+    /// Set if an idempotency key lets servers drop repeats of it; it may then be retried, and does not reserve its
+    /// client id.
     #[serde(default, skip_serializing_if = "is_false")]
     pub keyed: bool,
     /// Name or pseudonym of the customer.
--- a/crates/journal/src/query.rs
+++ b/crates/journal/src/query.rs
@@ -9,8 +9,8 @@
 const DEFAULT_PAGE_SIZE: usize = 100;
 /// Maximum number of orders per page.
 const MAX_PAGE_SIZE: usize = 1000;
-/// Maximum number of orders read for one page. A page may therefore hold fewer matches than exist, with a cursor for the
-/// next one.
+/// Maximum number of orders read for one page. A page may therefore hold fewer matches than exist, with a cursor for
+/// the next one.
 const MAX_ORDERS_READ: usize = 20_000;
 
 /// Response to a query.
--- a/crates/journal/src/query_socket.rs
+++ b/crates/journal/src/query_socket.rs
@@ -1,7 +1,7 @@
 //! Unix socket in the journal's folder, accessible to its owner only, on which a running process answers queries.
 //!
-//! Each connection carries one query, a line such as `/orders?state=unknown`. The response is a line with its status and
-//! length in bytes, followed by the documents. A dedicated thread answers the connections one by one.
+//! Each connection carries one query, a line such as `/orders?state=unknown`. The response is a line with its status
+//! and length in bytes, followed by the documents. A dedicated thread answers the connections one by one.
 
 use crate::query::{answer_query, QueryResponse};
 use crate::store::Store;
@@ -36,8 +36,8 @@
 }
 
 impl QuerySocket {
-    /// Opens the socket. Only the process that has the journal open may call this: it replaces an existing socket, which
-    /// can only be left over from a process that was killed.
+    /// Opens the socket. Only the process that has the journal open may call this: it replaces an existing socket,
+    /// which can only be left over from a process that was killed.
     ///
     /// # Errors
     /// Returns an error if the socket cannot be opened.
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -29,8 +29,8 @@
 const METADATA: TableDefinition<&str, &[u8]> = TableDefinition::new("about-1");
 /// Format that this version writes. Files without a format number have no index by time.
 const FORMAT: u64 = 2;
-/// Maximum file size per byte of records and ids. Pages may be only half full, are copied before the old ones are freed,
-/// and the file grows by doubling.
+/// Maximum file size per byte of records and ids. Pages may be only half full, are copied before the old ones are
+/// freed, and the file grows by doubling.
 const FILE_SIZE_FACTOR: u64 = 6;
 /// Size of the table entries of an order in addition to its record and ids, in bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 96;
@@ -315,8 +315,8 @@
         result.map_err(|error| JournalError::Store(self.path.clone(), error.to_string()))
     }
 
-    /// Returns whether the journal has ever been found changed. This is stored, since the integrity check itself restores
-    /// the last consistent state.
+    /// Returns whether the journal has ever been found changed. This is stored, since the integrity check itself
+    /// restores the last consistent state.
     fn has_changed(&self, now: bool) -> Result<bool, redb::Error> {
         let transaction = self.database.begin_write()?;
         let before = transaction.open_table(METADATA)?.get("changed")?.is_some();
@@ -403,8 +403,8 @@
         self.database_result(salt())
     }
 
-    /// Records updates in one commit with the configured durability, and removes expired orders. Returns the result of each
-    /// update, since some may be skipped, and the size of the journal.
+    /// Records updates in one commit with the configured durability, and removes expired orders. Returns the result of
+    /// each update, since some may be skipped, and the size of the journal.
     ///
     /// # Errors
     /// Returns an error if the updates were not recorded, or possibly not.
@@ -511,8 +511,8 @@
         Ok((outcomes, usage))
     }
 
-    /// Calls `visit` with the orders after a cursor by acceptance time, until it returns false or `max_orders` have been
-    /// read. Returns the cursor to continue from, or `None` at the end.
+    /// Calls `visit` with the orders after a cursor by acceptance time, until it returns false or `max_orders` have
+    /// been read. Returns the cursor to continue from, or `None` at the end.
     ///
     /// # Errors
     /// Returns an error if the journal cannot be read.
@@ -554,8 +554,8 @@
         .map(drop)
     }
 
-    /// Finds an order by its client id or its own id. A client id may be reused after an order that never ran; the latest
-    /// order holds it.
+    /// Finds an order by its client id or its own id. A client id may be reused after an order that never ran; the
+    /// latest order holds it.
     ///
     /// # Errors
     /// Returns an error if the journal cannot be read.
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -115,8 +115,9 @@
         let (outcomes, usage) = match store.record(&updates) {
             Ok(recorded) => recorded,
             Err(error) => {
-                // After a failed write or sync the contents of the disk are not known; the page cache may show data that
-                // was never written. This process records nothing more, and so sends no request that must be recorded.
+                // After a failed write or sync the contents of the disk are not known; the page cache may show data
+                // that was never written. This process records nothing more, and so sends no request that must be
+                // recorded.
                 report_failure(&error);
                 return;
             }
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Journals on a simulated failing disk: power cuts at every operation, with unsynced writes lost or kept at random, and
-//! I/O errors.
+//! Journals on a simulated failing disk: power checked_cuts at every operation, with unsynced writes lost or kept at
+//! random, and I/O errors.
 
 use ivygate_journal::{
     Attempt, AttemptOutcome, DurabilityLevel, Journal, JournalError, Order, RecordOutcome, Retention, State,
@@ -24,12 +24,12 @@
     error: Option<io::ErrorKind>,
 }
 
-#[derive(Clone, Debug, Default)]
 /// Storage backend on a simulated disk.
+#[derive(Clone, Debug, Default)]
 struct SimulatedDisk(Arc<Mutex<Disk>>);
 
 impl Disk {
-    fn step(&mut self) -> io::Result<()> {
+    fn count_operation(&mut self) -> io::Result<()> {
         if self.operations_left == 0 {
             return Err(self.error.unwrap_or(io::ErrorKind::Other).into());
         }
@@ -52,22 +52,22 @@
 
     /// Returns the contents after a power cut: each unsynced write is lost, complete or torn.
     fn after_power_cut(&self, rng: &mut fastrand::Rng) -> Vec<u8> {
-        let mut left = self.durable.clone();
+        let mut contents = self.durable.clone();
         for (offset, data) in &self.unsynced {
             match (rng.u32(0..3), data) {
                 (0, _) => {}
                 (1, Some(data)) => {
                     let torn = data[..rng.usize(0..=data.len())].to_vec();
-                    Self::apply(&mut left, *offset, Some(&torn));
+                    Self::apply(&mut contents, *offset, Some(&torn));
                 }
-                _ => Self::apply(&mut left, *offset, data.as_ref()),
+                _ => Self::apply(&mut contents, *offset, data.as_ref()),
             }
         }
         // Synced data is never truncated.
-        if left.len() < self.durable.len() {
-            left.resize(self.durable.len(), 0);
+        if contents.len() < self.durable.len() {
+            contents.resize(self.durable.len(), 0);
         }
-        left
+        contents
     }
 }
 
@@ -84,7 +84,7 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         let disk = &mut *self.0.lock().unwrap();
-        disk.step()?;
+        disk.count_operation()?;
         Disk::apply(&mut disk.cached, len, None);
         disk.unsynced.push((len, None));
         Ok(())
@@ -92,7 +92,7 @@
 
     fn sync_data(&self, _eventual: bool) -> io::Result<()> {
         let disk = &mut *self.0.lock().unwrap();
-        disk.step()?;
+        disk.count_operation()?;
         disk.durable.clone_from(&disk.cached);
         disk.unsynced.clear();
         Ok(())
@@ -100,7 +100,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let disk = &mut *self.0.lock().unwrap();
-        disk.step()?;
+        disk.count_operation()?;
         let data = Some(data.to_vec());
         Disk::apply(&mut disk.cached, offset, data.as_ref());
         disk.unsynced.push((offset, data));
@@ -112,7 +112,7 @@
     Store::with_backend(PathBuf::from("simulated"), backend.clone(), Retention::default())
 }
 
-fn taken(n: u32) -> Update {
+fn accepted(n: u32) -> Update {
     Update::Accepted(Order {
         client_id: Some(format!("c{n}")),
         accepted_at: f64::from(n),
@@ -120,7 +120,7 @@
     })
 }
 
-fn sending() -> Update {
+fn attempt_started() -> Update {
     Update::AttemptStarted(Attempt {
         number: 0,
         server: ([127, 0, 0, 1], 9301).into(),
@@ -131,37 +131,37 @@
 
 /// Records orders and their outcomes. Returns the recorded orders with their answers, and the first error.
 fn record_orders(store: &Store, orders: u32) -> (BTreeMap<String, Option<u16>>, Option<JournalError>) {
-    let mut seen = BTreeMap::new();
+    let mut recorded = BTreeMap::new();
     for n in 0..orders {
         let id = format!("o{n}");
-        if let Err(error) = store.record(&[(id.clone(), taken(n)), (id.clone(), sending())]) {
-            return (seen, Some(error));
+        if let Err(error) = store.record(&[(id.clone(), accepted(n)), (id.clone(), attempt_started())]) {
+            return (recorded, Some(error));
         }
-        seen.insert(id.clone(), None);
+        recorded.insert(id.clone(), None);
         if n % 3 != 0 {
             if let Err(error) =
                 store.record(&[(id.clone(), Update::AttemptEnded(0, AttemptOutcome::Answer(200)))])
             {
-                return (seen, Some(error));
+                return (recorded, Some(error));
             }
-            seen.insert(id, Some(200));
+            recorded.insert(id, Some(200));
         }
     }
-    (seen, None)
+    (recorded, None)
 }
 
 #[test]
 fn no_sent_order_is_reported_as_never_sent_after_a_power_cut() {
-    let mut cuts = 0;
-    for left in 0..150 {
+    let mut checked_cuts = 0;
+    for operations in 0..150 {
         let backend = SimulatedDisk::default();
-        backend.0.lock().unwrap().operations_left = left;
-        let seen = match open(&backend) {
+        backend.0.lock().unwrap().operations_left = operations;
+        let recorded = match open(&backend) {
             Ok(store) => record_orders(&store, 8).0,
             Err(_) => BTreeMap::new(),
         };
         for seed in 0..2 {
-            let mut rng = fastrand::Rng::with_seed(left * 2 + seed);
+            let mut rng = fastrand::Rng::with_seed(operations * 2 + seed);
             let after = backend.0.lock().unwrap().after_power_cut(&mut rng);
             let disk =
                 Disk { durable: after.clone(), cached: after, operations_left: u64::MAX, ..Disk::default() };
@@ -169,22 +169,25 @@
                 Ok(store) => store,
                 // A cut before the first commit leaves no valid journal, but then nothing was sent.
                 Err(error) => {
-                    assert!(seen.is_empty(), "cut {left}, seed {seed}: {error}");
+                    assert!(recorded.is_empty(), "cut {operations}, seed {seed}: {error}");
                     continue;
                 }
             };
             let mut found = BTreeMap::new();
             store.for_each(|(id, order)| drop(found.insert(id, order))).expect("it can be read");
-            for (id, answer) in &seen {
+            for (id, answer) in &recorded {
                 let state = found.get(id).map(Order::state);
-                let wanted = answer.map_or(State::Unknown, State::Answered);
-                let more = state == Some(State::Answered(200));
-                assert!(state == Some(wanted) || more, "cut {left}, seed {seed}, {id}: {state:?}");
+                let expected = answer.map_or(State::Unknown, State::Answered);
+                let answered = state == Some(State::Answered(200));
+                assert!(
+                    state == Some(expected) || answered,
+                    "cut {operations}, seed {seed}, {id}: {state:?}"
+                );
             }
-            cuts += usize::from(!seen.is_empty());
+            checked_cuts += usize::from(!recorded.is_empty());
         }
     }
-    assert!(cuts > 100, "{cuts}");
+    assert!(checked_cuts > 100, "{checked_cuts}");
 }
 
 #[test]
@@ -193,17 +196,17 @@
         let backend = SimulatedDisk::default();
         backend.0.lock().unwrap().operations_left = u64::MAX;
         let store = open(&backend).expect("it opens");
-        store.record(&[("a".into(), sending())]).expect("it is recorded");
+        store.record(&[("a".into(), attempt_started())]).expect("it is recorded");
         {
             let mut disk = backend.0.lock().unwrap();
             (disk.operations_left, disk.error) = (0, Some(kind));
         }
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         let journal = Journal::start(Arc::new(store)).expect("a thread");
-        assert!(runtime.block_on(journal.record("b", sending())).is_err(), "{kind}");
+        assert!(runtime.block_on(journal.record("b", attempt_started())).is_err(), "{kind}");
         // The journal stays failed even after the disk has recovered.
         backend.0.lock().unwrap().operations_left = u64::MAX;
-        assert!(runtime.block_on(journal.record("c", sending())).is_err(), "{kind}");
+        assert!(runtime.block_on(journal.record("c", attempt_started())).is_err(), "{kind}");
     }
 }
 
@@ -214,8 +217,8 @@
     let journal = Journal::start(Arc::new(open(&backend).expect("it opens"))).expect("a thread");
     for n in 0..2000 {
         let id = format!("o{n}");
-        journal.enqueue(&id, taken(n)).expect("there is room");
-        journal.enqueue(&id, sending()).expect("there is room");
+        journal.enqueue(&id, accepted(n)).expect("there is room");
+        journal.enqueue(&id, attempt_started()).expect("there is room");
         journal.enqueue(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(201))).expect("there is room");
     }
     drop(journal);
@@ -236,7 +239,7 @@
         Store::create(&folder, DurabilityLevel::Synced, Retention::default()),
         Err(JournalError::InUse(_))
     ));
-    store.record(&[("a".into(), sending())]).expect("it is recorded");
+    store.record(&[("a".into(), attempt_started())]).expect("it is recorded");
     drop(store);
     assert_eq!(Store::open(&folder).expect("it opens").len().expect("read"), 1);
     // A file that is not a journal is reported and not modified.
@@ -253,7 +256,7 @@
 #[test]
 fn flipped_bit_is_detected_or_has_no_effect() {
     let backend = disk_with(Vec::new());
-    let seen = record_orders(&open(&backend).expect("it opens"), 12).0;
+    let recorded = record_orders(&open(&backend).expect("it opens"), 12).0;
     let intact = backend.0.lock().unwrap().cached.clone();
     let used: Vec<usize> = (0..intact.len()).filter(|at| intact[*at] != 0).collect();
     let (mut detected, mut unaffected) = (0, 0);
@@ -271,7 +274,7 @@
             detected += 1;
             continue;
         }
-        for (id, answer) in &seen {
+        for (id, answer) in &recorded {
             let order =
                 store.find(id).expect("read").unwrap_or_else(|| panic!("flip {flip}: {id} is missing"));
             assert_eq!(order.1.state(), answer.map_or(State::Unknown, State::Answered), "flip {flip}, {id}");
@@ -303,16 +306,19 @@
         };
         (format!("o{n}"), Update::Accepted(order))
     };
-    let mut taken = 0;
+    let mut accepted_count = 0;
     let full = loop {
-        let (outcome, usage) = store.record(&[order(taken, 5000.0)]).expect("it is recorded");
+        let (outcome, usage) = store.record(&[order(accepted_count, 5000.0)]).expect("it is recorded");
         if outcome == [RecordOutcome::Full] {
             break usage;
         }
-        taken += 1;
-        assert!(taken < 20_000, "there is no size limit");
+        accepted_count += 1;
+        assert!(accepted_count < 20_000, "there is no size limit");
     };
-    assert!(full.is_near_limit() && u64::from(taken) == full.orders && taken > 1000, "{taken} {full:?}");
+    assert!(
+        full.is_near_limit() && u64::from(accepted_count) == full.orders && accepted_count > 1000,
+        "{accepted_count} {full:?}"
+    );
     let length = backend.0.lock().unwrap().cached.len();
     assert!(length <= 4 << 20, "the file has {length} bytes");
     // Updates of existing orders are still recorded.
@@ -331,14 +337,14 @@
     };
     let (outcome, _) = store.record(&[again(5000.0)]).expect("recorded");
     assert_eq!(outcome, [RecordOutcome::Full]);
-    let mut turns = 0;
+    let mut attempts = 0;
     let last = loop {
         let outcome = store.record(&[again(6001.0)]).expect("recorded").0;
-        turns += 1;
+        attempts += 1;
         if store.len().expect("read") == 1 {
             break outcome;
         }
-        assert!(turns < taken, "no order expires");
+        assert!(attempts < accepted_count, "no order expires");
     };
     assert_eq!(last, [RecordOutcome::Recorded]);
     assert!(store.verify().expect("read").problems.is_empty());
--- a/crates/sidecar/src/active_config.rs
+++ b/crates/sidecar/src/active_config.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Time for which a removed pool may still send the requests it has accepted, in milliseconds. Without it, requests that
-/// are about to be sent would be rejected needlessly.
+/// Time for which a removed pool may still send the requests it has accepted, in milliseconds. Without it, requests
+/// that are about to be sent would be rejected needlessly.
 const RETIRE_GRACE_MS: f64 = 500.0;
 
 /// Configuration in use, with its running pools.
@@ -43,7 +43,7 @@
     pub class: Arc<str>,
     /// For keyed classes, the class of requests without a key, and the header that carries the key.
     pub unkeyed: Option<(Arc<str>, HeaderName)>,
-    /// Whether its requests must not run twice.
+    /// Set if its requests must not run twice.
     pub once: bool,
     /// Time limit of its requests, in milliseconds.
     pub deadline: f64,
@@ -131,8 +131,8 @@
 }
 
 impl ActiveConfig {
-    /// Prepares a configuration for use. Pools that differ from those of `before` only in their servers are reused; they
-    /// are not modified until [`Self::activate`].
+    /// Prepares a configuration for use. Pools that differ from those of `before` only in their servers are reused;
+    /// they are not modified until [`Self::activate`].
     ///
     /// # Errors
     /// If a decision module cannot act on its settings, or routes contradict each other.
--- a/crates/sidecar/src/auth_checks.rs
+++ b/crates/sidecar/src/auth_checks.rs
@@ -187,8 +187,8 @@
     }
 }
 
-/// Finds the route of the described request. An unmatched one is denied with 403, since proxies expect neither 404 nor 405
-/// from a check.
+/// Finds the route of the described request. An unmatched one is denied with 403, since proxies expect neither 404 nor
+/// 405 from a check.
 fn route<'a>(
     active_config: &'a ActiveConfig,
     forwarded: &ForwardedRequest,
--- a/crates/sidecar/src/check_cache.rs
+++ b/crates/sidecar/src/check_cache.rs
@@ -80,8 +80,8 @@
     }
 }
 
-/// Check to be sent by its owner. If dropped without an answer, as when the client disconnects, the waiting requests are
-/// woken, and one of them takes over.
+/// Check to be sent by its owner. If dropped without an answer, as when the client disconnects, the waiting requests
+/// are woken, and one of them takes over.
 pub struct PendingCheck<'a> {
     check_cache: &'a CheckCache,
     key: CheckKey,
--- a/crates/sidecar/src/forward.rs
+++ b/crates/sidecar/src/forward.rs
@@ -15,12 +15,12 @@
 pub struct Origin<'a> {
     /// Address of the peer.
     pub peer: &'a str,
-    /// Whether the peer is a trusted proxy.
+    /// Set if the peer is a trusted proxy.
     pub trusted: bool,
     /// Requested host.
     pub host: &'a str,
-    /// Normalized names of the headers that the configuration reads or sets; a client cannot remove them by naming them in
-    /// `Connection`.
+    /// Normalized names of the headers that the configuration reads or sets; a client cannot remove them by naming them
+    /// in `Connection`.
     pub protected_headers: &'a HashSet<String>,
 }
 
--- a/crates/sidecar/src/gossip.rs
+++ b/crates/sidecar/src/gossip.rs
@@ -71,7 +71,8 @@
             tokio::select! {
                 _ = interval.tick() => {}
                 readable = self.socket.readable() => {
-                    // An error is caused by an earlier packet to a closed port, or by a temporary lack of system resources.
+                    // An error is caused by an earlier packet to a closed port, or by a temporary lack of system
+                    // resources.
                     if readable.is_err() {
                         tokio::time::sleep(POLL_INTERVAL).await;
                     }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,8 +1,8 @@
 //! Sidecar proxy: several server pools behind one process, selected by a route table.
 //!
-//! The command line starts it. It reads plain HTTP requests, determines their route, class, customer and plan, and leaves
-//! all other decisions to the gateway of the pool: the sidecar itself never chooses a server, retries a request, or
-//! rejects one for quota or overload.
+//! The command line starts it. It reads plain HTTP requests, determines their route, class, customer and plan, and
+//! leaves all other decisions to the gateway of the pool: the sidecar itself never chooses a server, retries a request,
+//! or rejects one for quota or overload.
 
 mod active_config;
 mod auth_checks;
--- a/crates/sidecar/src/order_recorder.rs
+++ b/crates/sidecar/src/order_recorder.rs
@@ -22,11 +22,11 @@
 pub struct OrderRecorder {
     /// `None` after the journal has been closed.
     open: RefCell<Option<OpenJournal>>,
-    /// Whether keyed requests are recorded too.
+    /// Set if keyed requests are recorded too.
     pub keyed: bool,
     /// Header with the client id.
     pub id_header: HeaderName,
-    /// Set if customers are recorded by pseudonym.
+    /// Present if customers are recorded by pseudonym.
     pseudonymizer: Option<Pseudonymizer>,
     accepted: RefCell<HashMap<RequestId, Entry>>,
 }
@@ -102,8 +102,8 @@
             .map_or_else(|| customer.to_owned(), |pseudonymizer| pseudonymizer.pseudonym(customer))
     }
 
-    /// Registers an accepted request, to be recorded with its first attempt. It is unregistered when the returned value is
-    /// dropped.
+    /// Registers an accepted request, to be recorded with its first attempt. It is unregistered when the returned value
+    /// is dropped.
     pub fn accept(self: &Rc<Self>, id: &RequestId, order: Order) -> AcceptedOrder {
         self.accepted.borrow_mut().insert(id.clone(), Entry { order: Some(order), duplicate_of: None });
         AcceptedOrder { orders: self.clone(), id: id.clone(), answered: Cell::new(false) }
--- a/crates/sidecar/src/order_recorder/tests.rs
+++ b/crates/sidecar/src/order_recorder/tests.rs
@@ -5,7 +5,7 @@
 use std::task::{Context, Poll, Waker};
 
 fn open(name: &str) -> (std::path::PathBuf, Rc<OrderRecorder>) {
-    let folder = std::env::temp_dir().join(format!("ivygate-taken-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("ivygate-order-recorder-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let (text, synced, keyed) = (folder.display().to_string(), true, false);
     let settings = ivygate_config::Journal {
@@ -24,7 +24,7 @@
 #[test]
 fn order_cancelled_while_its_record_is_pending_is_recorded_as_never_sent() {
     let (folder, orders) = open("given-up");
-    let mut waited = Vec::new();
+    let mut pending = Vec::new();
     for n in 0..20 {
         let id = RequestId::from(format!("o{n}").as_str());
         let accepted = orders.accept(&id, Order { customer: orders.customer("alice"), ..Order::default() });
@@ -32,15 +32,15 @@
         {
             let mut sending = pin!(orders.sending(&id, 0, server, Timestamp::from_millis(1.0)));
             if sending.as_mut().poll(&mut Context::from_waker(Waker::noop())) == Poll::Pending {
-                waited.push(id.to_string());
+                pending.push(id.to_string());
             }
         }
         drop(accepted);
     }
     orders.close();
-    assert!(!waited.is_empty());
+    assert!(!pending.is_empty());
     let store = Store::open(&folder).expect("it opens");
-    for id in waited {
+    for id in pending {
         let (_, order) = store.find(&id).expect("read").expect("the order exists");
         assert_eq!(
             (order.state(), order.end_reason),
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Suffix of the class name for requests that must not run twice although their class allows it: requests of a keyed class
-/// without a key, since no server can deduplicate them, and requests of a route that forbids retries.
+/// Suffix of the class name for requests that must not run twice although their class allows it: requests of a keyed
+/// class without a key, since no server can deduplicate them, and requests of a route that forbids retries.
 const ONCE_SUFFIX: &str = " (once)";
 /// Maximum value of `Retry-After`.
 const MAX_RETRY_AFTER_MS: Millis = 60_000.0;
@@ -61,7 +61,7 @@
 pub struct ServedClass<'a> {
     /// Configured class.
     pub class: &'a config::Class,
-    /// Whether some of its requests must not run twice, so that the class variant for them is needed.
+    /// Set if some of its requests must not run twice, so that the class variant for them is needed.
     pub has_non_repeatable: bool,
 }
 
@@ -115,8 +115,8 @@
         Ok(Rc::new(pool))
     }
 
-    /// Returns the same pool with new settings if they differ only in the servers and the details of zone failure detection,
-    /// so that usage, health and connections are kept; otherwise `None`. The gateway is not updated before
+    /// Returns the same pool with new settings if they differ only in the servers and the details of zone failure
+    /// detection, so that usage, health and connections are kept; otherwise `None`. The gateway is not updated before
     /// [`Self::update_servers`].
     pub fn reuse_with(
         &self,
@@ -131,7 +131,8 @@
         })
     }
 
-    /// Passes the servers to the gateway. Servers missing in `before` count as just started if slow start is configured.
+    /// Passes the servers to the gateway. Servers missing in `before` count as just started if slow start is
+    /// configured.
     pub fn update_servers(&self, before: Option<&config::Pool>) {
         let now = self.driver.now();
         if let Some(zones) = &self.zones {
@@ -269,7 +270,8 @@
         plans: plans.iter().map(gateway_plan).collect(),
         max_attempts: pool.attempts,
         allow_hedging: pool.second_copies,
-        // Without health checks, a pool of unsafe requests only would never notice that an ejected server has recovered.
+        // Without health checks, a pool of unsafe requests only would never notice that an ejected server has
+        // recovered.
         allow_health_checks: true,
         allow_trial_requests: true,
         retry_budget: RetryBudget::DEFAULT,
--- a/crates/sidecar/src/service.rs
+++ b/crates/sidecar/src/service.rs
@@ -327,8 +327,8 @@
 
 /// Serves a configuration file until a signal ends the process.
 ///
-/// `init_events` is called before any event can be logged, possibly more than once, and only if the configuration can cause
-/// events, since the subscriber costs memory.
+/// `init_events` is called before any event can be logged, possibly more than once, and only if the configuration can
+/// cause events, since the subscriber costs memory.
 ///
 /// # Errors
 /// Returns an error if it does not start.
@@ -349,8 +349,8 @@
         let mut interrupt = listen_for(SignalKind::interrupt())?;
         // Registered before anything else, since an unhandled SIGHUP would end the process.
         let hangups = listen_for(SignalKind::hangup())?;
-        // Handled and ignored, so that a write beyond the file size limit fails like one to a full disk instead of killing
-        // the process.
+        // Handled and ignored, so that a write beyond the file size limit fails like one to a full disk instead of
+        // killing the process.
         let _ = listen_for(SignalKind::from_raw(SIGXFSZ))?;
         let sidecar = Rc::new(Sidecar::start(&model)?);
         for address in sidecar.addresses() {
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -45,7 +45,7 @@
     pub id: RequestId,
     /// Index of the route.
     pub route: usize,
-    /// Whether the request must not run twice.
+    /// Set if the request must not run twice.
     pub once: bool,
     /// Time limit of the check, in milliseconds.
     pub time_limit: f64,
