--- a/crates/sidecar/src/forwarded_request.rs
+++ b/crates/sidecar/src/forwarded_request.rs
@@ -24,7 +24,7 @@
 /// # Errors
 /// Returns a message if a header is missing, malformed or contradicts another.
 pub fn parse(headers: &HeaderMap, host: &str) -> Result<ForwardedRequest, String> {
-    let uri = agreed(headers, "x-forwarded-uri", "x-original-uri")?;
+    let uri = consistent_header(headers, "x-forwarded-uri", "x-original-uri")?;
     // The client's scheme does not affect routing.
     let url = one(headers, "x-original-url")?.map(|url| url.replacen("https://", "http://", 1));
     let parse = |text: &str| Target::parse(text).map_err(|error| format!("what is asked about: {error}"));
@@ -49,7 +49,7 @@
             (target, other.host)
         }
     };
-    let method = match agreed(headers, "x-forwarded-method", "x-original-method")? {
+    let method = match consistent_header(headers, "x-forwarded-method", "x-original-method")? {
         None => None,
         Some(name) => Some(Method::from_bytes(name.as_bytes()).map_err(|_| "the method is malformed")?),
     };
@@ -66,7 +66,12 @@
     Ok(ForwardedRequest { method, target, host })
 }
 
-fn agreed<'a>(headers: &'a HeaderMap, first: &str, second: &str) -> Result<Option<&'a str>, String> {
+/// Returns the value of two alternative headers, which must be equal if both are present.
+fn consistent_header<'a>(
+    headers: &'a HeaderMap,
+    first: &str,
+    second: &str,
+) -> Result<Option<&'a str>, String> {
     match (one(headers, first)?, one(headers, second)?) {
         (Some(a), Some(b)) if a != b => Err(format!("{first} and {second} tell different things")),
         (a, b) => Ok(a.or(b)),
