--- a/crates/forward-auth/tests/orders.rs
+++ b/crates/forward-auth/tests/orders.rs
@@ -79,7 +79,7 @@
 }
 
 fn gateway(side: Side, seed: u64) -> Gateway {
-    let (name, effect, aim, deadline) = match side {
+    let (name, effect, latency_target, deadline) = match side {
         Side::Service => ("check", Effect::Safe, MAX_CHECK_MS / 2.0, MAX_CHECK_MS),
         Side::Application => ("order", Effect::Unsafe, APP_LATENCY_MS, DEADLINE_MS),
     };
@@ -89,7 +89,7 @@
         zone: "north".into(),
         classes: vec![RequestClass {
             name: name.into(),
-            latency_target: aim,
+            latency_target,
             deadline,
             value: 1.0,
             late_value: 1.0,
