--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use crate::turns;
-use ivygate_journal::{Attempt, Came, Journal, Keeping, Level, Order, Store, Update};
+use ivygate_journal::{Attempt, AttemptOutcome, DurabilityLevel, Journal, Order, Retention, Store, Update};
 use redb::backends::FileBackend;
 use redb::StorageBackend;
 use std::fs::{File, OpenOptions};
@@ -18,7 +18,7 @@
 /// Orders in flight.
 const IN_FLIGHT: [usize; 3] = [1, 16, 256];
 /// Far more than a measurement fills.
-const KEEPING: Keeping = Keeping { keep: 1e12, disk: 1 << 40 };
+const RETENTION: Retention = Retention { max_age_ms: 1e12, max_file_bytes: 1 << 40 };
 
 /// Measures and prints; the folder is where the journals lie, on the disk that is to be measured.
 pub fn measure(turns: usize, seconds: f64, orders: u32, folder: &Path) -> io::Result<()> {
@@ -115,7 +115,12 @@
 }
 
 fn attempt() -> Attempt {
-    Attempt { number: 0, server: ([127, 0, 0, 1], 9301).into(), sent_at: 1.8e12, came: Came::Unknown }
+    Attempt {
+        number: 0,
+        server: ([127, 0, 0, 1], 9301).into(),
+        sent_at: 1.8e12,
+        outcome: AttemptOutcome::Unknown,
+    }
 }
 
 fn order(number: u64) -> (String, Update) {
@@ -124,11 +129,11 @@
         customer: "lodge-17".into(),
         route: "orders".into(),
         target: "/orders".into(),
-        taken_at: 1.8e12 + number as f64,
+        accepted_at: 1.8e12 + number as f64,
         attempts: vec![attempt()],
         ..Order::default()
     };
-    (format!("{number:016x}-{:016x}", 7), Update::Taken(order))
+    (format!("{number:016x}-{:016x}", 7), Update::Accepted(order))
 }
 
 /// The journal's thread with so many orders that wait for it at once.
@@ -147,7 +152,7 @@
         let (counter, bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let file = FileBackend::new(open_file(&path)?).map_err(io::Error::other)?;
         let backend = Counted { file, syncs: counter.clone(), bytes: bytes.clone() };
-        let store = Store::on(path.clone(), backend, KEEPING).map_err(io::Error::other)?;
+        let store = Store::with_backend(path.clone(), backend, RETENTION).map_err(io::Error::other)?;
         let journal = Journal::start(Arc::new(store))?;
         let before = [&counter, &bytes].map(|count| count.load(Ordering::Relaxed));
         let (start, next) = (Instant::now(), std::cell::Cell::new(0));
@@ -160,7 +165,7 @@
                     return false;
                 }
                 // What came of it is noted without waiting, as in the sidecar.
-                let _ = journal.note(&id, Update::Came(0, Came::Answer(200)));
+                let _ = journal.enqueue(&id, Update::AttemptEnded(0, AttemptOutcome::Answer(200)));
             }
             true
         };
@@ -204,13 +209,15 @@
 /// Opening a journal of so many orders, one in a thousand unknown: closed in order, and after a crash.
 fn recovery(orders: u32, folder: &Path) -> io::Result<()> {
     let (made, crashed) = (folder.join("made"), folder.join("crashed"));
-    let store = Store::create(&made, Level::Written, KEEPING).map_err(io::Error::other)?;
+    let store = Store::create(&made, DurabilityLevel::Written, RETENTION).map_err(io::Error::other)?;
     let numbers: Vec<u64> = (0..u64::from(orders)).collect();
     let start = Instant::now();
     for part in numbers.chunks(1024) {
         let mut updates: Vec<_> = part.iter().map(|number| order(*number)).collect();
         let answered = part.iter().filter(|number| *number % 1000 != 0);
-        updates.extend(answered.map(|number| (order(*number).0, Update::Came(0, Came::Answer(200)))));
+        updates.extend(
+            answered.map(|number| (order(*number).0, Update::AttemptEnded(0, AttemptOutcome::Answer(200)))),
+        );
         store.record(&updates).map_err(io::Error::other)?;
     }
     let took = start.elapsed().as_secs_f64();
@@ -239,7 +246,7 @@
     let opened = start.elapsed();
     let mut unknown = 0_u32;
     store
-        .each(|(_, order)| unknown += u32::from(order.state() == ivygate_journal::State::Unknown))
+        .for_each(|(_, order)| unknown += u32::from(order.state() == ivygate_journal::State::Unknown))
         .map_err(io::Error::other)?;
     let all = start.elapsed() - opened;
     let status = std::fs::read_to_string("/proc/self/status")?;
--- a/crates/forward-auth/src/lib.rs
+++ b/crates/forward-auth/src/lib.rs
@@ -1,147 +1,149 @@
-//! One request behind a sign-in check: what may happen to it, and what never; and what is kept of questions: answers
-//! that are remembered, failures that are counted, ids that were admitted.
+//! State machine for a request that waits for a forward-auth (sign-in) check, and the state shared between checks:
+//! cached answers, rate limits for failed checks, and admitted request ids.
 //!
-//! Called by the sidecar's front, which asks the service, sends the request on, and answers. It does no I/O and
-//! reads no clock: inputs come through [`Gate::handle`], with the time. It must not know HTTP beyond statuses,
-//! nor which server is asked; that is the decision module's.
+//! Called by the sidecar, which queries the sign-in service, forwards the request and answers the client. This crate
+//! does no I/O and reads no clock: events and their time are passed to [`AuthCheck::handle`]. It knows nothing of HTTP
+//! beyond status codes, and does not choose the server to query; the gateway's decision module does.
 
 mod admissions;
 mod cache;
 mod limits;
 
-pub use admissions::{Admissions, Asked};
-pub use cache::{lifetime, Cache, Known};
-pub use limits::Limit;
+pub use admissions::{AdmissionStatus, Admissions};
+pub use cache::{cache_lifetime, Cache, Lookup};
+pub use limits::RateLimiter;
 
-/// What happens where the service gives no usable answer.
+/// Policy for a sign-in service that gives no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnFailure {
+pub enum FailurePolicy {
     /// The request is answered 503.
     Closed,
-    /// It goes on unchecked.
+    /// The request is forwarded unchecked.
     Open,
 }
 
-/// What an answer of the service means.
+/// Meaning of the sign-in service's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// The request may go on.
-    Yes,
-    /// It may not: the service's answer is the client's.
-    No,
-    /// It is no answer to the question.
+pub enum Verdict {
+    /// The request may be forwarded.
+    Allowed,
+    /// The request is refused; the client gets the service's answer.
+    Denied,
+    /// The status code neither allows nor denies the request.
     Unusable,
 }
 
-impl Said {
-    /// By the convention that proxies share: 2xx is a yes, 401, 403 and redirections are a no.
-    pub fn of(status: u16) -> Self {
+impl Verdict {
+    /// Classifies a status by the convention of forward-auth proxies: 2xx allows; 401, 403 and 3xx deny.
+    pub fn from_status(status: u16) -> Self {
         match status {
-            200..=299 => Said::Yes,
-            401 | 403 | 300..=399 => Said::No,
-            _ => Said::Unusable,
+            200..=299 => Verdict::Allowed,
+            401 | 403 | 300..=399 => Verdict::Denied,
+            _ => Verdict::Unusable,
         }
     }
 }
 
-/// What happens to the check or to the one who waits.
+/// Event of a pending check or of the client that waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Input {
-    /// The service has answered, whole.
-    Said(Said),
-    /// The service's pool has refused the check: nothing was asked.
-    Refused,
-    /// Too many checks failed for this address or credential: nothing was asked.
-    Limited,
-    /// No answer came in its time, or it broke.
-    Unanswered,
-    /// The client has left.
+pub enum CheckEvent {
+    /// The service has answered completely.
+    Answered(Verdict),
+    /// The service's pool rejected the check before sending it.
+    Rejected,
+    /// Too many checks have failed for this address or credential; the check was not sent.
+    RateLimited,
+    /// The check timed out, or its answer broke off.
+    NoAnswer,
+    /// The client has disconnected.
     ClientGone,
-    /// The request's own time is up.
-    TimeUp,
+    /// The request's own deadline has passed.
+    DeadlineExpired,
 }
 
-/// What is to be done. All but [`Step::Nothing`] comes once in a request's life.
+/// Action for the caller. Each request gets at most one action other than [`CheckAction::Ignore`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Send the request on; `checked` tells whether a yes stands behind it.
-    GoOn {
-        /// Whether the service said yes.
+pub enum CheckAction {
+    /// Forward the request to the application.
+    Forward {
+        /// True if the service has allowed the request, false if it is forwarded by [`FailurePolicy::Open`].
         checked: bool,
     },
-    /// Give the client the service's answer.
-    PassOn,
-    /// Answer 503 with `Retry-After`: the service has no room.
-    Refuse,
-    /// Answer 429 with `Retry-After`: too many checks failed for whoever asks.
-    Limit,
-    /// Answer 503: the service gives no usable answer.
+    /// Relay the service's answer to the client.
+    Relay,
+    /// Answer 503 with `Retry-After`: the service has no capacity.
+    Overloaded,
+    /// Answer 429 with `Retry-After`: too many checks have failed for this client.
+    RateLimited,
+    /// Answer 503: the service gave no usable answer.
     Unavailable,
-    /// Answer 504.
-    TimeUp,
-    /// Nothing more happens to this request here.
-    Nothing,
+    /// Answer 504: the deadline has passed.
+    TimedOut,
+    /// Do nothing: the check is already decided, or the client is gone.
+    Ignore,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Asking,
-    /// It has gone on, been answered, or nobody waits.
-    Over,
+    Pending,
+    /// The request was forwarded or answered, or its client has disconnected.
+    Decided,
 }
 
-/// A request that waits for its check.
+/// State of a request that waits for its check.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct AuthCheck {
     phase: Phase,
-    on_failure: OnFailure,
+    failure_policy: FailurePolicy,
     deadline: f64,
 }
 
-impl Gate {
-    /// A request whose check is about to be asked for, with a deadline in milliseconds.
-    pub fn new(on_failure: OnFailure, deadline: f64) -> Self {
-        Self { phase: Phase::Asking, on_failure, deadline }
+impl AuthCheck {
+    /// Creates the state of a request whose check is about to be sent; `deadline` is in milliseconds.
+    pub fn new(failure_policy: FailurePolicy, deadline: f64) -> Self {
+        Self { phase: Phase::Pending, failure_policy, deadline }
     }
 
-    /// Takes in what has happened, at a time in milliseconds.
-    pub fn handle(&mut self, now: f64, input: Input) -> Step {
-        if self.phase == Phase::Over {
-            // Also a yes that comes now: its request has its answer, or nobody to answer.
-            return Step::Nothing;
+    /// Handles an event at the time `now`, in milliseconds.
+    pub fn handle(&mut self, now: f64, event: CheckEvent) -> CheckAction {
+        if self.phase == Phase::Decided {
+            // This includes a late allow: the request has been answered, or its client is gone.
+            return CheckAction::Ignore;
         }
-        self.phase = Phase::Over;
-        if input == Input::ClientGone {
-            return Step::Nothing;
+        self.phase = Phase::Decided;
+        if event == CheckEvent::ClientGone {
+            return CheckAction::Ignore;
         }
-        // A yes in the same moment as the deadline comes too late to do anything with.
+        // An answer that arrives exactly at the deadline leaves no time to forward the request.
         if now >= self.deadline {
-            return Step::TimeUp;
+            return CheckAction::TimedOut;
         }
-        match (input, self.on_failure) {
-            (Input::Said(Said::Yes), _) => Step::GoOn { checked: true },
-            (Input::Said(Said::No), _) => Step::PassOn,
-            // Not a failure of the service: letting all pass as soon as it is busy would invite floods.
-            (Input::Refused, _) => Step::Refuse,
-            (Input::Limited, _) => Step::Limit,
-            (Input::TimeUp, _) => Step::TimeUp,
-            (Input::Said(Said::Unusable) | Input::Unanswered, OnFailure::Open) => {
-                Step::GoOn { checked: false }
+        match (event, self.failure_policy) {
+            (CheckEvent::Answered(Verdict::Allowed), _) => CheckAction::Forward { checked: true },
+            (CheckEvent::Answered(Verdict::Denied), _) => CheckAction::Relay,
+            // A rejection is no failure of the service: failing open under overload would let a flood bypass it.
+            (CheckEvent::Rejected, _) => CheckAction::Overloaded,
+            (CheckEvent::RateLimited, _) => CheckAction::RateLimited,
+            (CheckEvent::DeadlineExpired, _) => CheckAction::TimedOut,
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, FailurePolicy::Open) => {
+                CheckAction::Forward { checked: false }
             }
-            (Input::Said(Said::Unusable) | Input::Unanswered, OnFailure::Closed) => Step::Unavailable,
-            (Input::ClientGone, _) => Step::Nothing,
+            (CheckEvent::Answered(Verdict::Unusable) | CheckEvent::NoAnswer, FailurePolicy::Closed) => {
+                CheckAction::Unavailable
+            }
+            (CheckEvent::ClientGone, _) => CheckAction::Ignore,
         }
     }
 }
 
-/// Time for a check, in milliseconds: at most `within`, and so that the application keeps its usual time of
-/// what the client will wait, or half of that where it is less.
-pub fn share(within: f64, wait: f64, usual: f64) -> f64 {
-    within.min(wait - usual.min(wait / 2.0)).max(0.0)
+/// Returns the time limit of a check: at most `max_check`, and short enough to leave the application `app_latency` of
+/// the request's time limit `total`, or half of `total` if that is less. All times are in milliseconds.
+pub fn check_time_limit(max_check: f64, total: f64, app_latency: f64) -> f64 {
+    max_check.min(total - app_latency.min(total / 2.0)).max(0.0)
 }
 
-/// A header's name as servers may spell it: some take `_` for `-`, and case never counts.
-pub fn folded(name: &str) -> String {
+/// Normalizes a header name to lower case with `-` for `_`, since some servers treat the two as equal.
+pub fn fold_header_name(name: &str) -> String {
     name.bytes().map(|b| if b == b'_' { '-' } else { char::from(b.to_ascii_lowercase()) }).collect()
 }
 
--- a/crates/forward-auth/src/tests.rs
+++ b/crates/forward-auth/src/tests.rs
@@ -1,95 +1,105 @@
-//! Tests of `forward-auth` that need its private state.
+//! Unit tests of `forward-auth` that access private items.
 
 use super::*;
 
-const INPUTS: [Input; 8] = [
-    Input::Said(Said::Yes),
-    Input::Said(Said::No),
-    Input::Said(Said::Unusable),
-    Input::Refused,
-    Input::Limited,
-    Input::Unanswered,
-    Input::ClientGone,
-    Input::TimeUp,
+const EVENTS: [CheckEvent; 8] = [
+    CheckEvent::Answered(Verdict::Allowed),
+    CheckEvent::Answered(Verdict::Denied),
+    CheckEvent::Answered(Verdict::Unusable),
+    CheckEvent::Rejected,
+    CheckEvent::RateLimited,
+    CheckEvent::NoAnswer,
+    CheckEvent::ClientGone,
+    CheckEvent::DeadlineExpired,
 ];
 
 #[test]
-fn every_first_input_has_its_step_and_only_a_yes_or_an_open_failure_goes_on() {
-    use Step::*;
-    let closed = [GoOn { checked: true }, PassOn, Unavailable, Refuse, Limit, Unavailable, Nothing, TimeUp];
+fn first_event_determines_action_and_only_allow_or_fail_open_forwards() {
+    use CheckAction::*;
+    let closed = [
+        Forward { checked: true },
+        Relay,
+        Unavailable,
+        Overloaded,
+        RateLimited,
+        Unavailable,
+        Ignore,
+        TimedOut,
+    ];
     let open = [
-        GoOn { checked: true },
-        PassOn,
-        GoOn { checked: false },
-        Refuse,
-        Limit,
-        GoOn { checked: false },
-        Nothing,
-        TimeUp,
+        Forward { checked: true },
+        Relay,
+        Forward { checked: false },
+        Overloaded,
+        RateLimited,
+        Forward { checked: false },
+        Ignore,
+        TimedOut,
     ];
-    for (on_failure, steps) in [(OnFailure::Closed, closed), (OnFailure::Open, open)] {
-        for (input, step) in INPUTS.into_iter().zip(steps) {
-            assert_eq!(Gate::new(on_failure, 100.0).handle(99.9, input), step, "{input:?}");
+    for (failure_policy, actions) in [(FailurePolicy::Closed, closed), (FailurePolicy::Open, open)] {
+        for (event, action) in EVENTS.into_iter().zip(actions) {
+            assert_eq!(AuthCheck::new(failure_policy, 100.0).handle(99.9, event), action, "{event:?}");
         }
     }
 }
 
 #[test]
-fn at_and_after_the_deadline_nothing_goes_on() {
-    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+fn nothing_is_forwarded_at_or_after_the_deadline() {
+    for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for now in [100.0, 100.1, 1e9] {
-            for input in INPUTS {
-                let step = Gate::new(on_failure, 100.0).handle(now, input);
-                let wanted = if input == Input::ClientGone { Step::Nothing } else { Step::TimeUp };
-                assert_eq!(step, wanted, "{input:?}");
+            for event in EVENTS {
+                let action = AuthCheck::new(failure_policy, 100.0).handle(now, event);
+                let expected =
+                    if event == CheckEvent::ClientGone { CheckAction::Ignore } else { CheckAction::TimedOut };
+                assert_eq!(action, expected, "{event:?}");
             }
         }
     }
 }
 
 #[test]
-fn whatever_comes_in_whatever_order_a_request_gets_one_step() {
-    // All sequences of four inputs, each before and at the deadline.
-    let all = INPUTS.len() * 2;
-    for on_failure in [OnFailure::Closed, OnFailure::Open] {
+fn any_event_sequence_yields_at_most_one_action() {
+    // All sequences of four events, each before and at the deadline.
+    let all = EVENTS.len() * 2;
+    for failure_policy in [FailurePolicy::Closed, FailurePolicy::Open] {
         for number in 0..all.pow(4) {
-            let mut gate = Gate::new(on_failure, 100.0);
-            let (mut rest, mut steps, mut gone, mut no) = (number, 0, false, false);
+            let mut check = AuthCheck::new(failure_policy, 100.0);
+            let (mut rest, mut actions, mut client_gone, mut denied) = (number, 0, false, false);
             for _ in 0..4 {
-                let (input, late) = (INPUTS[rest % all / 2], rest % 2 == 1);
+                let (event, late) = (EVENTS[rest % all / 2], rest % 2 == 1);
                 rest /= all;
-                let step = gate.handle(if late { 100.0 } else { 0.0 }, input);
-                let goes_on = matches!(step, Step::GoOn { .. });
-                assert!(!(goes_on && (gone || no || late)), "{number}");
-                steps += usize::from(step != Step::Nothing);
-                gone |= input == Input::ClientGone;
-                no |= input == Input::Said(Said::No);
+                let action = check.handle(if late { 100.0 } else { 0.0 }, event);
+                let forwards = matches!(action, CheckAction::Forward { .. });
+                assert!(!(forwards && (client_gone || denied || late)), "{number}");
+                actions += usize::from(action != CheckAction::Ignore);
+                client_gone |= event == CheckEvent::ClientGone;
+                denied |= event == CheckEvent::Answered(Verdict::Denied);
             }
-            assert!(steps <= 1, "{number}");
+            assert!(actions <= 1, "{number}");
         }
     }
 }
 
 #[test]
-fn a_check_leaves_the_application_its_usual_time_or_half() {
-    assert_eq!(share(300.0, 2000.0, 500.0), 300.0);
-    assert_eq!(share(1900.0, 2000.0, 500.0), 1500.0);
-    assert_eq!(share(1900.0, 600.0, 500.0), 300.0);
-    assert_eq!(share(300.0, 0.0, 500.0), 0.0);
+fn check_time_limit_reserves_application_latency_or_half() {
+    assert_eq!(check_time_limit(300.0, 2000.0, 500.0), 300.0);
+    assert_eq!(check_time_limit(1900.0, 2000.0, 500.0), 1500.0);
+    assert_eq!(check_time_limit(1900.0, 600.0, 500.0), 300.0);
+    assert_eq!(check_time_limit(300.0, 0.0, 500.0), 0.0);
 }
 
 #[test]
-fn statuses_mean_what_proxies_agree_on() {
+fn statuses_map_to_verdicts() {
     for status in 100..600 {
-        let said = Said::of(status);
-        assert_eq!(said == Said::Yes, (200..300).contains(&status));
-        assert_eq!(said == Said::No, [401, 403].contains(&status) || (300..400).contains(&status));
+        let verdict = Verdict::from_status(status);
+        assert_eq!(verdict == Verdict::Allowed, (200..300).contains(&status));
+        assert_eq!(verdict == Verdict::Denied, [401, 403].contains(&status) || (300..400).contains(&status));
     }
 }
 
 #[test]
-fn spellings_of_a_name_fold_into_one() {
+fn header_name_variants_fold_to_one_name() {
     for spelling in ["X-User", "x-user", "X_User", "x_USER", "X-uSeR"] {
-        assert_eq!(folded(spelling), "x-user");
+        assert_eq!(fold_header_name(spelling), "x-user");
     }
 }
--- a/crates/journal/tests/stored_journal.rs
+++ b/crates/journal/tests/stored_journal.rs
@@ -1,7 +1,8 @@
 //! A journal that an earlier version wrote is opened, read order by order, written on, and opened again.
 
 use ivygate_journal::{
-    answer, Attempt, Came, Ended, Keeping, Level, Order, Recorded, State, Store, Update, Verified,
+    answer_query, Attempt, AttemptOutcome, DurabilityLevel, EndReason, Order, RecordOutcome, Retention,
+    State, Store, Update, VerifyReport,
 };
 use std::fmt::Write;
 use std::fs;
@@ -50,14 +51,14 @@
 fn answers(store: &Store) -> String {
     let mut text = String::new();
     for query in QUERIES {
-        let told = answer(store, query);
+        let told = answer_query(store, query);
         write!(text, "{query} {}\n{}", told.status, told.lines).expect("text can be written");
     }
     text
 }
 
-fn attempt(number: u32, came: Came) -> Attempt {
-    Attempt { number, server: ([127, 0, 0, 1], 9301).into(), sent_at: 1_764_547_300_000.5, came }
+fn attempt(number: u32, outcome: AttemptOutcome) -> Attempt {
+    Attempt { number, server: ([127, 0, 0, 1], 9301).into(), sent_at: 1_764_547_300_000.5, outcome }
 }
 
 #[test]
@@ -67,12 +68,12 @@
     let expected = fs::read_to_string(fixture().join("expected.txt")).expect("the fixture is there");
     assert_eq!(answers(&store), expected);
     for (query, status) in REJECTED {
-        let told = answer(&store, query);
+        let told = answer_query(&store, query);
         assert_eq!(told.status, status, "{query}");
         assert!(told.lines.starts_with("{\"error\":\"") && told.lines.ends_with("\"}\n"), "{}", told.lines);
     }
-    assert!(!store.was_repaired() && !store.was_changed());
-    assert_eq!(store.salt([9; 32]).expect("it can be read"), [7; 32]);
+    assert!(!store.was_repaired() && !store.changed_after_close());
+    assert_eq!(store.get_or_insert_salt([9; 32]).expect("it can be read"), [7; 32]);
     drop(store);
     fs::remove_dir_all(folder).expect("it goes");
 }
@@ -80,30 +81,36 @@
 #[test]
 fn writes_on_where_an_earlier_version_stopped() {
     let folder = copy("write");
-    let store = Store::create(&folder, Level::Synced, Keeping::default()).expect("it opens");
+    let store = Store::create(&folder, DurabilityLevel::Synced, Retention::default()).expect("it opens");
     let taken = |client_id: &str| {
         let order = Order {
             client_id: Some(client_id.to_owned()),
             customer: "acme".into(),
             route: "pay".into(),
             target: "/pay/9".into(),
-            taken_at: 1_764_547_300_000.0,
-            attempts: vec![attempt(0, Came::Unknown)],
+            accepted_at: 1_764_547_300_000.0,
+            attempts: vec![attempt(0, AttemptOutcome::Unknown)],
             ..Order::default()
         };
-        Update::Taken(order)
+        Update::Accepted(order)
     };
     let updates = [
-        ("boot-3".to_owned(), Update::Came(0, Came::Answer(201))),
+        ("boot-3".to_owned(), Update::AttemptEnded(0, AttemptOutcome::Answer(201))),
         ("boot-9".to_owned(), taken("client-1")),
         ("boot-10".to_owned(), taken("client-4")),
         ("boot-11".to_owned(), taken("client-9")),
-        ("boot-11".to_owned(), Update::Ended(Ended::ClientGone)),
+        ("boot-11".to_owned(), Update::Closed(EndReason::ClientGone)),
     ];
     let (recorded, fill) = store.record(&updates).expect("it is recorded");
     assert_eq!(
         recorded,
-        [Recorded::Yes, Recorded::Known(State::Answered(200)), Recorded::Yes, Recorded::Yes, Recorded::Yes]
+        [
+            RecordOutcome::Recorded,
+            RecordOutcome::Duplicate(State::Answered(200)),
+            RecordOutcome::Recorded,
+            RecordOutcome::Recorded,
+            RecordOutcome::Recorded
+        ]
     );
     assert_eq!(fill.orders, 9);
     drop(store);
@@ -115,7 +122,7 @@
     assert_eq!(found("boot-9"), None);
     assert_eq!(
         store.verify().expect("it can be read"),
-        Verified { orders: 9, unknown: 4, wrong: Vec::new() }
+        VerifyReport { orders: 9, unknown: 4, problems: Vec::new() }
     );
     drop(store);
     fs::remove_dir_all(folder).expect("it goes");
