--- a/crates/ivygate/src/journal.rs
+++ b/crates/ivygate/src/journal.rs
@@ -1,5 +1,5 @@
 //! `ivygate journal`: shows the outcomes of requests that must not run twice. Queries the process that has the journal
-//! open, or opens the journal if there is none.
+//! open, or opens the journal itself if no process has.
 
 use clap::{Args, Subcommand, ValueEnum};
 use ivygate_journal::{
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Error of opening, transaction or writing a journal.
+/// Error of opening, reading or writing a journal.
 #[derive(Debug)]
 pub enum JournalError {
     /// Another process has it open.
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -33,7 +33,7 @@
     done: Option<DoneSender>,
 }
 
-/// Receives the result of an update.
+/// Sends the result of an update to its caller.
 type DoneSender = oneshot::Sender<RecordOutcome>;
 
 /// Handle of the writer thread of a journal.
--- a/crates/journal/tests/crashes.rs
+++ b/crates/journal/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Journals on a simulated failing disk: power checked_cuts at every operation, with unsynced writes lost or kept at
+//! Journals on a simulated failing disk: power cuts at every operation, with unsynced writes lost or kept at
 //! random, and I/O errors.
 
 use ivygate_journal::{
--- a/crates/sidecar/src/active_config.rs
+++ b/crates/sidecar/src/active_config.rs
@@ -135,7 +135,7 @@
     /// they are not modified until [`Self::activate`].
     ///
     /// # Errors
-    /// If a decision module cannot act on its settings, or routes contradict each other.
+    /// Returns an error if the settings of a pool are invalid, or routes conflict.
     pub fn new(model: &Model, before: Option<&ActiveConfig>, clock: Clock) -> Result<Self, String> {
         let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -111,8 +111,8 @@
 /// Logs a state change of a zone; never called per request.
 fn log_event(pool: &str, event: &DomainEvent) {
     match event {
-        // Two late answers suffice for the suspect state, which has little effect, so
-        // transitions to and from it are logged only if the zone is then judged bad.
+        // Two late answers suffice for the suspect state, which has little effect, so transitions to and from it are
+        // logged only if the zone is then judged bad.
         DomainEvent::StateChanged { from, to }
             if *from == DomainState::Suspect || to.state == DomainState::Suspect =>
         {
