--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -4,7 +4,7 @@
 use crate::MISUSED;
 use clap::Args;
 use ivygate_config::Severity;
-use ivygate_tool::{from_openapi, generate, Description, Route, Wish};
+use ivygate_tool::{from_openapi, generate, Description, Route, RouteEffect};
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, IsTerminal, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -177,13 +177,13 @@
 }
 
 /// An operation and its effect.
-fn effect(text: &str) -> Result<(String, Wish), Fault> {
+fn effect(text: &str) -> Result<(String, RouteEffect), Fault> {
     let words: Vec<&str> = text.split_whitespace().collect();
-    let [method, path, wish] = words[..] else {
+    let [method, path, effect] = words[..] else {
         return Err(misuse(format!("ivygate: `{text}` is no effect; write one such as `POST /search safe`")));
     };
-    let wish = wish.parse().map_err(|error| misuse(format!("ivygate: {error}")))?;
-    Ok((format!("{} {path}", method.to_uppercase()), wish))
+    let effect = effect.parse().map_err(|error| misuse(format!("ivygate: {error}")))?;
+    Ok((format!("{} {path}", method.to_uppercase()), effect))
 }
 
 /// Asks for what is needed, line by line; what cannot be read is asked for again.
--- a/crates/tool/src/generate.rs
+++ b/crates/tool/src/generate.rs
@@ -9,7 +9,7 @@
 
 /// What a caller says of the effect of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wish {
+pub enum RouteEffect {
     /// They may run any number of times.
     Safe,
     /// Servers drop repeats with the same key.
@@ -18,32 +18,32 @@
     Unsafe,
 }
 
-impl Wish {
+impl RouteEffect {
     fn word(self) -> &'static str {
         match self {
-            Wish::Safe => "safe",
-            Wish::Keyed => "keyed",
-            Wish::Unsafe => "unsafe",
+            RouteEffect::Safe => "safe",
+            RouteEffect::Keyed => "keyed",
+            RouteEffect::Unsafe => "unsafe",
         }
     }
 
     fn class(self) -> &'static str {
         match self {
-            Wish::Safe => "reads",
-            Wish::Keyed => "keyed-writes",
-            Wish::Unsafe => "writes",
+            RouteEffect::Safe => "reads",
+            RouteEffect::Keyed => "keyed-writes",
+            RouteEffect::Unsafe => "writes",
         }
     }
 }
 
-impl FromStr for Wish {
+impl FromStr for RouteEffect {
     type Err = RouteError;
 
     fn from_str(text: &str) -> Result<Self, RouteError> {
         match text {
-            "safe" => Ok(Wish::Safe),
-            "keyed" => Ok(Wish::Keyed),
-            "unsafe" => Ok(Wish::Unsafe),
+            "safe" => Ok(RouteEffect::Safe),
+            "keyed" => Ok(RouteEffect::Keyed),
+            "unsafe" => Ok(RouteEffect::Unsafe),
             other => {
                 Err(RouteError(format!("there is no effect `{other}`; write `safe`, `keyed` or `unsafe`")))
             }
@@ -74,7 +74,7 @@
     /// Methods; none for any.
     pub methods: Vec<String>,
     /// Their effect.
-    pub wish: Wish,
+    pub effect: RouteEffect,
     /// Where it comes from, for a comment.
     pub origin: Option<String>,
 }
@@ -102,12 +102,14 @@
             None if words[at].contains('*') => ("pattern", words[at].to_owned()),
             None => ("prefix", words[at].to_owned()),
         };
-        let wish = match words.get(at + 1) {
+        let effect = match words.get(at + 1) {
             Some(word) => word.parse()?,
-            None if !methods.is_empty() && methods.iter().all(|m| m == "GET" || m == "HEAD") => Wish::Safe,
-            None => Wish::Unsafe,
+            None if !methods.is_empty() && methods.iter().all(|m| m == "GET" || m == "HEAD") => {
+                RouteEffect::Safe
+            }
+            None => RouteEffect::Unsafe,
         };
-        Ok(Route { path, methods, wish, origin: None })
+        Ok(Route { path, methods, effect, origin: None })
     }
 }
 
@@ -210,20 +212,20 @@
     w("# Clients connect here. Name the proxies that stand before it: `trusted 10.0.0.0/8;`.");
     w(&format!("listen {listen} {{ connections 256; }}"));
     w("");
-    let mut wishes: Vec<Wish> = app.routes.iter().map(|r| r.wish).collect();
-    wishes.sort_unstable();
-    wishes.dedup();
-    for wish in &wishes {
-        match wish {
-            Wish::Safe => {
+    let mut effects: Vec<RouteEffect> = app.routes.iter().map(|r| r.effect).collect();
+    effects.sort_unstable();
+    effects.dedup();
+    for effect in &effects {
+        match effect {
+            RouteEffect::Safe => {
                 w("# May run any number of times: sent again after a failure, and to another server when one is slow.");
                 w("class reads { effect safe; aim 500ms; deadline 5s; }");
             }
-            Wish::Keyed => {
+            RouteEffect::Keyed => {
                 w("# Servers drop repeats with the same key for 15 s; without a key treated as unsafe.");
                 w("class keyed-writes { effect keyed; scope all; window 15s; key Idempotency-Key; aim 1s; deadline 10s; worth 3; }");
             }
-            Wish::Unsafe => {
+            RouteEffect::Unsafe => {
                 w("# Must never run twice: sent again only if no attempt can have run.");
                 w("class writes { effect unsafe; aim 1s; deadline 10s; worth 5; }");
             }
@@ -263,11 +265,12 @@
         let mut line = format!("route {name} {{ path {} {}; ", route.path.0, quoted(&route.path.1));
         if !route.methods.is_empty() {
             // The caller said that these may run twice; the checker would ask.
-            let asks = route.wish == Wish::Safe && route.methods.iter().any(|m| m == "POST" || m == "PATCH");
+            let asks = route.effect == RouteEffect::Safe
+                && route.methods.iter().any(|m| m == "POST" || m == "PATCH");
             let meant = if asks { " meant" } else { "" };
             let _ = write!(line, "methods {}{meant}; ", route.methods.join(" "));
         }
-        let _ = write!(line, "class {}; pool {}; }}", route.wish.class(), quoted(&app.name));
+        let _ = write!(line, "class {}; pool {}; }}", route.effect.class(), quoted(&app.name));
         w(&line);
     }
     format("generated", &out).unwrap_or(out)
@@ -296,7 +299,7 @@
         name += &part;
     }
     if name.is_empty() {
-        format!("all-{}", route.wish.word())
+        format!("all-{}", route.effect.word())
     } else {
         name
     }
--- a/crates/tool/src/openapi.rs
+++ b/crates/tool/src/openapi.rs
@@ -1,6 +1,6 @@
 //! Routes from an OpenAPI 3 document, in JSON or YAML.
 
-use crate::generate::{Route, Wish};
+use crate::generate::{Route, RouteEffect};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// If it is no OpenAPI 3 document, or what is told names no operation.
-pub fn from_openapi(text: &str, told: &[(String, Wish)]) -> Result<OpenApi, OpenApiError> {
+pub fn from_openapi(text: &str, told: &[(String, RouteEffect)]) -> Result<OpenApi, OpenApiError> {
     let document: Value = match serde_json::from_str(text) {
         Ok(document) => document,
         Err(json) => serde_yaml_ng::from_str(text).map_err(|yaml| {
@@ -58,7 +58,7 @@
     };
     let mut used = vec![false; told.len()];
     // By path and effect: methods, and the operations that they come from. Two templates may be one pattern.
-    let mut found: BTreeMap<(String, String), (Wish, Vec<String>)> = BTreeMap::new();
+    let mut found: BTreeMap<(String, String), (RouteEffect, Vec<String>)> = BTreeMap::new();
     for (template, item) in paths {
         let path = pattern(&format!("{base}{template}"), &mut remarks);
         let Some(item) = item.as_object() else { continue };
@@ -68,26 +68,28 @@
         for method in METHODS {
             let Some(operation) = item.get(method) else { continue };
             let name = format!("{} {template}", method.to_uppercase());
-            let mut wish = if method == "get" || method == "head" { Wish::Safe } else { Wish::Unsafe };
+            let mut effect =
+                if method == "get" || method == "head" { RouteEffect::Safe } else { RouteEffect::Unsafe };
             for source in [item.get(EXTENSION), operation.get(EXTENSION)].into_iter().flatten() {
                 let text = source.as_str().unwrap_or_default();
-                wish = text.parse().map_err(|error| OpenApiError(format!("{name}: {EXTENSION}: {error}")))?;
+                effect =
+                    text.parse().map_err(|error| OpenApiError(format!("{name}: {EXTENSION}: {error}")))?;
             }
             for (number, (operation, by_caller)) in told.iter().enumerate() {
                 if *operation == name {
-                    wish = *by_caller;
+                    effect = *by_caller;
                     used[number] = true;
                 }
             }
             let key = (path.clone(), method.to_uppercase());
-            let entry = found.entry(key).or_insert((wish, Vec::new()));
+            let entry = found.entry(key).or_insert((effect, Vec::new()));
             if !entry.1.is_empty() {
                 remarks.push(format!(
                     "{name} claims the same requests as {}; the stricter effect holds",
                     entry.1[0]
                 ));
             }
-            entry.0 = entry.0.max(wish);
+            entry.0 = entry.0.max(effect);
             entry.1.push(name);
         }
     }
@@ -100,24 +102,24 @@
     if found.is_empty() {
         return Err(OpenApiError("it has no operation".to_owned()));
     }
-    let mut merged: BTreeMap<(String, Wish), (Vec<String>, Vec<String>)> = BTreeMap::new();
-    for ((path, method), (wish, names)) in found {
-        let entry = merged.entry((path, wish)).or_default();
+    let mut merged: BTreeMap<(String, RouteEffect), (Vec<String>, Vec<String>)> = BTreeMap::new();
+    for ((path, method), (effect, names)) in found {
+        let entry = merged.entry((path, effect)).or_default();
         entry.0.push(method);
         entry.1.extend(names);
     }
     let mut routes: Vec<Route> = merged
         .into_iter()
-        .map(|((path, wish), (methods, names))| Route {
+        .map(|((path, effect), (methods, names))| Route {
             path: (if path.contains('*') { "pattern" } else { "exact" }, path),
             methods,
-            wish,
+            effect,
             origin: Some(names.join(", ")),
         })
         .collect();
     // The first pattern that matches takes a request, so literal segments come before wildcards.
     let rank = |route: &Route| route.path.1.split('/').map(|s| (s == "*", s.to_owned())).collect::<Vec<_>>();
-    routes.sort_by_cached_key(|route| (rank(route), route.wish));
+    routes.sort_by_cached_key(|route| (rank(route), route.effect));
     let title = document.pointer("/info/title").and_then(Value::as_str).map(str::to_owned);
     Ok(OpenApi { title, routes, remarks })
 }
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -2,7 +2,7 @@
 
 use ivygate_config::{load, Effect, Model, Severity};
 use ivygate_routing::{LookupResult, RouteTable};
-use ivygate_tool::{format, from_openapi, generate, Description, Route, Wish};
+use ivygate_tool::{format, from_openapi, generate, Description, Route, RouteEffect};
 
 fn written(app: &Description) -> (String, Model) {
     let text = generate(app, "127.0.0.1:8080".parse().unwrap());
@@ -99,7 +99,7 @@
 
 #[test]
 fn an_openapi_document_becomes_routes_in_which_only_reads_are_safe() {
-    let document = from_openapi(DOCUMENT, &[("POST /trails/search".into(), Wish::Safe)]).unwrap();
+    let document = from_openapi(DOCUMENT, &[("POST /trails/search".into(), RouteEffect::Safe)]).unwrap();
     assert_eq!(document.title.as_deref(), Some("Trails"));
     let (text, model) =
         written(&Description { routes: document.routes, remarks: document.remarks, ..app(&[]) });
@@ -131,7 +131,7 @@
         "openapi: 3.0.0\npaths:\n  /a/{x}: { post: { x-ivygate-effect: safe } }\n  /a/{y}: { post: {} }\n";
     let document = from_openapi(text, &[]).unwrap();
     assert_eq!(document.routes.len(), 1);
-    assert_eq!(document.routes[0].wish, Wish::Unsafe);
+    assert_eq!(document.routes[0].effect, RouteEffect::Unsafe);
     assert!(document.remarks[0].contains("the stricter effect holds"));
 }
 
@@ -149,6 +149,6 @@
         let error = from_openapi(text, &[]).unwrap_err().to_string();
         assert!(error.contains(why), "{error}");
     }
-    let error = from_openapi(DOCUMENT, &[("POST /gone".into(), Wish::Safe)]).unwrap_err().to_string();
+    let error = from_openapi(DOCUMENT, &[("POST /gone".into(), RouteEffect::Safe)]).unwrap_err().to_string();
     assert!(error.contains("`POST /gone`"), "{error}");
 }
