--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -161,7 +161,7 @@
         fields.note(error.also(by, label).help(format!(
             "write `window {0}s;`, or `drops-repeats {1} {2}s;` in the pool if its servers do so",
             kept / 1000.0,
-            scope.word(),
+            scope.as_str(),
             window / 1000.0
         )));
     }
@@ -169,8 +169,8 @@
         let at = place(fields, "class", &class.name, "scope", class.at);
         let what = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
         let error = Diagnostic::error("IV0075", what, at, "wider than the servers that drop repeats");
-        let label = format!("dropped by servers of one {} only", dropped.word());
-        fields.note(error.also(by, label).help(format!("write `scope {};`", dropped.word())));
+        let label = format!("dropped by servers of one {} only", dropped.as_str());
+        fields.note(error.also(by, label).help(format!("write `scope {};`", dropped.as_str())));
     }
     let group = |server: &Server| match scope {
         Scope::All => String::new(),
@@ -192,7 +192,7 @@
     if pool.servers.len() > 1 && !meant && sizes.values().all(|size| *size == 1) {
         let what = format!(
             "no {} of `{}` has two servers, so `{}` can never be repeated",
-            scope.word(),
+            scope.as_str(),
             pool.name,
             class.name
         );
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -204,7 +204,7 @@
 
 impl Scope {
     /// As the language has it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Scope::Cell => "cell",
             Scope::Zone => "zone",
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -116,7 +116,7 @@
 fn effect(effect: Effect) -> String {
     match effect {
         Effect::Safe => "safe".to_owned(),
-        Effect::Keyed(of, window) => format!("keyed, scope {}, window {}", of.word(), time(window)),
+        Effect::Keyed(of, window) => format!("keyed, scope {}, window {}", of.as_str(), time(window)),
         Effect::Unsafe => "unsafe".to_owned(),
     }
 }
@@ -337,7 +337,7 @@
                 pair.as_ref().map_or("none".to_owned(), |(h, v)| format!("{h} {v}"))
             };
             let drops = |p: &Pool| {
-                p.drops_repeats.map_or("not told".to_owned(), |(s, t)| format!("{} {}", s.word(), time(t)))
+                p.drops_repeats.map_or("not told".to_owned(), |(s, t)| format!("{} {}", s.as_str(), time(t)))
             };
             let wider = match (a.drops_repeats, b.drops_repeats) {
                 (Some((from, before)), Some((to, after))) => after > before || to > from,
--- a/crates/tool/src/generate.rs
+++ b/crates/tool/src/generate.rs
@@ -19,7 +19,7 @@
 }
 
 impl RouteEffect {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             RouteEffect::Safe => "safe",
             RouteEffect::Keyed => "keyed",
@@ -299,7 +299,7 @@
         name += &part;
     }
     if name.is_empty() {
-        format!("all-{}", route.effect.word())
+        format!("all-{}", route.effect.as_str())
     } else {
         name
     }
