--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -14,7 +14,7 @@
 
 /// Descriptors that are no listener's and no pool's: standard streams, the runtime's own, sockets in the act
 /// of closing.
-pub const RESERVE: usize = 48;
+pub const RESERVED_DESCRIPTORS: usize = 48;
 /// Methods that change nothing by their definition; a safe class claims these where a route names none.
 pub const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 /// Longest time of any kind.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,7 +14,7 @@
 mod syntax;
 mod units;
 
-pub use check::{RESERVE, SAFE_METHODS};
+pub use check::{RESERVED_DESCRIPTORS, SAFE_METHODS};
 pub use codes::{Code, CODES};
 pub use diagnostic::{Diagnostic, Place, Severity, Sources, Span};
 pub use expand::{Loader, NoFiles};
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -1,7 +1,7 @@
 //! What only the whole configuration shows: values that contradict each other, routes that no request reaches,
 //! limits that do not add up.
 
-use crate::check::{LONGEST, RESERVE};
+use crate::check::{LONGEST, RESERVED_DESCRIPTORS};
 use crate::diagnostic::{Diagnostic, Span};
 use crate::fields::{head_span, says_meant, Fields};
 use crate::model::*;
@@ -444,11 +444,11 @@
     let clients: usize = model.listeners.iter().map(|l| l.connections).sum();
     let servers: usize = model.pools.iter().map(|p| p.connections).sum();
     let operators = model.operator.as_ref().map_or(0, |_| Operator::CONNECTIONS);
-    let total = clients + servers + operators + RESERVE;
+    let total = clients + servers + operators + RESERVED_DESCRIPTORS;
     if total > model.limits.descriptors {
         let at = fields.one("limits").map_or(fields.head, |s| s.span);
         let what = "listeners and pools may use more descriptors than the process has";
-        let label = format!("{clients} for clients, {servers} for servers, {operators} for operators, {RESERVE} kept: {total}");
+        let label = format!("{clients} for clients, {servers} for servers, {operators} for operators, {RESERVED_DESCRIPTORS} kept: {total}");
         let error = Diagnostic::error("IV0056", what, at, label);
         let help = format!(
             "the limit is {}; lower `connections`, or write `limits {{ descriptors {total}; }}`",
