--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -84,10 +84,10 @@
 
 fn limits(fields: &Fields) -> Limits {
     let (mut descriptors, mut drain, mut memory) = (1024.0, 30_000.0, None);
-    let mut at = At::default();
+    let mut at = SourceSpan::default();
     if let Some(statement) = fields.one("limits") {
         let inner = fields.inner("limits block", statement);
-        at = At(inner.head);
+        at = SourceSpan(inner.head);
         descriptors = inner.positive_or("descriptors", Quantity::Count, descriptors);
         drain = duration_or(&inner, "drain", drain);
         memory = inner.quantity("memory", Quantity::Size).map(|bytes| bytes as usize);
@@ -111,7 +111,7 @@
         keyed: yes_or_no(&inner, "keyed"),
         hashed: !choice(&inner, "customers", ["plain", "hashed"], customers),
         id_header: inner.word("id-header").and_then(|word| header(&inner, word)).unwrap_or("req-id".into()),
-        at: At(inner.head),
+        at: SourceSpan(inner.head),
     };
     inner.finish();
     Some(journal)
@@ -161,7 +161,7 @@
         let error = Diagnostic::error("IV0043", what, word.span, "again here");
         fields.note(error.also(listener.at.0, "clients connect here"));
     }
-    Some(Operator { address, at: At(head_span(statement)) })
+    Some(Operator { address, at: SourceSpan(head_span(statement)) })
 }
 
 fn group(fields: &Fields, pools: &[Pool]) -> Option<Group> {
@@ -178,7 +178,7 @@
         inner.note(warning.help("write `domains;` in a pool, or remove `group`"));
     }
     let keys = keys.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
-    let at = At(inner.head);
+    let at = SourceSpan(inner.head);
     inner.finish();
     Some(Group { listen: listen?, keys, peers, at })
 }
@@ -279,7 +279,7 @@
             price: inner.positive_or("price", Quantity::Number, 1.0),
             excess_worth: inner.quantity_or("excess-worth", Quantity::Share, 0.0),
             excess_cost: inner.positive_or("excess-cost", Quantity::Number, 1.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         };
         for (name, rate, burst) in
             [("burst", plan.quota, plan.burst), ("ceiling-burst", plan.ceiling, plan.ceiling_burst)]
@@ -317,11 +317,11 @@
         plan_header: None,
         default_plan: 0,
         deadline_header: None,
-        at: At::default(),
+        at: SourceSpan::default(),
     };
     let Some(statement) = fields.one("identity") else { return identity };
     let inner = fields.inner("identity block", statement);
-    identity.at = At(inner.head);
+    identity.at = SourceSpan(inner.head);
     if let Some(words) = inner.one("customer").and_then(|s| inner.words(s, 1, 2)) {
         let from = match (words[0].text.as_str(), words.get(1)) {
             ("header", Some(name)) => header(&inner, name).map(CustomerFrom::Header),
@@ -373,7 +373,7 @@
         let inner = fields.inner("customer", statement);
         if let Some(word) = inner.needed("plan", "plan NAME;").and_then(|s| inner.words(s, 1, 1)) {
             if let Some(plan) = refer(&inner, "plan", &word[0], plans, |p| &p.name) {
-                customers.push(Customer { name: name.text.clone(), plan, at: At(inner.head) });
+                customers.push(Customer { name: name.text.clone(), plan, at: SourceSpan(inner.head) });
             }
         }
         inner.finish();
@@ -409,7 +409,7 @@
             worth: inner.positive_or("worth", Quantity::Number, 1.0),
             late_worth: inner.quantity_or("late-worth", Quantity::Share, 0.2),
             units: inner.positive_or("units", Quantity::Number, 1.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         };
         if class.effect == Effect::Unsafe && class.repeat == Repeat::Sent && effect.is_some() {
             let at = inner.one("repeat").map_or(inner.head, |s| s.span);
@@ -583,7 +583,7 @@
                 .and_then(|w| plain_path(&inner, &w[0]))
                 .map(|p| p.split('?').next().unwrap_or("").to_owned()),
             ids_kept: duration_or(&inner, "ids-kept", 60_000.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         });
         if let Some(word) = inner.word("head").filter(|_| listeners.last().is_some_and(|l| l.head < 8192)) {
             let error = Diagnostic::error(
@@ -663,7 +663,7 @@
             cross_zone: inner.quantity_or("cross-zone", Quantity::Share, 0.0),
             domains,
             servers,
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         });
         inner.finish();
     }
@@ -770,7 +770,7 @@
             cell: inner.quantity_or("cell", Quantity::Count, 0.0) as u32,
             weight: inner.positive_or("weight", Quantity::Number, 1.0),
             draining,
-            at: At(head_span(statement)),
+            at: SourceSpan(head_span(statement)),
         });
         inner.finish();
     }
@@ -846,7 +846,7 @@
         let (cache_yes, cache_no) = (remembered("cache-yes"), remembered("cache-no"));
         let cache_size = inner.positive_or("cache-size", Quantity::Count, 10_000.0) as usize;
         let cache_unsafe = yes_or_no(&inner, "cache-unsafe");
-        let at = At(inner.head);
+        let at = SourceSpan(inner.head);
         inner.finish();
         // One with a mistake is kept too, so that routes that name it are not told of as well.
         let (pool, path) = (pool.unwrap_or(0), path.unwrap_or_default());
@@ -933,7 +933,7 @@
             inner.words(statement, 1, 1)?;
             refer(&inner, "sign-in", word, sign_ins, |s| &s.name)
         });
-        let at = At(inner.head);
+        let at = SourceSpan(inner.head);
         inner.finish();
         if let (Some(host), Some(path), Some(methods), Some(class), Some(pool)) =
             (host, path, methods, class, pool)
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -41,7 +41,7 @@
 }
 
 /// Where that statement stands, or else the block.
-fn place(fields: &Fields, kind: &'static str, name: &str, statement: &str, at: At) -> Span {
+fn place(fields: &Fields, kind: &'static str, name: &str, statement: &str, at: SourceSpan) -> Span {
     part(fields, kind, name, statement).map_or(at.0, head_span)
 }
 
@@ -499,7 +499,7 @@
 }
 
 fn unused(fields: &Fields, model: &Model) {
-    let warn = |code, kind: &str, name: &str, at: At| {
+    let warn = |code, kind: &str, name: &str, at: SourceSpan| {
         let what = format!("no route names the {kind} `{name}`");
         fields.note(Diagnostic::warning(code, what, at.0, "defined here").help("remove it, or route to it"));
     };
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -9,9 +9,9 @@
 
 /// Where something stands in the file. Does not count when configurations are compared.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct At(pub Span);
+pub struct SourceSpan(pub Span);
 
-impl PartialEq for At {
+impl PartialEq for SourceSpan {
     fn eq(&self, _: &Self) -> bool {
         true
     }
@@ -56,7 +56,7 @@
     /// Where the others hear; one's own address does no harm.
     pub peers: Vec<SocketAddr>,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 impl Group {
@@ -70,7 +70,7 @@
     /// The address.
     pub address: SocketAddr,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 impl Operator {
@@ -96,7 +96,7 @@
     /// The header with the client's id of an order.
     pub id_header: String,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// What the process may use.
@@ -109,7 +109,7 @@
     /// Most memory, if that is told; it is planned with, not enforced.
     pub memory: Option<usize>,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// How a customer, its plan and a deadline are read off a request.
@@ -124,7 +124,7 @@
     /// A header that shortens the deadline, believed of trusted peers only.
     pub deadline_header: Option<String>,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// A customer whose plan is in the file.
@@ -135,7 +135,7 @@
     /// Its plan, by its number.
     pub plan: usize,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// Where a customer's name comes from.
@@ -177,7 +177,7 @@
     /// How long the ids of requests that were let on so are remembered.
     pub ids_kept: f64,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// Whether a request may be run again.
@@ -248,7 +248,7 @@
     /// Units of the quota that one request takes.
     pub units: f64,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// A plan; quotas hold for each customer.
@@ -275,7 +275,7 @@
     /// Part of its worth that sending one beyond the quota costs.
     pub excess_cost: f64,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 impl Plan {
@@ -292,7 +292,7 @@
             price: 1.0,
             excess_worth: 0.0,
             excess_cost: 1.0,
-            at: At::default(),
+            at: SourceSpan::default(),
         }
     }
 }
@@ -341,7 +341,7 @@
     /// The servers.
     pub servers: Vec<Server>,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// How the zones of a pool are judged as a whole.
@@ -384,7 +384,7 @@
     /// Whether it is to be sent nothing new.
     pub draining: bool,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// A service that is asked before a request goes on.
@@ -419,7 +419,7 @@
     /// Whether also requests that must not run twice go on by a remembered answer.
     pub cache_unsafe: bool,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
 
 /// How many checks may fail.
@@ -447,5 +447,5 @@
     /// The service that is asked first, by its number.
     pub sign_in: Option<usize>,
     /// Where it stands.
-    pub at: At,
+    pub at: SourceSpan,
 }
--- a/crates/sidecar/src/orders/tests.rs
+++ b/crates/sidecar/src/orders/tests.rs
@@ -16,7 +16,7 @@
         keyed,
         hashed: true,
         id_header: "req-id".into(),
-        at: ivygate_config::At::default(),
+        at: ivygate_config::SourceSpan::default(),
     };
     (folder, Orders::open(&settings).expect("it opens"))
 }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -95,7 +95,7 @@
         worth: 1.0,
         late_worth: 1.0,
         units: 1.0,
-        at: ivygate_config::At::default(),
+        at: ivygate_config::SourceSpan::default(),
     }
 }
 
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -1,8 +1,8 @@
 //! What two configurations do differently, whatever their text.
 
 use ivygate_config::{
-    At, Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, Span,
-    Statement,
+    Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, SourceSpan,
+    Span, Statement,
 };
 use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
 use serde::Serialize;
@@ -67,7 +67,7 @@
     }
 
     /// The place of a block's statement; that of the block where it does not stand in it.
-    fn place(&self, at: At, statement: &str) -> String {
+    fn place(&self, at: SourceSpan, statement: &str) -> String {
         let mut parsed = self.parsed.borrow_mut();
         let file = at.0.file;
         let root = parsed
@@ -142,11 +142,11 @@
         &mut self,
         subject: &str,
         what: &str,
-        old: Option<(At, &str, String)>,
-        new: Option<(At, &str, String)>,
+        old: Option<(SourceSpan, &str, String)>,
+        new: Option<(SourceSpan, &str, String)>,
         risk: Option<&str>,
     ) {
-        let side = |text: &Text, (at, statement, value): (At, &str, String)| Side {
+        let side = |text: &Text, (at, statement, value): (SourceSpan, &str, String)| Side {
             place: text.place(at, statement),
             value,
         };
@@ -156,7 +156,7 @@
         self.all.push(Difference { subject, what, old, new, risk, example: None });
     }
 
-    fn rows(&mut self, subject: &str, old: At, new: At, rows: Vec<Row>) {
+    fn rows(&mut self, subject: &str, old: SourceSpan, new: SourceSpan, rows: Vec<Row>) {
         for (name, before, after, risk) in rows {
             if before != after {
                 self.note(subject, name, Some((old, name, before)), Some((new, name, after)), risk);
@@ -171,7 +171,7 @@
         old: &'m [T],
         new: &'m [T],
         name: impl Fn(&T) -> String,
-        at: impl Fn(&T) -> At,
+        at: impl Fn(&T) -> SourceSpan,
         risk_of_new: Option<&'static str>,
     ) -> Vec<(String, &'m T, &'m T)> {
         let mut pairs = Vec::new();
@@ -469,7 +469,7 @@
                 ],
             );
         }
-        let customers = |model: &Model| -> BTreeMap<String, (At, String)> {
+        let customers = |model: &Model| -> BTreeMap<String, (SourceSpan, String)> {
             let plan = |plan: usize| format!("plan {}", model.plans[plan].name);
             model.customers.iter().map(|c| (c.name.clone(), (c.at, plan(c.plan)))).collect()
         };
@@ -477,7 +477,7 @@
         for name in before.keys().chain(after.keys()).collect::<BTreeSet<_>>() {
             let (from, to) = (before.get(name), after.get(name));
             if from.map(|(_, plan)| plan) != to.map(|(_, plan)| plan) {
-                let side = |(at, plan): &(At, String)| (*at, "plan", plan.clone());
+                let side = |(at, plan): &(SourceSpan, String)| (*at, "plan", plan.clone());
                 self.note(&format!("customer {name}"), "plan", from.map(side), to.map(side), None);
             }
         }
