--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -873,8 +873,8 @@
 }
 
 /// A limit on failed checks: a rate, and perhaps how many may fail at once.
-fn failed_checks(inner: &Fields, name: &'static str) -> FailedChecks {
-    let none = FailedChecks { rate: 0.0, burst: 0.0 };
+fn failed_checks(inner: &Fields, name: &'static str) -> FailedCheckLimit {
+    let none = FailedCheckLimit { rate: 0.0, burst: 0.0 };
     let Some(words) = inner.one(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
     let Some(rate) = inner.quantity_in(&words[0], Quantity::Rate) else { return none };
     if !inner.is_meant(name) {
@@ -884,7 +884,7 @@
     }
     // Two seconds' worth, and some at the least for checks that are on their way at the same time.
     let burst = words.get(1).and_then(|word| inner.quantity_in(word, Quantity::Count));
-    FailedChecks { rate, burst: burst.unwrap_or((2.0 * rate).max(10.0)).max(1.0) }
+    FailedCheckLimit { rate, burst: burst.unwrap_or((2.0 * rate).max(10.0)).max(1.0) }
 }
 
 /// A path to ask for, in normal form.
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -405,9 +405,9 @@
     /// A body up to this size goes into the check, and longer ones are turned away; `None` for no body.
     pub body: Option<usize>,
     /// Failed checks from one address.
-    pub address_limit: FailedChecks,
+    pub address_limit: FailedCheckLimit,
     /// Failed checks with one credential.
-    pub credential_limit: FailedChecks,
+    pub credential_limit: FailedCheckLimit,
     /// Whether requests go on where it gives no usable answer.
     pub open: bool,
     /// How long a yes is remembered; 0 for not at all.
@@ -424,7 +424,7 @@
 
 /// How many checks may fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FailedChecks {
+pub struct FailedCheckLimit {
     /// So many a second; 0 for no limit.
     pub rate: f64,
     /// And so many at once.
--- a/crates/sidecar/src/floods.rs
+++ b/crates/sidecar/src/floods.rs
@@ -1,7 +1,7 @@
 //! Failed checks of one service, by the address and by the credential that they came with.
 
 use crate::remembered::Key;
-use ivygate_config::FailedChecks;
+use ivygate_config::FailedCheckLimit;
 use ivygate_forward_auth::Limit;
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 impl Floods {
     /// Nothing spent yet.
-    pub fn new(address: FailedChecks, credential: FailedChecks) -> Self {
+    pub fn new(address: FailedCheckLimit, credential: FailedCheckLimit) -> Self {
         let address = Limit::new(address.rate, address.burst, KEYS_MOST);
         let credential = Limit::new(credential.rate, credential.burst, KEYS_MOST);
         Self { limits: RefCell::new((address, credential)) }
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -568,7 +568,7 @@
                 names.iter().cloned().collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
             };
             let size = |bytes: Option<usize>| bytes.map_or("none".to_owned(), |b| format!("{b}B"));
-            let limit = |l: ivygate_config::FailedChecks| match l.rate {
+            let limit = |l: ivygate_config::FailedCheckLimit| match l.rate {
                 0.0 => "none".to_owned(),
                 rate => format!("{rate}/s {}", l.burst),
             };
