--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -313,7 +313,7 @@
 
 fn identity(fields: &Fields, plans: &[Plan]) -> Identity {
     let mut identity = Identity {
-        customer: CustomerFrom::Address,
+        customer: CustomerSource::Address,
         plan_header: None,
         default_plan: 0,
         deadline_header: None,
@@ -324,10 +324,10 @@
     identity.at = SourceSpan(inner.head);
     if let Some(words) = inner.one("customer").and_then(|s| inner.words(s, 1, 2)) {
         let from = match (words[0].text.as_str(), words.get(1)) {
-            ("header", Some(name)) => header(&inner, name).map(CustomerFrom::Header),
-            ("cookie", Some(name)) if is_token(&name.text) => Some(CustomerFrom::Cookie(name.text.clone())),
-            ("address", None) => Some(CustomerFrom::Address),
-            ("name", Some(name)) => Some(CustomerFrom::Fixed(name.text.clone())),
+            ("header", Some(name)) => header(&inner, name).map(CustomerSource::Header),
+            ("cookie", Some(name)) if is_token(&name.text) => Some(CustomerSource::Cookie(name.text.clone())),
+            ("address", None) => Some(CustomerSource::Address),
+            ("name", Some(name)) => Some(CustomerSource::Fixed(name.text.clone())),
             _ => {
                 let what = "it is not told where a customer's name comes from";
                 let error = Diagnostic::error("IV0034", what, words[0].span, "not understood");
@@ -337,7 +337,7 @@
                 None
             }
         };
-        identity.customer = from.unwrap_or(CustomerFrom::Address);
+        identity.customer = from.unwrap_or(CustomerSource::Address);
     }
     let header_of = |name| {
         let words = inner.words(inner.one(name)?, 2, 2)?;
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -341,7 +341,7 @@
 fn trust(fields: &Fields, model: &Model) {
     let identity = &model.identity;
     let by = match (&identity.customer, &identity.plan_header, &identity.deadline_header) {
-        (CustomerFrom::Header(_), ..) => "customer",
+        (CustomerSource::Header(_), ..) => "customer",
         (_, Some(_), _) => "plan",
         (.., Some(_)) => "deadline",
         _ => return,
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
     /// The customer; the client's address where a request does not tell.
-    pub customer: CustomerFrom,
+    pub customer: CustomerSource,
     /// A header that names the plan, believed of trusted peers only.
     pub plan_header: Option<String>,
     /// The plan of customers that nothing else names one for, by its number.
@@ -140,7 +140,7 @@
 
 /// Where a customer's name comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CustomerFrom {
+pub enum CustomerSource {
     /// This header.
     Header(String),
     /// This cookie.
--- a/crates/sidecar/src/identity.rs
+++ b/crates/sidecar/src/identity.rs
@@ -2,7 +2,7 @@
 
 use hyper::header::{self, HeaderMap};
 use ipnet::IpNet;
-use ivygate_config::CustomerFrom;
+use ivygate_config::CustomerSource;
 use ivygate_runtime::single_value;
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -35,15 +35,15 @@
 
 /// The customer that a request is counted for; the client's address where it does not tell.
 pub fn customer(
-    from: &CustomerFrom,
+    from: &CustomerSource,
     headers: &HeaderMap,
     client: impl Fn() -> Arc<str>,
 ) -> Result<Arc<str>, &'static str> {
     let named = match from {
-        CustomerFrom::Header(name) => single_value(headers, name)?,
-        CustomerFrom::Cookie(name) => cookie(headers, name)?,
-        CustomerFrom::Address => None,
-        CustomerFrom::Fixed(name) => return Ok(name.as_str().into()),
+        CustomerSource::Header(name) => single_value(headers, name)?,
+        CustomerSource::Cookie(name) => cookie(headers, name)?,
+        CustomerSource::Address => None,
+        CustomerSource::Fixed(name) => return Ok(name.as_str().into()),
     };
     match named {
         None | Some("") => Ok(client()),
--- a/crates/sidecar/src/identity/tests.rs
+++ b/crates/sidecar/src/identity/tests.rs
@@ -27,15 +27,15 @@
 #[test]
 fn a_customer_that_is_named_in_two_ways_is_refused() {
     let client = || "9.9.9.9".into();
-    let by = |from: &CustomerFrom, pairs| customer(from, &headers(pairs), client).map(|c| c.to_string());
-    let (header, cookie) = (CustomerFrom::Header("x-c".into()), CustomerFrom::Cookie("c".into()));
+    let by = |from: &CustomerSource, pairs| customer(from, &headers(pairs), client).map(|c| c.to_string());
+    let (header, cookie) = (CustomerSource::Header("x-c".into()), CustomerSource::Cookie("c".into()));
     assert_eq!(by(&header, &[("x-c", " a ")]), Ok("a".into()));
     assert_eq!(by(&header, &[("x-c", "a"), ("x-c", "a")]), Ok("a".into()));
     assert!(by(&header, &[("x-c", "a"), ("x-c", "b")]).is_err());
     assert_eq!(by(&header, &[]), Ok("9.9.9.9".into()));
     assert_eq!(by(&cookie, &[("cookie", "b=1; c=a")]), Ok("a".into()));
     assert!(by(&cookie, &[("cookie", "c=a"), ("cookie", "c=b")]).is_err());
-    assert_eq!(by(&CustomerFrom::Fixed("f".into()), &[]), Ok("f".into()));
+    assert_eq!(by(&CustomerSource::Fixed("f".into()), &[]), Ok("f".into()));
 }
 
 #[test]
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -5,7 +5,7 @@
 use crate::pool::{once, Pool, Served};
 use crate::remembered::Remembered;
 use hyper::header::HeaderName;
-use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
+use ivygate_config::{Class, CustomerSource, Effect, Identity, Model, Plan, Repeat};
 use ivygate_forward_auth::folded;
 use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_runtime::Clock;
@@ -103,7 +103,7 @@
 fn kept(model: &Model) -> HashSet<String> {
     let identity = &model.identity;
     let customer = match &identity.customer {
-        CustomerFrom::Header(name) => Some(name),
+        CustomerSource::Header(name) => Some(name),
         _ => None,
     };
     let named = [customer, identity.plan_header.as_ref(), identity.deadline_header.as_ref()];
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -1,7 +1,7 @@
 //! What two configurations do differently, whatever their text.
 
 use ivygate_config::{
-    Block, Class, CustomerFrom, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, SourceSpan,
+    Block, Class, CustomerSource, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, SourceSpan,
     Span, Statement,
 };
 use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
@@ -484,11 +484,11 @@
     }
 
     fn identity(&mut self, old: &Model, new: &Model) {
-        let customer = |from: &CustomerFrom| match from {
-            CustomerFrom::Header(name) => format!("header {name}"),
-            CustomerFrom::Cookie(name) => format!("cookie {name}"),
-            CustomerFrom::Address => "address".to_owned(),
-            CustomerFrom::Fixed(name) => format!("name {name}"),
+        let customer = |from: &CustomerSource| match from {
+            CustomerSource::Header(name) => format!("header {name}"),
+            CustomerSource::Cookie(name) => format!("cookie {name}"),
+            CustomerSource::Address => "address".to_owned(),
+            CustomerSource::Fixed(name) => format!("name {name}"),
         };
         let or_none = |name: &Option<String>| name.clone().unwrap_or_else(|| "none".to_owned());
         let (a, b) = (&old.identity, &new.identity);
