--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -135,14 +135,14 @@
     }
 
     /// File, line and column of a place, as editors count them.
-    pub fn place(&self, span: Span) -> Place<'_> {
+    pub fn position(&self, span: Span) -> Position<'_> {
         let Some(source) = self.files.get(span.file as usize) else {
-            return Place { file: "", line: 0, column: 0 };
+            return Position { file: "", line: 0, column: 0 };
         };
         let start = span.start.min(source.text.len());
         let line = source.lines.partition_point(|begin| *begin <= start);
         let begin = source.lines[line - 1];
-        Place { file: &source.name, line, column: source.text[begin..start].chars().count() + 1 }
+        Position { file: &source.name, line, column: source.text[begin..start].chars().count() + 1 }
     }
 
     /// Findings as people read them; with colours on a terminal.
@@ -181,7 +181,7 @@
     fn snippet<'a, T: Clone>(&'a self, span: Span) -> (Snippet<'a, T>, usize) {
         let Some(source) = self.files.get(span.file as usize) else { return (Snippet::source(""), 0) };
         // Lines that no terminal shows would be looked through letter by letter: only what is near is handed on.
-        let place = self.place(span);
+        let place = self.position(span);
         let (mut from, mut to) = (0, source.text.len());
         if source.text.len() > LONG {
             let line = place.line - 1;
@@ -214,7 +214,7 @@
 }
 /// A place as editors name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct Position<'a> {
     /// The file's name.
     pub file: &'a str,
     /// From 1.
@@ -223,7 +223,7 @@
     pub column: usize,
 }
 
-impl fmt::Display for Place<'_> {
+impl fmt::Display for Position<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use check::{RESERVED_DESCRIPTORS, SAFE_METHODS};
 pub use codes::{Code, CODES};
-pub use diagnostic::{Diagnostic, Place, Severity, Sources, Span};
+pub use diagnostic::{Diagnostic, Position, Severity, Sources, Span};
 pub use expand::{Loader, NoFiles};
 pub use model::*;
 pub use syntax::{parse, Block, Comment, Statement, Word};
--- a/crates/files/tests/disk.rs
+++ b/crates/files/tests/disk.rs
@@ -29,7 +29,7 @@
         let loaded = load(&self.0.join("main.conf")).unwrap();
         loaded.report(Severity::Note, false);
         let format_finding = |f: &ivygate_config::Diagnostic| {
-            let place = loaded.sources.place(f.at.0);
+            let place = loaded.sources.position(f.at.0);
             let file = place.file.rsplit('/').next().unwrap();
             format!("{} {file}:{} {}", f.code, place.line, f.at.1)
         };
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -16,7 +16,7 @@
     let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
         return ExitCode::from(MISUSED);
     };
-    let place = |route: &Route| loaded.sources.place(route.at.0).to_string();
+    let place = |route: &Route| loaded.sources.position(route.at.0).to_string();
     match request {
         None => {
             for route in &model.routes {
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -77,7 +77,7 @@
             let inner = block.block.as_ref()?;
             inner.statements.iter().find(|s| s.words[0].text == statement)
         });
-        self.loaded.sources.place(span.map_or(at.0, |s| s.words[0].span)).to_string()
+        self.loaded.sources.position(span.map_or(at.0, |s| s.words[0].span)).to_string()
     }
 }
 
--- a/crates/tool/src/report.rs
+++ b/crates/tool/src/report.rs
@@ -34,8 +34,8 @@
 }
 
 fn place(sources: &Sources, span: Span, label: &str) -> Value {
-    let begin = sources.place(span);
-    let end = sources.place(Span { start: span.end, ..span });
+    let begin = sources.position(span);
+    let end = sources.position(Span { start: span.end, ..span });
     json!({
         "file": begin.file,
         "line": begin.line,
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -81,7 +81,7 @@
     let (sources, errors) =
         Description::read("apps", "app x {\n server nowhere;\n route often;\n colour red;\n}\npool y { }")
             .unwrap_err();
-    let lines: Vec<_> = errors.iter().map(|e| sources.place(e.at.0).line).collect();
+    let lines: Vec<_> = errors.iter().map(|e| sources.position(e.at.0).line).collect();
     assert_eq!(lines, [2, 3, 4, 6]);
 }
 
--- a/crates/tool/tests/mistakes.rs
+++ b/crates/tool/tests/mistakes.rs
@@ -47,7 +47,7 @@
             .findings
             .iter()
             .filter(|f| f.severity >= Severity::Warning)
-            .map(|f| (loaded.sources.place(f.at.0).line, f.code.to_owned(), f.message.clone()))
+            .map(|f| (loaded.sources.position(f.at.0).line, f.code.to_owned(), f.message.clone()))
             .collect();
         found.sort();
         let wanted = expected(&text);
@@ -98,7 +98,7 @@
         let text = fs::read_to_string(&file).unwrap();
         let loaded = load(&name(&file), &text);
         for finding in loaded.findings.iter().filter(|f| f.severity >= Severity::Warning) {
-            let line = loaded.sources.place(finding.at.0).line;
+            let line = loaded.sources.position(finding.at.0).line;
             let name = name(&file).replace(".conf", "");
             let _ = writeln!(
                 page,
