--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -617,7 +617,7 @@
             .and_then(|words| Some((header(&inner, &words[0])?, words[1].text.clone())));
         let cold = inner.one("cold").map(|statement| {
             let block = inner.inner("cold block", statement);
-            let cold = Cold {
+            let cold = ColdStart {
                 from: block.quantity_or("from", Quantity::Share, 0.2),
                 warm: duration_or(&block, "warm", 10_000.0),
                 fall: block.positive_or("fall", Quantity::Number, 2.0),
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -327,7 +327,7 @@
     /// Header and value by which a 503 or 504 proves that nothing ran.
     pub declined: Option<(String, String)>,
     /// How cold servers are spared; `None` if they need not be.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
     /// Which of its servers drop each other's repeats, and for how long, if that is told.
     pub drops_repeats: Option<(Scope, f64)>,
     /// Whether a second copy of a slow request may be sent while the first is out.
@@ -357,7 +357,7 @@
 
 /// How a server that has just started is spared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// Its capacity at the start, as a share.
     pub from: f64,
     /// It has all of it after this time.
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -263,7 +263,7 @@
         }
         all.push(made);
     }
-    let cold = pool.cold.unwrap_or(config::Cold { from: 1.0, warm: 0.0, fall: 2.0, window: 1000.0 });
+    let cold = pool.cold.unwrap_or(config::ColdStart { from: 1.0, warm: 0.0, fall: 2.0, window: 1000.0 });
     Settings {
         gateways: pool.sidecars,
         rank: 0,
