--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -398,8 +398,8 @@
             name: name.text.clone(),
             effect: effect.unwrap_or(Effect::Unsafe),
             repeat: repeat(&inner).unwrap_or(match effect {
-                Some(Effect::Safe | Effect::Keyed(..)) => Repeat::Sent,
-                Some(Effect::Unsafe) | None => Repeat::Unsent,
+                Some(Effect::Safe | Effect::Keyed(..)) => RepeatPolicy::Sent,
+                Some(Effect::Unsafe) | None => RepeatPolicy::Unsent,
             }),
             key_header: key.unwrap_or_else(|| "idempotency-key".to_owned()),
             aim,
@@ -411,7 +411,7 @@
             units: inner.positive_or("units", Quantity::Number, 1.0),
             at: SourceSpan(inner.head),
         };
-        if class.effect == Effect::Unsafe && class.repeat == Repeat::Sent && effect.is_some() {
+        if class.effect == Effect::Unsafe && class.repeat == RepeatPolicy::Sent && effect.is_some() {
             let at = inner.one("repeat").map_or(inner.head, |s| s.span);
             let also = inner.one("effect").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error(
@@ -442,11 +442,11 @@
     classes
 }
 
-fn repeat(inner: &Fields) -> Option<Repeat> {
+fn repeat(inner: &Fields) -> Option<RepeatPolicy> {
     let word = inner.word("repeat")?;
     match word.text.as_str() {
-        "unsent" => Some(Repeat::Unsent),
-        "sent" => Some(Repeat::Sent),
+        "unsent" => Some(RepeatPolicy::Unsent),
+        "sent" => Some(RepeatPolicy::Sent),
         other => {
             let what = format!("repeats after `{other}` are not known");
             let error = Diagnostic::error("IV0071", what, word.span, "here");
@@ -946,8 +946,8 @@
 }
 
 /// What a route says of repeats; it may only narrow what its class says.
-fn route_repeat(inner: &Fields, class: Option<&Class>) -> Repeat {
-    let of_class = class.map_or(Repeat::Unsent, |c| c.repeat);
+fn route_repeat(inner: &Fields, class: Option<&Class>) -> RepeatPolicy {
+    let of_class = class.map_or(RepeatPolicy::Unsent, |c| c.repeat);
     let told = repeat(inner).unwrap_or(of_class);
     // Of an unsafe class that says so itself the error stands there.
     if let (Some(class), true) = (class, told > of_class) {
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -116,7 +116,7 @@
         if !pool.second_copies {
             continue;
         }
-        let once = |r: &&Route| r.pool == number && r.repeat == Repeat::Unsent;
+        let once = |r: &&Route| r.pool == number && r.repeat == RepeatPolicy::Unsent;
         if let Some(route) = model.routes.iter().find(once) {
             let class = &model.classes[route.class];
             let what = format!(
@@ -136,7 +136,7 @@
     for route in &model.routes {
         let (class, pool) = (&model.classes[route.class], &model.pools[route.pool]);
         let Effect::Keyed(scope, window) = class.effect else { continue };
-        if !told.insert((route.class, route.pool)) || route.repeat == Repeat::Unsent {
+        if !told.insert((route.class, route.pool)) || route.repeat == RepeatPolicy::Unsent {
             continue;
         }
         if !spoilt(fields, "class", &class.name) && !spoilt(fields, "pool", &pool.name) {
@@ -396,7 +396,7 @@
     for route in &model.routes {
         let Some(sign_in) = route.sign_in.map(|number| &model.sign_ins[number]) else { continue };
         let class = &model.classes[route.class];
-        if sign_in.open && route.repeat == Repeat::Unsent {
+        if sign_in.open && route.repeat == RepeatPolicy::Unsent {
             let what = format!("`{}` would go on unchecked where its sign-in fails", route.name);
             let at = place(fields, "sign-in", &sign_in.name, "on-failure", sign_in.at);
             let error = Diagnostic::error("IV0088", what, at, "open here");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -215,7 +215,7 @@
 
 /// After what a request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Only if no attempt can have run.
     Unsent,
     /// Also after an attempt that may have run.
@@ -230,7 +230,7 @@
     /// Whether it may run again.
     pub effect: Effect,
     /// After what its requests may be sent again.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// The header that carries a keyed request's key.
     pub key_header: String,
     /// An answer within this time is worth all of it.
@@ -443,7 +443,7 @@
     /// The pool that they go to, by its number.
     pub pool: usize,
     /// After what they may be sent again: what their class says, or less.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// The service that is asked first, by its number.
     pub sign_in: Option<usize>,
     /// Where it stands.
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -231,7 +231,7 @@
     let mut all = Vec::new();
     for Served { class, once: some_once } in classes {
         let (effect, key_window) = match class.effect {
-            _ if class.repeat == config::Repeat::Unsent => (Effect::Unsafe, 0.0),
+            _ if class.repeat == config::RepeatPolicy::Unsent => (Effect::Unsafe, 0.0),
             config::Effect::Safe => (Effect::Safe, 0.0),
             config::Effect::Unsafe => (Effect::Unsafe, 0.0),
             config::Effect::Keyed(scope, window) => {
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -5,7 +5,7 @@
 use crate::pool::{once, Pool, Served};
 use crate::remembered::Remembered;
 use hyper::header::HeaderName;
-use ivygate_config::{Class, CustomerSource, Effect, Identity, Model, Plan, Repeat};
+use ivygate_config::{Class, CustomerSource, Effect, Identity, Model, Plan, RepeatPolicy};
 use ivygate_forward_auth::folded;
 use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_runtime::Clock;
@@ -86,7 +86,7 @@
     Class {
         name: format!("(sign-in) {}", sign_in.name),
         effect: Effect::Safe,
-        repeat: Repeat::Sent,
+        repeat: RepeatPolicy::Sent,
         key_header: String::new(),
         aim: sign_in.within / 2.0,
         deadline: sign_in.within,
@@ -115,7 +115,7 @@
 
 /// Whether repeats depend on a key.
 fn is_keyed(class: &Class) -> bool {
-    matches!(class.effect, Effect::Keyed(..)) && class.repeat == Repeat::Sent
+    matches!(class.effect, Effect::Keyed(..)) && class.repeat == RepeatPolicy::Sent
 }
 
 /// Whether a route's requests may be repeated after less than its class says.
@@ -185,7 +185,7 @@
                 name: route.name.as_str().into(),
                 class: if narrows { once(&class.name).into() } else { class.name.as_str().into() },
                 unkeyed: key,
-                once: route.repeat == Repeat::Unsent,
+                once: route.repeat == RepeatPolicy::Unsent,
                 deadline: class.deadline,
                 upload: class.upload,
                 units: class.units,
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -1,8 +1,8 @@
 //! What two configurations do differently, whatever their text.
 
 use ivygate_config::{
-    Block, Class, CustomerSource, Effect, Listener, Loaded, Model, Plan, Pool, Repeat, SignIn, SourceSpan,
-    Span, Statement,
+    Block, Class, CustomerSource, Effect, Listener, Loaded, Model, Plan, Pool, RepeatPolicy, SignIn,
+    SourceSpan, Span, Statement,
 };
 use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
 use serde::Serialize;
@@ -124,16 +124,16 @@
 /// How freely requests are repeated, as far as the kind of effect goes.
 fn freedom(class: &Class) -> u8 {
     match (class.effect, class.repeat) {
-        (_, Repeat::Unsent) | (Effect::Unsafe, _) => 0,
+        (_, RepeatPolicy::Unsent) | (Effect::Unsafe, _) => 0,
         (Effect::Keyed(..), _) => 1,
         (Effect::Safe, _) => 2,
     }
 }
 
-fn repeat(repeat: Repeat) -> String {
+fn repeat(repeat: RepeatPolicy) -> String {
     match repeat {
-        Repeat::Unsent => "unsent".to_owned(),
-        Repeat::Sent => "sent".to_owned(),
+        RepeatPolicy::Unsent => "unsent".to_owned(),
+        RepeatPolicy::Sent => "sent".to_owned(),
     }
 }
 
@@ -248,7 +248,7 @@
             let free = |model: &Model, number: Option<usize>| {
                 number.map(|n| {
                     let route = &model.routes[n];
-                    if route.repeat == Repeat::Unsent {
+                    if route.repeat == RepeatPolicy::Unsent {
                         0
                     } else {
                         freedom(&model.classes[route.class])
