--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -170,7 +170,7 @@
     let listen = listen.and_then(|words| address(&inner, &words[0]));
     let keys = inner.needed("key", "key /etc/ivygate/group.key;").and_then(|s| inner.words(s, 1, 2));
     let peers = inner.needed("peers", "peers 10.0.0.2:7900 10.0.0.3:7900;");
-    let peers = peers.and_then(|s| inner.words(s, 1, Group::PEERS)).unwrap_or_default();
+    let peers = peers.and_then(|s| inner.words(s, 1, Group::MAX_PEERS)).unwrap_or_default();
     let peers = peers.iter().filter_map(|word| address(&inner, word)).collect();
     if pools.iter().all(|pool| pool.domains.is_none()) {
         let what = "no pool judges its zones, so nothing is told";
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -443,7 +443,7 @@
     }
     let clients: usize = model.listeners.iter().map(|l| l.connections).sum();
     let servers: usize = model.pools.iter().map(|p| p.connections).sum();
-    let operators = model.operator.as_ref().map_or(0, |_| Operator::CONNECTIONS);
+    let operators = model.operator.as_ref().map_or(0, |_| Operator::MAX_CONNECTIONS);
     let total = clients + servers + operators + RESERVED_DESCRIPTORS;
     if total > model.limits.descriptors {
         let at = fields.one("limits").map_or(fields.head, |s| s.span);
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -61,7 +61,7 @@
 
 impl Group {
     /// Most other processes.
-    pub const PEERS: usize = 512;
+    pub const MAX_PEERS: usize = 512;
 }
 
 /// Where people who run this ask about it; never one of the clients' addresses.
@@ -75,7 +75,7 @@
 
 impl Operator {
     /// Most connections there.
-    pub const CONNECTIONS: usize = 16;
+    pub const MAX_CONNECTIONS: usize = 16;
 }
 
 /// Where requests that must not run twice are recorded before they are sent.
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -75,7 +75,7 @@
     ClientLimits {
         strict_head_bytes: Some(HEAD),
         read_stall_timeout: Some(STALL),
-        ..ClientLimits::new(Operator::CONNECTIONS)
+        ..ClientLimits::new(Operator::MAX_CONNECTIONS)
     }
 }
 
