--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -159,7 +159,7 @@
     if let Some(listener) = listeners.iter().find(same) {
         let what = "clients and operators have the same address";
         let error = Diagnostic::error("IV0043", what, word.span, "again here");
-        fields.note(error.also(listener.at.0, "clients connect here"));
+        fields.note(error.related(listener.at.0, "clients connect here"));
     }
     Some(Operator { address, at: SourceSpan(head_span(statement)) })
 }
@@ -220,7 +220,7 @@
         let kinds = if kind == "class" { "classes".to_owned() } else { format!("{kind}s") };
         let what = format!("two {kinds} are named `{}`", word.text);
         let error = Diagnostic::error("IV0032", what, word.span, "named again here");
-        fields.note(error.also(*first, "first named here").help("give one of them another name"));
+        fields.note(error.related(*first, "first named here").help("give one of them another name"));
     } else {
         seen.insert(word.text.clone(), word.span);
     }
@@ -302,7 +302,9 @@
             let quota = inner.one("quota").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0040", "the ceiling lies below the quota", at, "this is less");
             inner.note(
-                error.also(quota, "than this").help("a ceiling bounds what a quota already allows; raise it"),
+                error
+                    .related(quota, "than this")
+                    .help("a ceiling bounds what a quota already allows; raise it"),
             );
         }
         inner.finish();
@@ -422,7 +424,7 @@
             );
             inner.note(
                 error
-                    .also(also, "must never run twice")
+                    .related(also, "must never run twice")
                     .help("write `repeat unsent;`, or `effect keyed;` if servers drop repeats by a key"),
             );
         }
@@ -432,7 +434,7 @@
             let error = Diagnostic::error("IV0041", "the aim lies beyond the deadline", at, "longer");
             inner.note(
                 error
-                    .also(also, "than this")
+                    .related(also, "than this")
                     .help("an aim is the time in which an answer is worth all; shorten it"),
             );
         }
@@ -498,7 +500,7 @@
         for extra in [scope, window, inner.one("key")].into_iter().flatten() {
             let what = format!("`{}` belongs to keyed classes only", extra.words[0].text);
             let error = Diagnostic::error("IV0042", what, extra.span, "no repeat is dropped here");
-            inner.note(error.also(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
+            inner.note(error.related(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
         }
     }
     match word.text.as_str() {
@@ -549,7 +551,7 @@
         if let Some(other) = listeners.iter().find(|l| l.address == address && address.port() != 0) {
             let error =
                 Diagnostic::error("IV0043", "two listeners have the same address", word.span, "again here");
-            fields.note(error.also(other.at.0, "first here"));
+            fields.note(error.related(other.at.0, "first here"));
         }
         let inner = fields.inner("listener", statement);
         let mut trusted = Vec::new();
@@ -743,7 +745,7 @@
                 Diagnostic::error("IV0047", "a server is listed twice in this pool", word.span, "again here");
             pool.note(
                 error
-                    .also(other.at.0, "first here")
+                    .related(other.at.0, "first here")
                     .help("a server counts once; use `weight` for a larger one"),
             );
         }
@@ -956,7 +958,7 @@
         let error = Diagnostic::error("IV0072", what, at, "this could run a request twice");
         inner.note(
             error
-                .also(class.at.0, "its class")
+                .related(class.at.0, "its class")
                 .help("remove it, or give the route a class that is `safe` or `keyed`"),
         );
         return of_class;
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -37,7 +37,7 @@
     /// Where, and what is there.
     pub at: (Span, String),
     /// Other places that have to do with it.
-    pub also: Vec<(Span, String)>,
+    pub related: Vec<(Span, String)>,
     /// What to write instead.
     pub help: Vec<String>,
 }
@@ -46,7 +46,7 @@
     /// An error at a place.
     pub fn error(code: &'static str, message: impl Into<String>, at: Span, label: impl Into<String>) -> Self {
         let (message, at) = (shortened(message), (at, shortened(label)));
-        Self { severity: Severity::Error, code, message, at, also: Vec::new(), help: Vec::new() }
+        Self { severity: Severity::Error, code, message, at, related: Vec::new(), help: Vec::new() }
     }
 
     /// A warning at a place.
@@ -78,8 +78,8 @@
 
     /// Names another place that has to do with it.
     #[must_use]
-    pub fn also(mut self, at: Span, label: impl Into<String>) -> Self {
-        self.also.push((at, shortened(label)));
+    pub fn related(mut self, at: Span, label: impl Into<String>) -> Self {
+        self.related.push((at, shortened(label)));
         self
     }
 }
@@ -162,12 +162,12 @@
             .annotation(AnnotationKind::Primary.span(range(finding.at.0, from)).label(finding.at.1.as_str()));
         let long = self.text(finding.at.0.file).len() > LONG;
         let here = |span: &Span| span.file == finding.at.0.file && !long;
-        let near = finding.also.iter().filter(|(span, _)| here(span));
+        let near = finding.related.iter().filter(|(span, _)| here(span));
         let near =
             near.map(|(span, label)| AnnotationKind::Context.span(range(*span, from)).label(label.as_str()));
         let mut group =
             level.primary_title(finding.message.as_str()).id(finding.code).element(shown.annotations(near));
-        for (span, label) in finding.also.iter().filter(|(span, _)| !here(span)) {
+        for (span, label) in finding.related.iter().filter(|(span, _)| !here(span)) {
             let (snippet, from) = self.snippet(*span);
             let annotation = AnnotationKind::Context.span(range(*span, from)).label(label.as_str());
             group = group.element(snippet.annotation(annotation));
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -189,7 +189,7 @@
                 error.at.1 = format!("this includes `{name}`, which is being read");
                 for open in &self.chain[at + 1..] {
                     if let Some(from) = open.from {
-                        error = error.also(from, format!("this includes `{}`", open.name));
+                        error = error.related(from, format!("this includes `{}`", open.name));
                     }
                 }
                 self.error(error);
@@ -324,7 +324,7 @@
         if let Some(first) = self.variables.get(&name.text) {
             let what = format!("two variables are named `{}`", name.text);
             let error = Diagnostic::error("IV0032", what, name.span, "named again here");
-            let error = error.also(first.at, "first named here");
+            let error = error.related(first.at, "first named here");
             return self.error(error.help("give one of them another name"));
         }
         self.variables.insert(name.text.clone(), variable);
@@ -339,8 +339,8 @@
         let name = &statement.words[1];
         if let Some((_, first)) = self.blocks.get(&name.text) {
             let what = format!("two blocks are named `{}`", name.text);
-            let error =
-                Diagnostic::error("IV0032", what, name.span, "named again here").also(*first, "first here");
+            let error = Diagnostic::error("IV0032", what, name.span, "named again here")
+                .related(*first, "first here");
             return self.error(error.help("give one of them another name"));
         }
         self.blocks.insert(name.text.clone(), (block, at));
@@ -397,9 +397,10 @@
             let mut error = Diagnostic::error("IV0062", "blocks use each other in a circle", name.span, "");
             error.at.1 = format!("this uses `{}`, which is being put in", name.text);
             for (name, from) in &self.using[open + 1..] {
-                error = error.also(*from, format!("this uses `{name}`"));
+                error = error.related(*from, format!("this uses `{name}`"));
             }
-            return self.error(error.also(at, "defined here").help("move what both need into a third block"));
+            return self
+                .error(error.related(at, "defined here").help("move what both need into a third block"));
         }
         if self.using.len() >= DEPTH_MOST {
             let what = format!("blocks use each other more than {DEPTH_MOST} deep");
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -104,7 +104,7 @@
                 second.words[0].span,
                 "given again here",
             );
-            self.note(error.also(first.words[0].span, "first given here").help("remove one of them"));
+            self.note(error.related(first.words[0].span, "first given here").help("remove one of them"));
         }
         all.first().copied()
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -84,7 +84,7 @@
     findings.dedup();
     for finding in &mut findings {
         if let Some(at) = defined.get(&finding.at.0) {
-            finding.also.push((*at, "its value is defined here".to_owned()));
+            finding.related.push((*at, "its value is defined here".to_owned()));
         }
     }
     Loaded { sources, findings, model }
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -84,7 +84,7 @@
                 let error = Diagnostic::error("IV0054", what, second.at.0, label);
                 fields.note(
                     error
-                        .also(first.at.0, "claimed first here")
+                        .related(first.at.0, "claimed first here")
                         .help("give one of them another host, path or method"),
                 );
             }
@@ -97,7 +97,7 @@
         let mut error = Diagnostic::error("IV0081", what, route.at.0, format!("{}", route.claim.path));
         for taker in takers.iter().take(3) {
             let taker = &model.routes[*taker];
-            error = error.also(taker.at.0, format!("`{}` takes what it claims", taker.name));
+            error = error.related(taker.at.0, format!("`{}` takes what it claims", taker.name));
         }
         fields.note(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
     }
@@ -127,7 +127,7 @@
             let error = Diagnostic::error("IV0073", what, at, "allowed here");
             fields.note(
                 error
-                    .also(route.at.0, "routed here")
+                    .related(route.at.0, "routed here")
                     .help("write `second-copies no;`, or give that route a pool of its own"),
             );
         }
@@ -158,7 +158,7 @@
             Some(_) => format!("{} s here", kept / 1000.0),
             None => format!("{} s unless the pool says otherwise", kept / 1000.0),
         };
-        fields.note(error.also(by, label).help(format!(
+        fields.note(error.related(by, label).help(format!(
             "write `window {0}s;`, or `drops-repeats {1} {2}s;` in the pool if its servers do so",
             kept / 1000.0,
             scope.as_str(),
@@ -170,7 +170,7 @@
         let what = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
         let error = Diagnostic::error("IV0075", what, at, "wider than the servers that drop repeats");
         let label = format!("dropped by servers of one {} only", dropped.as_str());
-        fields.note(error.also(by, label).help(format!("write `scope {};`", dropped.as_str())));
+        fields.note(error.related(by, label).help(format!("write `scope {};`", dropped.as_str())));
     }
     let group = |server: &Server| match scope {
         Scope::All => String::new(),
@@ -180,8 +180,9 @@
     if let Some(server) = pool.servers.iter().find(|s| scope == Scope::Zone && s.zone.is_empty()) {
         let what = format!("the class `{}` is keyed by zone, and a server of its pool has none", class.name);
         let error = Diagnostic::error("IV0055", what, server.at.0, "its zone is not told");
-        fields
-            .note(error.also(route.at.0, "routed here").help("write `zone NAME;` in the pool or the server"));
+        fields.note(
+            error.related(route.at.0, "routed here").help("write `zone NAME;` in the pool or the server"),
+        );
         return;
     }
     let mut sizes = HashMap::new();
@@ -200,7 +201,7 @@
         let error = Diagnostic::error("IV0077", what, at, "a repeat needs a second server in it");
         fields.note(
             error
-                .also(pool.at.0, "its servers")
+                .related(pool.at.0, "its servers")
                 .help("add servers, or widen the scope if more of them drop repeats"),
         );
     }
@@ -230,7 +231,7 @@
                 "write `connect {}ms;` or less, or fewer `attempts`",
                 (class.deadline / f64::from(pool.attempts)).floor()
             );
-            fields.note(error.also(also, format!("{} ms", class.deadline)).help(help));
+            fields.note(error.related(also, format!("{} ms", class.deadline)).help(help));
         }
     }
     for class in &model.classes {
@@ -244,7 +245,7 @@
             let error = Diagnostic::error("IV0087", what, at, "longer");
             fields.note(
                 error
-                    .also(listener.at.0, format!("`answer-within` is {} ms", listener.answer_within))
+                    .related(listener.at.0, format!("`answer-within` is {} ms", listener.answer_within))
                     .help("shorten the deadline or raise `answer-within`"),
             );
         }
@@ -281,8 +282,9 @@
                 class.name, plan.name
             );
             let error = Diagnostic::error("IV0049", what, plan.at.0, "none would pass under this plan");
-            fields
-                .note(error.also(class.at.0, format!("{} units each", class.units)).help("raise the burst"));
+            fields.note(
+                error.related(class.at.0, format!("{} units each", class.units)).help("raise the burst"),
+            );
         }
     }
     for plan in &model.plans {
@@ -297,7 +299,7 @@
             let also = place(fields, "plan", &plan.name, "quota", plan.at);
             fields.note(
                 error
-                    .also(also, "is this a rate a second?")
+                    .related(also, "is this a rate a second?")
                     .help(format!("write `burst {} meant;` if it is right", plan.burst)),
             );
         }
@@ -328,7 +330,7 @@
             if other.name != pool.name && !meant {
                 let what = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
                 let error = Diagnostic::error("IV0078", what, server.at.0, "again here");
-                fields.note(error.also(first.at.0, "first here").help(format!(
+                fields.note(error.related(first.at.0, "first here").help(format!(
                     "pools stay apart: a server in two of them gets twice its share; write \
                      `shares-servers-with {};` if this is meant",
                     other.name
@@ -361,7 +363,7 @@
         let also = fields.one("identity").and_then(|s| s.block.as_ref());
         let also = also.and_then(|b| b.statements.iter().find(|s| s.words[0].text == by));
         let error = match also {
-            Some(statement) => error.also(statement.span, "anyone could write this header"),
+            Some(statement) => error.related(statement.span, "anyone could write this header"),
             None => error,
         };
         fields.note(error.help("name the networks of the proxies that stand before this listener"));
@@ -390,7 +392,8 @@
             let at = place(fields, "sign-in", &sign_in.name, name, sign_in.at);
             let error = Diagnostic::error("IV0091", what, at, "another body would get this answer");
             let also = place(fields, "sign-in", &sign_in.name, "body", sign_in.at);
-            fields.note(error.also(also, "sent with each check").help(format!("remove `{name}` or `body`")));
+            fields
+                .note(error.related(also, "sent with each check").help(format!("remove `{name}` or `body`")));
         }
     }
     for route in &model.routes {
@@ -402,7 +405,7 @@
             let error = Diagnostic::error("IV0088", what, at, "open here");
             fields.note(
                 error
-                    .also(route.at.0, format!("its class `{}` must not run twice", class.name))
+                    .related(route.at.0, format!("its class `{}` must not run twice", class.name))
                     .help("write `on-failure closed;`, or give this route a sign-in of its own"),
             );
         }
@@ -413,7 +416,7 @@
             let label = format!("aim {} ms of {} ms", class.aim, class.deadline);
             fields.note(
                 error
-                    .also(class.at.0, label)
+                    .related(class.at.0, label)
                     .help(format!("write `within {}ms;` or less", (class.deadline - class.aim).max(1.0))),
             );
         }
@@ -432,7 +435,9 @@
         if let Some(listener) = own {
             let what = format!("the pool `{}` leads back to this process", pool.name);
             let error = Diagnostic::error("IV0093", what, server.at.0, "a listener of this file");
-            fields.note(error.also(listener.at.0, "listens here").help("name the application's own address"));
+            fields.note(
+                error.related(listener.at.0, "listens here").help("name the application's own address"),
+            );
         }
     }
 }
@@ -491,7 +496,7 @@
                 (open * 8).div_ceil(7) + 1
             ));
             for pool in model.pools.iter().take(8) {
-                error = error.also(pool.at.0, format!("up to {} requests", pool.requests));
+                error = error.related(pool.at.0, format!("up to {} requests", pool.requests));
             }
             fields.note(error);
         }
--- a/crates/config/tests/expand.rs
+++ b/crates/config/tests/expand.rs
@@ -76,7 +76,7 @@
     let circle = all.findings.iter().find(|f| f.code == "IV0062").unwrap();
     let line = |span| all.sources.position(span).to_string();
     assert_eq!(line(circle.at.0), "c:2:9");
-    assert_eq!(circle.also.iter().map(|(at, _)| line(*at)).collect::<Vec<_>>(), ["a:3:9", "b:1:9"]);
+    assert_eq!(circle.related.iter().map(|(at, _)| line(*at)).collect::<Vec<_>>(), ["a:3:9", "b:1:9"]);
     let report = all.report(Severity::Note, false);
     assert!(report.contains("this includes `b`") && report.contains("--> c:2"), "{report}");
 }
@@ -122,7 +122,7 @@
     let all = loaded(&[("main", &text)]);
     assert_eq!(found(&all), ["IV0022 main:4"]);
     let wrong = all.findings.iter().find(|f| f.code == "IV0022").unwrap();
-    let defined = all.sources.position(wrong.also[0].0).line;
+    let defined = all.sources.position(wrong.related[0].0).line;
     assert_eq!(defined, 2);
     let right = text.replace("aim $odd; ", "").replace("let odd size 4KiB;\n", "");
     assert_eq!(loaded(&[("main", &right)]).model.unwrap().classes[0].deadline, 2000.0);
@@ -142,7 +142,7 @@
         let all = loaded(&[("main", &format!("{first}\ninclude b;")), ("b", second)]);
         let twice = all.findings.iter().find(|f| f.code == "IV0032").unwrap();
         assert_eq!(all.sources.position(twice.at.0).file, "b");
-        assert_eq!(all.sources.position(twice.also[0].0).to_string(), "main:1:1");
+        assert_eq!(all.sources.position(twice.related[0].0).to_string(), "main:1:1");
     }
 }
 
--- a/crates/tool/src/report.rs
+++ b/crates/tool/src/report.rs
@@ -28,7 +28,7 @@
         "code": finding.code,
         "message": finding.message,
         "at": place(sources, finding.at.0, &finding.at.1),
-        "also": finding.also.iter().map(|(span, label)| place(sources, *span, label)).collect::<Vec<_>>(),
+        "also": finding.related.iter().map(|(span, label)| place(sources, *span, label)).collect::<Vec<_>>(),
         "help": finding.help,
     })
 }
--- a/crates/tool/tests/mistakes.rs
+++ b/crates/tool/tests/mistakes.rs
@@ -67,7 +67,7 @@
     for file in files("mistakes") {
         let loaded = load(&name(&file), &fs::read_to_string(&file).unwrap());
         for finding in &loaded.findings {
-            let says = !finding.help.is_empty() || !finding.also.is_empty();
+            let says = !finding.help.is_empty() || !finding.related.is_empty();
             assert!(
                 says || finding.code == "IV0001" || finding.code == "IV0014",
                 "{}: {finding:?}",
