--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -60,12 +60,7 @@
     }
 
     /// A note at a place.
-    pub fn remark(
-        code: &'static str,
-        message: impl Into<String>,
-        at: Span,
-        label: impl Into<String>,
-    ) -> Self {
+    pub fn note(code: &'static str, message: impl Into<String>, at: Span, label: impl Into<String>) -> Self {
         Self { severity: Severity::Note, ..Self::error(code, message, at, label) }
     }
 
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -528,7 +528,7 @@
                 "a 503 or 504 of `{}` with `{header}: {value}` counts as proof that nothing ran",
                 pool.name
             );
-            fields.note(Diagnostic::remark("IV0201", what, at, "also unsafe requests are then sent again"));
+            fields.note(Diagnostic::note("IV0201", what, at, "also unsafe requests are then sent again"));
         }
     }
 }
