--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -940,8 +940,8 @@
         if let (Some(host), Some(path), Some(methods), Some(class), Some(pool)) =
             (host, path, methods, class, pool)
         {
-            let claim = RouteMatch { host, path, methods };
-            routes.push(Route { name: name.text.clone(), claim, class, pool, repeat, sign_in, at });
+            let matcher = RouteMatch { host, path, methods };
+            routes.push(Route { name: name.text.clone(), matcher, class, pool, repeat, sign_in, at });
         }
     }
     routes
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -72,7 +72,7 @@
 }
 
 fn tables(fields: &Fields, model: &Model) {
-    let claims = model.routes.iter().map(|r| r.claim.clone()).collect();
+    let claims = model.routes.iter().map(|r| r.matcher.clone()).collect();
     let table = match RouteTable::build(claims) {
         Ok(table) => table,
         Err(error) => {
@@ -80,7 +80,7 @@
                 let (first, second) = (&model.routes[conflict.first], &model.routes[conflict.second]);
                 let what =
                     format!("the routes `{}` and `{}` claim the same requests", first.name, second.name);
-                let label = format!("{}, as above", second.claim.path);
+                let label = format!("{}, as above", second.matcher.path);
                 let error = Diagnostic::error("IV0054", what, second.at.0, label);
                 fields.note(
                     error
@@ -94,7 +94,7 @@
     for (number, takers) in table.unreachable() {
         let route = &model.routes[number];
         let what = format!("no request ever reaches the route `{}`", route.name);
-        let mut error = Diagnostic::error("IV0081", what, route.at.0, format!("{}", route.claim.path));
+        let mut error = Diagnostic::error("IV0081", what, route.at.0, format!("{}", route.matcher.path));
         for taker in takers.iter().take(3) {
             let taker = &model.routes[*taker];
             error = error.related(taker.at.0, format!("`{}` takes what it claims", taker.name));
@@ -102,7 +102,8 @@
         fields.note(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
     }
     for route in &model.routes {
-        if matches!(&route.claim.methods, MethodMatch::Named(names) if names.iter().all(|m| m == "CONNECT")) {
+        if matches!(&route.matcher.methods, MethodMatch::Named(names) if names.iter().all(|m| m == "CONNECT"))
+        {
             let at = place(fields, "route", &route.name, "methods", route.at);
             let error =
                 Diagnostic::error("IV0082", "CONNECT is answered 501 before any route", at, "never matches");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -437,7 +437,7 @@
     /// Its name.
     pub name: String,
     /// The requests that it takes.
-    pub claim: RouteMatch,
+    pub matcher: RouteMatch,
     /// The class of those requests, by its number.
     pub class: usize,
     /// The pool that they go to, by its number.
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_safe_class_takes_only_methods_that_change_nothing_unless_told() {
-    let named = |text: &str| match &model(text).routes[0].claim.methods {
+    let named = |text: &str| match &model(text).routes[0].matcher.methods {
         ivygate_routing::MethodMatch::Any => vec!["any".to_owned()],
         ivygate_routing::MethodMatch::Named(names) => names.clone(),
     };
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -13,7 +13,7 @@
         Err(code) => return code,
     };
     let Some(model) = &loaded.model else { return ExitCode::from(MISUSED) };
-    let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()) else {
+    let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect()) else {
         return ExitCode::from(MISUSED);
     };
     let place = |route: &Route| loaded.sources.position(route.at.0).to_string();
@@ -53,7 +53,7 @@
                     println!(
                         "{}\ntaken since {why}; its host is {}",
                         line(model, route, &place(route)),
-                        route.claim.host
+                        route.matcher.host
                     );
                     ExitCode::SUCCESS
                 }
@@ -71,11 +71,11 @@
 }
 
 fn line(model: &Model, route: &Route, place: &str) -> String {
-    let methods = match &route.claim.methods {
+    let methods = match &route.matcher.methods {
         MethodMatch::Any => "any method".to_owned(),
         MethodMatch::Named(names) => names.join(" "),
     };
     let (class, pool) = (&model.classes[route.class].name, &model.pools[route.pool].name);
-    let (host, path) = (&route.claim.host, &route.claim.path);
+    let (host, path) = (&route.matcher.host, &route.matcher.path);
     format!("{}: host {host}, {path}, {methods} -> class {class}, pool {pool} ({place})", route.name)
 }
--- a/crates/sidecar/src/site.rs
+++ b/crates/sidecar/src/site.rs
@@ -130,7 +130,7 @@
     /// # Errors
     /// If a decision module cannot act on its settings, or routes contradict each other.
     pub fn new(model: &Model, before: Option<&Site>, clock: Clock) -> Result<Self, String> {
-        let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
         let mut pools = HashMap::new();
         for (number, pool) in model.pools.iter().enumerate() {
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -199,7 +199,8 @@
     }
 
     fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooManyClasses> {
-        let table = |model: &Model| RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table =
+            |model: &Model| RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect());
         // Both were checked, so both build.
         let (Ok(before), Ok(after)) = (table(old), table(new)) else { return Ok(()) };
         let target = |model: &Model, route: Option<usize>| {
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -24,7 +24,7 @@
 
 /// The effect of a request's class, or none if no route takes it.
 fn effect(model: &Model, method: &str, path: &str) -> Option<Effect> {
-    let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect()).unwrap();
+    let table = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect()).unwrap();
     match table.find("h", path, method) {
         LookupResult::Route(number, _) => Some(model.classes[model.routes[number].class].effect),
         _ => None,
