--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -685,9 +685,9 @@
         }
     };
     let leave = block.one("leave").is_none() || yes_or_no(&block, "leave");
-    let works = words.iter().map(|word| word.text.clone()).collect();
+    let maintenance_zones = words.iter().map(|word| word.text.clone()).collect();
     block.finish();
-    (Domains { leave, works, distrust }, words)
+    (Domains { leave, maintenance_zones, distrust }, words)
 }
 
 /// Zones in works must be there, and one must be left that is not.
@@ -700,7 +700,7 @@
         let error = Diagnostic::error("IV0095", what, word.span, "no such zone");
         pool.note(error.help(nearest(&word.text, &zones)));
     }
-    let all_in_works = zones.iter().all(|zone| domains.works.iter().any(|works| works == zone));
+    let all_in_works = zones.iter().all(|zone| domains.maintenance_zones.iter().any(|works| works == zone));
     if let (Some(word), true, false) = (words.first(), all_in_works, zones.is_empty()) {
         let error =
             Diagnostic::error("IV0096", "all zones of this pool are in works", word.span, "nothing is left");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -350,7 +350,7 @@
     /// Whether zones are left by what is seen of them; else only by hand.
     pub leave: bool,
     /// Zones taken out by hand.
-    pub works: Vec<String>,
+    pub maintenance_zones: Vec<String>,
     /// From this part of the servers on, by weight, that is judged bad, the judgement is not believed.
     pub distrust: f64,
 }
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -183,7 +183,7 @@
                 servers: Vec::new(),
                 domains: pool.domains.as_ref().map(|_| config::Domains {
                     leave: true,
-                    works: Vec::new(),
+                    maintenance_zones: Vec::new(),
                     distrust: 0.0,
                 }),
                 ..pool.clone()
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -81,7 +81,7 @@
     let usual = EjectionPolicy::default();
     EjectionPolicy {
         automatic_ejection: domains.leave,
-        maintenance_zones: domains.works.iter().cloned().collect(),
+        maintenance_zones: domains.maintenance_zones.iter().cloned().collect(),
         panic_threshold: domains.distrust,
         processes: pool.sidecars,
         slow_start_capacity: pool.cold.map_or(usual.slow_start_capacity, |cold| cold.from),
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -356,10 +356,15 @@
             let yes = |yes: bool| if yes { "yes" } else { "no" }.to_owned();
             let domains = |p: &Pool| {
                 p.domains.as_ref().map_or("none".to_owned(), |d| {
-                    format!("leave {}, works {}, distrust {}", yes(d.leave), d.works.join(" "), d.distrust)
+                    format!(
+                        "leave {}, works {}, distrust {}",
+                        yes(d.leave),
+                        d.maintenance_zones.join(" "),
+                        d.distrust
+                    )
                 })
             };
-            let works = |p: &Pool| p.domains.as_ref().map_or(0, |d| d.works.len());
+            let works = |p: &Pool| p.domains.as_ref().map_or(0, |d| d.maintenance_zones.len());
             self.rows(
                 &subject,
                 a.at,
