--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -634,7 +634,7 @@
             Some((scope(&inner, &words[0])?, time.min(LONGEST)))
         });
         let shares = inner.one("shares-servers-with").and_then(|s| inner.words(s, 1, 64));
-        let shares = shares.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
+        let shares_servers_with = shares.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
         let servers = servers(&inner, &zone);
         if servers.is_empty() && inner.all("server").is_empty() {
             let error = Diagnostic::error("IV0045", "this pool has no server", inner.head, "in here");
@@ -661,7 +661,7 @@
             cold,
             drops_repeats,
             second_copies: yes_or_no(&inner, "second-copies"),
-            shares,
+            shares_servers_with,
             cross_zone: inner.quantity_or("cross-zone", Quantity::Share, 0.0),
             domains,
             servers,
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -310,7 +310,7 @@
 fn servers(fields: &Fields, model: &Model) {
     let mut seen: HashMap<SocketAddr, (&Pool, &Server)> = HashMap::new();
     for pool in &model.pools {
-        for name in &pool.shares {
+        for name in &pool.shares_servers_with {
             if !model.pools.iter().any(|p| p.name == *name) {
                 let at = place(fields, "pool", &pool.name, "shares-servers-with", pool.at);
                 let error = Diagnostic::error(
@@ -327,7 +327,8 @@
                 seen.insert(server.address, (pool, server));
                 continue;
             };
-            let meant = pool.shares.contains(&other.name) || other.shares.contains(&pool.name);
+            let meant = pool.shares_servers_with.contains(&other.name)
+                || other.shares_servers_with.contains(&pool.name);
             if other.name != pool.name && !meant {
                 let what = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
                 let error = Diagnostic::error("IV0078", what, server.at.0, "again here");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -333,7 +333,7 @@
     /// Whether a second copy of a slow request may be sent while the first is out.
     pub second_copies: bool,
     /// Pools that may have servers of this one.
-    pub shares: Vec<String>,
+    pub shares_servers_with: Vec<String>,
     /// Price of crossing zones, as a share of a request's worth.
     pub cross_zone: f64,
     /// How its zones are judged as a whole; `None` if they are not.
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -346,7 +346,13 @@
                 _ => false,
             };
             let shares = |p: &Pool| {
-                p.shares.iter().collect::<BTreeSet<_>>().into_iter().cloned().collect::<Vec<_>>().join(" ")
+                p.shares_servers_with
+                    .iter()
+                    .collect::<BTreeSet<_>>()
+                    .into_iter()
+                    .cloned()
+                    .collect::<Vec<_>>()
+                    .join(" ")
             };
             let cold = |p: &Pool| {
                 p.cold.map_or("none".to_owned(), |c| {
