--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -824,7 +824,7 @@
                     .collect(),
             }
         };
-        let open = match inner.word("on-failure").map(|word| (word, word.text.as_str())) {
+        let fail_open = match inner.word("on-failure").map(|word| (word, word.text.as_str())) {
             None | Some((_, "closed")) => false,
             Some((_, "open")) => true,
             Some((word, other)) => {
@@ -863,7 +863,7 @@
             body,
             address_limit,
             credential_limit,
-            open,
+            fail_open,
             cache_yes,
             cache_no,
             cache_size,
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/meaning.rs
@@ -401,7 +401,7 @@
     for route in &model.routes {
         let Some(sign_in) = route.sign_in.map(|number| &model.sign_ins[number]) else { continue };
         let class = &model.classes[route.class];
-        if sign_in.open && route.repeat == RepeatPolicy::Unsent {
+        if sign_in.fail_open && route.repeat == RepeatPolicy::Unsent {
             let what = format!("`{}` would go on unchecked where its sign-in fails", route.name);
             let at = place(fields, "sign-in", &sign_in.name, "on-failure", sign_in.at);
             let error = Diagnostic::error("IV0088", what, at, "open here");
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -409,7 +409,7 @@
     /// Failed checks with one credential.
     pub credential_limit: FailedCheckLimit,
     /// Whether requests go on where it gives no usable answer.
-    pub open: bool,
+    pub fail_open: bool,
     /// How long a yes is remembered; 0 for not at all.
     pub cache_yes: f64,
     /// How long a no is remembered; 0 for not at all.
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -113,7 +113,7 @@
 }
 
 fn gate(settings: &ivygate_config::SignIn, deadline: f64) -> Gate {
-    Gate::new(if settings.open { OnFailure::Open } else { OnFailure::Closed }, deadline)
+    Gate::new(if settings.fail_open { OnFailure::Open } else { OnFailure::Closed }, deadline)
 }
 
 fn unanswered(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> Outcome {
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -575,7 +575,7 @@
         let name = |s: &SignIn| s.name.clone();
         for (subject, a, b) in self.named("sign-in", &old.sign_ins, &new.sign_ins, name, |s| s.at, None) {
             let pool = |model: &Model, s: &SignIn| model.pools[s.pool].name.clone();
-            let failure = |s: &SignIn| if s.open { "open" } else { "closed" }.to_owned();
+            let failure = |s: &SignIn| if s.fail_open { "open" } else { "closed" }.to_owned();
             let words = |names: &[String]| {
                 names.iter().cloned().collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
             };
@@ -621,7 +621,7 @@
                         "on-failure",
                         failure(a),
                         failure(b),
-                        b.open.then_some("requests go on unchecked where it fails"),
+                        b.fail_open.then_some("requests go on unchecked where it fails"),
                     ),
                 ],
             );
