--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -26,7 +26,7 @@
 
 /// What came of reading a configuration.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadedConfig {
     /// The files that were read.
     pub sources: Sources,
     /// All that was found, by file and place.
@@ -35,7 +35,7 @@
     pub model: Option<Model>,
 }
 
-impl Loaded {
+impl LoadedConfig {
     /// The findings that are at least this bad, as people read them.
     pub fn report(&self, least: Severity, colours: bool) -> String {
         let found: Vec<_> = self.findings.iter().filter(|f| f.severity >= least).cloned().collect();
@@ -60,12 +60,12 @@
 ];
 
 /// Reads and checks a configuration of one file.
-pub fn load(name: &str, text: &str) -> Loaded {
+pub fn load(name: &str, text: &str) -> LoadedConfig {
     load_with(name, text.as_bytes(), &NoFiles)
 }
 
 /// Reads and checks a configuration, with the files that it includes.
-pub fn load_with(name: &str, bytes: &[u8], loader: &dyn Loader) -> Loaded {
+pub fn load_with(name: &str, bytes: &[u8], loader: &dyn Loader) -> LoadedConfig {
     let expand::Expanded { sources, root, findings, broken } = expand::expand(name, bytes, loader);
     let before = findings.len();
     let defined = check::defined(&root);
@@ -87,5 +87,5 @@
             finding.related.push((*at, "its value is defined here".to_owned()));
         }
     }
-    Loaded { sources, findings, model }
+    LoadedConfig { sources, findings, model }
 }
--- a/crates/config/tests/expand.rs
+++ b/crates/config/tests/expand.rs
@@ -1,6 +1,6 @@
 //! Includes, named blocks and variables: put in, bounded, and told of with all places that matter.
 
-use ivygate_config::{load_with, Loaded, Loader, Severity};
+use ivygate_config::{load_with, LoadedConfig, Loader, Severity};
 use std::collections::BTreeMap;
 
 /// Files by name, in one folder; `*` in a pattern stands for anything.
@@ -22,13 +22,13 @@
     }
 }
 
-fn loaded(files: &[(&str, &str)]) -> Loaded {
+fn loaded(files: &[(&str, &str)]) -> LoadedConfig {
     let all = files.iter().map(|(name, text)| ((*name).to_owned(), text.as_bytes().to_vec())).collect();
     load_with("main", files[0].1.as_bytes(), &Files(all))
 }
 
 /// Codes with file and line.
-fn found(loaded: &Loaded) -> Vec<String> {
+fn found(loaded: &LoadedConfig) -> Vec<String> {
     let place = |f: &ivygate_config::Diagnostic| {
         let place = loaded.sources.position(f.at.0);
         format!("{} {}:{}", f.code, place.file, place.line)
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -3,7 +3,7 @@
 //! The command line and the sidecar both load through this crate, so `check` and `serve` read files alike. It
 //! knows nothing of the contents.
 
-use ivygate_config::{load_with, Loaded, Loader};
+use ivygate_config::{load_with, LoadedConfig, Loader};
 use std::fs::{File, Metadata, OpenOptions};
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// If the first file cannot be read. An included file that cannot be read is a finding at its `include`.
-pub fn load(path: &Path) -> Result<Loaded, ReadError> {
+pub fn load(path: &Path) -> Result<LoadedConfig, ReadError> {
     let bytes = read(path)?;
     Ok(load_with(&path.display().to_string(), &bytes, &DiskLoader))
 }
--- a/crates/ivygate/src/main.rs
+++ b/crates/ivygate/src/main.rs
@@ -12,7 +12,7 @@
 mod routes;
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-use ivygate_config::{Loaded, Severity};
+use ivygate_config::{LoadedConfig, Severity};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -205,14 +205,14 @@
 }
 
 /// Reads a configuration; what is found goes to standard error.
-fn load(file: &Path) -> Result<Loaded, ExitCode> {
+fn load(file: &Path) -> Result<LoadedConfig, ExitCode> {
     let loaded = load_quietly(file)?;
     eprint!("{}", worded(&loaded, Severity::Note));
     Ok(loaded)
 }
 
 /// Reads a configuration.
-fn load_quietly(file: &Path) -> Result<Loaded, ExitCode> {
+fn load_quietly(file: &Path) -> Result<LoadedConfig, ExitCode> {
     ivygate_files::load(file).map_err(|error| {
         eprintln!("ivygate: {error}");
         ExitCode::from(MISUSED)
@@ -220,6 +220,6 @@
 }
 
 /// What was found, for standard error.
-fn worded(loaded: &Loaded, least: Severity) -> String {
+fn worded(loaded: &LoadedConfig, least: Severity) -> String {
     loaded.report(least, std::io::stderr().is_terminal())
 }
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -1,7 +1,7 @@
 //! What two configurations do differently, whatever their text.
 
 use ivygate_config::{
-    Block, Class, CustomerSource, Effect, Listener, Loaded, Model, Plan, Pool, RepeatPolicy, SignIn,
+    Block, Class, CustomerSource, Effect, Listener, LoadedConfig, Model, Plan, Pool, RepeatPolicy, SignIn,
     SourceSpan, Span, Statement,
 };
 use ivygate_routing::{visit_equivalence_classes, LookupResult, RouteTable, TooManyClasses};
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If their routes have too many regions to be decided on.
-pub fn compare(old: &Loaded, new: &Loaded) -> Result<Vec<Difference>, TooManyClasses> {
+pub fn compare(old: &LoadedConfig, new: &LoadedConfig) -> Result<Vec<Difference>, TooManyClasses> {
     let (Some(before), Some(after)) = (&old.model, &new.model) else { return Ok(Vec::new()) };
     let (old, new) = (Text::new(old), Text::new(new));
     let mut found = Comparison { old, new, all: Vec::new() };
@@ -57,12 +57,12 @@
 
 /// The text of a configuration, for places.
 struct Text<'a> {
-    loaded: &'a Loaded,
+    loaded: &'a LoadedConfig,
     parsed: RefCell<HashMap<u32, Block>>,
 }
 
 impl<'a> Text<'a> {
-    fn new(loaded: &'a Loaded) -> Self {
+    fn new(loaded: &'a LoadedConfig) -> Self {
         Self { loaded, parsed: RefCell::default() }
     }
 
--- a/crates/tool/src/report.rs
+++ b/crates/tool/src/report.rs
@@ -1,11 +1,11 @@
 //! Findings for editors and other programs.
 
-use ivygate_config::{Diagnostic, Loaded, Severity, Sources, Span};
+use ivygate_config::{Diagnostic, LoadedConfig, Severity, Sources, Span};
 use serde_json::{json, Value};
 
 /// All findings of a configuration as one JSON document. Lines and columns count from 1, columns in characters;
 /// `start` and `end` are bytes of the file.
-pub fn findings_as_json(loaded: &Loaded) -> String {
+pub fn findings_as_json(loaded: &LoadedConfig) -> String {
     let document = json!({
         "version": 1,
         "errors": loaded.count(Severity::Error),
--- a/crates/tool/tests/compare.rs
+++ b/crates/tool/tests/compare.rs
@@ -1,6 +1,6 @@
 //! What two configurations do differently is told, and nothing else is.
 
-use ivygate_config::{load, load_with, Loaded, Loader};
+use ivygate_config::{load, load_with, LoadedConfig, Loader};
 use ivygate_tool::{compare, Difference};
 
 const BASE: &str = "\
@@ -21,7 +21,7 @@
 route orders { path exact /orders; methods POST; class order; pool pay; }
 ";
 
-fn good(text: &str) -> Loaded {
+fn good(text: &str) -> LoadedConfig {
     let loaded = load("x", text);
     assert!(loaded.model.is_some(), "{}", loaded.report(ivygate_config::Severity::Error, false));
     loaded
