--- a/crates/ivygate/src/compare.rs
+++ b/crates/ivygate/src/compare.rs
@@ -1,7 +1,7 @@
 //! `ivygate diff`: what a new configuration does differently.
 
 use crate::{Form, MISUSED};
-use ivygate_tool::{Difference, Side};
+use ivygate_tool::{Difference, DifferenceSide};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -49,7 +49,7 @@
 fn words(difference: &Difference) -> String {
     let mark = if difference.risk.is_some() { "!" } else { " " };
     let mut text = format!("{mark} {}: {}\n", difference.subject, difference.what);
-    let side = |sign: &str, side: &Side| format!("    {sign} {} ({})\n", side.value, side.place);
+    let side = |sign: &str, side: &DifferenceSide| format!("    {sign} {} ({})\n", side.value, side.place);
     text += &difference.old.as_ref().map_or(String::new(), |old| side("-", old));
     text += &difference.new.as_ref().map_or(String::new(), |new| side("+", new));
     text +=
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -11,7 +11,7 @@
 
 /// A line of one of the two.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Side {
+pub struct DifferenceSide {
     /// File, line and column.
     pub place: String,
     /// What it says, in the checked configuration's words.
@@ -26,9 +26,9 @@
     /// What is different.
     pub what: String,
     /// Before; `None` if it was not there.
-    pub old: Option<Side>,
+    pub old: Option<DifferenceSide>,
     /// Now; `None` if it is gone.
-    pub new: Option<Side>,
+    pub new: Option<DifferenceSide>,
     /// Why it is risky, if it is.
     pub risk: Option<String>,
     /// A request that it concerns.
@@ -146,7 +146,7 @@
         new: Option<(SourceSpan, &str, String)>,
         risk: Option<&str>,
     ) {
-        let side = |text: &Text, (at, statement, value): (SourceSpan, &str, String)| Side {
+        let side = |text: &Text, (at, statement, value): (SourceSpan, &str, String)| DifferenceSide {
             place: text.place(at, statement),
             value,
         };
--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -11,7 +11,7 @@
 mod openapi;
 mod report;
 
-pub use compare::{compare, Difference, Side};
+pub use compare::{compare, Difference, DifferenceSide};
 pub use explain::{all_as_markdown, explain};
 pub use format::{format, FormatError};
 pub use generate::{generate, Description, Route, RouteEffect, RouteError};
