--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -4,7 +4,7 @@
 use crate::MISUSED;
 use clap::Args;
 use ivygate_config::Severity;
-use ivygate_tool::{from_openapi, generate, Description, Route, RouteEffect};
+use ivygate_tool::{from_openapi, generate, AppDescription, Route, RouteEffect};
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, IsTerminal, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -127,14 +127,14 @@
 }
 
 /// The applications that are told of.
-fn described(options: &Options) -> Result<Vec<Description>, Fault> {
+fn described(options: &Options) -> Result<Vec<AppDescription>, Fault> {
     let read = |path: &Path| {
         let bytes = ivygate_files::read(path).map_err(|error| misuse(format!("ivygate: {error}")))?;
         String::from_utf8(bytes).map_err(|_| misuse(format!("ivygate: {} is not UTF-8", path.display())))
     };
     if let Some(path) = &options.from {
         let text = read(path)?;
-        let apps = Description::read(&path.display().to_string(), &text)
+        let apps = AppDescription::read(&path.display().to_string(), &text)
             .map_err(|(sources, errors)| misuse(sources.render(&errors, io::stderr().is_terminal())))?;
         let names: BTreeSet<&str> = apps.iter().map(|app| app.name.as_str()).collect();
         return match names.len() == apps.len() && !apps.is_empty() {
@@ -142,7 +142,7 @@
             false => Err(misuse(format!("ivygate: {} needs apps, each of another name", path.display()))),
         };
     }
-    let mut app = Description {
+    let mut app = AppDescription {
         name: options.app.clone().unwrap_or_default(),
         listen: options.listen,
         servers: options.servers.clone(),
@@ -187,7 +187,7 @@
 }
 
 /// Asks for what is needed, line by line; what cannot be read is asked for again.
-fn asked(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<Description> {
+fn asked(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<AppDescription> {
     let mut ask = |question: &str| -> io::Result<Option<String>> {
         write!(output, "{question} ")?;
         output.flush()?;
@@ -197,7 +197,7 @@
     };
     let ended =
         || io::Error::new(io::ErrorKind::UnexpectedEof, "the answers ended early; nothing is written");
-    let mut app = Description::default();
+    let mut app = AppDescription::default();
     while app.name.is_empty() {
         app.name = ask("Name of the application:")?.ok_or_else(ended)?;
     }
--- a/crates/tool/src/generate.rs
+++ b/crates/tool/src/generate.rs
@@ -115,7 +115,7 @@
 
 /// What is known of an application.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Description {
+pub struct AppDescription {
     /// Its name.
     pub name: String,
     /// Where the sidecar listens, if that is told.
@@ -132,7 +132,7 @@
     pub remarks: Vec<String>,
 }
 
-impl Description {
+impl AppDescription {
     /// Reads descriptions in the configuration's own language, one `app NAME { ... }` each.
     ///
     /// # Errors
@@ -151,7 +151,7 @@
                 errors.push(bad(statement.words[0].span, "a description has blocks named `app` only", help));
                 continue;
             };
-            let mut app = Description { name: name.text.clone(), ..Description::default() };
+            let mut app = AppDescription { name: name.text.clone(), ..AppDescription::default() };
             for inner in &block.statements {
                 let words: Vec<&str> = inner.words.iter().map(|w| w.text.as_str()).collect();
                 let at = inner.words[0].span;
@@ -197,7 +197,7 @@
 
 /// A configuration for an application that listens at `listen`. It is laid out as `format` does; whether it can
 /// be used is for the checker to say, since it depends on what the caller described.
-pub fn generate(app: &Description, listen: SocketAddr) -> String {
+pub fn generate(app: &AppDescription, listen: SocketAddr) -> String {
     let mut out = String::new();
     let mut w = |line: &str| {
         out.push_str(line);
--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -14,7 +14,7 @@
 pub use compare::{compare, Difference, DifferenceSide};
 pub use explain::{all_as_markdown, explain};
 pub use format::{format, FormatError};
-pub use generate::{generate, Description, Route, RouteEffect, RouteError};
+pub use generate::{generate, AppDescription, Route, RouteEffect, RouteError};
 pub use keywords::{keywords, Keyword, KEYWORDS};
 pub use openapi::{from_openapi, OpenApi, OpenApiError};
 pub use report::findings_as_json;
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -2,9 +2,9 @@
 
 use ivygate_config::{load, Effect, Model, Severity};
 use ivygate_routing::{LookupResult, RouteTable};
-use ivygate_tool::{format, from_openapi, generate, Description, Route, RouteEffect};
+use ivygate_tool::{format, from_openapi, generate, AppDescription, Route, RouteEffect};
 
-fn written(app: &Description) -> (String, Model) {
+fn written(app: &AppDescription) -> (String, Model) {
     let text = generate(app, "127.0.0.1:8080".parse().unwrap());
     let loaded = load("x", &text);
     let report = loaded.report(Severity::Warning, false);
@@ -13,12 +13,12 @@
     (text, loaded.model.unwrap())
 }
 
-fn app(routes: &[&str]) -> Description {
-    Description {
+fn app(routes: &[&str]) -> AppDescription {
+    AppDescription {
         name: "shop".into(),
         servers: vec!["127.0.0.1:9000".parse().unwrap()],
         routes: routes.iter().map(|r| r.parse().unwrap()).collect(),
-        ..Description::default()
+        ..AppDescription::default()
     }
 }
 
@@ -75,11 +75,11 @@
 #[test]
 fn descriptions_in_a_file_are_read_and_their_mistakes_told_with_their_line() {
     let text = "app tiles { server 127.0.0.1:9101; route /tiles safe; }\napp orders {\n  listen 127.0.0.1:8082;\n  server 127.0.0.1:9301; route POST /orders;\n  plan member 5/s; customer header X-Member;\n}";
-    let apps = Description::read("apps", text).unwrap();
+    let apps = AppDescription::read("apps", text).unwrap();
     assert_eq!(apps.iter().map(|a| a.name.as_str()).collect::<Vec<_>>(), ["tiles", "orders"]);
     apps.iter().for_each(|app| drop(written(app)));
     let (sources, errors) =
-        Description::read("apps", "app x {\n server nowhere;\n route often;\n colour red;\n}\npool y { }")
+        AppDescription::read("apps", "app x {\n server nowhere;\n route often;\n colour red;\n}\npool y { }")
             .unwrap_err();
     let lines: Vec<_> = errors.iter().map(|e| sources.position(e.at.0).line).collect();
     assert_eq!(lines, [2, 3, 4, 6]);
@@ -102,7 +102,7 @@
     let document = from_openapi(DOCUMENT, &[("POST /trails/search".into(), RouteEffect::Safe)]).unwrap();
     assert_eq!(document.title.as_deref(), Some("Trails"));
     let (text, model) =
-        written(&Description { routes: document.routes, remarks: document.remarks, ..app(&[]) });
+        written(&AppDescription { routes: document.routes, remarks: document.remarks, ..app(&[]) });
     assert_eq!(effect(&model, "GET", "/v1/trails"), Some(Effect::Safe));
     assert_eq!(effect(&model, "POST", "/v1/trails"), Some(Effect::Unsafe));
     assert!(matches!(effect(&model, "PUT", "/v1/trails/7"), Some(Effect::Keyed(..))));
