--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -16,5 +16,5 @@
 pub use format::{format, FormatError};
 pub use generate::{generate, AppDescription, Route, RouteEffect, RouteError};
 pub use keywords::{keywords, Keyword, KEYWORDS};
-pub use openapi::{from_openapi, OpenApi, OpenApiError};
+pub use openapi::{from_openapi, OpenApiError, OpenApiImport};
 pub use report::findings_as_json;
--- a/crates/tool/src/openapi.rs
+++ b/crates/tool/src/openapi.rs
@@ -11,7 +11,7 @@
 
 /// What came of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OpenApi {
+pub struct OpenApiImport {
     /// Its title.
     pub title: Option<String>,
     /// Its operations as routes, in the order in which they are to be tried.
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// If it is no OpenAPI 3 document, or what is told names no operation.
-pub fn from_openapi(text: &str, told: &[(String, RouteEffect)]) -> Result<OpenApi, OpenApiError> {
+pub fn from_openapi(text: &str, told: &[(String, RouteEffect)]) -> Result<OpenApiImport, OpenApiError> {
     let document: Value = match serde_json::from_str(text) {
         Ok(document) => document,
         Err(json) => serde_yaml_ng::from_str(text).map_err(|yaml| {
@@ -121,7 +121,7 @@
     let rank = |route: &Route| route.path.1.split('/').map(|s| (s == "*", s.to_owned())).collect::<Vec<_>>();
     routes.sort_by_cached_key(|route| (rank(route), route.effect));
     let title = document.pointer("/info/title").and_then(Value::as_str).map(str::to_owned);
-    Ok(OpenApi { title, routes, remarks })
+    Ok(OpenApiImport { title, routes, remarks })
 }
 
 /// The path of the document's first server.
