--- a/crates/tool/src/keywords.rs
+++ b/crates/tool/src/keywords.rs
@@ -6,17 +6,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Keyword {
     /// The block in which it stands; empty for the outermost.
-    pub within: &'static str,
+    #[serde(rename = "within")]
+    pub block: &'static str,
     /// Its name.
     pub name: &'static str,
     /// What follows it.
-    pub takes: &'static str,
+    #[serde(rename = "takes")]
+    pub arguments: &'static str,
     /// What it says.
-    pub says: &'static str,
+    #[serde(rename = "says")]
+    pub summary: &'static str,
 }
 
-const fn k(within: &'static str, name: &'static str, takes: &'static str, says: &'static str) -> Keyword {
-    Keyword { within, name, takes, says }
+const fn k(
+    block: &'static str,
+    name: &'static str,
+    arguments: &'static str,
+    summary: &'static str,
+) -> Keyword {
+    Keyword { block, name, arguments, summary }
 }
 
 /// All statements, by block.
--- a/crates/tool/tests/language.rs
+++ b/crates/tool/tests/language.rs
@@ -254,7 +254,7 @@
         }
         known.sort_unstable();
         known.dedup();
-        let mut listed: Vec<&str> = KEYWORDS.iter().filter(|k| k.within == within).map(|k| k.name).collect();
+        let mut listed: Vec<&str> = KEYWORDS.iter().filter(|k| k.block == within).map(|k| k.name).collect();
         listed.sort_unstable();
         if within == "class" {
             known
@@ -268,7 +268,7 @@
 #[test]
 fn the_page_names_every_statement_in_its_section() {
     for keyword in KEYWORDS {
-        let section = match keyword.within {
+        let section = match keyword.block {
             "" if ["include", "let", "block", "use"].contains(&keyword.name) => {
                 "## Files, blocks and variables"
             }
