--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,11 +1,11 @@
 //! Statements to the checked model: types, units, references and meaning.
 
+use crate::consistency;
 use crate::diagnostic::{Diagnostic, Severity, Span};
-use crate::expand::nearest;
+use crate::expand::suggestion;
 use crate::fields::{head_span, Fields, Findings, Quantity};
-use crate::meaning;
 use crate::model::*;
-use crate::slips;
+use crate::plausibility;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
 use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RequestTarget, RouteMatch};
@@ -18,18 +18,18 @@
 /// Methods that change nothing by their definition; a safe class claims these where a route names none.
 pub const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 /// Longest time of any kind.
-pub const LONGEST: f64 = 86_400_000.0;
+pub const MAX_DURATION_MS: f64 = 86_400_000.0;
 
 /// How long orders are kept in the journal where nothing is said.
-const KEEP: f64 = 30.0 * LONGEST;
+const DEFAULT_JOURNAL_KEEP_MS: f64 = 30.0 * MAX_DURATION_MS;
 /// At the least: longer than any request takes from its arrival to its end, body and answer.
-const KEEP_LEAST: f64 = 3.0 * LONGEST;
+const MIN_JOURNAL_KEEP_MS: f64 = 3.0 * MAX_DURATION_MS;
 /// What the journal may take of the disk where nothing is said, and at the least.
-const DISK: f64 = 1_073_741_824.0;
-const DISK_LEAST: f64 = 67_108_864.0;
+const DEFAULT_JOURNAL_BYTES: f64 = 1_073_741_824.0;
+const MIN_JOURNAL_BYTES: f64 = 67_108_864.0;
 
 /// Longest path of a route.
-const PATH_MOST: usize = 2048;
+const MAX_PATH_BYTES: usize = 2048;
 
 /// Checks a parsed file. The model comes back unless there is an error.
 pub fn check(root: &Block, findings: &Findings) -> Option<Model> {
@@ -64,19 +64,19 @@
     if model.plans.is_empty() {
         model.plans.push(Plan::without_quota("default"));
     }
-    meaning::check(&fields, &model);
+    consistency::check(&fields, &model);
     fields.finish();
     let bad = findings.borrow().iter().any(|f| f.severity == Severity::Error);
     (!bad).then_some(model)
 }
 
 /// Words that stand for a variable, and where that is defined.
-pub fn defined(block: &Block) -> HashMap<Span, Span> {
+pub fn variable_definitions(block: &Block) -> HashMap<Span, Span> {
     let mut all = HashMap::new();
     for statement in &block.statements {
         all.extend(statement.words.iter().filter_map(|word| Some((word.span, word.defined?))));
         if let Some(inner) = &statement.block {
-            all.extend(defined(inner));
+            all.extend(variable_definitions(inner));
         }
     }
     all
@@ -85,7 +85,7 @@
 fn limits(fields: &Fields) -> Limits {
     let (mut descriptors, mut drain, mut memory) = (1024.0, 30_000.0, None);
     let mut at = SourceSpan::default();
-    if let Some(statement) = fields.one("limits") {
+    if let Some(statement) = fields.single("limits") {
         let inner = fields.inner("limits block", statement);
         at = SourceSpan(inner.head);
         descriptors = inner.positive_or("descriptors", Quantity::Count, descriptors);
@@ -97,20 +97,31 @@
 }
 
 fn journal(fields: &Fields) -> Option<Journal> {
-    let inner = fields.inner("journal block", fields.one("journal")?);
-    let folder = inner.needed("folder", "folder /var/lib/ivygate;").and_then(|s| inner.words(s, 1, 1));
+    let inner = fields.inner("journal block", fields.single("journal")?);
+    let folder = inner.required("folder", "folder /var/lib/ivygate;").and_then(|s| inner.words(s, 1, 1));
     let folder = folder.map(|words| words[0].text.clone());
     let level = "write `level synced;` (outlives the machine) or `level written;` (the process)";
-    let synced = choice(&inner, "level", ["synced", "written"], level);
+    let synced = is_first_choice(&inner, "level", ["synced", "written"], level);
     let customers = "write `customers plain;` or `customers hashed;`";
     let journal = Journal {
         folder: folder?,
         synced,
-        keep: bounded(&inner, "keep", Quantity::Duration, KEEP, KEEP_LEAST, "72h"),
-        disk: bounded(&inner, "disk", Quantity::Size, DISK, DISK_LEAST, "64MiB") as u64,
-        keyed: yes_or_no(&inner, "keyed"),
-        hashed: !choice(&inner, "customers", ["plain", "hashed"], customers),
-        id_header: inner.word("id-header").and_then(|word| header(&inner, word)).unwrap_or("req-id".into()),
+        keep: at_least(
+            &inner,
+            "keep",
+            Quantity::Duration,
+            DEFAULT_JOURNAL_KEEP_MS,
+            MIN_JOURNAL_KEEP_MS,
+            "72h",
+        ),
+        disk: at_least(&inner, "disk", Quantity::Size, DEFAULT_JOURNAL_BYTES, MIN_JOURNAL_BYTES, "64MiB")
+            as u64,
+        keyed: flag(&inner, "keyed"),
+        hashed: !is_first_choice(&inner, "customers", ["plain", "hashed"], customers),
+        id_header: inner
+            .word("id-header")
+            .and_then(|word| header_name(&inner, word))
+            .unwrap_or("req-id".into()),
         at: SourceSpan(inner.head),
     };
     inner.finish();
@@ -118,17 +129,17 @@
 }
 
 /// Whether a statement says the first of two words; where it is not given it does.
-fn choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
+fn is_first_choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
     let Some(word) = inner.word(name) else { return true };
     if !words.contains(&word.text.as_str()) {
         let what = format!("`{name}` is `{}` or `{}`, not `{}`", words[0], words[1], word.text);
-        inner.note(Diagnostic::error("IV0086", what, word.span, "here").help(help));
+        inner.report(Diagnostic::error("IV0086", what, word.span, "here").help(help));
     }
     word.text != words[1]
 }
 
 /// A quantity that must not be less than something, or what it is by default.
-fn bounded(
+fn at_least(
     inner: &Fields,
     name: &'static str,
     quantity: Quantity,
@@ -140,13 +151,13 @@
     if let Some(word) = inner.word(name).filter(|_| value < least) {
         let what = format!("`{name}` is too small");
         let error = Diagnostic::error("IV0023", what, word.span, format!("at least {least_words}"));
-        inner.note(error.help(format!("write `{name} {least_words};` or more")));
+        inner.report(error.help(format!("write `{name} {least_words};` or more")));
     }
     value.max(least)
 }
 
 fn operator(fields: &Fields, listeners: &[Listener]) -> Option<Operator> {
-    let statement = fields.one("operator")?;
+    let statement = fields.single("operator")?;
     let word = &fields.words(statement, 1, 1)?[0];
     let address = address(fields, word)?;
     let same = |l: &&Listener| {
@@ -159,23 +170,23 @@
     if let Some(listener) = listeners.iter().find(same) {
         let what = "clients and operators have the same address";
         let error = Diagnostic::error("IV0043", what, word.span, "again here");
-        fields.note(error.related(listener.at.0, "clients connect here"));
+        fields.report(error.related(listener.at.0, "clients connect here"));
     }
     Some(Operator { address, at: SourceSpan(head_span(statement)) })
 }
 
 fn group(fields: &Fields, pools: &[Pool]) -> Option<Group> {
-    let inner = fields.inner("group block", fields.one("group")?);
-    let listen = inner.needed("listen", "listen 127.0.0.1:7900;").and_then(|s| inner.words(s, 1, 1));
+    let inner = fields.inner("group block", fields.single("group")?);
+    let listen = inner.required("listen", "listen 127.0.0.1:7900;").and_then(|s| inner.words(s, 1, 1));
     let listen = listen.and_then(|words| address(&inner, &words[0]));
-    let keys = inner.needed("key", "key /etc/ivygate/group.key;").and_then(|s| inner.words(s, 1, 2));
-    let peers = inner.needed("peers", "peers 10.0.0.2:7900 10.0.0.3:7900;");
+    let keys = inner.required("key", "key /etc/ivygate/group.key;").and_then(|s| inner.words(s, 1, 2));
+    let peers = inner.required("peers", "peers 10.0.0.2:7900 10.0.0.3:7900;");
     let peers = peers.and_then(|s| inner.words(s, 1, Group::MAX_PEERS)).unwrap_or_default();
     let peers = peers.iter().filter_map(|word| address(&inner, word)).collect();
     if pools.iter().all(|pool| pool.domains.is_none()) {
         let what = "no pool judges its zones, so nothing is told";
         let warning = Diagnostic::warning("IV0109", what, inner.head, "in here");
-        inner.note(warning.help("write `domains;` in a pool, or remove `group`"));
+        inner.report(warning.help("write `domains;` in a pool, or remove `group`"));
     }
     let keys = keys.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
     let at = SourceSpan(inner.head);
@@ -189,18 +200,19 @@
 }
 
 /// A header's name.
-fn header(fields: &Fields, word: &Word) -> Option<String> {
+fn header_name(fields: &Fields, word: &Word) -> Option<String> {
     if is_token(&word.text) {
         return Some(word.text.to_ascii_lowercase());
     }
     let what = format!("`{}` cannot be a header's name", word.text);
-    fields
-        .note(Diagnostic::error("IV0030", what, word.span, "here").help("write a name such as `X-Customer`"));
+    fields.report(
+        Diagnostic::error("IV0030", what, word.span, "here").help("write a name such as `X-Customer`"),
+    );
     None
 }
 
 /// The name of a block; names are unique among their kind.
-fn named<'a>(
+fn block_name<'a>(
     fields: &Fields,
     kind: &str,
     statement: &'a Statement,
@@ -208,7 +220,7 @@
 ) -> Option<&'a Word> {
     let Some(word) = statement.words.get(1) else {
         let what = format!("this {kind} has no name");
-        fields.note(Diagnostic::error(
+        fields.report(Diagnostic::error(
             "IV0031",
             what,
             statement.words[0].span,
@@ -220,7 +232,7 @@
         let kinds = if kind == "class" { "classes".to_owned() } else { format!("{kind}s") };
         let what = format!("two {kinds} are named `{}`", word.text);
         let error = Diagnostic::error("IV0032", what, word.span, "named again here");
-        fields.note(error.related(*first, "first named here").help("give one of them another name"));
+        fields.report(error.related(*first, "first named here").help("give one of them another name"));
     } else {
         seen.insert(word.text.clone(), word.span);
     }
@@ -228,43 +240,49 @@
 }
 
 /// The number of what a word names.
-fn refer<T>(fields: &Fields, kind: &str, word: &Word, all: &[T], name: impl Fn(&T) -> &str) -> Option<usize> {
+fn resolve<T>(
+    fields: &Fields,
+    kind: &str,
+    word: &Word,
+    all: &[T],
+    name: impl Fn(&T) -> &str,
+) -> Option<usize> {
     let found = all.iter().position(|one| name(one) == word.text);
     if found.is_none() {
         let what = format!("there is no {kind} named `{}`", word.text);
         let error = Diagnostic::error("IV0033", what, word.span, "not defined in this file");
         let known: Vec<&str> = all.iter().map(name).collect();
-        fields.note(error.help(nearest(&word.text, &known)));
+        fields.report(error.help(suggestion(&word.text, &known)));
     }
     found
 }
 
 fn duration_or(fields: &Fields, name: &'static str, default: f64) -> f64 {
     let value = fields.positive_or(name, Quantity::Duration, default);
-    if value > LONGEST {
+    if value > MAX_DURATION_MS {
         if let Some(word) = fields.word(name) {
             let what = format!("`{name}` is longer than a day");
-            fields.note(Diagnostic::error("IV0023", what, word.span, "at most 24h"));
+            fields.report(Diagnostic::error("IV0023", what, word.span, "at most 24h"));
         }
     }
-    value.min(LONGEST)
+    value.min(MAX_DURATION_MS)
 }
 
 fn plans(fields: &Fields) -> Vec<Plan> {
     let mut seen = HashMap::new();
     let mut plans = Vec::new();
     for statement in fields.all("plan") {
-        let Some(name) = named(fields, "plan", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "plan", statement, &mut seen) else { continue };
         let inner = fields.inner("plan", statement);
         let quota = inner.quantity_or("quota", Quantity::Rate, 0.0);
-        let meant = ["quota", "burst"].into_iter().any(|name| inner.is_meant(name));
+        let meant = ["quota", "burst"].into_iter().any(|name| inner.is_confirmed(name));
         if quota == 0.0 && !inner.all("quota").is_empty() && !meant {
             if let Some(word) =
                 inner.word("burst").filter(|w| inner.quantity_in(w, Quantity::Number) == Some(0.0))
             {
                 let what = format!("the plan `{}` lets nothing through", name.text);
                 let error = Diagnostic::error("IV0094", what, word.span, "and nothing is saved up");
-                inner.note(error.help("write `burst 0 meant;` if that is right"));
+                inner.report(error.help("write `burst 0 meant;` if that is right"));
             }
         }
         let ceiling = inner.quantity_or("ceiling", Quantity::Rate, 0.0);
@@ -285,23 +303,23 @@
             [("burst", plan.quota, plan.burst), ("ceiling-burst", plan.ceiling, plan.ceiling_burst)]
         {
             if rate > 0.0 && burst < 1.0 {
-                let at = inner.one(name).map_or(inner.head, |s| s.span);
+                let at = inner.single(name).map_or(inner.head, |s| s.span);
                 let error = Diagnostic::error(
                     "IV0049",
                     format!("`{name}` holds less than one unit"),
                     at,
                     "nothing passes",
                 );
-                inner.note(
+                inner.report(
                     error.help(format!("write `{name} 1;` or more: what a customer may use at one moment")),
                 );
             }
         }
         if plan.quota > 0.0 && plan.ceiling > 0.0 && plan.ceiling < plan.quota {
-            let at = inner.one("ceiling").map_or(inner.head, |s| s.span);
-            let quota = inner.one("quota").map_or(inner.head, |s| s.span);
+            let at = inner.single("ceiling").map_or(inner.head, |s| s.span);
+            let quota = inner.single("quota").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0040", "the ceiling lies below the quota", at, "this is less");
-            inner.note(
+            inner.report(
                 error
                     .related(quota, "than this")
                     .help("a ceiling bounds what a quota already allows; raise it"),
@@ -321,12 +339,12 @@
         deadline_header: None,
         at: SourceSpan::default(),
     };
-    let Some(statement) = fields.one("identity") else { return identity };
+    let Some(statement) = fields.single("identity") else { return identity };
     let inner = fields.inner("identity block", statement);
     identity.at = SourceSpan(inner.head);
-    if let Some(words) = inner.one("customer").and_then(|s| inner.words(s, 1, 2)) {
+    if let Some(words) = inner.single("customer").and_then(|s| inner.words(s, 1, 2)) {
         let from = match (words[0].text.as_str(), words.get(1)) {
-            ("header", Some(name)) => header(&inner, name).map(CustomerSource::Header),
+            ("header", Some(name)) => header_name(&inner, name).map(CustomerSource::Header),
             ("cookie", Some(name)) if is_token(&name.text) => Some(CustomerSource::Cookie(name.text.clone())),
             ("address", None) => Some(CustomerSource::Address),
             ("name", Some(name)) => Some(CustomerSource::Fixed(name.text.clone())),
@@ -335,14 +353,14 @@
                 let error = Diagnostic::error("IV0034", what, words[0].span, "not understood");
                 let help = "write `customer header NAME;`, `customer cookie NAME;`, `customer address;` or \
                             `customer name NAME;`";
-                inner.note(error.help(help));
+                inner.report(error.help(help));
                 None
             }
         };
         identity.customer = from.unwrap_or(CustomerSource::Address);
     }
     let header_of = |name| {
-        let words = inner.words(inner.one(name)?, 2, 2)?;
+        let words = inner.words(inner.single(name)?, 2, 2)?;
         if words[0].text != "header" {
             let error = Diagnostic::error(
                 "IV0035",
@@ -350,15 +368,15 @@
                 words[0].span,
                 "here",
             );
-            inner.note(error.help(format!("write `{name} header NAME;`")));
+            inner.report(error.help(format!("write `{name} header NAME;`")));
             return None;
         }
-        header(&inner, &words[1])
+        header_name(&inner, &words[1])
     };
     identity.plan_header = header_of("plan");
     identity.deadline_header = header_of("deadline");
     if let Some(word) = inner.word("default-plan") {
-        identity.default_plan = refer(&inner, "plan", word, plans, |p| &p.name).unwrap_or(0);
+        identity.default_plan = resolve(&inner, "plan", word, plans, |p| &p.name).unwrap_or(0);
     }
     inner.finish();
     identity
@@ -368,13 +386,13 @@
     let mut seen = HashMap::new();
     let mut customers = Vec::new();
     for statement in fields.all("customer") {
-        let Some(name) = named(fields, "customer", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "customer", statement, &mut seen) else { continue };
         if statement.words.len() > 2 {
             fields.words(statement, 1, 1);
         }
         let inner = fields.inner("customer", statement);
-        if let Some(word) = inner.needed("plan", "plan NAME;").and_then(|s| inner.words(s, 1, 1)) {
-            if let Some(plan) = refer(&inner, "plan", &word[0], plans, |p| &p.name) {
+        if let Some(word) = inner.required("plan", "plan NAME;").and_then(|s| inner.words(s, 1, 1)) {
+            if let Some(plan) = resolve(&inner, "plan", &word[0], plans, |p| &p.name) {
                 customers.push(Customer { name: name.text.clone(), plan, at: SourceSpan(inner.head) });
             }
         }
@@ -387,14 +405,14 @@
     let mut seen = HashMap::new();
     let mut classes = Vec::new();
     for statement in fields.all("class") {
-        let Some(name) = named(fields, "class", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "class", statement, &mut seen) else { continue };
         let inner = fields.inner("class", statement);
-        let deadline = match inner.needed("deadline", "deadline 2s;") {
+        let deadline = match inner.required("deadline", "deadline 2s;") {
             Some(_) => duration_or(&inner, "deadline", 1000.0),
             None => 1000.0,
         };
         let effect = effect(&inner);
-        let key = inner.word("key").and_then(|word| header(&inner, word));
+        let key = inner.word("key").and_then(|word| header_name(&inner, word));
         let aim = duration_or(&inner, "aim", deadline / 2.0);
         let class = Class {
             name: name.text.clone(),
@@ -414,25 +432,25 @@
             at: SourceSpan(inner.head),
         };
         if class.effect == Effect::Unsafe && class.repeat == RepeatPolicy::Sent && effect.is_some() {
-            let at = inner.one("repeat").map_or(inner.head, |s| s.span);
-            let also = inner.one("effect").map_or(inner.head, |s| s.span);
+            let at = inner.single("repeat").map_or(inner.head, |s| s.span);
+            let also = inner.single("effect").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error(
                 "IV0072",
                 "an unsafe class cannot be repeated after a send",
                 at,
                 "would run twice",
             );
-            inner.note(
+            inner.report(
                 error
                     .related(also, "must never run twice")
                     .help("write `repeat unsent;`, or `effect keyed;` if servers drop repeats by a key"),
             );
         }
         if class.aim > class.deadline {
-            let at = inner.one("aim").map_or(inner.head, |s| s.span);
-            let also = inner.one("deadline").map_or(inner.head, |s| s.span);
+            let at = inner.single("aim").map_or(inner.head, |s| s.span);
+            let also = inner.single("deadline").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0041", "the aim lies beyond the deadline", at, "longer");
-            inner.note(
+            inner.report(
                 error
                     .related(also, "than this")
                     .help("an aim is the time in which an answer is worth all; shorten it"),
@@ -452,7 +470,7 @@
         other => {
             let what = format!("repeats after `{other}` are not known");
             let error = Diagnostic::error("IV0071", what, word.span, "here");
-            inner.note(error.help(
+            inner.report(error.help(
                 "write `repeat unsent;` (only if no attempt can have run) or `repeat sent;` (also after one \
                  that may have run)",
             ));
@@ -469,7 +487,7 @@
         other => {
             let error =
                 Diagnostic::error("IV0036", format!("there is no scope `{other}`"), word.span, "here");
-            inner.note(
+            inner.report(
                 error.help("write `all`, `zone` or `cell`: the servers that drop each other's repeats"),
             );
             None
@@ -477,13 +495,13 @@
     }
 }
 
-fn yes_or_no(inner: &Fields, name: &'static str) -> bool {
+fn flag(inner: &Fields, name: &'static str) -> bool {
     match inner.word(name).map(|word| (word, word.text.as_str())) {
         None | Some((_, "no")) => false,
         Some((_, "yes")) => true,
         Some((word, other)) => {
             let what = format!("`{name}` is `yes` or `no`, not `{other}`");
-            inner.note(
+            inner.report(
                 Diagnostic::error("IV0086", what, word.span, "here").help(format!("write `{name} no;`")),
             );
             false
@@ -492,23 +510,24 @@
 }
 
 fn effect(inner: &Fields) -> Option<Effect> {
-    let statement = inner.needed("effect", "effect safe;`, `effect keyed;` or `effect unsafe;")?;
+    let statement = inner.required("effect", "effect safe;`, `effect keyed;` or `effect unsafe;")?;
     let word = &inner.words(statement, 1, 1)?[0];
     let keyed = word.text == "keyed";
-    let (scope, window) = (inner.one("scope"), inner.one("window"));
+    let (scope, window) = (inner.single("scope"), inner.single("window"));
     if !keyed {
-        for extra in [scope, window, inner.one("key")].into_iter().flatten() {
+        for extra in [scope, window, inner.single("key")].into_iter().flatten() {
             let what = format!("`{}` belongs to keyed classes only", extra.words[0].text);
             let error = Diagnostic::error("IV0042", what, extra.span, "no repeat is dropped here");
-            inner.note(error.related(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
+            inner
+                .report(error.related(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
         }
     }
     match word.text.as_str() {
         "safe" => Some(Effect::Safe),
         "unsafe" => Some(Effect::Unsafe),
         "keyed" => {
-            let scope = &inner.words(inner.needed("scope", "scope zone;")?, 1, 1)?[0];
-            inner.needed("window", "window 15s;")?;
+            let scope = &inner.words(inner.required("scope", "scope zone;")?, 1, 1)?[0];
+            inner.required("window", "window 15s;")?;
             let window = duration_or(inner, "window", 1000.0);
             let scope = self::scope(inner, scope)?;
             Some(Effect::Keyed(scope, window))
@@ -516,7 +535,7 @@
         other => {
             let error =
                 Diagnostic::error("IV0037", format!("there is no effect `{other}`"), word.span, "here");
-            inner.note(
+            inner.report(
                 error.help("write `safe` (may run any number of times), `keyed` or `unsafe` (never twice)"),
             );
             None
@@ -529,8 +548,9 @@
     if address.is_none() {
         let what = format!("`{}` is not an address with a port", word.text);
         let error = Diagnostic::error("IV0038", what, word.span, "here");
-        fields
-            .note(error.help("write one such as `127.0.0.1:8080` or `[::1]:8080`; names are not looked up"));
+        fields.report(
+            error.help("write one such as `127.0.0.1:8080` or `[::1]:8080`; names are not looked up"),
+        );
     }
     address
 }
@@ -539,7 +559,7 @@
     let mut listeners: Vec<Listener> = Vec::new();
     for statement in fields.all("listen") {
         let Some(word) = statement.words.get(1) else {
-            fields.note(Diagnostic::error(
+            fields.report(Diagnostic::error(
                 "IV0014",
                 "`listen` lacks an address",
                 statement.words[0].span,
@@ -551,7 +571,7 @@
         if let Some(other) = listeners.iter().find(|l| l.address == address && address.port() != 0) {
             let error =
                 Diagnostic::error("IV0043", "two listeners have the same address", word.span, "again here");
-            fields.note(error.related(other.at.0, "first here"));
+            fields.report(error.related(other.at.0, "first here"));
         }
         let inner = fields.inner("listener", statement);
         let mut trusted = Vec::new();
@@ -564,7 +584,7 @@
                     None => {
                         let what = format!("`{}` is not an address or a network", word.text);
                         let error = Diagnostic::error("IV0039", what, word.span, "here");
-                        inner.note(error.help("write one such as `127.0.0.1` or `10.0.0.0/8`"));
+                        inner.report(error.help("write one such as `127.0.0.1` or `10.0.0.0/8`"));
                     }
                 }
             }
@@ -578,11 +598,11 @@
             body_stall: duration_or(&inner, "body-stall", 10_000.0),
             read_stall: duration_or(&inner, "read-stall", 30_000.0),
             idle: duration_or(&inner, "idle", 60_000.0),
-            answer_within: duration_or(&inner, "answer-within", LONGEST),
+            answer_within: duration_or(&inner, "answer-within", MAX_DURATION_MS),
             answers_checks: inner
-                .one("answers-checks")
+                .single("answers-checks")
                 .and_then(|s| inner.words(s, 1, 1))
-                .and_then(|w| plain_path(&inner, &w[0]))
+                .and_then(|w| request_path(&inner, &w[0]))
                 .map(|p| p.split('?').next().unwrap_or("").to_owned()),
             ids_kept: duration_or(&inner, "ids-kept", 60_000.0),
             at: SourceSpan(inner.head),
@@ -594,7 +614,7 @@
                 word.span,
                 "too small",
             );
-            inner.note(error.help("write `head 16KiB;`"));
+            inner.report(error.help("write `head 16KiB;`"));
         }
         inner.finish();
     }
@@ -605,19 +625,19 @@
     let mut seen = HashMap::new();
     let mut pools: Vec<Pool> = Vec::new();
     for statement in fields.all("pool") {
-        let Some(name) = named(fields, "pool", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "pool", statement, &mut seen) else { continue };
         let inner = fields.inner("pool", statement);
         let zone = inner.text_or("zone", "");
         let mut errors = vec![502, 503, 504];
-        if let Some(statement) = inner.one("errors") {
+        if let Some(statement) = inner.single("errors") {
             let words = inner.words(statement, 0, 64).unwrap_or_default();
-            errors = words.iter().filter_map(|word| status(&inner, word)).collect();
+            errors = words.iter().filter_map(|word| server_error_status(&inner, word)).collect();
         }
         let declined = inner
-            .one("declined")
+            .single("declined")
             .and_then(|s| inner.words(s, 2, 2))
-            .and_then(|words| Some((header(&inner, &words[0])?, words[1].text.clone())));
-        let cold = inner.one("cold").map(|statement| {
+            .and_then(|words| Some((header_name(&inner, &words[0])?, words[1].text.clone())));
+        let cold = inner.single("cold").map(|statement| {
             let block = inner.inner("cold block", statement);
             let cold = ColdStart {
                 from: block.quantity_or("from", Quantity::Share, 0.2),
@@ -628,20 +648,22 @@
             block.finish();
             cold
         });
-        let domains = inner.one("domains").map(|statement| domains(inner.inner("domains block", statement)));
-        let drops_repeats = inner.one("drops-repeats").and_then(|s| inner.words(s, 2, 2)).and_then(|words| {
-            let time = inner.quantity_in(&words[1], Quantity::Duration)?;
-            Some((scope(&inner, &words[0])?, time.min(LONGEST)))
-        });
-        let shares = inner.one("shares-servers-with").and_then(|s| inner.words(s, 1, 64));
+        let domains =
+            inner.single("domains").map(|statement| domains(inner.inner("domains block", statement)));
+        let drops_repeats =
+            inner.single("drops-repeats").and_then(|s| inner.words(s, 2, 2)).and_then(|words| {
+                let time = inner.quantity_in(&words[1], Quantity::Duration)?;
+                Some((scope(&inner, &words[0])?, time.min(MAX_DURATION_MS)))
+            });
+        let shares = inner.single("shares-servers-with").and_then(|s| inner.words(s, 1, 64));
         let shares_servers_with = shares.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
         let servers = servers(&inner, &zone);
         if servers.is_empty() && inner.all("server").is_empty() {
             let error = Diagnostic::error("IV0045", "this pool has no server", inner.head, "in here");
-            inner.note(error.help("write `server NAME 127.0.0.1:9000;`"));
+            inner.report(error.help("write `server NAME 127.0.0.1:9000;`"));
         }
         let domains = domains.map(|(domains, words)| {
-            works(&inner, &domains, words, &servers);
+            check_maintenance_zones(&inner, &domains, words, &servers);
             domains
         });
         pools.push(Pool {
@@ -660,7 +682,7 @@
             declined,
             cold,
             drops_repeats,
-            second_copies: yes_or_no(&inner, "second-copies"),
+            second_copies: flag(&inner, "second-copies"),
             shares_servers_with,
             cross_zone: inner.quantity_or("cross-zone", Quantity::Share, 0.0),
             domains,
@@ -674,51 +696,51 @@
 
 /// A `domains` block, and the words of its zones in works.
 fn domains<'a>(block: Fields<'a>) -> (Domains, &'a [Word]) {
-    let words = block.one("works").and_then(|s| block.words(s, 1, 64)).unwrap_or_default();
+    let words = block.single("works").and_then(|s| block.words(s, 1, 64)).unwrap_or_default();
     let distrust = match block.quantity_or("distrust", Quantity::Share, 0.5) {
         share if share > 0.0 => share,
         _ => {
             let at = block.word("distrust").map_or(block.head, |word| word.span);
             let error = Diagnostic::error("IV0024", "`distrust` is zero", at, "must be above zero");
-            block.note(error.help("write `leave no;` to leave no zone by what is seen of it"));
+            block.report(error.help("write `leave no;` to leave no zone by what is seen of it"));
             0.5
         }
     };
-    let leave = block.one("leave").is_none() || yes_or_no(&block, "leave");
+    let leave = block.single("leave").is_none() || flag(&block, "leave");
     let maintenance_zones = words.iter().map(|word| word.text.clone()).collect();
     block.finish();
     (Domains { leave, maintenance_zones, distrust }, words)
 }
 
 /// Zones in works must be there, and one must be left that is not.
-fn works(pool: &Fields, domains: &Domains, words: &[Word], servers: &[Server]) {
+fn check_maintenance_zones(pool: &Fields, domains: &Domains, words: &[Word], servers: &[Server]) {
     let mut zones: Vec<&str> = servers.iter().map(|server| server.zone.as_str()).collect();
     zones.sort_unstable();
     zones.dedup();
     for word in words.iter().filter(|word| !zones.contains(&word.text.as_str())) {
         let what = format!("the zone `{}` has no server in this pool", word.text);
         let error = Diagnostic::error("IV0095", what, word.span, "no such zone");
-        pool.note(error.help(nearest(&word.text, &zones)));
+        pool.report(error.help(suggestion(&word.text, &zones)));
     }
     let all_in_works = zones.iter().all(|zone| domains.maintenance_zones.iter().any(|works| works == zone));
     if let (Some(word), true, false) = (words.first(), all_in_works, zones.is_empty()) {
         let error =
             Diagnostic::error("IV0096", "all zones of this pool are in works", word.span, "nothing is left");
-        pool.note(error.help("leave one of them out, or take the pool out of its routes"));
+        pool.report(error.help("leave one of them out, or take the pool out of its routes"));
     }
     if zones.len() == 1 && words.is_empty() {
         let what = "this pool has one zone, and none that it could be left for";
         let warning = Diagnostic::warning("IV0108", what, pool.head, "in here");
-        pool.note(warning.help("say `zone NAME` at its servers, or remove `domains`"));
+        pool.report(warning.help("say `zone NAME` at its servers, or remove `domains`"));
     }
 }
 
-fn status(fields: &Fields, word: &Word) -> Option<u16> {
+fn server_error_status(fields: &Fields, word: &Word) -> Option<u16> {
     let status = word.text.parse().ok().filter(|s| (500..600).contains(s));
     if status.is_none() {
         let what = format!("`{}` is not a status of a server's failure", word.text);
         let error = Diagnostic::error("IV0046", what, word.span, "here");
-        fields.note(error.help("write statuses from 500 to 599; all others are the application's answer"));
+        fields.report(error.help("write statuses from 500 to 599; all others are the application's answer"));
     }
     status
 }
@@ -727,23 +749,23 @@
     let mut seen = HashMap::new();
     let mut servers: Vec<Server> = Vec::new();
     for statement in pool.all("server") {
-        let Some(name) = named(pool, "server", statement, &mut seen) else { continue };
+        let Some(name) = block_name(pool, "server", statement, &mut seen) else { continue };
         let Some(word) = statement.words.get(2) else {
             let what = format!("the server `{}` has no address", name.text);
             let error = Diagnostic::error("IV0014", what, name.span, "an address is expected after this");
-            pool.note(error.help(format!("write `server {} 127.0.0.1:9000;`", name.text)));
+            pool.report(error.help(format!("write `server {} 127.0.0.1:9000;`", name.text)));
             continue;
         };
         let Some(address) = address(pool, word) else { continue };
         if let Some(extra) = statement.words.get(3) {
             let error =
                 Diagnostic::error("IV0015", "a server has a value too many", extra.span, "not expected here");
-            pool.note(error.help("further settings stand in a block: `{ zone north; weight 2; }`"));
+            pool.report(error.help("further settings stand in a block: `{ zone north; weight 2; }`"));
         }
         if let Some(other) = servers.iter().find(|s| s.address == address) {
             let error =
                 Diagnostic::error("IV0047", "a server is listed twice in this pool", word.span, "again here");
-            pool.note(
+            pool.report(
                 error
                     .related(other.at.0, "first here")
                     .help("a server counts once; use `weight` for a larger one"),
@@ -751,7 +773,7 @@
         }
         if address.port() == 0 {
             let error = Diagnostic::error("IV0092", "a server has port 0", word.span, "reaches nobody");
-            pool.note(error.help("write the port on which it listens"));
+            pool.report(error.help("write the port on which it listens"));
         }
         let inner = pool.inner("server", statement);
         let state = inner.word("state");
@@ -761,7 +783,7 @@
             Some(other) => {
                 let at = state.map_or(inner.head, |w| w.span);
                 let error = Diagnostic::error("IV0048", format!("there is no state `{other}`"), at, "here");
-                inner.note(error.help("write `serving` or `draining`"));
+                inner.report(error.help("write `serving` or `draining`"));
                 false
             }
         };
@@ -780,7 +802,7 @@
 }
 
 /// Headers that say how a message is framed or where it goes; no service may set them.
-const FRAMING: [&str; 12] = [
+const CONNECTION_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
     "expect",
@@ -799,24 +821,24 @@
     let mut seen = HashMap::new();
     let mut sign_ins = Vec::new();
     for statement in fields.all("sign-in") {
-        let Some(name) = named(fields, "sign-in", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "sign-in", statement, &mut seen) else { continue };
         let inner = fields.inner("sign-in", statement);
-        let pool = inner.needed("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
-        let pool = pool.and_then(|w| refer(&inner, "pool", &w[0], pools, |p| &p.name));
-        let path = inner.needed("path", "path /check;").and_then(|s| inner.words(s, 1, 1));
-        let path = path.and_then(|words| plain_path(&inner, &words[0]));
+        let pool = inner.required("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
+        let pool = pool.and_then(|w| resolve(&inner, "pool", &w[0], pools, |p| &p.name));
+        let path = inner.required("path", "path /check;").and_then(|s| inner.words(s, 1, 1));
+        let path = path.and_then(|words| request_path(&inner, &words[0]));
         let headers = |name, default: &[&str]| -> Vec<String> {
-            match inner.one(name).and_then(|s| inner.words(s, 1, 64)) {
+            match inner.single(name).and_then(|s| inner.words(s, 1, 64)) {
                 None => default.iter().map(|d| (*d).to_owned()).collect(),
                 Some(words) => words
                     .iter()
                     .filter_map(|word| {
-                        let name = header(&inner, word)?;
-                        if FRAMING.contains(&name.as_str()) {
+                        let name = header_name(&inner, word)?;
+                        if CONNECTION_HEADERS.contains(&name.as_str()) {
                             let what = format!("`{}` belongs to the connection", word.text);
                             let error =
                                 Diagnostic::error("IV0085", what, word.span, "cannot be carried over");
-                            inner.note(error.help("name headers such as `Authorization` or `X-User`"));
+                            inner.report(error.help("name headers such as `Authorization` or `X-User`"));
                             return None;
                         }
                         Some(name)
@@ -834,7 +856,7 @@
                     word.span,
                     "here",
                 );
-                inner.note(error.help("write `on-failure closed;`"));
+                inner.report(error.help("write `on-failure closed;`"));
                 false
             }
         };
@@ -843,11 +865,11 @@
         let within = duration_or(&inner, "within", 500.0);
         let body = inner.quantity("body", Quantity::Size).map(|bytes| bytes as usize);
         let (address_limit, credential_limit) =
-            (failed_checks(&inner, "address-limit"), failed_checks(&inner, "credential-limit"));
-        let remembered = |name| inner.quantity_or(name, Quantity::Duration, 0.0).min(LONGEST);
+            (failed_check_limit(&inner, "address-limit"), failed_check_limit(&inner, "credential-limit"));
+        let remembered = |name| inner.quantity_or(name, Quantity::Duration, 0.0).min(MAX_DURATION_MS);
         let (cache_yes, cache_no) = (remembered("cache-yes"), remembered("cache-no"));
         let cache_size = inner.positive_or("cache-size", Quantity::Count, 10_000.0) as usize;
-        let cache_unsafe = yes_or_no(&inner, "cache-unsafe");
+        let cache_unsafe = flag(&inner, "cache-unsafe");
         let at = SourceSpan(inner.head);
         inner.finish();
         // One with a mistake is kept too, so that routes that name it are not told of as well.
@@ -875,13 +897,13 @@
 }
 
 /// A limit on failed checks: a rate, and perhaps how many may fail at once.
-fn failed_checks(inner: &Fields, name: &'static str) -> FailedCheckLimit {
+fn failed_check_limit(inner: &Fields, name: &'static str) -> FailedCheckLimit {
     let none = FailedCheckLimit { rate: 0.0, burst: 0.0 };
-    let Some(words) = inner.one(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
+    let Some(words) = inner.single(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
     let Some(rate) = inner.quantity_in(&words[0], Quantity::Rate) else { return none };
-    if !inner.is_meant(name) {
-        if let Some(suspicion) = slips::suspicion("sign-in", name, &words[0].text, rate) {
-            inner.note(suspicion.diagnostic(name, &words[0]));
+    if !inner.is_confirmed(name) {
+        if let Some(implausible) = plausibility::implausible_value("sign-in", name, &words[0].text, rate) {
+            inner.report(implausible.diagnostic(name, &words[0]));
         }
     }
     // Two seconds' worth, and some at the least for checks that are on their way at the same time.
@@ -890,12 +912,12 @@
 }
 
 /// A path to ask for, in normal form.
-fn plain_path(fields: &Fields, word: &Word) -> Option<String> {
+fn request_path(fields: &Fields, word: &Word) -> Option<String> {
     match RequestTarget::parse(&word.text) {
         Ok(target) if word.text.starts_with('/') => Some(target.path_and_query()),
         _ => {
             let error = Diagnostic::error("IV0052", "this is no path", word.span, "here");
-            fields.note(error.help("write one such as `/check`"));
+            fields.report(error.help("write one such as `/check`"));
             None
         }
     }
@@ -905,35 +927,35 @@
     let mut seen = HashMap::new();
     let mut routes = Vec::new();
     for statement in fields.all("route") {
-        let Some(name) = named(fields, "route", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "route", statement, &mut seen) else { continue };
         let inner = fields.inner("route", statement);
         let host = match inner.word("host") {
             None => Some(HostMatch::Any),
             Some(word) => HostMatch::parse(&word.text)
                 .map_err(|error| {
                     let error = Diagnostic::error("IV0050", format!("{error}"), word.span, "here");
-                    inner.note(
+                    inner.report(
                         error.help("write `tiles.example.org`, `*.example.org` or `*`, without a port"),
                     );
                 })
                 .ok(),
         };
         let path = path(&inner);
-        let class = inner.needed("class", "class NAME;").and_then(|s| inner.words(s, 1, 1));
-        let class = class.and_then(|w| refer(&inner, "class", &w[0], classes, |c| &c.name));
-        let pool = inner.needed("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
-        let pool = pool.and_then(|w| refer(&inner, "pool", &w[0], pools, |p| &p.name));
+        let class = inner.required("class", "class NAME;").and_then(|s| inner.words(s, 1, 1));
+        let class = class.and_then(|w| resolve(&inner, "class", &w[0], classes, |c| &c.name));
+        let pool = inner.required("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
+        let pool = pool.and_then(|w| resolve(&inner, "pool", &w[0], pools, |p| &p.name));
         let methods = methods(&inner, class.and_then(|c| classes.get(c)));
         let repeat = route_repeat(&inner, class.and_then(|c| classes.get(c)));
-        let sign_in = inner.one("sign-in").and_then(|statement| {
+        let sign_in = inner.single("sign-in").and_then(|statement| {
             let Some(word) = statement.words.get(1) else {
                 let what = "this route wants a sign-in and names no service";
                 let error = Diagnostic::error("IV0084", what, head_span(statement), "asked of whom?");
-                inner.note(error.help("write `sign-in NAME;`, or remove it if the route is open to all"));
+                inner.report(error.help("write `sign-in NAME;`, or remove it if the route is open to all"));
                 return None;
             };
             inner.words(statement, 1, 1)?;
-            refer(&inner, "sign-in", word, sign_ins, |s| &s.name)
+            resolve(&inner, "sign-in", word, sign_ins, |s| &s.name)
         });
         let at = SourceSpan(inner.head);
         inner.finish();
@@ -953,10 +975,10 @@
     let told = repeat(inner).unwrap_or(of_class);
     // Of an unsafe class that says so itself the error stands there.
     if let (Some(class), true) = (class, told > of_class) {
-        let at = inner.one("repeat").map_or(inner.head, |s| s.span);
+        let at = inner.single("repeat").map_or(inner.head, |s| s.span);
         let what = format!("this route repeats what its class `{}` does not", class.name);
         let error = Diagnostic::error("IV0072", what, at, "this could run a request twice");
-        inner.note(
+        inner.report(
             error
                 .related(class.at.0, "its class")
                 .help("remove it, or give the route a class that is `safe` or `keyed`"),
@@ -967,14 +989,14 @@
 }
 
 fn path(inner: &Fields) -> Option<PathMatch> {
-    let Some(statement) = inner.one("path") else {
+    let Some(statement) = inner.single("path") else {
         return PathMatch::prefix("/").ok();
     };
     let words = inner.words(statement, 2, 2)?;
     let text = &words[1].text;
-    if text.len() > PATH_MOST {
-        let what = format!("a path has more than {PATH_MOST} characters");
-        inner.note(
+    if text.len() > MAX_PATH_BYTES {
+        let what = format!("a path has more than {MAX_PATH_BYTES} characters");
+        inner.report(
             Diagnostic::error("IV0052", what, words[1].span, "no request can match").help("shorten it"),
         );
         return None;
@@ -990,21 +1012,22 @@
                 words[0].span,
                 "here",
             );
-            inner.note(error.help("write `path exact /p;`, `path prefix /p;` or `path pattern /p/*/q;`"));
+            inner.report(error.help("write `path exact /p;`, `path prefix /p;` or `path pattern /p/*/q;`"));
             return None;
         }
     };
     claim
         .map_err(|error| {
             let error = Diagnostic::error("IV0052", error.to_string(), words[1].span, "no request can match");
-            inner.note(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"));
+            inner
+                .report(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"));
         })
         .ok()
 }
 
 fn methods(inner: &Fields, class: Option<&Class>) -> Option<MethodMatch> {
     let safe = class.is_some_and(|c| c.effect == Effect::Safe);
-    let Some(statement) = inner.one("methods") else {
+    let Some(statement) = inner.single("methods") else {
         return Some(if safe {
             MethodMatch::Named(SAFE_METHODS.map(str::to_owned).to_vec())
         } else {
@@ -1017,13 +1040,13 @@
         if !is_token(&word.text) || word.text.bytes().any(|b| b.is_ascii_lowercase()) {
             let error =
                 Diagnostic::error("IV0053", format!("`{}` is not a method", word.text), word.span, "here");
-            inner.note(error.help("methods are written in capitals, such as `GET POST`"));
+            inner.report(error.help("methods are written in capitals, such as `GET POST`"));
             return None;
         }
-        if safe && !inner.is_meant("methods") && ["POST", "PATCH"].contains(&word.text.as_str()) {
+        if safe && !inner.is_confirmed("methods") && ["POST", "PATCH"].contains(&word.text.as_str()) {
             let what = format!("`{}` requests of this route may be sent twice", word.text);
             let error = Diagnostic::warning("IV0101", what, word.span, "its class is `safe`");
-            inner.note(
+            inner.report(
                 error.help(format!(
                     "give the route a class that is `unsafe` or `keyed`, or write `methods {} meant;` if they change nothing",
                     word.text
--- a/crates/config/src/meaning.rs
+++ b/crates/config/src/consistency.rs
@@ -1,9 +1,9 @@
 //! What only the whole configuration shows: values that contradict each other, routes that no request reaches,
 //! limits that do not add up.
 
-use crate::check::{LONGEST, RESERVED_DESCRIPTORS};
+use crate::check::{MAX_DURATION_MS, RESERVED_DESCRIPTORS};
 use crate::diagnostic::{Diagnostic, Span};
-use crate::fields::{head_span, says_meant, Fields};
+use crate::fields::{head_span, is_confirmed, Fields};
 use crate::model::*;
 use crate::syntax::Statement;
 use ivygate_routing::{MethodMatch, RouteTable};
@@ -11,52 +11,52 @@
 use std::net::SocketAddr;
 
 /// Servers are taken to drop repeats for this long where their pool does not say.
-const KEY_KEPT: f64 = 15_000.0;
+const DEFAULT_KEY_RETENTION_MS: f64 = 15_000.0;
 /// Memory of the process by itself, for each client connection at work, and for each to a server; in bytes.
-const MEMORY_BASE: usize = 16 << 20;
-const MEMORY_CLIENT: usize = 200 << 10;
-const MEMORY_SERVER: usize = 136 << 10;
+const PROCESS_MEMORY_BYTES: usize = 16 << 20;
+const CLIENT_CONNECTION_BYTES: usize = 200 << 10;
+const SERVER_CONNECTION_BYTES: usize = 136 << 10;
 
 /// Checks a model as a whole.
 pub fn check(fields: &Fields, model: &Model) {
-    needed(fields);
-    tables(fields, model);
-    repeats(fields, model);
-    times(fields, model);
-    plans(fields, model);
-    servers(fields, model);
-    trust(fields, model);
-    sign_ins(fields, model);
-    answers(fields, model);
-    loops(fields, model);
-    sums(fields, model);
-    unused(fields, model);
+    check_required_blocks(fields);
+    check_route_table(fields, model);
+    check_repeats(fields, model);
+    check_times(fields, model);
+    check_plans(fields, model);
+    check_servers(fields, model);
+    check_trust(fields, model);
+    check_sign_ins(fields, model);
+    check_forward_auth_listeners(fields, model);
+    check_loops(fields, model);
+    check_totals(fields, model);
+    check_unused(fields, model);
 }
 
 /// The statement in a block of this kind and name.
-fn part<'a>(fields: &Fields<'a>, kind: &'static str, name: &str, part: &str) -> Option<&'a Statement> {
+fn setting<'a>(fields: &Fields<'a>, kind: &'static str, name: &str, part: &str) -> Option<&'a Statement> {
     let named = |s: &&Statement| s.words.get(1).is_some_and(|w| w.text == name);
     let block = fields.all(kind).into_iter().find(named)?.block.as_ref()?;
     block.statements.iter().find(|s| s.words[0].text == part)
 }
 
 /// Where that statement stands, or else the block.
-fn place(fields: &Fields, kind: &'static str, name: &str, statement: &str, at: SourceSpan) -> Span {
-    part(fields, kind, name, statement).map_or(at.0, head_span)
+fn setting_span(fields: &Fields, kind: &'static str, name: &str, statement: &str, at: SourceSpan) -> Span {
+    setting(fields, kind, name, statement).map_or(at.0, head_span)
 }
 
 /// Whether a block has a mistake, so that its values may be others than those meant.
-fn spoilt(fields: &Fields, kind: &'static str, name: &str) -> bool {
+fn has_errors(fields: &Fields, kind: &'static str, name: &str) -> bool {
     let named = |s: &&Statement| s.words.get(1).is_some_and(|w| w.text == name);
     fields.all(kind).into_iter().filter(named).any(|s| fields.has_error_in(s.span))
 }
 
 /// Whether any block of a kind has a mistake.
-fn any_spoilt(fields: &Fields, kind: &'static str) -> bool {
+fn any_has_errors(fields: &Fields, kind: &'static str) -> bool {
     fields.all(kind).iter().any(|s| fields.has_error_in(s.span))
 }
 
-fn needed(fields: &Fields) {
+fn check_required_blocks(fields: &Fields) {
     for (name, what, example) in [
         ("listen", "listener", "listen 127.0.0.1:8080;"),
         ("class", "class", "class reads { effect safe; deadline 2s; }"),
@@ -66,12 +66,12 @@
         if fields.all(name).is_empty() {
             let error =
                 Diagnostic::error("IV0011", format!("this file has no {what}"), fields.head, "in here");
-            fields.note(error.help(format!("write `{example}`")));
+            fields.report(error.help(format!("write `{example}`")));
         }
     }
 }
 
-fn tables(fields: &Fields, model: &Model) {
+fn check_route_table(fields: &Fields, model: &Model) {
     let claims = model.routes.iter().map(|r| r.matcher.clone()).collect();
     let table = match RouteTable::build(claims) {
         Ok(table) => table,
@@ -82,7 +82,7 @@
                     format!("the routes `{}` and `{}` claim the same requests", first.name, second.name);
                 let label = format!("{}, as above", second.matcher.path);
                 let error = Diagnostic::error("IV0054", what, second.at.0, label);
-                fields.note(
+                fields.report(
                     error
                         .related(first.at.0, "claimed first here")
                         .help("give one of them another host, path or method"),
@@ -99,20 +99,21 @@
             let taker = &model.routes[*taker];
             error = error.related(taker.at.0, format!("`{}` takes what it claims", taker.name));
         }
-        fields.note(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
+        fields
+            .report(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
     }
     for route in &model.routes {
         if matches!(&route.matcher.methods, MethodMatch::Named(names) if names.iter().all(|m| m == "CONNECT"))
         {
-            let at = place(fields, "route", &route.name, "methods", route.at);
+            let at = setting_span(fields, "route", &route.name, "methods", route.at);
             let error =
                 Diagnostic::error("IV0082", "CONNECT is answered 501 before any route", at, "never matches");
-            fields.note(error.help("remove the route: a sidecar opens no tunnels"));
+            fields.report(error.help("remove the route: a sidecar opens no tunnels"));
         }
     }
 }
 
-fn repeats(fields: &Fields, model: &Model) {
+fn check_repeats(fields: &Fields, model: &Model) {
     for (number, pool) in model.pools.iter().enumerate() {
         if !pool.second_copies {
             continue;
@@ -124,9 +125,9 @@
                 "second copies are allowed in a pool that gets `{}`, which must not run twice",
                 class.name
             );
-            let at = place(fields, "pool", &pool.name, "second-copies", pool.at);
+            let at = setting_span(fields, "pool", &pool.name, "second-copies", pool.at);
             let error = Diagnostic::error("IV0073", what, at, "allowed here");
-            fields.note(
+            fields.report(
                 error
                     .related(route.at.0, "routed here")
                     .help("write `second-copies no;`, or give that route a pool of its own"),
@@ -140,17 +141,24 @@
         if !told.insert((route.class, route.pool)) || route.repeat == RepeatPolicy::Unsent {
             continue;
         }
-        if !spoilt(fields, "class", &class.name) && !spoilt(fields, "pool", &pool.name) {
-            keyed(fields, class, pool, route, scope, window);
+        if !has_errors(fields, "class", &class.name) && !has_errors(fields, "pool", &pool.name) {
+            check_keyed_repeats(fields, class, pool, route, scope, window);
         }
     }
 }
 
-fn keyed(fields: &Fields, class: &Class, pool: &Pool, route: &Route, scope: Scope, window: f64) {
-    let at = place(fields, "class", &class.name, "window", class.at);
+fn check_keyed_repeats(
+    fields: &Fields,
+    class: &Class,
+    pool: &Pool,
+    route: &Route,
+    scope: Scope,
+    window: f64,
+) {
+    let at = setting_span(fields, "class", &class.name, "window", class.at);
     let (kept, by) = match pool.drops_repeats {
-        Some((_, kept)) => (kept, place(fields, "pool", &pool.name, "drops-repeats", pool.at)),
-        None => (KEY_KEPT, pool.at.0),
+        Some((_, kept)) => (kept, setting_span(fields, "pool", &pool.name, "drops-repeats", pool.at)),
+        None => (DEFAULT_KEY_RETENTION_MS, pool.at.0),
     };
     if window > kept {
         let what = format!("`{}` may be repeated for longer than `{}` drops repeats", class.name, pool.name);
@@ -159,7 +167,7 @@
             Some(_) => format!("{} s here", kept / 1000.0),
             None => format!("{} s unless the pool says otherwise", kept / 1000.0),
         };
-        fields.note(error.related(by, label).help(format!(
+        fields.report(error.related(by, label).help(format!(
             "write `window {0}s;`, or `drops-repeats {1} {2}s;` in the pool if its servers do so",
             kept / 1000.0,
             scope.as_str(),
@@ -167,11 +175,11 @@
         )));
     }
     if let Some((dropped, _)) = pool.drops_repeats.filter(|(dropped, _)| scope > *dropped) {
-        let at = place(fields, "class", &class.name, "scope", class.at);
+        let at = setting_span(fields, "class", &class.name, "scope", class.at);
         let what = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
         let error = Diagnostic::error("IV0075", what, at, "wider than the servers that drop repeats");
         let label = format!("dropped by servers of one {} only", dropped.as_str());
-        fields.note(error.related(by, label).help(format!("write `scope {};`", dropped.as_str())));
+        fields.report(error.related(by, label).help(format!("write `scope {};`", dropped.as_str())));
     }
     let group = |server: &Server| match scope {
         Scope::All => String::new(),
@@ -181,7 +189,7 @@
     if let Some(server) = pool.servers.iter().find(|s| scope == Scope::Zone && s.zone.is_empty()) {
         let what = format!("the class `{}` is keyed by zone, and a server of its pool has none", class.name);
         let error = Diagnostic::error("IV0055", what, server.at.0, "its zone is not told");
-        fields.note(
+        fields.report(
             error.related(route.at.0, "routed here").help("write `zone NAME;` in the pool or the server"),
         );
         return;
@@ -190,7 +198,7 @@
     for server in &pool.servers {
         *sizes.entry(group(server)).or_insert(0) += 1;
     }
-    let meant = part(fields, "class", &class.name, "scope").is_some_and(says_meant);
+    let meant = setting(fields, "class", &class.name, "scope").is_some_and(is_confirmed);
     if pool.servers.len() > 1 && !meant && sizes.values().all(|size| *size == 1) {
         let what = format!(
             "no {} of `{}` has two servers, so `{}` can never be repeated",
@@ -198,9 +206,9 @@
             pool.name,
             class.name
         );
-        let at = place(fields, "class", &class.name, "scope", class.at);
+        let at = setting_span(fields, "class", &class.name, "scope", class.at);
         let error = Diagnostic::error("IV0077", what, at, "a repeat needs a second server in it");
-        fields.note(
+        fields.report(
             error
                 .related(pool.at.0, "its servers")
                 .help("add servers, or widen the scope if more of them drop repeats"),
@@ -208,14 +216,14 @@
     }
 }
 
-fn times(fields: &Fields, model: &Model) {
+fn check_times(fields: &Fields, model: &Model) {
     for (number, pool) in model.pools.iter().enumerate() {
-        let told = |name| part(fields, "pool", &pool.name, name);
+        let told = |name| setting(fields, "pool", &pool.name, name);
         let (Some(at), all) = (told("connect").or(told("attempts")), pool.connect * f64::from(pool.attempts))
         else {
             continue;
         };
-        if spoilt(fields, "pool", &pool.name) || any_spoilt(fields, "class") {
+        if has_errors(fields, "pool", &pool.name) || any_has_errors(fields, "class") {
             continue;
         }
         let tight = model.routes.iter().filter(|r| r.pool == number).map(|r| &model.classes[r.class]);
@@ -227,33 +235,33 @@
                 pool.attempts, pool.connect, class.name
             );
             let error = Diagnostic::error("IV0076", what, head_span(at), format!("{all} ms together"));
-            let also = place(fields, "class", &class.name, "deadline", class.at);
+            let also = setting_span(fields, "class", &class.name, "deadline", class.at);
             let help = format!(
                 "write `connect {}ms;` or less, or fewer `attempts`",
                 (class.deadline / f64::from(pool.attempts)).floor()
             );
-            fields.note(error.related(also, format!("{} ms", class.deadline)).help(help));
+            fields.report(error.related(also, format!("{} ms", class.deadline)).help(help));
         }
     }
     for class in &model.classes {
-        if spoilt(fields, "class", &class.name) {
+        if has_errors(fields, "class", &class.name) {
             continue;
         }
-        let at = place(fields, "class", &class.name, "deadline", class.at);
+        let at = setting_span(fields, "class", &class.name, "deadline", class.at);
         if let Some(listener) = model.listeners.iter().find(|l| l.answer_within < class.deadline) {
             let what =
                 format!("the deadline of `{}` is longer than a listener lets any request wait", class.name);
             let error = Diagnostic::error("IV0087", what, at, "longer");
-            fields.note(
+            fields.report(
                 error
                     .related(listener.at.0, format!("`answer-within` is {} ms", listener.answer_within))
                     .help("shorten the deadline or raise `answer-within`"),
             );
         }
-        if model.limits.drain < class.deadline && !any_spoilt(fields, "limits") {
+        if model.limits.drain < class.deadline && !any_has_errors(fields, "limits") {
             let what = format!("`{}` may still be open when the process ends", class.name);
             let warning = Diagnostic::warning("IV0107", what, at, "longer than `limits { drain }`");
-            fields.note(
+            fields.report(
                 warning.help(format!(
                     "write `limits {{ drain {}s; }}` or more",
                     (class.deadline / 1000.0).ceil()
@@ -261,44 +269,44 @@
             );
         }
         if let Effect::Keyed(_, window) = class.effect {
-            if window < class.deadline && window < LONGEST {
-                let at = place(fields, "class", &class.name, "window", class.at);
+            if window < class.deadline && window < MAX_DURATION_MS {
+                let at = setting_span(fields, "class", &class.name, "window", class.at);
                 let what = format!("keys of `{}` are forgotten before its deadline", class.name);
                 let warning = Diagnostic::warning("IV0106", what, at, "nothing is repeated after this");
-                fields.note(warning.help("lengthen the window if servers keep keys for longer"));
+                fields.report(warning.help("lengthen the window if servers keep keys for longer"));
             }
         }
     }
 }
 
-fn plans(fields: &Fields, model: &Model) {
+fn check_plans(fields: &Fields, model: &Model) {
     for class in &model.classes {
         let small = |p: &&Plan| {
             (p.quota > 0.0 && p.burst < class.units) || (p.ceiling > 0.0 && p.ceiling_burst < class.units)
         };
-        let clean = |p: &&Plan| !spoilt(fields, "plan", &p.name);
+        let clean = |p: &&Plan| !has_errors(fields, "plan", &p.name);
         if let Some(plan) = model.plans.iter().filter(clean).find(|p| class.units > 1.0 && small(p)) {
             let what = format!(
                 "a request of the class `{}` takes more units than a burst of `{}` holds",
                 class.name, plan.name
             );
             let error = Diagnostic::error("IV0049", what, plan.at.0, "none would pass under this plan");
-            fields.note(
+            fields.report(
                 error.related(class.at.0, format!("{} units each", class.units)).help("raise the burst"),
             );
         }
     }
     for plan in &model.plans {
-        let meant = part(fields, "plan", &plan.name, "burst").is_some_and(says_meant);
+        let meant = setting(fields, "plan", &plan.name, "burst").is_some_and(is_confirmed);
         if plan.quota > 0.0 && plan.burst > 24.0 * 3600.0 * plan.quota && !meant {
-            let at = place(fields, "plan", &plan.name, "burst", plan.at);
+            let at = setting_span(fields, "plan", &plan.name, "burst", plan.at);
             let what = format!(
                 "`burst` looks like a slip: it holds {:.0} hours of the quota",
                 plan.burst / plan.quota / 3600.0
             );
             let error = Diagnostic::error("IV0080", what, at, "is this meant?");
-            let also = place(fields, "plan", &plan.name, "quota", plan.at);
-            fields.note(
+            let also = setting_span(fields, "plan", &plan.name, "quota", plan.at);
+            fields.report(
                 error
                     .related(also, "is this a rate a second?")
                     .help(format!("write `burst {} meant;` if it is right", plan.burst)),
@@ -307,19 +315,19 @@
     }
 }
 
-fn servers(fields: &Fields, model: &Model) {
+fn check_servers(fields: &Fields, model: &Model) {
     let mut seen: HashMap<SocketAddr, (&Pool, &Server)> = HashMap::new();
     for pool in &model.pools {
         for name in &pool.shares_servers_with {
             if !model.pools.iter().any(|p| p.name == *name) {
-                let at = place(fields, "pool", &pool.name, "shares-servers-with", pool.at);
+                let at = setting_span(fields, "pool", &pool.name, "shares-servers-with", pool.at);
                 let error = Diagnostic::error(
                     "IV0033",
                     format!("there is no pool named `{name}`"),
                     at,
                     "not defined",
                 );
-                fields.note(error.help("name pools of this configuration"));
+                fields.report(error.help("name pools of this configuration"));
             }
         }
         for server in &pool.servers {
@@ -332,7 +340,7 @@
             if other.name != pool.name && !meant {
                 let what = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
                 let error = Diagnostic::error("IV0078", what, server.at.0, "again here");
-                fields.note(error.related(first.at.0, "first here").help(format!(
+                fields.report(error.related(first.at.0, "first here").help(format!(
                     "pools stay apart: a server in two of them gets twice its share; write \
                      `shares-servers-with {};` if this is meant",
                     other.name
@@ -342,7 +350,7 @@
     }
 }
 
-fn trust(fields: &Fields, model: &Model) {
+fn check_trust(fields: &Fields, model: &Model) {
     let identity = &model.identity;
     let by = match (&identity.customer, &identity.plan_header, &identity.deadline_header) {
         (CustomerSource::Header(_), ..) => "customer",
@@ -362,40 +370,41 @@
             at,
             "this is everyone",
         );
-        let also = fields.one("identity").and_then(|s| s.block.as_ref());
+        let also = fields.single("identity").and_then(|s| s.block.as_ref());
         let also = also.and_then(|b| b.statements.iter().find(|s| s.words[0].text == by));
         let error = match also {
             Some(statement) => error.related(statement.span, "anyone could write this header"),
             None => error,
         };
-        fields.note(error.help("name the networks of the proxies that stand before this listener"));
+        fields.report(error.help("name the networks of the proxies that stand before this listener"));
     }
 }
 
 /// Listeners on which other programs ask, and what they must be told by.
-fn answers(fields: &Fields, model: &Model) {
+fn check_forward_auth_listeners(fields: &Fields, model: &Model) {
     for listener in model.listeners.iter().filter(|l| l.answers_checks.is_some()) {
         if listener.trusted.is_empty() && !fields.has_error_in(listener.at.0) {
             let what =
                 "nobody may ask here: what is asked about stands in headers, and no peer's are believed";
             let error = Diagnostic::error("IV0090", what, listener.at.0, "`answers-checks` and no `trusted`");
-            fields.note(error.help("write `trusted 127.0.0.1;` or the networks of the proxies that ask"));
+            fields.report(error.help("write `trusted 127.0.0.1;` or the networks of the proxies that ask"));
         }
     }
 }
 
-fn sign_ins(fields: &Fields, model: &Model) {
+fn check_sign_ins(fields: &Fields, model: &Model) {
     for sign_in in &model.sign_ins {
         let remembers = ["cache-yes", "cache-no"].into_iter().zip([sign_in.cache_yes, sign_in.cache_no]);
         let remembers = remembers.filter(|(_, time)| *time > 0.0).map(|(name, _)| name).next();
         if let (Some(_), Some(name)) = (sign_in.body, remembers) {
             let what =
                 format!("answers of `{}` are remembered though bodies go into its checks", sign_in.name);
-            let at = place(fields, "sign-in", &sign_in.name, name, sign_in.at);
+            let at = setting_span(fields, "sign-in", &sign_in.name, name, sign_in.at);
             let error = Diagnostic::error("IV0091", what, at, "another body would get this answer");
-            let also = place(fields, "sign-in", &sign_in.name, "body", sign_in.at);
-            fields
-                .note(error.related(also, "sent with each check").help(format!("remove `{name}` or `body`")));
+            let also = setting_span(fields, "sign-in", &sign_in.name, "body", sign_in.at);
+            fields.report(
+                error.related(also, "sent with each check").help(format!("remove `{name}` or `body`")),
+            );
         }
     }
     for route in &model.routes {
@@ -403,20 +412,20 @@
         let class = &model.classes[route.class];
         if sign_in.fail_open && route.repeat == RepeatPolicy::Unsent {
             let what = format!("`{}` would go on unchecked where its sign-in fails", route.name);
-            let at = place(fields, "sign-in", &sign_in.name, "on-failure", sign_in.at);
+            let at = setting_span(fields, "sign-in", &sign_in.name, "on-failure", sign_in.at);
             let error = Diagnostic::error("IV0088", what, at, "open here");
-            fields.note(
+            fields.report(
                 error
                     .related(route.at.0, format!("its class `{}` must not run twice", class.name))
                     .help("write `on-failure closed;`, or give this route a sign-in of its own"),
             );
         }
-        if sign_in.within + class.aim > class.deadline && !spoilt(fields, "class", &class.name) {
+        if sign_in.within + class.aim > class.deadline && !has_errors(fields, "class", &class.name) {
             let what = format!("a check may take the time that `{}` needs", class.name);
-            let at = place(fields, "sign-in", &sign_in.name, "within", sign_in.at);
+            let at = setting_span(fields, "sign-in", &sign_in.name, "within", sign_in.at);
             let error = Diagnostic::error("IV0089", what, at, format!("{} ms", sign_in.within));
             let label = format!("aim {} ms of {} ms", class.aim, class.deadline);
-            fields.note(
+            fields.report(
                 error
                     .related(class.at.0, label)
                     .help(format!("write `within {}ms;` or less", (class.deadline - class.aim).max(1.0))),
@@ -426,7 +435,7 @@
 }
 
 /// Pools whose servers are listeners of this process. Those that answer checks send nothing on.
-fn loops(fields: &Fields, model: &Model) {
+fn check_loops(fields: &Fields, model: &Model) {
     for (pool, server) in model.pools.iter().flat_map(|pool| pool.servers.iter().map(move |s| (pool, s))) {
         let is_own = |listener: &&Listener| {
             let (here, there) = (listener.address, server.address);
@@ -437,15 +446,15 @@
         if let Some(listener) = own {
             let what = format!("the pool `{}` leads back to this process", pool.name);
             let error = Diagnostic::error("IV0093", what, server.at.0, "a listener of this file");
-            fields.note(
+            fields.report(
                 error.related(listener.at.0, "listens here").help("name the application's own address"),
             );
         }
     }
 }
 
-fn sums(fields: &Fields, model: &Model) {
-    if ["limits", "listen", "pool"].into_iter().any(|kind| any_spoilt(fields, kind)) {
+fn check_totals(fields: &Fields, model: &Model) {
+    if ["limits", "listen", "pool"].into_iter().any(|kind| any_has_errors(fields, kind)) {
         return;
     }
     let clients: usize = model.listeners.iter().map(|l| l.connections).sum();
@@ -453,7 +462,7 @@
     let operators = model.operator.as_ref().map_or(0, |_| Operator::MAX_CONNECTIONS);
     let total = clients + servers + operators + RESERVED_DESCRIPTORS;
     if total > model.limits.descriptors {
-        let at = fields.one("limits").map_or(fields.head, |s| s.span);
+        let at = fields.single("limits").map_or(fields.head, |s| s.span);
         let what = "listeners and pools may use more descriptors than the process has";
         let label = format!("{clients} for clients, {servers} for servers, {operators} for operators, {RESERVED_DESCRIPTORS} kept: {total}");
         let error = Diagnostic::error("IV0056", what, at, label);
@@ -461,25 +470,28 @@
             "the limit is {}; lower `connections`, or write `limits {{ descriptors {total}; }}`",
             model.limits.descriptors
         );
-        fields.note(error.help(help));
+        fields.report(error.help(help));
     }
     if let Some(memory) = model.limits.memory {
         let bodies: usize = model.pools.iter().map(|p| p.buffered).sum();
-        let total = MEMORY_BASE + clients * MEMORY_CLIENT + servers * MEMORY_SERVER + bodies;
+        let total = PROCESS_MEMORY_BYTES
+            + clients * CLIENT_CONNECTION_BYTES
+            + servers * SERVER_CONNECTION_BYTES
+            + bodies;
         if total > memory {
-            let at = fields.one("limits").map_or(fields.head, |s| s.span);
+            let at = fields.single("limits").map_or(fields.head, |s| s.span);
             let mib = |bytes: usize| bytes.div_ceil(1 << 20);
             let what = "listeners and pools may use more memory than the process has";
             let label = format!(
                 "{} MiB for clients, {} for servers, {} for bodies, {} by itself: {} MiB",
-                mib(clients * MEMORY_CLIENT),
-                mib(servers * MEMORY_SERVER),
+                mib(clients * CLIENT_CONNECTION_BYTES),
+                mib(servers * SERVER_CONNECTION_BYTES),
                 mib(bodies),
-                mib(MEMORY_BASE),
+                mib(PROCESS_MEMORY_BYTES),
                 mib(total)
             );
             let error = Diagnostic::error("IV0079", what, at, label);
-            fields.note(error.help(format!(
+            fields.report(error.help(format!(
                 "lower `connections` or `buffered`, or write `limits {{ memory {}MiB; }}`",
                 mib(total)
             )));
@@ -500,23 +512,24 @@
             for pool in model.pools.iter().take(8) {
                 error = error.related(pool.at.0, format!("up to {} requests", pool.requests));
             }
-            fields.note(error);
+            fields.report(error);
         }
     }
 }
 
-fn unused(fields: &Fields, model: &Model) {
+fn check_unused(fields: &Fields, model: &Model) {
     let warn = |code, kind: &str, name: &str, at: SourceSpan| {
         let what = format!("no route names the {kind} `{name}`");
-        fields.note(Diagnostic::warning(code, what, at.0, "defined here").help("remove it, or route to it"));
+        fields
+            .report(Diagnostic::warning(code, what, at.0, "defined here").help("remove it, or route to it"));
     };
     if model.routes.len() < fields.all("route").len() {
         // A route that could not be read may name them.
         return;
     }
     let classes: BTreeSet<usize> = model.routes.iter().map(|r| r.class).collect();
-    let asked = model.sign_ins.iter().map(|s| s.pool);
-    let pools: BTreeSet<usize> = model.routes.iter().map(|r| r.pool).chain(asked).collect();
+    let sign_in_pools = model.sign_ins.iter().map(|s| s.pool);
+    let pools: BTreeSet<usize> = model.routes.iter().map(|r| r.pool).chain(sign_in_pools).collect();
     for (_, class) in model.classes.iter().enumerate().filter(|(n, _)| !classes.contains(n)) {
         warn("IV0102", "class", &class.name, class.at);
     }
@@ -525,12 +538,12 @@
     }
     for pool in &model.pools {
         if let Some((header, value)) = &pool.declined {
-            let at = place(fields, "pool", &pool.name, "declined", pool.at);
+            let at = setting_span(fields, "pool", &pool.name, "declined", pool.at);
             let what = format!(
                 "a 503 or 504 of `{}` with `{header}: {value}` counts as proof that nothing ran",
                 pool.name
             );
-            fields.note(Diagnostic::note("IV0201", what, at, "also unsafe requests are then sent again"));
+            fields.report(Diagnostic::note("IV0201", what, at, "also unsafe requests are then sent again"));
         }
     }
 }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -45,7 +45,7 @@
 impl Diagnostic {
     /// An error at a place.
     pub fn error(code: &'static str, message: impl Into<String>, at: Span, label: impl Into<String>) -> Self {
-        let (message, at) = (shortened(message), (at, shortened(label)));
+        let (message, at) = (truncated(message), (at, truncated(label)));
         Self { severity: Severity::Error, code, message, at, related: Vec::new(), help: Vec::new() }
     }
 
@@ -67,24 +67,24 @@
     /// Says what to write instead.
     #[must_use]
     pub fn help(mut self, text: impl Into<String>) -> Self {
-        self.help.push(shortened(text));
+        self.help.push(truncated(text));
         self
     }
 
     /// Names another place that has to do with it.
     #[must_use]
     pub fn related(mut self, at: Span, label: impl Into<String>) -> Self {
-        self.related.push((at, shortened(label)));
+        self.related.push((at, truncated(label)));
         self
     }
 }
 
 /// Most characters of a message; what it quotes may be of any length.
-const MESSAGE_MOST: usize = 400;
+const MAX_MESSAGE_CHARS: usize = 400;
 
-fn shortened(text: impl Into<String>) -> String {
+fn truncated(text: impl Into<String>) -> String {
     let mut text = text.into();
-    if let Some((at, _)) = text.char_indices().nth(MESSAGE_MOST) {
+    if let Some((at, _)) = text.char_indices().nth(MAX_MESSAGE_CHARS) {
         text.truncate(at);
         text.push_str("...");
     }
@@ -155,7 +155,7 @@
         let (snippet, from) = self.snippet(finding.at.0);
         let shown = snippet
             .annotation(AnnotationKind::Primary.span(range(finding.at.0, from)).label(finding.at.1.as_str()));
-        let long = self.text(finding.at.0.file).len() > LONG;
+        let long = self.text(finding.at.0.file).len() > MAX_EXCERPT_BYTES;
         let here = |span: &Span| span.file == finding.at.0.file && !long;
         let near = finding.related.iter().filter(|(span, _)| here(span));
         let near =
@@ -178,15 +178,15 @@
         // Lines that no terminal shows would be looked through letter by letter: only what is near is handed on.
         let place = self.position(span);
         let (mut from, mut to) = (0, source.text.len());
-        if source.text.len() > LONG {
+        if source.text.len() > MAX_EXCERPT_BYTES {
             let line = place.line - 1;
-            from = source.lines[line.saturating_sub(2)].max(span.start.saturating_sub(LONG));
+            from = source.lines[line.saturating_sub(2)].max(span.start.saturating_sub(MAX_EXCERPT_BYTES));
             to = source
                 .lines
                 .get(line + 3)
                 .copied()
                 .unwrap_or(to)
-                .min(span.end.min(span.start + LONG) + LONG / 4);
+                .min(span.end.min(span.start + MAX_EXCERPT_BYTES) + MAX_EXCERPT_BYTES / 4);
             while !source.text.is_char_boundary(from) {
                 from += 1;
             }
@@ -200,11 +200,11 @@
 }
 
 /// A text longer than this is shown in part.
-const LONG: usize = 4096;
+const MAX_EXCERPT_BYTES: usize = 4096;
 
 fn range(span: Span, from: usize) -> std::ops::Range<usize> {
     // What is annotated need not be shown to its end.
-    let end = span.end.min(span.start + LONG);
+    let end = span.end.min(span.start + MAX_EXCERPT_BYTES);
     span.start.saturating_sub(from)..end.saturating_sub(from)
 }
 /// A place as editors name it.
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -9,11 +9,11 @@
 use std::collections::{HashMap, HashSet};
 
 /// Deepest chain of includes.
-const DEPTH_MOST: usize = 16;
+const MAX_INCLUDE_DEPTH: usize = 16;
 /// Most files, bytes and statements of one configuration, with all repetitions; they guard the memory.
-const FILES_MOST: usize = 10_000;
-const BYTES_MOST: usize = 64 << 20;
-const STATEMENTS_MOST: usize = 1_000_000;
+const MAX_FILES: usize = 10_000;
+const MAX_TOTAL_BYTES: usize = 64 << 20;
+const MAX_STATEMENTS: usize = 1_000_000;
 
 /// Finds and reads files for an include.
 pub trait Loader {
@@ -58,69 +58,69 @@
     /// What is wrong.
     pub findings: Vec<Diagnostic>,
     /// Whether statements are missing for a mistake, so that what is missing further on says nothing.
-    pub broken: bool,
+    pub incomplete: bool,
 }
 
 /// Reads a configuration from its first file on.
 pub fn expand(name: &str, bytes: &[u8], loader: &dyn Loader) -> Expanded {
-    let mut files = Files {
+    let mut reader = IncludeReader {
         loader,
         sources: Sources::default(),
         findings: Vec::new(),
-        broken: false,
+        incomplete: false,
         bytes: 0,
         count: 0,
-        chain: Vec::new(),
+        include_chain: Vec::new(),
     };
-    let mut root = files.file(name, bytes, None);
-    files.includes(&mut root);
-    let Files { sources, findings, broken, .. } = files;
-    let mut names = Names {
+    let mut root = reader.parse_file(name, bytes, None);
+    reader.expand_includes(&mut root);
+    let IncludeReader { sources, findings, incomplete, .. } = reader;
+    let mut definitions = Definitions {
         blocks: HashMap::new(),
         variables: HashMap::new(),
         findings,
-        broken,
+        incomplete,
         used: HashSet::new(),
         statements: 0,
-        using: Vec::new(),
+        use_chain: Vec::new(),
     };
-    names.collect(&mut root);
-    let root = names.block(root, true);
-    names.unused();
-    Expanded { sources, root, findings: names.findings, broken: names.broken }
+    definitions.collect_definitions(&mut root);
+    let root = definitions.expand_block(root, true);
+    definitions.report_unused();
+    Expanded { sources, root, findings: definitions.findings, incomplete: definitions.incomplete }
 }
 
 /// A file that is being read.
-struct Open {
+struct OpenFile {
     name: String,
     identity: String,
     /// The include that led to it.
     from: Option<Span>,
 }
 
-struct Files<'a> {
+struct IncludeReader<'a> {
     loader: &'a dyn Loader,
     sources: Sources,
     findings: Vec<Diagnostic>,
-    broken: bool,
+    incomplete: bool,
     bytes: usize,
     count: usize,
     /// The files that are being read, each included by the one before.
-    chain: Vec<Open>,
+    include_chain: Vec<OpenFile>,
 }
 
-impl Files<'_> {
+impl IncludeReader<'_> {
     fn error(&mut self, error: Diagnostic) {
-        self.broken = true;
+        self.incomplete = true;
         self.findings.push(error);
     }
 
     /// One file's statements; its includes are still to be put in.
-    fn file(&mut self, name: &str, bytes: &[u8], from: Option<Span>) -> Block {
+    fn parse_file(&mut self, name: &str, bytes: &[u8], from: Option<Span>) -> Block {
         self.count += 1;
         self.bytes += bytes.len();
         let identity = self.loader.identity(name);
-        self.chain.push(Open { name: name.to_owned(), identity, from });
+        self.include_chain.push(OpenFile { name: name.to_owned(), identity, from });
         let text = match std::str::from_utf8(bytes) {
             Ok(text) => text,
             Err(error) => {
@@ -136,20 +136,20 @@
         };
         let file = self.sources.add(name, text);
         let (block, errors) = parse(text, file);
-        self.broken |= !errors.is_empty();
+        self.incomplete |= !errors.is_empty();
         self.findings.extend(errors);
         block
     }
 
     /// Puts the files in for the includes of a block, at any depth.
-    fn includes(&mut self, block: &mut Block) {
+    fn expand_includes(&mut self, block: &mut Block) {
         if !block.statements.iter().any(has_include) {
             return;
         }
         for mut statement in std::mem::take(&mut block.statements) {
-            if !is(&statement, "include") {
+            if !is_named(&statement, "include") {
                 if let Some(inner) = &mut statement.block {
-                    self.includes(inner);
+                    self.expand_includes(inner);
                 }
                 block.statements.push(statement);
                 continue;
@@ -170,10 +170,10 @@
             self.error(error.help("end it with `;`"));
             return;
         }
-        let from = self.chain.last().map_or(String::new(), |open| open.name.clone());
+        let from = self.include_chain.last().map_or(String::new(), |open| open.name.clone());
         let names = match self.loader.find(&from, &path.text) {
             Ok(names) => names,
-            Err(why) => return self.unreadable(&path.text, path.span, &why),
+            Err(why) => return self.report_unreadable(&path.text, path.span, &why),
         };
         if names.is_empty() {
             let what = format!("no file matches `{}`", path.text);
@@ -182,12 +182,12 @@
         }
         for name in names {
             let identity = self.loader.identity(&name);
-            if let Some(at) = self.chain.iter().position(|open| open.identity == identity) {
+            if let Some(at) = self.include_chain.iter().position(|open| open.identity == identity) {
                 let mut error =
                     Diagnostic::error("IV0062", "files include each other in a circle", path.span, "")
                         .help("move what both need into a file that includes neither");
                 error.at.1 = format!("this includes `{name}`, which is being read");
-                for open in &self.chain[at + 1..] {
+                for open in &self.include_chain[at + 1..] {
                     if let Some(from) = open.from {
                         error = error.related(from, format!("this includes `{}`", open.name));
                     }
@@ -195,42 +195,43 @@
                 self.error(error);
                 continue;
             }
-            if self.chain.len() >= DEPTH_MOST {
-                let what = format!("files are included more than {DEPTH_MOST} deep");
+            if self.include_chain.len() >= MAX_INCLUDE_DEPTH {
+                let what = format!("files are included more than {MAX_INCLUDE_DEPTH} deep");
                 self.error(Diagnostic::error("IV0063", what, path.span, "by this"));
                 continue;
             }
             let bytes = match self.loader.read(&name) {
                 Ok(bytes) => bytes,
                 Err(why) => {
-                    self.unreadable(&name, path.span, &why);
+                    self.report_unreadable(&name, path.span, &why);
                     continue;
                 }
             };
-            if self.count >= FILES_MOST || self.bytes + bytes.len() > BYTES_MOST {
-                let what = format!("this configuration has more than {FILES_MOST} files or 64 MiB");
+            if self.count >= MAX_FILES || self.bytes + bytes.len() > MAX_TOTAL_BYTES {
+                let what = format!("this configuration has more than {MAX_FILES} files or 64 MiB");
                 self.error(Diagnostic::error("IV0063", what, path.span, "no more is read from here"));
                 return;
             }
-            let mut block = self.file(&name, &bytes, Some(path.span));
-            self.includes(&mut block);
-            self.chain.pop();
+            let mut block = self.parse_file(&name, &bytes, Some(path.span));
+            self.expand_includes(&mut block);
+            self.include_chain.pop();
             into.statements.append(&mut block.statements);
         }
     }
 
-    fn unreadable(&mut self, name: &str, at: Span, why: &str) {
+    fn report_unreadable(&mut self, name: &str, at: Span, why: &str) {
         let error = Diagnostic::error("IV0064", format!("`{name}` cannot be included"), at, why.to_owned());
         self.error(error.help("paths are relative to the file that includes them"));
     }
 }
 
-fn is(statement: &Statement, name: &str) -> bool {
+fn is_named(statement: &Statement, name: &str) -> bool {
     !statement.words[0].quoted && statement.words[0].text == name
 }
 
 fn has_include(statement: &Statement) -> bool {
-    is(statement, "include") || statement.block.as_ref().is_some_and(|b| b.statements.iter().any(has_include))
+    is_named(statement, "include")
+        || statement.block.as_ref().is_some_and(|b| b.statements.iter().any(has_include))
 }
 
 struct Variable {
@@ -238,15 +239,15 @@
     at: Span,
 }
 
-struct Names {
+struct Definitions {
     blocks: HashMap<String, (Block, Span)>,
     variables: HashMap<String, Variable>,
     findings: Vec<Diagnostic>,
-    broken: bool,
+    incomplete: bool,
     used: HashSet<String>,
     statements: usize,
     /// The named blocks that are being put in, with the place of each `use`.
-    using: Vec<(String, Span)>,
+    use_chain: Vec<(String, Span)>,
 }
 
 /// What a variable's type may be, and how a value of it reads.
@@ -261,7 +262,7 @@
     ("text", "any word"),
 ];
 
-fn fits(kind: &str, text: &str) -> bool {
+fn matches_type(kind: &str, text: &str) -> bool {
     match kind {
         "time" => units::duration(text).is_ok(),
         "size" => units::size(text).is_ok(),
@@ -274,18 +275,18 @@
     }
 }
 
-impl Names {
+impl Definitions {
     fn error(&mut self, error: Diagnostic) {
-        self.broken = true;
+        self.incomplete = true;
         self.findings.push(error);
     }
 
     /// Takes the definitions out of the outermost statements.
-    fn collect(&mut self, root: &mut Block) {
+    fn collect_definitions(&mut self, root: &mut Block) {
         for statement in std::mem::take(&mut root.statements) {
-            if is(&statement, "let") {
+            if is_named(&statement, "let") {
                 self.variable(statement);
-            } else if is(&statement, "block") {
+            } else if is_named(&statement, "block") {
                 self.named_block(statement);
             } else {
                 root.statements.push(statement);
@@ -315,7 +316,7 @@
             let error = Diagnostic::error("IV0065", "a variable's value is written out", value.span, "here");
             return self.error(error.help("write the value itself"));
         }
-        if !fits(&kind.text, &value.text) {
+        if !matches_type(&kind.text, &value.text) {
             let what = format!("`{}` is not {}", value.text, example.split(" such").next().unwrap_or(""));
             let error = Diagnostic::error("IV0067", what, value.span, format!("its type is `{}`", kind.text));
             return self.error(error.help(format!("write {example}")));
@@ -347,32 +348,36 @@
     }
 
     /// Puts named blocks and variables in.
-    fn block(&mut self, block: Block, outermost: bool) -> Block {
+    fn expand_block(&mut self, block: Block, outermost: bool) -> Block {
         let mut done =
             Block { statements: Vec::with_capacity(block.statements.len()), trailing: block.trailing };
         for statement in block.statements {
-            if self.statements >= STATEMENTS_MOST {
+            if self.statements >= MAX_STATEMENTS {
                 return done;
             }
-            if is(&statement, "use") {
-                self.put_in(&statement, outermost, &mut done);
+            if is_named(&statement, "use") {
+                self.insert_named_block(&statement, outermost, &mut done);
                 continue;
             }
             self.statements += 1;
-            if self.statements == STATEMENTS_MOST {
-                let what = format!("this configuration has more than {STATEMENTS_MOST} statements");
+            if self.statements == MAX_STATEMENTS {
+                let what = format!("this configuration has more than {MAX_STATEMENTS} statements");
                 let error = Diagnostic::error("IV0063", what, statement.span, "no more is read from here");
                 self.error(error.help("named blocks that use others many times grow fast"));
             }
-            let words =
-                statement.words.into_iter().enumerate().map(|(n, word)| self.word(word, n == 0)).collect();
-            let inner = statement.block.map(|inner| self.block(inner, false));
+            let words = statement
+                .words
+                .into_iter()
+                .enumerate()
+                .map(|(n, word)| self.substitute(word, n == 0))
+                .collect();
+            let inner = statement.block.map(|inner| self.expand_block(inner, false));
             done.statements.push(Statement { words, block: inner, ..statement });
         }
         done
     }
 
-    fn put_in(&mut self, statement: &Statement, outermost: bool, into: &mut Block) {
+    fn insert_named_block(&mut self, statement: &Statement, outermost: bool, into: &mut Block) {
         let [_, name] = &statement.words[..] else {
             let error = Diagnostic::error("IV0069", "`use` names one block", head_span(statement), "here");
             return self.error(error.help("write `use NAME;`"));
@@ -383,7 +388,7 @@
         }
         let Some((block, at)) = self.blocks.get(&name.text).cloned() else {
             let known: Vec<&str> = self.blocks.keys().map(String::as_str).collect();
-            let help = nearest(&name.text, &known);
+            let help = suggestion(&name.text, &known);
             let error = Diagnostic::error(
                 "IV0033",
                 format!("there is no block named `{}`", name.text),
@@ -393,26 +398,26 @@
             return self.error(error.help(help));
         };
         self.used.insert(format!("block {}", name.text));
-        if let Some(open) = self.using.iter().position(|(open, _)| *open == name.text) {
+        if let Some(open) = self.use_chain.iter().position(|(open, _)| *open == name.text) {
             let mut error = Diagnostic::error("IV0062", "blocks use each other in a circle", name.span, "");
             error.at.1 = format!("this uses `{}`, which is being put in", name.text);
-            for (name, from) in &self.using[open + 1..] {
+            for (name, from) in &self.use_chain[open + 1..] {
                 error = error.related(*from, format!("this uses `{name}`"));
             }
             return self
                 .error(error.related(at, "defined here").help("move what both need into a third block"));
         }
-        if self.using.len() >= DEPTH_MOST {
-            let what = format!("blocks use each other more than {DEPTH_MOST} deep");
+        if self.use_chain.len() >= MAX_INCLUDE_DEPTH {
+            let what = format!("blocks use each other more than {MAX_INCLUDE_DEPTH} deep");
             return self.error(Diagnostic::error("IV0063", what, name.span, "by this"));
         }
-        self.using.push((name.text.clone(), name.span));
-        let mut block = self.block(block, outermost);
-        self.using.pop();
+        self.use_chain.push((name.text.clone(), name.span));
+        let mut block = self.expand_block(block, outermost);
+        self.use_chain.pop();
         into.statements.append(&mut block.statements);
     }
 
-    fn word(&mut self, word: Word, first: bool) -> Word {
+    fn substitute(&mut self, word: Word, first: bool) -> Word {
         let Some(name) = word.text.strip_prefix('$').filter(|_| !word.quoted) else { return word };
         if first {
             let error = Diagnostic::error("IV0070", "a variable cannot name a statement", word.span, "here");
@@ -428,7 +433,7 @@
             }
             None => {
                 let known: Vec<&str> = self.variables.keys().map(String::as_str).collect();
-                let help = nearest(name, &known);
+                let help = suggestion(name, &known);
                 let error = Diagnostic::error(
                     "IV0033",
                     format!("there is no variable named `{name}`"),
@@ -441,7 +446,7 @@
         }
     }
 
-    fn unused(&mut self) {
+    fn report_unused(&mut self) {
         let blocks = self.blocks.iter().map(|(name, (_, at))| ("block", name, *at));
         let variables = self.variables.iter().map(|(name, variable)| ("variable", name, variable.at));
         let unused: Vec<_> = blocks
@@ -461,14 +466,14 @@
 }
 
 /// How far known names are from a word. One of monstrous length is like none, and would take long to compare.
-pub fn distances<'a>(text: &'a str, known: &'a [&'a str]) -> impl Iterator<Item = (usize, &'a str)> {
+pub fn close_names<'a>(text: &'a str, known: &'a [&'a str]) -> impl Iterator<Item = (usize, &'a str)> {
     let alike = |name: &&&str| name.len().abs_diff(text.len()) <= 2;
     known.iter().filter(alike).map(|name| (strsim::damerau_levenshtein(name, text), *name))
 }
 
 /// What may have been meant.
-pub fn nearest(text: &str, known: &[&str]) -> String {
-    let near = distances(text, known).min();
+pub fn suggestion(text: &str, known: &[&str]) -> String {
+    let near = close_names(text, known).min();
     match near {
         Some((distance, near)) if distance <= 2 => format!("is `{near}` meant?"),
         _ if known.is_empty() => "none is defined".to_owned(),
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,18 +1,18 @@
 //! Reads the statements of one block by name, and notes what is missing, unknown, repeated or malformed.
 
 use crate::diagnostic::{Diagnostic, Severity, Span};
-use crate::expand::distances;
-use crate::slips;
+use crate::expand::close_names;
+use crate::plausibility;
 use crate::syntax::{Block, Statement, Word};
 use crate::units::{self, QuantityError};
 use std::cell::RefCell;
 use std::collections::HashSet;
 
 /// Most unknown statements that are told of in one block.
-const UNKNOWN_MOST: usize = 100;
+const MAX_UNKNOWN_STATEMENTS: usize = 100;
 
 /// Most findings that are kept.
-const FINDINGS_MOST: usize = 2000;
+const MAX_FINDINGS: usize = 2000;
 
 /// Findings that a whole check shares.
 pub type Findings = RefCell<Vec<Diagnostic>>;
@@ -24,7 +24,7 @@
     pub head: Span,
     kind: &'static str,
     findings: &'a Findings,
-    asked: RefCell<HashSet<&'static str>>,
+    known_names: RefCell<HashSet<&'static str>>,
 }
 
 /// What is expected of a quantity.
@@ -54,7 +54,7 @@
         }
     }
 
-    fn what(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
             Quantity::Duration => "a time with its unit, such as `250ms`, `15s` or `2m`",
             Quantity::Size => "a size with its unit, such as `512B`, `64KiB` or `8MiB`",
@@ -69,14 +69,14 @@
 impl<'a> Fields<'a> {
     /// Begins with a block that `head` opened.
     pub fn new(kind: &'static str, head: Span, block: &'a Block, findings: &'a Findings) -> Self {
-        Self { block, head, kind, findings, asked: RefCell::default() }
+        Self { block, head, kind, findings, known_names: RefCell::default() }
     }
 
     /// Notes a finding.
-    pub fn note(&self, finding: Diagnostic) {
+    pub fn report(&self, finding: Diagnostic) {
         let mut findings = self.findings.borrow_mut();
         // Guards the memory. Errors go on being noted for as long again, so that none hides behind warnings.
-        let most = if finding.severity == Severity::Error { 2 * FINDINGS_MOST } else { FINDINGS_MOST };
+        let most = if finding.severity == Severity::Error { 2 * MAX_FINDINGS } else { MAX_FINDINGS };
         if findings.len() < most {
             findings.push(finding);
         }
@@ -90,12 +90,12 @@
 
     /// All statements of this name.
     pub fn all(&self, name: &'static str) -> Vec<&'a Statement> {
-        self.asked.borrow_mut().insert(name);
+        self.known_names.borrow_mut().insert(name);
         self.block.statements.iter().filter(|s| !s.words[0].quoted && s.words[0].text == name).collect()
     }
 
     /// The only statement of this name.
-    pub fn one(&self, name: &'static str) -> Option<&'a Statement> {
+    pub fn single(&self, name: &'static str) -> Option<&'a Statement> {
         let all = self.all(name);
         if let [first, second, ..] = all[..] {
             let error = Diagnostic::error(
@@ -104,20 +104,20 @@
                 second.words[0].span,
                 "given again here",
             );
-            self.note(error.related(first.words[0].span, "first given here").help("remove one of them"));
+            self.report(error.related(first.words[0].span, "first given here").help("remove one of them"));
         }
         all.first().copied()
     }
 
     /// A statement that must be there.
-    pub fn needed(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
-        let found = self.one(name);
+    pub fn required(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
+        let found = self.single(name);
         // One that stands behind a missing `;` is told of already.
         let swallowed =
             self.block.statements.iter().any(|s| s.words[1..].iter().any(|w| !w.quoted && w.text == name));
         if found.is_none() && !swallowed {
             let what = format!("this {} has no `{name}`", self.kind);
-            self.note(
+            self.report(
                 Diagnostic::error("IV0011", what, self.head, "in here").help(format!("write `{example}`")),
             );
         }
@@ -130,12 +130,12 @@
         if let Some(block) = &statement.block {
             let at = block.statements.first().map_or(statement.span, |s| s.span);
             let what = format!("`{}` takes no block", name.text);
-            self.note(Diagnostic::error("IV0013", what, at, "not expected here").help("end it with `;`"));
+            self.report(Diagnostic::error("IV0013", what, at, "not expected here").help("end it with `;`"));
             return None;
         }
         let mut words = &statement.words[1..];
-        // Says that a value which looks like a slip is right; see `slips`.
-        if words.len() > least && words.last().is_some_and(is_meant) {
+        // Says that a value which looks like a slip is right; see `plausibility`.
+        if words.len() > least && words.last().is_some_and(is_meant_keyword) {
             words = &words[..words.len() - 1];
         }
         if (least..=most).contains(&words.len()) {
@@ -143,20 +143,20 @@
         }
         if words.len() < least {
             let what = format!("`{}` lacks a value", name.text);
-            self.note(Diagnostic::error("IV0014", what, name.span, "a value is expected after this"));
+            self.report(Diagnostic::error("IV0014", what, name.span, "a value is expected after this"));
         } else {
             let extra = &words[most];
             let what = format!("`{}` has a value too many", name.text);
             let before = &statement.words[most];
             let error = Diagnostic::error("IV0015", what, extra.span, "not expected here");
-            self.note(error.help(format!("is a `;` missing after `{}`?", before.text)));
+            self.report(error.help(format!("is a `;` missing after `{}`?", before.text)));
         }
         None
     }
 
     /// The only word of a statement.
     pub fn word(&self, name: &'static str) -> Option<&'a Word> {
-        self.words(self.one(name)?, 1, 1).map(|words| &words[0])
+        self.words(self.single(name)?, 1, 1).map(|words| &words[0])
     }
 
     /// A text, or what it is by default.
@@ -174,10 +174,13 @@
                     QuantityError::WrongUnit(unit) => ("IV0022", format!("`{unit}` is no unit of this")),
                     QuantityError::NotANumber => ("IV0020", "not a quantity".to_owned()),
                 };
-                let what =
-                    format!("`{}` is not {}", word.text, quantity.what().split(',').next().unwrap_or(""));
+                let what = format!(
+                    "`{}` is not {}",
+                    word.text,
+                    quantity.description().split(',').next().unwrap_or("")
+                );
                 let error = Diagnostic::error(code, what, word.span, label);
-                self.note(error.help(format!("write {}", quantity.what())));
+                self.report(error.help(format!("write {}", quantity.description())));
                 return None;
             }
         };
@@ -189,23 +192,23 @@
         if !fits {
             let error =
                 Diagnostic::error("IV0023", format!("`{}` is out of range", word.text), word.span, "here");
-            self.note(error.help(format!("write {}", quantity.what())));
+            self.report(error.help(format!("write {}", quantity.description())));
         }
         fits.then_some(value)
     }
 
     /// Whether a statement says that its value is meant.
-    pub fn is_meant(&self, name: &'static str) -> bool {
-        self.all(name).first().is_some_and(|s| says_meant(s))
+    pub fn is_confirmed(&self, name: &'static str) -> bool {
+        self.all(name).first().is_some_and(|s| is_confirmed(s))
     }
 
     /// A quantity, if it is given.
     pub fn quantity(&self, name: &'static str, quantity: Quantity) -> Option<f64> {
         let word = self.word(name)?;
         let value = self.quantity_in(word, quantity)?;
-        if !self.is_meant(name) {
-            if let Some(suspicion) = slips::suspicion(self.kind, name, &word.text, value) {
-                self.note(suspicion.diagnostic(name, word));
+        if !self.is_confirmed(name) {
+            if let Some(implausible) = plausibility::implausible_value(self.kind, name, &word.text, value) {
+                self.report(implausible.diagnostic(name, word));
             }
         }
         Some(value)
@@ -216,7 +219,7 @@
         let Some(word) = self.word(name) else { return default };
         let Some(value) = self.quantity(name, quantity) else { return default };
         if value <= 0.0 {
-            self.note(Diagnostic::error(
+            self.report(Diagnostic::error(
                 "IV0024",
                 format!("`{name}` is zero"),
                 word.span,
@@ -240,41 +243,41 @@
 
     /// Notes every statement that nothing has asked for.
     pub fn finish(self) {
-        let asked = self.asked.borrow();
+        let known_names = self.known_names.borrow();
         let mut told = 0;
         for statement in &self.block.statements {
             let name = &statement.words[0];
-            if !name.quoted && asked.contains(name.text.as_str()) {
+            if !name.quoted && known_names.contains(name.text.as_str()) {
                 continue;
             }
             told += 1;
-            if told > UNKNOWN_MOST {
+            if told > MAX_UNKNOWN_STATEMENTS {
                 break;
             }
             let what = format!("`{}` means nothing in this {}", name.text, self.kind);
             let mut error = Diagnostic::error("IV0010", what, name.span, "unknown here");
-            let known: Vec<&str> = asked.iter().copied().collect();
-            let near = distances(&name.text, &known).min();
+            let known: Vec<&str> = known_names.iter().copied().collect();
+            let near = close_names(&name.text, &known).min();
             match near.filter(|(distance, _)| *distance <= 2) {
                 Some((_, near)) => error = error.help(format!("is `{near}` meant?")),
                 None => {
-                    let mut known: Vec<_> = asked.iter().copied().collect();
+                    let mut known: Vec<_> = known_names.iter().copied().collect();
                     known.sort_unstable();
                     error = error.help(format!("a {} may have: {}", self.kind, known.join(", ")));
                 }
             }
-            self.note(error);
+            self.report(error);
         }
     }
 }
 
-fn is_meant(word: &Word) -> bool {
+fn is_meant_keyword(word: &Word) -> bool {
     !word.quoted && word.defined.is_none() && word.text == "meant"
 }
 
 /// Whether a statement says that its value is meant.
-pub fn says_meant(statement: &Statement) -> bool {
-    statement.words.len() > 2 && statement.words.last().is_some_and(is_meant)
+pub fn is_confirmed(statement: &Statement) -> bool {
+    statement.words.len() > 2 && statement.words.last().is_some_and(is_meant_keyword)
 }
 
 /// The words that open a statement.
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,12 +5,12 @@
 
 mod check;
 mod codes;
+mod consistency;
 mod diagnostic;
 mod expand;
 mod fields;
-mod meaning;
 mod model;
-mod slips;
+mod plausibility;
 mod syntax;
 mod units;
 
@@ -22,7 +22,7 @@
 pub use syntax::{parse, Block, Comment, Statement, Word};
 
 /// Most findings that a report shows; the first mistakes explain the others.
-const SHOWN_MOST: usize = 100;
+const MAX_SHOWN_FINDINGS: usize = 100;
 
 /// What came of reading a configuration.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// The findings that are at least this bad, as people read them.
     pub fn report(&self, least: Severity, colours: bool) -> String {
         let found: Vec<_> = self.findings.iter().filter(|f| f.severity >= least).cloned().collect();
-        let shown = &found[..found.len().min(SHOWN_MOST)];
+        let shown = &found[..found.len().min(MAX_SHOWN_FINDINGS)];
         let mut report = self.sources.render(shown, colours);
         if found.len() > shown.len() {
             report += &format!("... and {} more findings\n\n", found.len() - shown.len());
@@ -54,7 +54,7 @@
 }
 
 /// What may follow from a mistake of another kind: missing statements and names, and sums over what is there.
-const FOLLOWING: [&str; 17] = [
+const CONSEQUENTIAL_CODES: [&str; 17] = [
     "IV0010", "IV0011", "IV0013", "IV0014", "IV0015", "IV0033", "IV0045", "IV0049", "IV0054", "IV0055",
     "IV0056", "IV0057", "IV0077", "IV0081", "IV0102", "IV0103", "IV0105",
 ];
@@ -66,18 +66,18 @@
 
 /// Reads and checks a configuration, with the files that it includes.
 pub fn load_with(name: &str, bytes: &[u8], loader: &dyn Loader) -> LoadedConfig {
-    let expand::Expanded { sources, root, findings, broken } = expand::expand(name, bytes, loader);
+    let expand::Expanded { sources, root, findings, incomplete } = expand::expand(name, bytes, loader);
     let before = findings.len();
-    let defined = check::defined(&root);
+    let defined = check::variable_definitions(&root);
     let findings = std::cell::RefCell::new(findings);
-    let model = check::check(&root, &findings).filter(|_| !broken);
+    let model = check::check(&root, &findings).filter(|_| !incomplete);
     let mut findings = findings.into_inner();
-    if broken {
+    if incomplete {
         // Statements that could not be read are missing below; no one can act on what follows from that.
         let unknown =
             |f: &Diagnostic| sources.excerpt(f.at.0).starts_with('$') && !defined.contains_key(&f.at.0);
         let first = findings.split_off(before).into_iter();
-        let first = first.filter(|f| !FOLLOWING.contains(&f.code) && !unknown(f));
+        let first = first.filter(|f| !CONSEQUENTIAL_CODES.contains(&f.code) && !unknown(f));
         findings.extend(first);
     }
     findings.sort_by_key(|f| (f.at.0, std::cmp::Reverse(f.severity)));
--- a/crates/config/src/slips.rs
+++ b/crates/config/src/plausibility.rs
@@ -4,14 +4,14 @@
 use crate::syntax::Word;
 
 /// Why a value is not believed.
-pub struct Suspicion {
+pub struct ImplausibleValue {
     why: String,
     instead: Option<String>,
 }
 
 /// What is usual: kind of block, statement, least and most, and what the value is for. Times are
 /// milliseconds.
-const USUAL: [(&str, &str, f64, f64, &str); 41] = [
+const PLAUSIBLE_RANGES: [(&str, &str, f64, f64, &str); 41] = [
     ("class", "deadline", 20.0, 600_000.0, "a client's whole wait"),
     ("class", "aim", 2.0, 300_000.0, "a good answer's time"),
     ("class", "window", 500.0, 43_200_000.0, "how long servers remember a key"),
@@ -56,7 +56,7 @@
 ];
 
 /// Units by which slips are made: what stands there, and what was probably meant.
-const MEANT: [(&str, &str, f64); 8] = [
+const UNIT_MISTAKES: [(&str, &str, f64); 8] = [
     ("us", "ms", 1e3),
     ("ms", "s", 1e3),
     ("s", "ms", 1e-3),
@@ -68,24 +68,24 @@
 ];
 
 /// Looks at a value. Nothing is never a slip: it switches things off.
-pub fn suspicion(kind: &str, name: &str, text: &str, value: f64) -> Option<Suspicion> {
+pub fn implausible_value(kind: &str, name: &str, text: &str, value: f64) -> Option<ImplausibleValue> {
     let (.., least, most, what) =
-        USUAL.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
+        PLAUSIBLE_RANGES.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
     if value == 0.0 || (*least..=*most).contains(&value) {
         return None;
     }
     let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
     let fits = |factor: f64| (*least..=*most).contains(&(value * factor));
-    let other = MEANT.iter().find(|(from, _, factor)| *from == unit && fits(*factor));
+    let other = UNIT_MISTAKES.iter().find(|(from, _, factor)| *from == unit && fits(*factor));
     let how = if value < *least { "little" } else { "much" };
-    Some(Suspicion {
+    Some(ImplausibleValue {
         why: format!("`{text}` is very {how} for {what}"),
         instead: other.map(|(_, unit, _)| format!("{number}{unit}")),
     })
 }
 
-impl Suspicion {
+impl ImplausibleValue {
     /// As an error, with the way to say that the value is right.
     pub fn diagnostic(self, name: &str, word: &Word) -> Diagnostic {
         let error = Diagnostic::error(
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -66,10 +66,10 @@
 }
 
 /// Deepest nesting of blocks; guards the stack.
-const DEPTH_MOST: usize = 16;
+const MAX_BLOCK_DEPTH: usize = 16;
 /// Most words of a statement and most mistakes that are told of a file; they guard the memory.
-const WORDS_MOST: usize = 4096;
-const MISTAKES_MOST: usize = 500;
+const MAX_STATEMENT_WORDS: usize = 4096;
+const MAX_SYNTAX_ERRORS: usize = 500;
 
 /// Reads a file. What could be read comes back beside the mistakes.
 pub fn parse(text: &str, file: u32) -> (Block, Vec<Diagnostic>) {
@@ -95,7 +95,7 @@
         if std::mem::take(&mut self.pushed_back) {
             return Some(self.last);
         }
-        if self.errors.len() >= MISTAKES_MOST {
+        if self.errors.len() >= MAX_SYNTAX_ERRORS {
             return None;
         }
         let token = self.lexer.next()?.ok();
@@ -106,7 +106,7 @@
 
     fn error(&mut self, error: Diagnostic) {
         self.errors.push(error);
-        if self.errors.len() == MISTAKES_MOST {
+        if self.errors.len() == MAX_SYNTAX_ERRORS {
             let what = "too many mistakes; the rest of this file was not read";
             self.errors.push(Diagnostic::error("IV0007", what, self.last.1, "read up to here"));
         }
@@ -181,8 +181,8 @@
                 }
                 Some(Token::End) => return finish(words, None, comments, Some(span)),
                 Some(Token::Open) => {
-                    if depth >= DEPTH_MOST {
-                        let what = format!("blocks are nested more than {DEPTH_MOST} deep");
+                    if depth >= MAX_BLOCK_DEPTH {
+                        let what = format!("blocks are nested more than {MAX_BLOCK_DEPTH} deep");
                         self.error(Diagnostic::error("IV0005", what, span, "this one"));
                         self.lexer.bump(self.lexer.remainder().len());
                         return finish(words, None, comments, Some(span));
@@ -210,8 +210,8 @@
                     return None;
                 }
             }
-            if words.len() > WORDS_MOST {
-                let what = format!("a statement has more than {WORDS_MOST} words");
+            if words.len() > MAX_STATEMENT_WORDS {
+                let what = format!("a statement has more than {MAX_STATEMENT_WORDS} words");
                 self.error(Diagnostic::error("IV0008", what, words[0].span, "this one"));
                 self.lexer.bump(self.lexer.remainder().len());
                 return None;
