--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,55 +1,55 @@
-//! Mistakes, with their place, what is wrong and what to write instead.
+//! Diagnostics with source positions and suggestions, and their rendering.
 
 use annotate_snippets::{AnnotationKind, Level, Renderer, Snippet};
 use std::fmt;
 
-/// A piece of a file.
+/// Byte range in a source file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Span {
-    /// The file's number in its [`Sources`].
+    /// Index of the file in its [`Sources`].
     pub file: u32,
-    /// Its first byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// The byte behind its last.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
-/// How bad it is.
+/// Severity of a diagnostic, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// Works, and is worth knowing.
+    /// The configuration works; the information is useful to know.
     Note,
-    /// Works, and is probably not meant.
+    /// The configuration works but is probably not what was intended.
     Warning,
-    /// Cannot be used.
+    /// The configuration cannot be used.
     Error,
 }
 
-/// One finding.
+/// A finding at a position of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// How bad it is.
+    /// Severity of a diagnostic, in ascending order.
     pub severity: Severity,
-    /// A code that stays the same.
+    /// Stable code, such as `IV0021`.
     pub code: &'static str,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// Where, and what is there.
+    /// Primary position and its label.
     pub at: (Span, String),
-    /// Other places that have to do with it.
+    /// Related positions and their labels.
     pub related: Vec<(Span, String)>,
-    /// What to write instead.
+    /// Suggested corrections.
     pub help: Vec<String>,
 }
 
 impl Diagnostic {
-    /// An error at a place.
+    /// Creates an error.
     pub fn error(code: &'static str, message: impl Into<String>, at: Span, label: impl Into<String>) -> Self {
         let (message, at) = (truncated(message), (at, truncated(label)));
         Self { severity: Severity::Error, code, message, at, related: Vec::new(), help: Vec::new() }
     }
 
-    /// A warning at a place.
+    /// Creates a warning.
     pub fn warning(
         code: &'static str,
         message: impl Into<String>,
@@ -59,19 +59,19 @@
         Self { severity: Severity::Warning, ..Self::error(code, message, at, label) }
     }
 
-    /// A note at a place.
+    /// Creates a note.
     pub fn note(code: &'static str, message: impl Into<String>, at: Span, label: impl Into<String>) -> Self {
         Self { severity: Severity::Note, ..Self::error(code, message, at, label) }
     }
 
-    /// Says what to write instead.
+    /// Adds a suggested correction.
     #[must_use]
     pub fn help(mut self, text: impl Into<String>) -> Self {
         self.help.push(truncated(text));
         self
     }
 
-    /// Names another place that has to do with it.
+    /// Adds a related position.
     #[must_use]
     pub fn related(mut self, at: Span, label: impl Into<String>) -> Self {
         self.related.push((at, truncated(label)));
@@ -79,7 +79,7 @@
     }
 }
 
-/// Most characters of a message; what it quotes may be of any length.
+/// Maximum length of a message in characters; messages quote text of arbitrary length.
 const MAX_MESSAGE_CHARS: usize = 400;
 
 fn truncated(text: impl Into<String>) -> String {
@@ -91,7 +91,7 @@
     text
 }
 
-/// The files that were read: names and texts.
+/// Source files by index: names and texts.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
     files: Vec<Source>,
@@ -101,12 +101,12 @@
 struct Source {
     name: String,
     text: String,
-    /// Where its lines begin.
+    /// Byte offsets of the line starts.
     lines: Vec<usize>,
 }
 
 impl Sources {
-    /// Adds a file and gives its number.
+    /// Adds a file and returns its index.
     pub fn add(&mut self, name: impl Into<String>, text: impl Into<String>) -> u32 {
         let text = text.into();
         let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(n, _)| n + 1)).collect();
@@ -114,22 +114,22 @@
         self.files.len() as u32 - 1
     }
 
-    /// A file's text.
+    /// Returns the text of a file; empty if the index is unknown.
     pub fn text(&self, file: u32) -> &str {
         self.files.get(file as usize).map_or("", |source| &source.text)
     }
 
-    /// The files' names.
+    /// Iterates over the file names.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.files.iter().map(|source| source.name.as_str())
     }
 
-    /// The text of a place.
+    /// Returns the text in a span; empty if the span lies outside the file.
     pub fn excerpt(&self, span: Span) -> &str {
         self.text(span.file).get(span.start..span.end).unwrap_or("")
     }
 
-    /// File, line and column of a place, as editors count them.
+    /// Returns the file, line and column at which a span begins, counted as editors do.
     pub fn position(&self, span: Span) -> Position<'_> {
         let Some(source) = self.files.get(span.file as usize) else {
             return Position { file: "", line: 0, column: 0 };
@@ -140,7 +140,7 @@
         Position { file: &source.name, line, column: source.text[begin..start].chars().count() + 1 }
     }
 
-    /// Findings as people read them; with colours on a terminal.
+    /// Renders findings as text for people, with terminal colours if requested.
     pub fn render(&self, findings: &[Diagnostic], colours: bool) -> String {
         let renderer = if colours { Renderer::styled() } else { Renderer::plain() };
         findings.iter().map(|finding| self.render_one(&renderer, finding) + "\n\n").collect()
@@ -175,7 +175,8 @@
 
     fn snippet<'a, T: Clone>(&'a self, span: Span) -> (Snippet<'a, T>, usize) {
         let Some(source) = self.files.get(span.file as usize) else { return (Snippet::source(""), 0) };
-        // Lines that no terminal shows would be looked through letter by letter: only what is near is handed on.
+        // The renderer scans all of the text that it gets, which is slow for very long files and lines; only the
+        // surroundings of the span are passed on.
         let place = self.position(span);
         let (mut from, mut to) = (0, source.text.len());
         if source.text.len() > MAX_EXCERPT_BYTES {
@@ -199,22 +200,22 @@
     }
 }
 
-/// A text longer than this is shown in part.
+/// Texts longer than this, in bytes, are shown in part.
 const MAX_EXCERPT_BYTES: usize = 4096;
 
 fn range(span: Span, from: usize) -> std::ops::Range<usize> {
-    // What is annotated need not be shown to its end.
+    // A long annotated span may be cut.
     let end = span.end.min(span.start + MAX_EXCERPT_BYTES);
     span.start.saturating_sub(from)..end.saturating_sub(from)
 }
-/// A place as editors name it.
+/// Position in a file, displayed as `FILE:LINE:COLUMN`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position<'a> {
-    /// The file's name.
+    /// File name.
     pub file: &'a str,
-    /// From 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// In characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the statements of one block by name, and notes what is missing, unknown, repeated or malformed.
+//! Reads the statements of a block by name and reports missing, unknown, repeated and malformed ones.
 
 use crate::diagnostic::{Diagnostic, Severity, Span};
 use crate::expand::close_names;
@@ -8,39 +8,39 @@
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// Most unknown statements that are told of in one block.
+/// Maximum number of unknown statements reported per block.
 const MAX_UNKNOWN_STATEMENTS: usize = 100;
 
-/// Most findings that are kept.
+/// Maximum number of findings kept; errors are kept up to twice this number.
 const MAX_FINDINGS: usize = 2000;
 
-/// Findings that a whole check shares.
+/// Findings shared by all blocks of one check.
 pub type Findings = RefCell<Vec<Diagnostic>>;
 
-/// One block under check.
+/// Reader of one block's statements.
 pub struct Fields<'a> {
     block: &'a Block,
-    /// The words that opened it.
+    /// Span of the words before the opening brace.
     pub head: Span,
     kind: &'static str,
     findings: &'a Findings,
     known_names: RefCell<HashSet<&'static str>>,
 }
 
-/// What is expected of a quantity.
+/// Kind of quantity that a statement takes.
 #[derive(Clone, Copy)]
 pub enum Quantity {
     /// Milliseconds.
     Duration,
     /// Bytes.
     Size,
-    /// A number a second.
+    /// Events per second.
     Rate,
-    /// A number.
+    /// Number without a unit.
     Number,
-    /// A number from 0 to 1.
+    /// Number from 0 to 1.
     Share,
-    /// A whole number.
+    /// Whole number.
     Count,
 }
 
@@ -67,34 +67,34 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Begins with a block that `head` opened.
+    /// Creates a reader of the block whose opening words have the span `head`.
     pub fn new(kind: &'static str, head: Span, block: &'a Block, findings: &'a Findings) -> Self {
         Self { block, head, kind, findings, known_names: RefCell::default() }
     }
 
-    /// Notes a finding.
+    /// Records a finding.
     pub fn report(&self, finding: Diagnostic) {
         let mut findings = self.findings.borrow_mut();
-        // Guards the memory. Errors go on being noted for as long again, so that none hides behind warnings.
+        // Bounds memory use. Errors have twice the limit, so that warnings cannot displace them.
         let most = if finding.severity == Severity::Error { 2 * MAX_FINDINGS } else { MAX_FINDINGS };
         if findings.len() < most {
             findings.push(finding);
         }
     }
 
-    /// Whether an error is noted within a place.
+    /// Returns true if an error has been recorded within a span.
     pub fn has_error_in(&self, place: Span) -> bool {
         let within = |at: Span| at.file == place.file && at.start >= place.start && at.end <= place.end;
         self.findings.borrow().iter().any(|f| f.severity == Severity::Error && within(f.at.0))
     }
 
-    /// All statements of this name.
+    /// Returns all statements with a name, and marks the name as known.
     pub fn all(&self, name: &'static str) -> Vec<&'a Statement> {
         self.known_names.borrow_mut().insert(name);
         self.block.statements.iter().filter(|s| !s.words[0].quoted && s.words[0].text == name).collect()
     }
 
-    /// The only statement of this name.
+    /// Returns the statement with a name, if there is one; reports an error if there are several.
     pub fn single(&self, name: &'static str) -> Option<&'a Statement> {
         let all = self.all(name);
         if let [first, second, ..] = all[..] {
@@ -109,10 +109,10 @@
         all.first().copied()
     }
 
-    /// A statement that must be there.
+    /// Returns a required statement; reports an error if it is missing.
     pub fn required(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
         let found = self.single(name);
-        // One that stands behind a missing `;` is told of already.
+        // A statement that follows a missing `;` has already been reported by the parser or as an extra value.
         let swallowed =
             self.block.statements.iter().any(|s| s.words[1..].iter().any(|w| !w.quoted && w.text == name));
         if found.is_none() && !swallowed {
@@ -124,7 +124,7 @@
         found
     }
 
-    /// The words behind the name: as many as the range allows, and no block.
+    /// Returns the words after the name; reports an error unless their number is in the range and there is no block.
     pub fn words(&self, statement: &'a Statement, least: usize, most: usize) -> Option<&'a [Word]> {
         let name = &statement.words[0];
         if let Some(block) = &statement.block {
@@ -134,7 +134,7 @@
             return None;
         }
         let mut words = &statement.words[1..];
-        // Says that a value which looks like a slip is right; see `plausibility`.
+        // A trailing `meant` confirms an implausible value; see `plausibility`.
         if words.len() > least && words.last().is_some_and(is_meant_keyword) {
             words = &words[..words.len() - 1];
         }
@@ -154,17 +154,17 @@
         None
     }
 
-    /// The only word of a statement.
+    /// Returns the single value of a statement.
     pub fn word(&self, name: &'static str) -> Option<&'a Word> {
         self.words(self.single(name)?, 1, 1).map(|words| &words[0])
     }
 
-    /// A text, or what it is by default.
+    /// Returns the text of a statement, or the default.
     pub fn text_or(&self, name: &'static str, default: &str) -> String {
         self.word(name).map_or_else(|| default.to_owned(), |word| word.text.clone())
     }
 
-    /// A quantity in a word.
+    /// Parses a word as a quantity; reports an error if it is malformed or out of range.
     pub fn quantity_in(&self, word: &Word, quantity: Quantity) -> Option<f64> {
         let value = match quantity.read(&word.text) {
             Ok(value) => value,
@@ -197,12 +197,12 @@
         fits.then_some(value)
     }
 
-    /// Whether a statement says that its value is meant.
+    /// Returns true if the statement confirms its value with a trailing `meant`.
     pub fn is_confirmed(&self, name: &'static str) -> bool {
         self.all(name).first().is_some_and(|s| is_confirmed(s))
     }
 
-    /// A quantity, if it is given.
+    /// Returns the quantity of a statement, if present; reports implausible values.
     pub fn quantity(&self, name: &'static str, quantity: Quantity) -> Option<f64> {
         let word = self.word(name)?;
         let value = self.quantity_in(word, quantity)?;
@@ -214,7 +214,7 @@
         Some(value)
     }
 
-    /// A quantity above nothing, or what it is by default.
+    /// Returns the quantity of a statement or the default; reports an error if it is not above zero.
     pub fn positive_or(&self, name: &'static str, quantity: Quantity, default: f64) -> f64 {
         let Some(word) = self.word(name) else { return default };
         let Some(value) = self.quantity(name, quantity) else { return default };
@@ -230,18 +230,18 @@
         value
     }
 
-    /// A quantity, or what it is by default.
+    /// Returns the quantity of a statement, or the default.
     pub fn quantity_or(&self, name: &'static str, quantity: Quantity, default: f64) -> f64 {
         self.quantity(name, quantity).unwrap_or(default)
     }
 
-    /// A block inside this one.
+    /// Returns a reader of a nested block.
     pub fn inner(&self, kind: &'static str, statement: &'a Statement) -> Fields<'a> {
         static EMPTY: Block = Block { statements: Vec::new(), trailing: Vec::new() };
         Fields::new(kind, head_span(statement), statement.block.as_ref().unwrap_or(&EMPTY), self.findings)
     }
 
-    /// Notes every statement that nothing has asked for.
+    /// Reports every statement whose name was never requested.
     pub fn finish(self) {
         let known_names = self.known_names.borrow();
         let mut told = 0;
@@ -275,12 +275,12 @@
     !word.quoted && word.defined.is_none() && word.text == "meant"
 }
 
-/// Whether a statement says that its value is meant.
+/// Returns true if the statement confirms its value with a trailing `meant`.
 pub fn is_confirmed(statement: &Statement) -> bool {
     statement.words.len() > 2 && statement.words.last().is_some_and(is_meant_keyword)
 }
 
-/// The words that open a statement.
+/// Returns the span of a statement's words, without its block.
 pub fn head_span(statement: &Statement) -> Span {
     let (first, last) = (statement.words[0].span, statement.words[statement.words.len() - 1].span);
     Span { file: first.file, start: first.start, end: last.end }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The sidecar's configuration: text to a checked model.
+//! Parses the sidecar's configuration into a checked model.
 //!
-//! Called by the command line and the sidecar. It does no I/O: texts are handed in. All other packages see the
-//! plain data of [`Model`] only.
+//! The command line and the sidecar use this crate. It performs no I/O: the caller passes in the text, and a
+//! [`Loader`] supplies included files. Other crates see only the plain data of [`Model`].
 
 mod check;
 mod codes;
@@ -21,22 +21,22 @@
 pub use model::*;
 pub use syntax::{parse, Block, Comment, Statement, Word};
 
-/// Most findings that a report shows; the first mistakes explain the others.
+/// Maximum number of findings in a report; later findings mostly follow from the first ones.
 const MAX_SHOWN_FINDINGS: usize = 100;
 
-/// What came of reading a configuration.
+/// Result of loading a configuration.
 #[derive(Debug)]
 pub struct LoadedConfig {
-    /// The files that were read.
+    /// Source files that were read.
     pub sources: Sources,
-    /// All that was found, by file and place.
+    /// Findings, sorted by file and position.
     pub findings: Vec<Diagnostic>,
-    /// The configuration, unless there is an error.
+    /// The checked configuration; `None` if there is an error.
     pub model: Option<Model>,
 }
 
 impl LoadedConfig {
-    /// The findings that are at least this bad, as people read them.
+    /// Renders the findings of at least the given severity as text for people.
     pub fn report(&self, least: Severity, colours: bool) -> String {
         let found: Vec<_> = self.findings.iter().filter(|f| f.severity >= least).cloned().collect();
         let shown = &found[..found.len().min(MAX_SHOWN_FINDINGS)];
@@ -47,24 +47,25 @@
         report
     }
 
-    /// How many findings are this bad.
+    /// Counts the findings of the given severity.
     pub fn count(&self, severity: Severity) -> usize {
         self.findings.iter().filter(|f| f.severity == severity).count()
     }
 }
 
-/// What may follow from a mistake of another kind: missing statements and names, and sums over what is there.
+/// Codes that may be consequences of an earlier error: missing statements and names, and totals over the
+/// statements that are present.
 const CONSEQUENTIAL_CODES: [&str; 17] = [
     "IV0010", "IV0011", "IV0013", "IV0014", "IV0015", "IV0033", "IV0045", "IV0049", "IV0054", "IV0055",
     "IV0056", "IV0057", "IV0077", "IV0081", "IV0102", "IV0103", "IV0105",
 ];
 
-/// Reads and checks a configuration of one file.
+/// Loads and checks a configuration that consists of one file.
 pub fn load(name: &str, text: &str) -> LoadedConfig {
     load_with(name, text.as_bytes(), &NoFiles)
 }
 
-/// Reads and checks a configuration, with the files that it includes.
+/// Loads and checks a configuration together with the files that it includes.
 pub fn load_with(name: &str, bytes: &[u8], loader: &dyn Loader) -> LoadedConfig {
     let expand::Expanded { sources, root, findings, incomplete } = expand::expand(name, bytes, loader);
     let before = findings.len();
@@ -73,7 +74,8 @@
     let model = check::check(&root, &findings).filter(|_| !incomplete);
     let mut findings = findings.into_inner();
     if incomplete {
-        // Statements that could not be read are missing below; no one can act on what follows from that.
+        // Statements that could not be parsed are missing from the tree, and findings caused by their absence
+        // are not actionable.
         let unknown =
             |f: &Diagnostic| sources.excerpt(f.at.0).starts_with('$') && !defined.contains_key(&f.at.0);
         let first = findings.split_off(before).into_iter();
--- a/crates/config/src/plausibility.rs
+++ b/crates/config/src/plausibility.rs
@@ -1,16 +1,16 @@
-//! Values that are possible and hardly ever meant: a unit or two off, a percentage for a share.
+//! Detects values that are valid but implausible, such as a wrong unit or a percentage in place of a share.
 
 use crate::diagnostic::Diagnostic;
 use crate::syntax::Word;
 
-/// Why a value is not believed.
+/// Reason for which a value is considered implausible.
 pub struct ImplausibleValue {
     why: String,
     instead: Option<String>,
 }
 
-/// What is usual: kind of block, statement, least and most, and what the value is for. Times are
-/// milliseconds.
+/// Plausible ranges: kind of block, statement, minimum, maximum, and the purpose of the value. Times are in
+/// milliseconds, sizes in bytes.
 const PLAUSIBLE_RANGES: [(&str, &str, f64, f64, &str); 41] = [
     ("class", "deadline", 20.0, 600_000.0, "a client's whole wait"),
     ("class", "aim", 2.0, 300_000.0, "a good answer's time"),
@@ -55,7 +55,7 @@
     ("plan", "open", 0.0, 1e6, "requests of one customer out at once"),
 ];
 
-/// Units by which slips are made: what stands there, and what was probably meant.
+/// Likely unit mistakes: the unit written, the unit probably intended, and the factor between them.
 const UNIT_MISTAKES: [(&str, &str, f64); 8] = [
     ("us", "ms", 1e3),
     ("ms", "s", 1e3),
@@ -67,7 +67,7 @@
     ("KiB", "MiB", 1024.0),
 ];
 
-/// Looks at a value. Nothing is never a slip: it switches things off.
+/// Checks a value against its plausible range. Zero is always accepted, because it disables a feature.
 pub fn implausible_value(kind: &str, name: &str, text: &str, value: f64) -> Option<ImplausibleValue> {
     let (.., least, most, what) =
         PLAUSIBLE_RANGES.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
@@ -86,7 +86,7 @@
 }
 
 impl ImplausibleValue {
-    /// As an error, with the way to say that the value is right.
+    /// Converts to an error that also tells how to confirm the value.
     pub fn diagnostic(self, name: &str, word: &Word) -> Diagnostic {
         let error = Diagnostic::error(
             "IV0080",
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,10 +1,10 @@
-//! Text to statements. Every word keeps its span and every comment its place; one run finds all mistakes.
+//! Lexer and parser. Words keep their spans and comments their positions, and one run reports all syntax errors.
 
 use crate::diagnostic::{Diagnostic, Span};
 use logos::Logos;
 
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
-// A byte order mark means nothing; editors that write one do so at the start.
+// A byte order mark is skipped like white space; some editors write one at the start of a file.
 #[logos(skip r"[ \t\r\n\u{FEFF}]+")]
 enum Token {
     #[token("{")]
@@ -21,57 +21,57 @@
     Word,
 }
 
-/// A word of a statement.
+/// Word of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// What it says, without quotes and escapes.
+    /// Text without quotes and escapes.
     pub text: String,
-    /// Whether it stood in quotes.
+    /// True if the word was quoted.
     pub quoted: bool,
-    /// Where it stands.
+    /// Position in the source.
     pub span: Span,
-    /// Where its value is defined, if a variable stood here.
+    /// Definition of the variable that this word was substituted for, if any.
     pub defined: Option<Span>,
 }
 
-/// A comment, from `#` to the end of its line.
+/// Comment, from `#` to the end of the line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comment {
-    /// Its text with the `#`.
+    /// Text, including the `#`.
     pub text: String,
-    /// Where it stands.
+    /// Position in the source.
     pub span: Span,
 }
 
-/// A statement: words, then `;` or a block.
+/// Statement: words followed by `;` or a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// Its words; the first names it.
+    /// Words; the first is the statement's name. Never empty.
     pub words: Vec<Word>,
-    /// Its block, if it has one.
+    /// Block, if there is one.
     pub block: Option<Block>,
-    /// Comments that stand before it.
+    /// Comments before the statement or within its words.
     pub comments: Vec<Comment>,
-    /// From the first word to the `;` or the closing brace.
+    /// Span from the first word to the `;` or the closing brace.
     pub span: Span,
 }
 
-/// Statements, with the comments behind the last one.
+/// Sequence of statements with the comments after the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Block {
-    /// The statements in order.
+    /// Statements in source order.
     pub statements: Vec<Statement>,
-    /// Comments behind the last statement.
+    /// Comments after the last statement.
     pub trailing: Vec<Comment>,
 }
 
-/// Deepest nesting of blocks; guards the stack.
+/// Maximum nesting depth of blocks; bounds the parser's recursion.
 const MAX_BLOCK_DEPTH: usize = 16;
-/// Most words of a statement and most mistakes that are told of a file; they guard the memory.
+/// Maximum number of words in a statement and of syntax errors reported per file; both bound memory use.
 const MAX_STATEMENT_WORDS: usize = 4096;
 const MAX_SYNTAX_ERRORS: usize = 500;
 
-/// Reads a file. What could be read comes back beside the mistakes.
+/// Parses a file. Returns the statements that could be parsed together with the syntax errors.
 pub fn parse(text: &str, file: u32) -> (Block, Vec<Diagnostic>) {
     let lexer = Token::lexer(text);
     let last = Span { file, start: 0, end: 0 };
@@ -84,7 +84,7 @@
     text: &'a str,
     file: u32,
     lexer: logos::Lexer<'a, Token>,
-    /// The last token is to be given once more.
+    /// True if `next` must return the last token again.
     pushed_back: bool,
     last: (Option<Token>, Span),
     errors: Vec<Diagnostic>,
@@ -116,7 +116,7 @@
         &self.text[span.start..span.end]
     }
 
-    /// Statements up to the closing brace, or to the end of the file where there is none to close.
+    /// Parses statements up to the closing brace, or to the end of the file at the outermost level.
     fn block(&mut self, opened: Option<Span>, depth: usize) -> Block {
         let mut block = Block::default();
         let mut comments = Vec::new();
@@ -137,7 +137,7 @@
                     let error = Diagnostic::error("IV0002", "a `}` closes nothing", span, "no block is open");
                     self.error(error.help("remove it, or look for a `}` too many above"));
                 }
-                // A stray `;` changes nothing.
+                // An empty statement has no effect.
                 Some(Token::End) => {}
                 Some(Token::Open) => {
                     let error = Diagnostic::error(
@@ -191,7 +191,7 @@
                     return finish(words, Some(block), comments, Some(self.last.1));
                 }
                 Some(Token::Close) => {
-                    // The block ends here all the same, so that what follows is read in its place.
+                    // The block still ends here, so that the following statements are parsed at the right level.
                     self.pushed_back = true;
                     self.missing_end(&words);
                     return finish(words, None, comments, None);
@@ -204,7 +204,7 @@
                     };
                     let error = Diagnostic::error("IV0001", what, span, "from here");
                     self.error(error.help("a quoted word begins and ends with `\"` on one line"));
-                    // The rest of the line can't be told apart.
+                    // The rest of the line cannot be split into tokens.
                     let rest = self.lexer.remainder();
                     self.lexer.bump(rest.find('\n').unwrap_or(rest.len()));
                     return None;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,13 +1,13 @@
-//! Quantities with units.
+//! Parses quantities with units.
 
-/// What is wrong with a quantity.
+/// Reason for which a quantity cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuantityError {
-    /// Not a number at all.
+    /// The text does not begin with a number.
     NotANumber,
-    /// A number without its unit.
+    /// The unit is missing.
     NoUnit,
-    /// A unit that is not one of this kind.
+    /// The unit does not belong to this kind of quantity.
     WrongUnit(String),
 }
 
@@ -26,12 +26,12 @@
     known.map(|(_, factor)| number * factor).ok_or_else(|| QuantityError::WrongUnit(unit.to_owned()))
 }
 
-/// `15s`, `250ms`, `2m`, `1h`, `30d`, `500us`: milliseconds.
+/// Parses a duration such as `15s`, `250ms`, `2m`, `1h`, `30d` or `500us` into milliseconds.
 pub fn duration(text: &str) -> Result<f64, QuantityError> {
     scaled(text, &[("us", 0.001), ("ms", 1.0), ("s", 1e3), ("m", 6e4), ("h", 3.6e6), ("d", 8.64e7)])
 }
 
-/// `64KiB`, `1MiB`, `512B`: bytes.
+/// Parses a size such as `64KiB`, `1MiB` or `512B` into bytes.
 pub fn size(text: &str) -> Result<f64, QuantityError> {
     scaled(
         text,
@@ -46,12 +46,12 @@
     )
 }
 
-/// `20/s`, `300/m`, `5/h`: a number a second.
+/// Parses a rate such as `20/s`, `300/m` or `5/h` into events per second.
 pub fn rate(text: &str) -> Result<f64, QuantityError> {
     scaled(text, &[("/s", 1.0), ("/m", 1.0 / 60.0), ("/h", 1.0 / 3600.0)])
 }
 
-/// A number without a unit.
+/// Parses a number without a unit.
 pub fn plain(text: &str) -> Result<f64, QuantityError> {
     match split(text)? {
         (number, "") => Ok(number),
--- a/crates/config/src/units/tests.rs
+++ b/crates/config/src/units/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `units` that need its private state.
+//! Unit tests of the quantity parsers, which are private to the crate.
 
 use super::*;
 
