--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,4 @@
-//! Statements to the checked model: types, units, references and meaning.
+//! Converts statements to the checked model: types, units, references and consistency.
 
 use crate::consistency;
 use crate::diagnostic::{Diagnostic, Severity, Span};
@@ -12,26 +12,26 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Descriptors that are no listener's and no pool's: standard streams, the runtime's own, sockets in the act
-/// of closing.
+/// Number of file descriptors reserved for uses other than listeners and pools: standard streams, the runtime
+/// and sockets that are being closed.
 pub const RESERVED_DESCRIPTORS: usize = 48;
-/// Methods that change nothing by their definition; a safe class claims these where a route names none.
+/// Methods that are safe by definition; the default of a route whose class is safe.
 pub const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
-/// Longest time of any kind.
+/// Maximum of any configured time except the journal's `keep`: one day.
 pub const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-/// How long orders are kept in the journal where nothing is said.
+/// Default retention time of orders in the journal: 30 days.
 const DEFAULT_JOURNAL_KEEP_MS: f64 = 30.0 * MAX_DURATION_MS;
-/// At the least: longer than any request takes from its arrival to its end, body and answer.
+/// Minimum retention time: longer than any request can take from its arrival to the end of its response.
 const MIN_JOURNAL_KEEP_MS: f64 = 3.0 * MAX_DURATION_MS;
-/// What the journal may take of the disk where nothing is said, and at the least.
+/// Default and minimum of the journal's disk limit in bytes.
 const DEFAULT_JOURNAL_BYTES: f64 = 1_073_741_824.0;
 const MIN_JOURNAL_BYTES: f64 = 67_108_864.0;
 
-/// Longest path of a route.
+/// Maximum length of a route's path.
 const MAX_PATH_BYTES: usize = 2048;
 
-/// Checks a parsed file. The model comes back unless there is an error.
+/// Checks the expanded statements. Returns the model unless there is an error.
 pub fn check(root: &Block, findings: &Findings) -> Option<Model> {
     let end = Span::default();
     let fields = Fields::new("file", root.statements.first().map_or(end, head_span), root, findings);
@@ -70,7 +70,7 @@
     (!bad).then_some(model)
 }
 
-/// Words that stand for a variable, and where that is defined.
+/// Maps the span of each substituted variable to the span of its definition.
 pub fn variable_definitions(block: &Block) -> HashMap<Span, Span> {
     let mut all = HashMap::new();
     for statement in &block.statements {
@@ -128,7 +128,7 @@
     Some(journal)
 }
 
-/// Whether a statement says the first of two words; where it is not given it does.
+/// Returns true if a statement has the first of two possible values or is missing.
 fn is_first_choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
     let Some(word) = inner.word(name) else { return true };
     if !words.contains(&word.text.as_str()) {
@@ -138,7 +138,7 @@
     word.text != words[1]
 }
 
-/// A quantity that must not be less than something, or what it is by default.
+/// Returns a quantity or its default; reports an error if it is below the minimum.
 fn at_least(
     inner: &Fields,
     name: &'static str,
@@ -199,7 +199,7 @@
     !text.is_empty() && text.bytes().all(fits)
 }
 
-/// A header's name.
+/// Parses a header name and converts it to lower case.
 fn header_name(fields: &Fields, word: &Word) -> Option<String> {
     if is_token(&word.text) {
         return Some(word.text.to_ascii_lowercase());
@@ -211,7 +211,7 @@
     None
 }
 
-/// The name of a block; names are unique among their kind.
+/// Returns the name of a block; reports an error if it is missing or already used by a block of this kind.
 fn block_name<'a>(
     fields: &Fields,
     kind: &str,
@@ -239,7 +239,7 @@
     Some(word)
 }
 
-/// The number of what a word names.
+/// Returns the index of the item that a word names; reports an error if there is none.
 fn resolve<T>(
     fields: &Fields,
     kind: &str,
@@ -694,7 +694,7 @@
     pools
 }
 
-/// A `domains` block, and the words of its zones in works.
+/// Reads a `domains` block; also returns the words that name its maintenance zones.
 fn domains<'a>(block: Fields<'a>) -> (Domains, &'a [Word]) {
     let words = block.single("works").and_then(|s| block.words(s, 1, 64)).unwrap_or_default();
     let distrust = match block.quantity_or("distrust", Quantity::Share, 0.5) {
@@ -712,7 +712,7 @@
     (Domains { leave, maintenance_zones, distrust }, words)
 }
 
-/// Zones in works must be there, and one must be left that is not.
+/// Checks that the maintenance zones exist and that at least one other zone is left.
 fn check_maintenance_zones(pool: &Fields, domains: &Domains, words: &[Word], servers: &[Server]) {
     let mut zones: Vec<&str> = servers.iter().map(|server| server.zone.as_str()).collect();
     zones.sort_unstable();
@@ -801,7 +801,7 @@
     servers
 }
 
-/// Headers that say how a message is framed or where it goes; no service may set them.
+/// Headers that control framing, the connection or routing; they cannot be carried to or from a sign-in service.
 const CONNECTION_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
@@ -872,7 +872,7 @@
         let cache_unsafe = flag(&inner, "cache-unsafe");
         let at = SourceSpan(inner.head);
         inner.finish();
-        // One with a mistake is kept too, so that routes that name it are not told of as well.
+        // A sign-in with errors is kept, so that routes that refer to it are not reported as well.
         let (pool, path) = (pool.unwrap_or(0), path.unwrap_or_default());
         let name = name.text.clone();
         sign_ins.push(SignIn {
@@ -896,7 +896,7 @@
     sign_ins
 }
 
-/// A limit on failed checks: a rate, and perhaps how many may fail at once.
+/// Reads a limit on failed checks: a rate and an optional burst.
 fn failed_check_limit(inner: &Fields, name: &'static str) -> FailedCheckLimit {
     let none = FailedCheckLimit { rate: 0.0, burst: 0.0 };
     let Some(words) = inner.single(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
@@ -906,12 +906,12 @@
             inner.report(implausible.diagnostic(name, &words[0]));
         }
     }
-    // Two seconds' worth, and some at the least for checks that are on their way at the same time.
+    // The default burst covers two seconds, and at least 10 for checks that are in flight at the same time.
     let burst = words.get(1).and_then(|word| inner.quantity_in(word, Quantity::Count));
     FailedCheckLimit { rate, burst: burst.unwrap_or((2.0 * rate).max(10.0)).max(1.0) }
 }
 
-/// A path to ask for, in normal form.
+/// Parses a path and query and normalizes it.
 fn request_path(fields: &Fields, word: &Word) -> Option<String> {
     match RequestTarget::parse(&word.text) {
         Ok(target) if word.text.starts_with('/') => Some(target.path_and_query()),
@@ -969,11 +969,11 @@
     routes
 }
 
-/// What a route says of repeats; it may only narrow what its class says.
+/// Returns the repeat policy of a route, which may only be stricter than that of its class.
 fn route_repeat(inner: &Fields, class: Option<&Class>) -> RepeatPolicy {
     let of_class = class.map_or(RepeatPolicy::Unsent, |c| c.repeat);
     let told = repeat(inner).unwrap_or(of_class);
-    // Of an unsafe class that says so itself the error stands there.
+    // A looser policy of an unsafe class itself is reported at the class.
     if let (Some(class), true) = (class, told > of_class) {
         let at = inner.single("repeat").map_or(inner.head, |s| s.span);
         let what = format!("this route repeats what its class `{}` does not", class.name);
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -1,22 +1,22 @@
-//! What every code means, for `ivygate explain` and the reference.
+//! Catalogue of diagnostic codes for `ivygate explain` and the reference.
 
-/// One code. Codes stay as they are; new ones are added.
+/// Entry of the catalogue. Codes are never changed or reused; new ones are added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Code {
-    /// Such as `IV0021`.
+    /// Code, such as `IV0021`.
     pub code: &'static str,
-    /// What is wrong, in short.
+    /// Short description of the problem.
     pub title: &'static str,
-    /// Why it is.
+    /// Reason for which it is a problem.
     pub why: &'static str,
-    /// How it may look; empty where that says nothing.
+    /// Example of the mistake; empty where an example does not help.
     pub wrong: &'static str,
-    /// What to write instead.
+    /// Corrected example; empty where an example does not help.
     pub right: &'static str,
 }
 
 impl Code {
-    /// `error`, `warning` or `note`.
+    /// Returns `error`, `warning` or `note`.
     pub fn severity(&self) -> &'static str {
         match self.code.as_bytes().get(3) {
             Some(b'0') => "error",
@@ -26,7 +26,7 @@
     }
 }
 
-/// All codes in order.
+/// All codes, in ascending order.
 pub const CODES: &[Code] = &[
     Code {
         code: "IV0001",
--- a/crates/config/src/consistency.rs
+++ b/crates/config/src/consistency.rs
@@ -1,5 +1,5 @@
-//! What only the whole configuration shows: values that contradict each other, routes that no request reaches,
-//! limits that do not add up.
+//! Checks of the whole configuration: contradictory values, unreachable routes, and limits whose total exceeds
+//! the resources of the process.
 
 use crate::check::{MAX_DURATION_MS, RESERVED_DESCRIPTORS};
 use crate::diagnostic::{Diagnostic, Span};
@@ -10,14 +10,14 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Servers are taken to drop repeats for this long where their pool does not say.
+/// Time for which servers are assumed to drop repeats if their pool does not set it.
 const DEFAULT_KEY_RETENTION_MS: f64 = 15_000.0;
-/// Memory of the process by itself, for each client connection at work, and for each to a server; in bytes.
+/// Estimated memory use of the process itself, of an active client connection and of a server connection.
 const PROCESS_MEMORY_BYTES: usize = 16 << 20;
 const CLIENT_CONNECTION_BYTES: usize = 200 << 10;
 const SERVER_CONNECTION_BYTES: usize = 136 << 10;
 
-/// Checks a model as a whole.
+/// Checks the whole model and reports findings.
 pub fn check(fields: &Fields, model: &Model) {
     check_required_blocks(fields);
     check_route_table(fields, model);
@@ -33,25 +33,25 @@
     check_unused(fields, model);
 }
 
-/// The statement in a block of this kind and name.
+/// Returns a statement of the block with the given kind and name.
 fn setting<'a>(fields: &Fields<'a>, kind: &'static str, name: &str, part: &str) -> Option<&'a Statement> {
     let named = |s: &&Statement| s.words.get(1).is_some_and(|w| w.text == name);
     let block = fields.all(kind).into_iter().find(named)?.block.as_ref()?;
     block.statements.iter().find(|s| s.words[0].text == part)
 }
 
-/// Where that statement stands, or else the block.
+/// Returns the span of that statement, or that of the block if it is missing.
 fn setting_span(fields: &Fields, kind: &'static str, name: &str, statement: &str, at: SourceSpan) -> Span {
     setting(fields, kind, name, statement).map_or(at.0, head_span)
 }
 
-/// Whether a block has a mistake, so that its values may be others than those meant.
+/// Returns true if a block has an error, so that its values may not be the intended ones.
 fn has_errors(fields: &Fields, kind: &'static str, name: &str) -> bool {
     let named = |s: &&Statement| s.words.get(1).is_some_and(|w| w.text == name);
     fields.all(kind).into_iter().filter(named).any(|s| fields.has_error_in(s.span))
 }
 
-/// Whether any block of a kind has a mistake.
+/// Returns true if any block of a kind has an error.
 fn any_has_errors(fields: &Fields, kind: &'static str) -> bool {
     fields.all(kind).iter().any(|s| fields.has_error_in(s.span))
 }
@@ -380,7 +380,7 @@
     }
 }
 
-/// Listeners on which other programs ask, and what they must be told by.
+/// Checks that listeners for authorization checks trust a peer: the checked request is described in headers.
 fn check_forward_auth_listeners(fields: &Fields, model: &Model) {
     for listener in model.listeners.iter().filter(|l| l.answers_checks.is_some()) {
         if listener.trusted.is_empty() && !fields.has_error_in(listener.at.0) {
@@ -434,7 +434,8 @@
     }
 }
 
-/// Pools whose servers are listeners of this process. Those that answer checks send nothing on.
+/// Reports servers that are listeners of this process. Listeners for authorization checks forward nothing, so they
+/// cannot form a loop.
 fn check_loops(fields: &Fields, model: &Model) {
     for (pool, server) in model.pools.iter().flat_map(|pool| pool.servers.iter().map(move |s| (pool, s))) {
         let is_own = |listener: &&Listener| {
@@ -499,8 +500,8 @@
     }
     let open: usize = model.pools.iter().map(|p| p.requests).sum();
     for listener in &model.listeners {
-        // Waiting requests hold their client's connection: with more of them than connections one slow pool
-        // could hold them all. An eighth is kept free for those that come next.
+        // A waiting request holds its client's connection, so one slow pool could occupy all connections of a
+        // listener. An eighth of them is kept free for new requests.
         if open + listener.connections / 8 > listener.connections {
             let what = "requests of slow pools could hold all connections of this listener";
             let label = format!("{} connections, an eighth of them kept free", listener.connections);
@@ -524,7 +525,7 @@
             .report(Diagnostic::warning(code, what, at.0, "defined here").help("remove it, or route to it"));
     };
     if model.routes.len() < fields.all("route").len() {
-        // A route that could not be read may name them.
+        // A route with errors may refer to the unused items.
         return;
     }
     let classes: BTreeSet<usize> = model.routes.iter().map(|r| r.class).collect();
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -1,6 +1,6 @@
-//! Includes, named blocks and variables: from the statements of all files to those that are checked.
+//! Expands includes, named blocks and variables into a single tree of statements.
 //!
-//! Texts come through a [`Loader`]; nothing here touches a file.
+//! Files are read through a [`Loader`]; this module performs no I/O.
 
 use crate::diagnostic::{Diagnostic, Sources, Span};
 use crate::fields::head_span;
@@ -8,35 +8,36 @@
 use crate::units;
 use std::collections::{HashMap, HashSet};
 
-/// Deepest chain of includes.
+/// Maximum depth of nested includes, and of nested `use` statements.
 const MAX_INCLUDE_DEPTH: usize = 16;
-/// Most files, bytes and statements of one configuration, with all repetitions; they guard the memory.
+/// Maximum number of files, bytes and statements of one configuration, counting repeated ones each time. They
+/// bound memory use.
 const MAX_FILES: usize = 10_000;
 const MAX_TOTAL_BYTES: usize = 64 << 20;
 const MAX_STATEMENTS: usize = 1_000_000;
 
-/// Finds and reads files for an include.
+/// Finds and reads included files.
 pub trait Loader {
-    /// The names of the files that a path or pattern means, relative to the file `from`, in order. A pattern that
-    /// matches nothing gives none.
+    /// Returns the names of the files that a path or pattern relative to the file `from` refers to, in order. The
+    /// result is empty if a pattern matches no file.
     ///
     /// # Errors
-    /// In words, if a path without a pattern names no file.
+    /// If a path that is not a pattern names no file; the error is text for the operator.
     fn find(&self, from: &str, pattern: &str) -> Result<Vec<String>, String>;
 
-    /// A file's bytes.
+    /// Reads the bytes of a file.
     ///
     /// # Errors
-    /// In words, if it cannot be read, is no plain file, or is too large.
+    /// If the file cannot be read, is not a regular file or is too large; the error is text for the operator.
     fn read(&self, name: &str) -> Result<Vec<u8>, String>;
 
-    /// What two names of one file have in common, so that circles are seen.
+    /// Returns an identifier that is equal for all names of one file; include cycles are detected by it.
     fn identity(&self, name: &str) -> String {
         name.to_owned()
     }
 }
 
-/// A loader that knows of no file.
+/// Loader for configurations without includes; every lookup fails.
 pub struct NoFiles;
 
 impl Loader for NoFiles {
@@ -49,19 +50,19 @@
     }
 }
 
-/// All statements, and what is wrong so far.
+/// Result of the expansion.
 pub struct Expanded {
-    /// The files.
+    /// Source files that were read.
     pub sources: Sources,
-    /// The statements with includes, named blocks and variables put in.
+    /// Statements with includes, named blocks and variables expanded.
     pub root: Block,
-    /// What is wrong.
+    /// Findings so far.
     pub findings: Vec<Diagnostic>,
-    /// Whether statements are missing for a mistake, so that what is missing further on says nothing.
+    /// True if errors left statements out, so that later findings about missing items are unreliable.
     pub incomplete: bool,
 }
 
-/// Reads a configuration from its first file on.
+/// Reads a configuration, starting with its first file.
 pub fn expand(name: &str, bytes: &[u8], loader: &dyn Loader) -> Expanded {
     let mut reader = IncludeReader {
         loader,
@@ -90,11 +91,11 @@
     Expanded { sources, root, findings: definitions.findings, incomplete: definitions.incomplete }
 }
 
-/// A file that is being read.
+/// File that is being read.
 struct OpenFile {
     name: String,
     identity: String,
-    /// The include that led to it.
+    /// Position of the include that led to it; `None` for the first file.
     from: Option<Span>,
 }
 
@@ -105,7 +106,7 @@
     incomplete: bool,
     bytes: usize,
     count: usize,
-    /// The files that are being read, each included by the one before.
+    /// Files that are being read, each included by the one before it.
     include_chain: Vec<OpenFile>,
 }
 
@@ -115,7 +116,7 @@
         self.findings.push(error);
     }
 
-    /// One file's statements; its includes are still to be put in.
+    /// Parses one file without expanding its includes, and pushes it onto the include chain.
     fn parse_file(&mut self, name: &str, bytes: &[u8], from: Option<Span>) -> Block {
         self.count += 1;
         self.bytes += bytes.len();
@@ -124,7 +125,7 @@
         let text = match std::str::from_utf8(bytes) {
             Ok(text) => text,
             Err(error) => {
-                // What comes before can be shown, and the place counted in it.
+                // Keep the valid text before the error, so that the report can show it and locate the error.
                 let good = String::from_utf8_lossy(&bytes[..error.valid_up_to()]);
                 let end = good.len();
                 let file = self.sources.add(name, format!("{good}\u{FFFD}"));
@@ -141,7 +142,7 @@
         block
     }
 
-    /// Puts the files in for the includes of a block, at any depth.
+    /// Replaces the includes in a block, at any depth, with the statements of the included files.
     fn expand_includes(&mut self, block: &mut Block) {
         if !block.statements.iter().any(has_include) {
             return;
@@ -246,11 +247,11 @@
     incomplete: bool,
     used: HashSet<String>,
     statements: usize,
-    /// The named blocks that are being put in, with the place of each `use`.
+    /// Named blocks that are being expanded, with the position of each `use`.
     use_chain: Vec<(String, Span)>,
 }
 
-/// What a variable's type may be, and how a value of it reads.
+/// Types of variables, with a description and an example of a value.
 const TYPES: [(&str, &str); 8] = [
     ("time", "a time such as `15s`"),
     ("size", "a size such as `64KiB`"),
@@ -281,7 +282,7 @@
         self.findings.push(error);
     }
 
-    /// Takes the definitions out of the outermost statements.
+    /// Removes the definitions of variables and named blocks from the outermost statements and records them.
     fn collect_definitions(&mut self, root: &mut Block) {
         for statement in std::mem::take(&mut root.statements) {
             if is_named(&statement, "let") {
@@ -347,7 +348,7 @@
         self.blocks.insert(name.text.clone(), (block, at));
     }
 
-    /// Puts named blocks and variables in.
+    /// Expands the named blocks and variables in a block.
     fn expand_block(&mut self, block: Block, outermost: bool) -> Block {
         let mut done =
             Block { statements: Vec::with_capacity(block.statements.len()), trailing: block.trailing };
@@ -428,7 +429,7 @@
             Some(variable) => {
                 self.used.insert(format!("variable {name}"));
                 let Word { text, quoted, .. } = variable.value.clone();
-                // Never taken for a keyword such as `meant`.
+                // `defined` keeps a substituted word from being read as the keyword `meant`.
                 Word { text, quoted, span: word.span, defined: Some(variable.at) }
             }
             None => {
@@ -465,13 +466,14 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
 }
 
-/// How far known names are from a word. One of monstrous length is like none, and would take long to compare.
+/// Returns the edit distances of known names to a word. Names whose length differs by more than 2 are skipped:
+/// they cannot match, and comparing very long words is slow.
 pub fn close_names<'a>(text: &'a str, known: &'a [&'a str]) -> impl Iterator<Item = (usize, &'a str)> {
     let alike = |name: &&&str| name.len().abs_diff(text.len()) <= 2;
     known.iter().filter(alike).map(|name| (strsim::damerau_levenshtein(name, text), *name))
 }
 
-/// What may have been meant.
+/// Returns a help text that names the closest known name or lists the known names.
 pub fn suggestion(text: &str, known: &[&str]) -> String {
     let near = close_names(text, known).min();
     match near {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,13 +1,14 @@
-//! The checked configuration: plain data, and the only thing that the rest of the program sees of it.
+//! The checked configuration as plain data, the only form in which other crates see it.
 //!
-//! Times are milliseconds, sizes bytes.
+//! Times are in milliseconds and sizes in bytes.
 
 use crate::diagnostic::Span;
 use ipnet::IpNet;
 use ivygate_routing::RouteMatch;
 use std::net::SocketAddr;
 
-/// Where something stands in the file. Does not count when configurations are compared.
+/// Position of an item in its file. All values compare equal, so that positions do not count when
+/// configurations are compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceSpan(pub Span);
 
@@ -17,193 +18,193 @@
     }
 }
 
-/// A whole configuration.
+/// Complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// How customers, plans and deadlines are read off requests.
+    /// Sources of a request's customer, plan and deadline.
     pub identity: Identity,
-    /// Where clients connect.
+    /// Listener for client connections.
     pub listeners: Vec<Listener>,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Plans of customers.
+    /// Customer plans.
     pub plans: Vec<Plan>,
-    /// Customers whose plan is in the file.
+    /// Customers whose plan is set in the configuration.
     pub customers: Vec<Customer>,
-    /// Pools of servers.
+    /// Server pools.
     pub pools: Vec<Pool>,
-    /// Services that are asked before a request goes on.
+    /// Authentication services, queried before a request is forwarded.
     pub sign_ins: Vec<SignIn>,
-    /// Routes, in the file's order.
+    /// Routes, in source order.
     pub routes: Vec<Route>,
-    /// Where requests that must not run twice are recorded, if they are.
+    /// Journal of requests that must not run twice, if enabled.
     pub journal: Option<Journal>,
-    /// Where people who run this ask about it, if they may.
+    /// Listener for operators, if enabled.
     pub operator: Option<Operator>,
-    /// How this process and the others tell each other what they see, if they do.
+    /// Group of processes that exchange their observations, if configured.
     pub group: Option<Group>,
 }
 
-/// How processes tell each other what they see of zones.
+/// Group of processes that exchange their observations of zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Where this one hears the others (UDP).
+    /// UDP address on which this process receives messages.
     pub listen: SocketAddr,
-    /// Files with keys: the first is written with, all are believed.
+    /// Key files: messages are signed with the first key and accepted with any of them.
     pub keys: Vec<String>,
-    /// Where the others hear; one's own address does no harm.
+    /// Addresses of the other processes; the list may contain the own address.
     pub peers: Vec<SocketAddr>,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
 impl Group {
-    /// Most other processes.
+    /// Maximum number of peers.
     pub const MAX_PEERS: usize = 512;
 }
 
-/// Where people who run this ask about it; never one of the clients' addresses.
+/// Listener for operators; its address must differ from those of the client listeners.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// The address.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
 impl Operator {
-    /// Most connections there.
+    /// Maximum number of connections.
     pub const MAX_CONNECTIONS: usize = 16;
 }
 
-/// Where requests that must not run twice are recorded before they are sent.
+/// Journal in which requests that must not run twice are recorded before they are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Journal {
-    /// The folder.
+    /// Directory of the journal.
     pub folder: String,
-    /// Whether a record counts only when the disk has it, and not already when the system does.
+    /// True if a record counts only once it is synced to disk; false if a write to the operating system suffices.
     pub synced: bool,
-    /// How long orders are kept.
+    /// Retention time of orders.
     pub keep: f64,
-    /// Most bytes that it may take of the disk.
+    /// Maximum disk usage in bytes.
     pub disk: u64,
-    /// Whether keyed requests are recorded too.
+    /// True if keyed requests are recorded too.
     pub keyed: bool,
-    /// Whether customers are recorded by pseudonyms.
+    /// True if customers are recorded under pseudonyms.
     pub hashed: bool,
-    /// The header with the client's id of an order.
+    /// Header that carries the client's order id.
     pub id_header: String,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub descriptors: usize,
-    /// Longest time from the signal to end to the end.
+    /// Maximum time between the termination signal and the exit.
     pub drain: f64,
-    /// Most memory, if that is told; it is planned with, not enforced.
+    /// Memory budget in bytes, if set; the checker compares it with the estimated use, and it is not enforced.
     pub memory: Option<usize>,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// How a customer, its plan and a deadline are read off a request.
+/// Sources of a request's customer, plan and deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// The customer; the client's address where a request does not tell.
+    /// Source of the customer; the client's address is used where a request does not name one.
     pub customer: CustomerSource,
-    /// A header that names the plan, believed of trusted peers only.
+    /// Header that names the plan; accepted from trusted peers only.
     pub plan_header: Option<String>,
-    /// The plan of customers that nothing else names one for, by its number.
+    /// Index of the plan for customers without a plan of their own.
     pub default_plan: usize,
-    /// A header that shortens the deadline, believed of trusted peers only.
+    /// Header that shortens the deadline; accepted from trusted peers only.
     pub deadline_header: Option<String>,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// A customer whose plan is in the file.
+/// Customer whose plan is set in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its plan, by its number.
+    /// Index of the plan.
     pub plan: usize,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// Where a customer's name comes from.
+/// Source of a customer's name.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CustomerSource {
-    /// This header.
+    /// Value of this header.
     Header(String),
-    /// This cookie.
+    /// Value of this cookie.
     Cookie(String),
-    /// The client's address.
+    /// Client address.
     Address,
-    /// All requests are this customer's.
+    /// Fixed name for all requests.
     Fixed(String),
 }
 
-/// Where clients connect.
+/// Listener for client connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// The address.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Peers whose word on addresses, plans and deadlines is believed.
+    /// Networks of peers whose headers for addresses, plans and deadlines are accepted.
     pub trusted: Vec<IpNet>,
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Longest head of a request.
+    /// Maximum size of a request head.
     pub head: usize,
-    /// Time for a request's head to come whole.
+    /// Time limit for receiving a complete request head.
     pub head_within: f64,
-    /// Longest pause in a request's body.
+    /// Maximum pause within a request body.
     pub body_stall: f64,
-    /// Longest time in which a client reads nothing of an answer.
+    /// Maximum time during which a client reads none of a response.
     pub read_stall: f64,
-    /// An idle connection is closed after this time.
+    /// Time after which an idle connection is closed.
     pub idle: f64,
-    /// No request here has a longer deadline.
+    /// Upper bound on the deadlines of requests to this listener.
     pub answer_within: f64,
-    /// The path on which other programs ask whether their requests may go on; nothing else is served then.
+    /// Path of the authorization checks that other proxies send; if set, the listener serves nothing else.
     pub answers_checks: Option<String>,
-    /// How long the ids of requests that were let on so are remembered.
+    /// Time for which the ids of requests admitted by such checks are remembered.
     pub ids_kept: f64,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// Whether a request may be run again.
+/// Effect of running a request again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Any number of times.
+    /// May run any number of times.
     Safe,
-    /// Servers of one scope drop repeats with the same key, for a time.
+    /// Servers within the scope drop repeats with the same key, for a window in milliseconds.
     Keyed(Scope, f64),
-    /// Never twice.
+    /// Must not run twice.
     Unsafe,
 }
 
-/// The servers that drop each other's repeats, the fewest first.
+/// Set of servers that drop each other's repeats, from the smallest to the largest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Those of one cell.
+    /// Servers of one cell.
     Cell,
-    /// Those of one zone.
+    /// Servers of one zone.
     Zone,
-    /// All of the pool.
+    /// All servers of the pool.
     All,
 }
 
 impl Scope {
-    /// As the language has it.
+    /// Returns the keyword of the configuration language.
     pub fn as_str(self) -> &'static str {
         match self {
             Scope::Cell => "cell",
@@ -213,73 +214,73 @@
     }
 }
 
-/// After what a request may be sent again.
+/// Condition under which a request may be sent again, from the stricter to the looser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RepeatPolicy {
-    /// Only if no attempt can have run.
+    /// Only if no earlier attempt can have run.
     Unsent,
     /// Also after an attempt that may have run.
     Sent,
 }
 
-/// A class of requests.
+/// Request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Whether it may run again.
+    /// Effect of running such a request again.
     pub effect: Effect,
-    /// After what its requests may be sent again.
+    /// Condition under which its requests may be sent again.
     pub repeat: RepeatPolicy,
-    /// The header that carries a keyed request's key.
+    /// Header that carries the key of a keyed request.
     pub key_header: String,
-    /// An answer within this time is worth all of it.
+    /// Response time within which a response has its full worth.
     pub aim: f64,
-    /// An answer's head is owed within this time.
+    /// Time within which the head of the response must be sent.
     pub deadline: f64,
-    /// Time that a request is taken to need on an idle server until that has been measured.
+    /// Estimated processing time on an idle server, used until measurements exist.
     pub work: f64,
-    /// What is added to the deadline where a body is streamed.
+    /// Time added to the deadline when the request body is streamed.
     pub upload: f64,
-    /// Worth of one request.
+    /// Worth of one request relative to others.
     pub worth: f64,
-    /// Part of the worth that a late answer still has.
+    /// Share of the worth that a late response retains.
     pub late_worth: f64,
-    /// Units of the quota that one request takes.
+    /// Quota units consumed by one request.
     pub units: f64,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// A plan; quotas hold for each customer.
+/// Customer plan; its quotas apply to each customer separately.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Units a second; 0 for no quota.
+    /// Quota in units per second; 0 for none.
     pub quota: f64,
-    /// Most units saved up.
+    /// Maximum number of saved units.
     pub burst: f64,
-    /// Most requests out at once; 0 for no limit.
+    /// Maximum number of concurrent requests; 0 for no limit.
     pub open: u32,
-    /// Units a second that are never passed; 0 for none.
+    /// Hard limit in units per second; 0 for none.
     pub ceiling: f64,
-    /// Most units saved up under the ceiling.
+    /// Maximum number of units saved under the ceiling.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling may be passed for a moment.
+    /// Number of units by which the ceiling may be exceeded briefly.
     pub ceiling_slack: f64,
-    /// Factor on the worth of its requests.
+    /// Factor applied to the worth of its requests.
     pub price: f64,
-    /// Part of its worth that a request beyond the quota still has.
+    /// Share of its worth that a request beyond the quota retains.
     pub excess_worth: f64,
-    /// Part of its worth that sending one beyond the quota costs.
+    /// Cost of sending a request beyond the quota, as a share of its worth.
     pub excess_cost: f64,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
 impl Plan {
-    /// One without any quota.
+    /// Creates a plan without quota or ceiling.
     pub fn without_quota(name: &str) -> Self {
         Plan {
             name: name.to_owned(),
@@ -297,155 +298,155 @@
     }
 }
 
-/// A pool of servers with a decision module of its own.
+/// Pool of servers with its own routing decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The zone in which this process stands.
+    /// Zone of this process.
     pub zone: String,
-    /// Number of sidecars that share the servers and the quotas.
+    /// Number of sidecars that share the servers and quotas.
     pub sidecars: u32,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub attempts: u32,
-    /// Most connections to its servers.
+    /// Maximum number of connections to its servers.
     pub connections: usize,
-    /// Most requests open at once.
+    /// Maximum number of open requests.
     pub requests: usize,
-    /// Most bytes of requests' bodies held at once.
+    /// Maximum total size of buffered request bodies.
     pub buffered: usize,
-    /// A body up to this size is held, so that it can be sent again.
+    /// Maximum size of a body that is kept for a repeat.
     pub repeat_limit: usize,
-    /// A connection not established by then has failed.
+    /// Connect timeout.
     pub connect: f64,
-    /// An idle connection is kept for this long.
+    /// Time for which an idle connection is kept.
     pub keep: f64,
-    /// Longest pause in an answer's body.
+    /// Maximum pause within a response body.
     pub answer_stall: f64,
-    /// Statuses that are a server's failures.
+    /// Status codes that count as server failures.
     pub errors: Vec<u16>,
-    /// Header and value by which a 503 or 504 proves that nothing ran.
+    /// Header and value that mark a 503 or 504 as proof that the request did not run.
     pub declined: Option<(String, String)>,
-    /// How cold servers are spared; `None` if they need not be.
+    /// Load reduction for servers that have just started; `None` if they need none.
     pub cold: Option<ColdStart>,
-    /// Which of its servers drop each other's repeats, and for how long, if that is told.
+    /// Scope within which its servers drop repeats, and the duration, if configured.
     pub drops_repeats: Option<(Scope, f64)>,
-    /// Whether a second copy of a slow request may be sent while the first is out.
+    /// True if a second copy of a slow request may be sent while the first is pending.
     pub second_copies: bool,
-    /// Pools that may have servers of this one.
+    /// Names of pools that may contain servers of this one.
     pub shares_servers_with: Vec<String>,
-    /// Price of crossing zones, as a share of a request's worth.
+    /// Cost of sending a request to another zone, as a share of its worth.
     pub cross_zone: f64,
-    /// How its zones are judged as a whole; `None` if they are not.
+    /// Health evaluation of whole zones; `None` if disabled.
     pub domains: Option<Domains>,
-    /// The servers.
+    /// Servers.
     pub servers: Vec<Server>,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// How the zones of a pool are judged as a whole.
+/// Health evaluation of the zones of a pool as failure domains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Domains {
-    /// Whether zones are left by what is seen of them; else only by hand.
+    /// True if traffic leaves a zone on observed failures; otherwise only maintenance removes a zone.
     pub leave: bool,
-    /// Zones taken out by hand.
+    /// Zones taken out of service by the operator; the setting `works`.
     pub maintenance_zones: Vec<String>,
-    /// From this part of the servers on, by weight, that is judged bad, the judgement is not believed.
+    /// Share of the servers, by weight, from which on a verdict that they are bad is disregarded.
     pub distrust: f64,
 }
 
-/// How a server that has just started is spared.
+/// Load reduction for a server that has just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// Its capacity at the start, as a share.
+    /// Capacity at the start, as a share of the full capacity.
     pub from: f64,
-    /// It has all of it after this time.
+    /// Time after which the full capacity is reached.
     pub warm: f64,
-    /// It falls over when sent this many times its present capacity ...
+    /// Factor on the present capacity: load above it for `window` makes the server fail.
     pub fall: f64,
-    /// ... for this long.
+    /// Time for which the server withstands that load; the setting `for`.
     pub window: f64,
 }
 
-/// A server.
+/// Server of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name in the pool.
+    /// Name, unique in the pool.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone; empty if not set.
     pub zone: String,
-    /// Its cell.
+    /// Cell number.
     pub cell: u32,
-    /// Its size against the others.
+    /// Capacity relative to the other servers.
     pub weight: f64,
-    /// Whether it is to be sent nothing new.
+    /// True if the server receives no new requests.
     pub draining: bool,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// A service that is asked before a request goes on.
+/// Authentication service, queried before a request is forwarded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SignIn {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The pool of its servers, by its number.
+    /// Index of the pool with its servers.
     pub pool: usize,
-    /// The path that is asked for.
+    /// Path of the check.
     pub path: String,
-    /// Headers of the request that it gets.
+    /// Request headers passed to the service.
     pub request_headers: Vec<String>,
-    /// Headers of its yes that go on with the request; never taken from clients.
+    /// Headers of a positive answer that are added to the forwarded request; never accepted from clients.
     pub answer_headers: Vec<String>,
-    /// Longest time for a check.
+    /// Time limit of a check.
     pub within: f64,
-    /// A body up to this size goes into the check, and longer ones are turned away; `None` for no body.
+    /// Maximum size of a body sent with the check; requests with larger bodies are rejected. `None` to send no body.
     pub body: Option<usize>,
-    /// Failed checks from one address.
+    /// Limit on failed checks from one address.
     pub address_limit: FailedCheckLimit,
-    /// Failed checks with one credential.
+    /// Limit on failed checks with one credential.
     pub credential_limit: FailedCheckLimit,
-    /// Whether requests go on where it gives no usable answer.
+    /// True if requests are forwarded when the service gives no usable answer; the setting `on-failure open`.
     pub fail_open: bool,
-    /// How long a yes is remembered; 0 for not at all.
+    /// Cache time of a positive answer; 0 to disable.
     pub cache_yes: f64,
-    /// How long a no is remembered; 0 for not at all.
+    /// Cache time of a negative answer; 0 to disable.
     pub cache_no: f64,
-    /// Most answers remembered.
+    /// Maximum number of cached answers.
     pub cache_size: usize,
-    /// Whether also requests that must not run twice go on by a remembered answer.
+    /// True if a cached answer also admits requests that must not run twice.
     pub cache_unsafe: bool,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
 
-/// How many checks may fail.
+/// Limit on failed checks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailedCheckLimit {
-    /// So many a second; 0 for no limit.
+    /// Failures per second; 0 for no limit.
     pub rate: f64,
-    /// And so many at once.
+    /// Maximum number of failures at once.
     pub burst: f64,
 }
 
-/// A route.
+/// Route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The requests that it takes.
+    /// Match condition.
     pub matcher: RouteMatch,
-    /// The class of those requests, by its number.
+    /// Index of the class of its requests.
     pub class: usize,
-    /// The pool that they go to, by its number.
+    /// Index of the pool that receives its requests.
     pub pool: usize,
-    /// After what they may be sent again: what their class says, or less.
+    /// Condition under which its requests may be sent again; at most as loose as that of the class.
     pub repeat: RepeatPolicy,
-    /// The service that is asked first, by its number.
+    /// Index of the authentication service, if one is queried first.
     pub sign_in: Option<usize>,
-    /// Where it stands.
+    /// Position in the source.
     pub at: SourceSpan,
 }
