--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -132,8 +132,8 @@
 fn is_first_choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
     let Some(word) = inner.word(name) else { return true };
     if !words.contains(&word.text.as_str()) {
-        let what = format!("`{name}` is `{}` or `{}`, not `{}`", words[0], words[1], word.text);
-        inner.report(Diagnostic::error("IV0086", what, word.span, "here").help(help));
+        let message = format!("`{name}` is `{}` or `{}`, not `{}`", words[0], words[1], word.text);
+        inner.report(Diagnostic::error("IV0086", message, word.span, "here").help(help));
     }
     word.text != words[1]
 }
@@ -149,8 +149,8 @@
 ) -> f64 {
     let value = inner.positive_or(name, quantity, default);
     if let Some(word) = inner.word(name).filter(|_| value < least) {
-        let what = format!("`{name}` is too small");
-        let error = Diagnostic::error("IV0023", what, word.span, format!("at least {least_words}"));
+        let message = format!("`{name}` is too small");
+        let error = Diagnostic::error("IV0023", message, word.span, format!("at least {least_words}"));
         inner.report(error.help(format!("write `{name} {least_words};` or more")));
     }
     value.max(least)
@@ -168,8 +168,8 @@
                 || address.ip().is_unspecified())
     };
     if let Some(listener) = listeners.iter().find(same) {
-        let what = "clients and operators have the same address";
-        let error = Diagnostic::error("IV0043", what, word.span, "again here");
+        let message = "clients and operators have the same address";
+        let error = Diagnostic::error("IV0043", message, word.span, "again here");
         fields.report(error.related(listener.at.0, "clients connect here"));
     }
     Some(Operator { address, at: SourceSpan(head_span(statement)) })
@@ -184,8 +184,8 @@
     let peers = peers.and_then(|s| inner.words(s, 1, Group::MAX_PEERS)).unwrap_or_default();
     let peers = peers.iter().filter_map(|word| address(&inner, word)).collect();
     if pools.iter().all(|pool| pool.domains.is_none()) {
-        let what = "no pool judges its zones, so nothing is told";
-        let warning = Diagnostic::warning("IV0109", what, inner.head, "in here");
+        let message = "no pool judges its zones, so nothing is told";
+        let warning = Diagnostic::warning("IV0109", message, inner.head, "in here");
         inner.report(warning.help("write `domains;` in a pool, or remove `group`"));
     }
     let keys = keys.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
@@ -204,9 +204,9 @@
     if is_token(&word.text) {
         return Some(word.text.to_ascii_lowercase());
     }
-    let what = format!("`{}` cannot be a header's name", word.text);
+    let message = format!("`{}` cannot be a header's name", word.text);
     fields.report(
-        Diagnostic::error("IV0030", what, word.span, "here").help("write a name such as `X-Customer`"),
+        Diagnostic::error("IV0030", message, word.span, "here").help("write a name such as `X-Customer`"),
     );
     None
 }
@@ -219,10 +219,10 @@
     seen: &mut HashMap<String, Span>,
 ) -> Option<&'a Word> {
     let Some(word) = statement.words.get(1) else {
-        let what = format!("this {kind} has no name");
+        let message = format!("this {kind} has no name");
         fields.report(Diagnostic::error(
             "IV0031",
-            what,
+            message,
             statement.words[0].span,
             "a name is expected after this",
         ));
@@ -230,8 +230,8 @@
     };
     if let Some(first) = seen.get(&word.text) {
         let kinds = if kind == "class" { "classes".to_owned() } else { format!("{kind}s") };
-        let what = format!("two {kinds} are named `{}`", word.text);
-        let error = Diagnostic::error("IV0032", what, word.span, "named again here");
+        let message = format!("two {kinds} are named `{}`", word.text);
+        let error = Diagnostic::error("IV0032", message, word.span, "named again here");
         fields.report(error.related(*first, "first named here").help("give one of them another name"));
     } else {
         seen.insert(word.text.clone(), word.span);
@@ -249,8 +249,8 @@
 ) -> Option<usize> {
     let found = all.iter().position(|one| name(one) == word.text);
     if found.is_none() {
-        let what = format!("there is no {kind} named `{}`", word.text);
-        let error = Diagnostic::error("IV0033", what, word.span, "not defined in this file");
+        let message = format!("there is no {kind} named `{}`", word.text);
+        let error = Diagnostic::error("IV0033", message, word.span, "not defined in this file");
         let known: Vec<&str> = all.iter().map(name).collect();
         fields.report(error.help(suggestion(&word.text, &known)));
     }
@@ -261,8 +261,8 @@
     let value = fields.positive_or(name, Quantity::Duration, default);
     if value > MAX_DURATION_MS {
         if let Some(word) = fields.word(name) {
-            let what = format!("`{name}` is longer than a day");
-            fields.report(Diagnostic::error("IV0023", what, word.span, "at most 24h"));
+            let message = format!("`{name}` is longer than a day");
+            fields.report(Diagnostic::error("IV0023", message, word.span, "at most 24h"));
         }
     }
     value.min(MAX_DURATION_MS)
@@ -280,8 +280,8 @@
             if let Some(word) =
                 inner.word("burst").filter(|w| inner.quantity_in(w, Quantity::Number) == Some(0.0))
             {
-                let what = format!("the plan `{}` lets nothing through", name.text);
-                let error = Diagnostic::error("IV0094", what, word.span, "and nothing is saved up");
+                let message = format!("the plan `{}` lets nothing through", name.text);
+                let error = Diagnostic::error("IV0094", message, word.span, "and nothing is saved up");
                 inner.report(error.help("write `burst 0 meant;` if that is right"));
             }
         }
@@ -349,8 +349,8 @@
             ("address", None) => Some(CustomerSource::Address),
             ("name", Some(name)) => Some(CustomerSource::Fixed(name.text.clone())),
             _ => {
-                let what = "it is not told where a customer's name comes from";
-                let error = Diagnostic::error("IV0034", what, words[0].span, "not understood");
+                let message = "it is not told where a customer's name comes from";
+                let error = Diagnostic::error("IV0034", message, words[0].span, "not understood");
                 let help = "write `customer header NAME;`, `customer cookie NAME;`, `customer address;` or \
                             `customer name NAME;`";
                 inner.report(error.help(help));
@@ -468,8 +468,8 @@
         "unsent" => Some(RepeatPolicy::Unsent),
         "sent" => Some(RepeatPolicy::Sent),
         other => {
-            let what = format!("repeats after `{other}` are not known");
-            let error = Diagnostic::error("IV0071", what, word.span, "here");
+            let message = format!("repeats after `{other}` are not known");
+            let error = Diagnostic::error("IV0071", message, word.span, "here");
             inner.report(error.help(
                 "write `repeat unsent;` (only if no attempt can have run) or `repeat sent;` (also after one \
                  that may have run)",
@@ -500,9 +500,9 @@
         None | Some((_, "no")) => false,
         Some((_, "yes")) => true,
         Some((word, other)) => {
-            let what = format!("`{name}` is `yes` or `no`, not `{other}`");
+            let message = format!("`{name}` is `yes` or `no`, not `{other}`");
             inner.report(
-                Diagnostic::error("IV0086", what, word.span, "here").help(format!("write `{name} no;`")),
+                Diagnostic::error("IV0086", message, word.span, "here").help(format!("write `{name} no;`")),
             );
             false
         }
@@ -516,8 +516,8 @@
     let (scope, window) = (inner.single("scope"), inner.single("window"));
     if !keyed {
         for extra in [scope, window, inner.single("key")].into_iter().flatten() {
-            let what = format!("`{}` belongs to keyed classes only", extra.words[0].text);
-            let error = Diagnostic::error("IV0042", what, extra.span, "no repeat is dropped here");
+            let message = format!("`{}` belongs to keyed classes only", extra.words[0].text);
+            let error = Diagnostic::error("IV0042", message, extra.span, "no repeat is dropped here");
             inner
                 .report(error.related(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
         }
@@ -546,8 +546,8 @@
 fn address(fields: &Fields, word: &Word) -> Option<SocketAddr> {
     let address = word.text.parse().ok();
     if address.is_none() {
-        let what = format!("`{}` is not an address with a port", word.text);
-        let error = Diagnostic::error("IV0038", what, word.span, "here");
+        let message = format!("`{}` is not an address with a port", word.text);
+        let error = Diagnostic::error("IV0038", message, word.span, "here");
         fields.report(
             error.help("write one such as `127.0.0.1:8080` or `[::1]:8080`; names are not looked up"),
         );
@@ -582,8 +582,8 @@
                 match net {
                     Some(net) => trusted.push(net),
                     None => {
-                        let what = format!("`{}` is not an address or a network", word.text);
-                        let error = Diagnostic::error("IV0039", what, word.span, "here");
+                        let message = format!("`{}` is not an address or a network", word.text);
+                        let error = Diagnostic::error("IV0039", message, word.span, "here");
                         inner.report(error.help("write one such as `127.0.0.1` or `10.0.0.0/8`"));
                     }
                 }
@@ -718,8 +718,8 @@
     zones.sort_unstable();
     zones.dedup();
     for word in words.iter().filter(|word| !zones.contains(&word.text.as_str())) {
-        let what = format!("the zone `{}` has no server in this pool", word.text);
-        let error = Diagnostic::error("IV0095", what, word.span, "no such zone");
+        let message = format!("the zone `{}` has no server in this pool", word.text);
+        let error = Diagnostic::error("IV0095", message, word.span, "no such zone");
         pool.report(error.help(suggestion(&word.text, &zones)));
     }
     let all_in_works = zones.iter().all(|zone| domains.maintenance_zones.iter().any(|works| works == zone));
@@ -729,8 +729,8 @@
         pool.report(error.help("leave one of them out, or take the pool out of its routes"));
     }
     if zones.len() == 1 && words.is_empty() {
-        let what = "this pool has one zone, and none that it could be left for";
-        let warning = Diagnostic::warning("IV0108", what, pool.head, "in here");
+        let message = "this pool has one zone, and none that it could be left for";
+        let warning = Diagnostic::warning("IV0108", message, pool.head, "in here");
         pool.report(warning.help("say `zone NAME` at its servers, or remove `domains`"));
     }
 }
@@ -738,8 +738,8 @@
 fn server_error_status(fields: &Fields, word: &Word) -> Option<u16> {
     let status = word.text.parse().ok().filter(|s| (500..600).contains(s));
     if status.is_none() {
-        let what = format!("`{}` is not a status of a server's failure", word.text);
-        let error = Diagnostic::error("IV0046", what, word.span, "here");
+        let message = format!("`{}` is not a status of a server's failure", word.text);
+        let error = Diagnostic::error("IV0046", message, word.span, "here");
         fields.report(error.help("write statuses from 500 to 599; all others are the application's answer"));
     }
     status
@@ -751,8 +751,8 @@
     for statement in pool.all("server") {
         let Some(name) = block_name(pool, "server", statement, &mut seen) else { continue };
         let Some(word) = statement.words.get(2) else {
-            let what = format!("the server `{}` has no address", name.text);
-            let error = Diagnostic::error("IV0014", what, name.span, "an address is expected after this");
+            let message = format!("the server `{}` has no address", name.text);
+            let error = Diagnostic::error("IV0014", message, name.span, "an address is expected after this");
             pool.report(error.help(format!("write `server {} 127.0.0.1:9000;`", name.text)));
             continue;
         };
@@ -835,9 +835,9 @@
                     .filter_map(|word| {
                         let name = header_name(&inner, word)?;
                         if CONNECTION_HEADERS.contains(&name.as_str()) {
-                            let what = format!("`{}` belongs to the connection", word.text);
+                            let message = format!("`{}` belongs to the connection", word.text);
                             let error =
-                                Diagnostic::error("IV0085", what, word.span, "cannot be carried over");
+                                Diagnostic::error("IV0085", message, word.span, "cannot be carried over");
                             inner.report(error.help("name headers such as `Authorization` or `X-User`"));
                             return None;
                         }
@@ -949,8 +949,8 @@
         let repeat = route_repeat(&inner, class.and_then(|c| classes.get(c)));
         let sign_in = inner.single("sign-in").and_then(|statement| {
             let Some(word) = statement.words.get(1) else {
-                let what = "this route wants a sign-in and names no service";
-                let error = Diagnostic::error("IV0084", what, head_span(statement), "asked of whom?");
+                let message = "this route wants a sign-in and names no service";
+                let error = Diagnostic::error("IV0084", message, head_span(statement), "asked of whom?");
                 inner.report(error.help("write `sign-in NAME;`, or remove it if the route is open to all"));
                 return None;
             };
@@ -972,12 +972,12 @@
 /// Returns the repeat policy of a route, which may only be stricter than that of its class.
 fn route_repeat(inner: &Fields, class: Option<&Class>) -> RepeatPolicy {
     let of_class = class.map_or(RepeatPolicy::Unsent, |c| c.repeat);
-    let told = repeat(inner).unwrap_or(of_class);
+    let policy = repeat(inner).unwrap_or(of_class);
     // A looser policy of an unsafe class itself is reported at the class.
-    if let (Some(class), true) = (class, told > of_class) {
+    if let (Some(class), true) = (class, policy > of_class) {
         let at = inner.single("repeat").map_or(inner.head, |s| s.span);
-        let what = format!("this route repeats what its class `{}` does not", class.name);
-        let error = Diagnostic::error("IV0072", what, at, "this could run a request twice");
+        let message = format!("this route repeats what its class `{}` does not", class.name);
+        let error = Diagnostic::error("IV0072", message, at, "this could run a request twice");
         inner.report(
             error
                 .related(class.at.0, "its class")
@@ -985,7 +985,7 @@
         );
         return of_class;
     }
-    told
+    policy
 }
 
 fn path(inner: &Fields) -> Option<PathMatch> {
@@ -995,13 +995,13 @@
     let words = inner.words(statement, 2, 2)?;
     let text = &words[1].text;
     if text.len() > MAX_PATH_BYTES {
-        let what = format!("a path has more than {MAX_PATH_BYTES} characters");
+        let message = format!("a path has more than {MAX_PATH_BYTES} characters");
         inner.report(
-            Diagnostic::error("IV0052", what, words[1].span, "no request can match").help("shorten it"),
+            Diagnostic::error("IV0052", message, words[1].span, "no request can match").help("shorten it"),
         );
         return None;
     }
-    let claim = match words[0].text.as_str() {
+    let matcher = match words[0].text.as_str() {
         "exact" => PathMatch::exact(text),
         "prefix" => PathMatch::prefix(text),
         "pattern" => PathMatch::pattern(text),
@@ -1016,7 +1016,7 @@
             return None;
         }
     };
-    claim
+    matcher
         .map_err(|error| {
             let error = Diagnostic::error("IV0052", error.to_string(), words[1].span, "no request can match");
             inner
@@ -1044,8 +1044,8 @@
             return None;
         }
         if safe && !inner.is_confirmed("methods") && ["POST", "PATCH"].contains(&word.text.as_str()) {
-            let what = format!("`{}` requests of this route may be sent twice", word.text);
-            let error = Diagnostic::warning("IV0101", what, word.span, "its class is `safe`");
+            let message = format!("`{}` requests of this route may be sent twice", word.text);
+            let error = Diagnostic::warning("IV0101", message, word.span, "its class is `safe`");
             inner.report(
                 error.help(format!(
                     "give the route a class that is `unsafe` or `keyed`, or write `methods {} meant;` if they change nothing",
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -1,6 +1,6 @@
 //! Catalogue of diagnostic codes for `ivygate explain` and the reference.
 
-/// Entry of the catalogue. Codes are never changed or reused; new ones are added.
+/// Entry of the catalogue. Codes are never changed; new ones are added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Code {
     /// Code, such as `IV0021`.
--- a/crates/config/src/consistency.rs
+++ b/crates/config/src/consistency.rs
@@ -57,7 +57,7 @@
 }
 
 fn check_required_blocks(fields: &Fields) {
-    for (name, what, example) in [
+    for (name, kind, example) in [
         ("listen", "listener", "listen 127.0.0.1:8080;"),
         ("class", "class", "class reads { effect safe; deadline 2s; }"),
         ("pool", "pool", "pool app { server a 127.0.0.1:9000; }"),
@@ -65,23 +65,23 @@
     ] {
         if fields.all(name).is_empty() {
             let error =
-                Diagnostic::error("IV0011", format!("this file has no {what}"), fields.head, "in here");
+                Diagnostic::error("IV0011", format!("this file has no {kind}"), fields.head, "in here");
             fields.report(error.help(format!("write `{example}`")));
         }
     }
 }
 
 fn check_route_table(fields: &Fields, model: &Model) {
-    let claims = model.routes.iter().map(|r| r.matcher.clone()).collect();
-    let table = match RouteTable::build(claims) {
+    let matchers = model.routes.iter().map(|r| r.matcher.clone()).collect();
+    let table = match RouteTable::build(matchers) {
         Ok(table) => table,
         Err(error) => {
             for conflict in error.conflicts {
                 let (first, second) = (&model.routes[conflict.first], &model.routes[conflict.second]);
-                let what =
+                let message =
                     format!("the routes `{}` and `{}` claim the same requests", first.name, second.name);
                 let label = format!("{}, as above", second.matcher.path);
-                let error = Diagnostic::error("IV0054", what, second.at.0, label);
+                let error = Diagnostic::error("IV0054", message, second.at.0, label);
                 fields.report(
                     error
                         .related(first.at.0, "claimed first here")
@@ -91,13 +91,13 @@
             return;
         }
     };
-    for (number, takers) in table.unreachable() {
+    for (number, covering_routes) in table.unreachable() {
         let route = &model.routes[number];
-        let what = format!("no request ever reaches the route `{}`", route.name);
-        let mut error = Diagnostic::error("IV0081", what, route.at.0, format!("{}", route.matcher.path));
-        for taker in takers.iter().take(3) {
-            let taker = &model.routes[*taker];
-            error = error.related(taker.at.0, format!("`{}` takes what it claims", taker.name));
+        let message = format!("no request ever reaches the route `{}`", route.name);
+        let mut error = Diagnostic::error("IV0081", message, route.at.0, format!("{}", route.matcher.path));
+        for covering in covering_routes.iter().take(3) {
+            let covering = &model.routes[*covering];
+            error = error.related(covering.at.0, format!("`{}` takes what it claims", covering.name));
         }
         fields
             .report(error.help("remove it, or write it before the patterns that cover it, or narrow those"));
@@ -121,12 +121,12 @@
         let once = |r: &&Route| r.pool == number && r.repeat == RepeatPolicy::Unsent;
         if let Some(route) = model.routes.iter().find(once) {
             let class = &model.classes[route.class];
-            let what = format!(
+            let message = format!(
                 "second copies are allowed in a pool that gets `{}`, which must not run twice",
                 class.name
             );
             let at = setting_span(fields, "pool", &pool.name, "second-copies", pool.at);
-            let error = Diagnostic::error("IV0073", what, at, "allowed here");
+            let error = Diagnostic::error("IV0073", message, at, "allowed here");
             fields.report(
                 error
                     .related(route.at.0, "routed here")
@@ -134,11 +134,11 @@
             );
         }
     }
-    let mut told = BTreeSet::new();
+    let mut checked = BTreeSet::new();
     for route in &model.routes {
         let (class, pool) = (&model.classes[route.class], &model.pools[route.pool]);
         let Effect::Keyed(scope, window) = class.effect else { continue };
-        if !told.insert((route.class, route.pool)) || route.repeat == RepeatPolicy::Unsent {
+        if !checked.insert((route.class, route.pool)) || route.repeat == RepeatPolicy::Unsent {
             continue;
         }
         if !has_errors(fields, "class", &class.name) && !has_errors(fields, "pool", &pool.name) {
@@ -161,8 +161,9 @@
         None => (DEFAULT_KEY_RETENTION_MS, pool.at.0),
     };
     if window > kept {
-        let what = format!("`{}` may be repeated for longer than `{}` drops repeats", class.name, pool.name);
-        let error = Diagnostic::error("IV0074", what, at, "a repeat after that would run twice");
+        let message =
+            format!("`{}` may be repeated for longer than `{}` drops repeats", class.name, pool.name);
+        let error = Diagnostic::error("IV0074", message, at, "a repeat after that would run twice");
         let label = match pool.drops_repeats {
             Some(_) => format!("{} s here", kept / 1000.0),
             None => format!("{} s unless the pool says otherwise", kept / 1000.0),
@@ -176,8 +177,8 @@
     }
     if let Some((dropped, _)) = pool.drops_repeats.filter(|(dropped, _)| scope > *dropped) {
         let at = setting_span(fields, "class", &class.name, "scope", class.at);
-        let what = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
-        let error = Diagnostic::error("IV0075", what, at, "wider than the servers that drop repeats");
+        let message = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
+        let error = Diagnostic::error("IV0075", message, at, "wider than the servers that drop repeats");
         let label = format!("dropped by servers of one {} only", dropped.as_str());
         fields.report(error.related(by, label).help(format!("write `scope {};`", dropped.as_str())));
     }
@@ -187,8 +188,9 @@
         Scope::Cell => server.cell.to_string(),
     };
     if let Some(server) = pool.servers.iter().find(|s| scope == Scope::Zone && s.zone.is_empty()) {
-        let what = format!("the class `{}` is keyed by zone, and a server of its pool has none", class.name);
-        let error = Diagnostic::error("IV0055", what, server.at.0, "its zone is not told");
+        let message =
+            format!("the class `{}` is keyed by zone, and a server of its pool has none", class.name);
+        let error = Diagnostic::error("IV0055", message, server.at.0, "its zone is not told");
         fields.report(
             error.related(route.at.0, "routed here").help("write `zone NAME;` in the pool or the server"),
         );
@@ -200,14 +202,14 @@
     }
     let meant = setting(fields, "class", &class.name, "scope").is_some_and(is_confirmed);
     if pool.servers.len() > 1 && !meant && sizes.values().all(|size| *size == 1) {
-        let what = format!(
+        let message = format!(
             "no {} of `{}` has two servers, so `{}` can never be repeated",
             scope.as_str(),
             pool.name,
             class.name
         );
         let at = setting_span(fields, "class", &class.name, "scope", class.at);
-        let error = Diagnostic::error("IV0077", what, at, "a repeat needs a second server in it");
+        let error = Diagnostic::error("IV0077", message, at, "a repeat needs a second server in it");
         fields.report(
             error
                 .related(pool.at.0, "its servers")
@@ -218,8 +220,9 @@
 
 fn check_times(fields: &Fields, model: &Model) {
     for (number, pool) in model.pools.iter().enumerate() {
-        let told = |name| setting(fields, "pool", &pool.name, name);
-        let (Some(at), all) = (told("connect").or(told("attempts")), pool.connect * f64::from(pool.attempts))
+        let configured = |name| setting(fields, "pool", &pool.name, name);
+        let (Some(at), all) =
+            (configured("connect").or(configured("attempts")), pool.connect * f64::from(pool.attempts))
         else {
             continue;
         };
@@ -230,11 +233,11 @@
         if let Some(class) =
             tight.filter(|c| c.deadline < all).min_by(|a, b| a.deadline.total_cmp(&b.deadline))
         {
-            let what = format!(
+            let message = format!(
                 "{} attempts of up to {} ms for connecting do not fit the deadline of `{}`",
                 pool.attempts, pool.connect, class.name
             );
-            let error = Diagnostic::error("IV0076", what, head_span(at), format!("{all} ms together"));
+            let error = Diagnostic::error("IV0076", message, head_span(at), format!("{all} ms together"));
             let also = setting_span(fields, "class", &class.name, "deadline", class.at);
             let help = format!(
                 "write `connect {}ms;` or less, or fewer `attempts`",
@@ -249,9 +252,9 @@
         }
         let at = setting_span(fields, "class", &class.name, "deadline", class.at);
         if let Some(listener) = model.listeners.iter().find(|l| l.answer_within < class.deadline) {
-            let what =
+            let message =
                 format!("the deadline of `{}` is longer than a listener lets any request wait", class.name);
-            let error = Diagnostic::error("IV0087", what, at, "longer");
+            let error = Diagnostic::error("IV0087", message, at, "longer");
             fields.report(
                 error
                     .related(listener.at.0, format!("`answer-within` is {} ms", listener.answer_within))
@@ -259,8 +262,8 @@
             );
         }
         if model.limits.drain < class.deadline && !any_has_errors(fields, "limits") {
-            let what = format!("`{}` may still be open when the process ends", class.name);
-            let warning = Diagnostic::warning("IV0107", what, at, "longer than `limits { drain }`");
+            let message = format!("`{}` may still be open when the process ends", class.name);
+            let warning = Diagnostic::warning("IV0107", message, at, "longer than `limits { drain }`");
             fields.report(
                 warning.help(format!(
                     "write `limits {{ drain {}s; }}` or more",
@@ -271,8 +274,8 @@
         if let Effect::Keyed(_, window) = class.effect {
             if window < class.deadline && window < MAX_DURATION_MS {
                 let at = setting_span(fields, "class", &class.name, "window", class.at);
-                let what = format!("keys of `{}` are forgotten before its deadline", class.name);
-                let warning = Diagnostic::warning("IV0106", what, at, "nothing is repeated after this");
+                let message = format!("keys of `{}` are forgotten before its deadline", class.name);
+                let warning = Diagnostic::warning("IV0106", message, at, "nothing is repeated after this");
                 fields.report(warning.help("lengthen the window if servers keep keys for longer"));
             }
         }
@@ -286,11 +289,11 @@
         };
         let clean = |p: &&Plan| !has_errors(fields, "plan", &p.name);
         if let Some(plan) = model.plans.iter().filter(clean).find(|p| class.units > 1.0 && small(p)) {
-            let what = format!(
+            let message = format!(
                 "a request of the class `{}` takes more units than a burst of `{}` holds",
                 class.name, plan.name
             );
-            let error = Diagnostic::error("IV0049", what, plan.at.0, "none would pass under this plan");
+            let error = Diagnostic::error("IV0049", message, plan.at.0, "none would pass under this plan");
             fields.report(
                 error.related(class.at.0, format!("{} units each", class.units)).help("raise the burst"),
             );
@@ -300,11 +303,11 @@
         let meant = setting(fields, "plan", &plan.name, "burst").is_some_and(is_confirmed);
         if plan.quota > 0.0 && plan.burst > 24.0 * 3600.0 * plan.quota && !meant {
             let at = setting_span(fields, "plan", &plan.name, "burst", plan.at);
-            let what = format!(
+            let message = format!(
                 "`burst` looks like a slip: it holds {:.0} hours of the quota",
                 plan.burst / plan.quota / 3600.0
             );
-            let error = Diagnostic::error("IV0080", what, at, "is this meant?");
+            let error = Diagnostic::error("IV0080", message, at, "is this meant?");
             let also = setting_span(fields, "plan", &plan.name, "quota", plan.at);
             fields.report(
                 error
@@ -338,8 +341,8 @@
             let meant = pool.shares_servers_with.contains(&other.name)
                 || other.shares_servers_with.contains(&pool.name);
             if other.name != pool.name && !meant {
-                let what = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
-                let error = Diagnostic::error("IV0078", what, server.at.0, "again here");
+                let message = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
+                let error = Diagnostic::error("IV0078", message, server.at.0, "again here");
                 fields.report(error.related(first.at.0, "first here").help(format!(
                     "pools stay apart: a server in two of them gets twice its share; write \
                      `shares-servers-with {};` if this is meant",
@@ -384,9 +387,10 @@
 fn check_forward_auth_listeners(fields: &Fields, model: &Model) {
     for listener in model.listeners.iter().filter(|l| l.answers_checks.is_some()) {
         if listener.trusted.is_empty() && !fields.has_error_in(listener.at.0) {
-            let what =
+            let message =
                 "nobody may ask here: what is asked about stands in headers, and no peer's are believed";
-            let error = Diagnostic::error("IV0090", what, listener.at.0, "`answers-checks` and no `trusted`");
+            let error =
+                Diagnostic::error("IV0090", message, listener.at.0, "`answers-checks` and no `trusted`");
             fields.report(error.help("write `trusted 127.0.0.1;` or the networks of the proxies that ask"));
         }
     }
@@ -397,10 +401,10 @@
         let remembers = ["cache-yes", "cache-no"].into_iter().zip([sign_in.cache_yes, sign_in.cache_no]);
         let remembers = remembers.filter(|(_, time)| *time > 0.0).map(|(name, _)| name).next();
         if let (Some(_), Some(name)) = (sign_in.body, remembers) {
-            let what =
+            let message =
                 format!("answers of `{}` are remembered though bodies go into its checks", sign_in.name);
             let at = setting_span(fields, "sign-in", &sign_in.name, name, sign_in.at);
-            let error = Diagnostic::error("IV0091", what, at, "another body would get this answer");
+            let error = Diagnostic::error("IV0091", message, at, "another body would get this answer");
             let also = setting_span(fields, "sign-in", &sign_in.name, "body", sign_in.at);
             fields.report(
                 error.related(also, "sent with each check").help(format!("remove `{name}` or `body`")),
@@ -411,9 +415,9 @@
         let Some(sign_in) = route.sign_in.map(|number| &model.sign_ins[number]) else { continue };
         let class = &model.classes[route.class];
         if sign_in.fail_open && route.repeat == RepeatPolicy::Unsent {
-            let what = format!("`{}` would go on unchecked where its sign-in fails", route.name);
+            let message = format!("`{}` would go on unchecked where its sign-in fails", route.name);
             let at = setting_span(fields, "sign-in", &sign_in.name, "on-failure", sign_in.at);
-            let error = Diagnostic::error("IV0088", what, at, "open here");
+            let error = Diagnostic::error("IV0088", message, at, "open here");
             fields.report(
                 error
                     .related(route.at.0, format!("its class `{}` must not run twice", class.name))
@@ -421,9 +425,9 @@
             );
         }
         if sign_in.within + class.aim > class.deadline && !has_errors(fields, "class", &class.name) {
-            let what = format!("a check may take the time that `{}` needs", class.name);
+            let message = format!("a check may take the time that `{}` needs", class.name);
             let at = setting_span(fields, "sign-in", &sign_in.name, "within", sign_in.at);
-            let error = Diagnostic::error("IV0089", what, at, format!("{} ms", sign_in.within));
+            let error = Diagnostic::error("IV0089", message, at, format!("{} ms", sign_in.within));
             let label = format!("aim {} ms of {} ms", class.aim, class.deadline);
             fields.report(
                 error
@@ -445,8 +449,8 @@
         };
         let own = model.listeners.iter().filter(|l| l.answers_checks.is_none()).find(is_own);
         if let Some(listener) = own {
-            let what = format!("the pool `{}` leads back to this process", pool.name);
-            let error = Diagnostic::error("IV0093", what, server.at.0, "a listener of this file");
+            let message = format!("the pool `{}` leads back to this process", pool.name);
+            let error = Diagnostic::error("IV0093", message, server.at.0, "a listener of this file");
             fields.report(
                 error.related(listener.at.0, "listens here").help("name the application's own address"),
             );
@@ -464,9 +468,9 @@
     let total = clients + servers + operators + RESERVED_DESCRIPTORS;
     if total > model.limits.descriptors {
         let at = fields.single("limits").map_or(fields.head, |s| s.span);
-        let what = "listeners and pools may use more descriptors than the process has";
+        let message = "listeners and pools may use more descriptors than the process has";
         let label = format!("{clients} for clients, {servers} for servers, {operators} for operators, {RESERVED_DESCRIPTORS} kept: {total}");
-        let error = Diagnostic::error("IV0056", what, at, label);
+        let error = Diagnostic::error("IV0056", message, at, label);
         let help = format!(
             "the limit is {}; lower `connections`, or write `limits {{ descriptors {total}; }}`",
             model.limits.descriptors
@@ -482,7 +486,7 @@
         if total > memory {
             let at = fields.single("limits").map_or(fields.head, |s| s.span);
             let mib = |bytes: usize| bytes.div_ceil(1 << 20);
-            let what = "listeners and pools may use more memory than the process has";
+            let message = "listeners and pools may use more memory than the process has";
             let label = format!(
                 "{} MiB for clients, {} for servers, {} for bodies, {} by itself: {} MiB",
                 mib(clients * CLIENT_CONNECTION_BYTES),
@@ -491,7 +495,7 @@
                 mib(PROCESS_MEMORY_BYTES),
                 mib(total)
             );
-            let error = Diagnostic::error("IV0079", what, at, label);
+            let error = Diagnostic::error("IV0079", message, at, label);
             fields.report(error.help(format!(
                 "lower `connections` or `buffered`, or write `limits {{ memory {}MiB; }}`",
                 mib(total)
@@ -503,9 +507,9 @@
         // A waiting request holds its client's connection, so one slow pool could occupy all connections of a
         // listener. An eighth of them is kept free for new requests.
         if open + listener.connections / 8 > listener.connections {
-            let what = "requests of slow pools could hold all connections of this listener";
+            let message = "requests of slow pools could hold all connections of this listener";
             let label = format!("{} connections, an eighth of them kept free", listener.connections);
-            let error = Diagnostic::error("IV0057", what, listener.at.0, label);
+            let error = Diagnostic::error("IV0057", message, listener.at.0, label);
             let mut error = error.help(format!(
                 "the pools take {open} requests together; write `connections {};` or lower their `requests`",
                 (open * 8).div_ceil(7) + 1
@@ -520,9 +524,10 @@
 
 fn check_unused(fields: &Fields, model: &Model) {
     let warn = |code, kind: &str, name: &str, at: SourceSpan| {
-        let what = format!("no route names the {kind} `{name}`");
-        fields
-            .report(Diagnostic::warning(code, what, at.0, "defined here").help("remove it, or route to it"));
+        let message = format!("no route names the {kind} `{name}`");
+        fields.report(
+            Diagnostic::warning(code, message, at.0, "defined here").help("remove it, or route to it"),
+        );
     };
     if model.routes.len() < fields.all("route").len() {
         // A route with errors may refer to the unused items.
@@ -540,11 +545,16 @@
     for pool in &model.pools {
         if let Some((header, value)) = &pool.declined {
             let at = setting_span(fields, "pool", &pool.name, "declined", pool.at);
-            let what = format!(
+            let message = format!(
                 "a 503 or 504 of `{}` with `{header}: {value}` counts as proof that nothing ran",
                 pool.name
             );
-            fields.report(Diagnostic::note("IV0201", what, at, "also unsafe requests are then sent again"));
+            fields.report(Diagnostic::note(
+                "IV0201",
+                message,
+                at,
+                "also unsafe requests are then sent again",
+            ));
         }
     }
 }
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -177,8 +177,8 @@
             Err(why) => return self.report_unreadable(&path.text, path.span, &why),
         };
         if names.is_empty() {
-            let what = format!("no file matches `{}`", path.text);
-            let warning = Diagnostic::warning("IV0104", what, path.span, "nothing is included");
+            let message = format!("no file matches `{}`", path.text);
+            let warning = Diagnostic::warning("IV0104", message, path.span, "nothing is included");
             self.findings.push(warning.help("this is right where files may come later"));
         }
         for name in names {
@@ -197,8 +197,8 @@
                 continue;
             }
             if self.include_chain.len() >= MAX_INCLUDE_DEPTH {
-                let what = format!("files are included more than {MAX_INCLUDE_DEPTH} deep");
-                self.error(Diagnostic::error("IV0063", what, path.span, "by this"));
+                let message = format!("files are included more than {MAX_INCLUDE_DEPTH} deep");
+                self.error(Diagnostic::error("IV0063", message, path.span, "by this"));
                 continue;
             }
             let bytes = match self.loader.read(&name) {
@@ -209,8 +209,8 @@
                 }
             };
             if self.count >= MAX_FILES || self.bytes + bytes.len() > MAX_TOTAL_BYTES {
-                let what = format!("this configuration has more than {MAX_FILES} files or 64 MiB");
-                self.error(Diagnostic::error("IV0063", what, path.span, "no more is read from here"));
+                let message = format!("this configuration has more than {MAX_FILES} files or 64 MiB");
+                self.error(Diagnostic::error("IV0063", message, path.span, "no more is read from here"));
                 return;
             }
             let mut block = self.parse_file(&name, &bytes, Some(path.span));
@@ -308,9 +308,9 @@
                 .error(error.help("write `let patience time 2s;`, the name of letters, digits and `-`"));
         }
         let Some((_, example)) = TYPES.iter().find(|(known, _)| *known == kind.text) else {
-            let what = format!("there is no type `{}`", kind.text);
+            let message = format!("there is no type `{}`", kind.text);
             let known: Vec<_> = TYPES.iter().map(|(name, _)| format!("`{name}`")).collect();
-            let error = Diagnostic::error("IV0066", what, kind.span, "here");
+            let error = Diagnostic::error("IV0066", message, kind.span, "here");
             return self.error(error.help(format!("types are {}", known.join(", "))));
         };
         if !value.quoted && value.text.starts_with('$') {
@@ -318,14 +318,15 @@
             return self.error(error.help("write the value itself"));
         }
         if !matches_type(&kind.text, &value.text) {
-            let what = format!("`{}` is not {}", value.text, example.split(" such").next().unwrap_or(""));
-            let error = Diagnostic::error("IV0067", what, value.span, format!("its type is `{}`", kind.text));
+            let message = format!("`{}` is not {}", value.text, example.split(" such").next().unwrap_or(""));
+            let error =
+                Diagnostic::error("IV0067", message, value.span, format!("its type is `{}`", kind.text));
             return self.error(error.help(format!("write {example}")));
         }
         let variable = Variable { value: value.clone(), at };
         if let Some(first) = self.variables.get(&name.text) {
-            let what = format!("two variables are named `{}`", name.text);
-            let error = Diagnostic::error("IV0032", what, name.span, "named again here");
+            let message = format!("two variables are named `{}`", name.text);
+            let error = Diagnostic::error("IV0032", message, name.span, "named again here");
             let error = error.related(first.at, "first named here");
             return self.error(error.help("give one of them another name"));
         }
@@ -340,8 +341,8 @@
         };
         let name = &statement.words[1];
         if let Some((_, first)) = self.blocks.get(&name.text) {
-            let what = format!("two blocks are named `{}`", name.text);
-            let error = Diagnostic::error("IV0032", what, name.span, "named again here")
+            let message = format!("two blocks are named `{}`", name.text);
+            let error = Diagnostic::error("IV0032", message, name.span, "named again here")
                 .related(*first, "first here");
             return self.error(error.help("give one of them another name"));
         }
@@ -362,8 +363,8 @@
             }
             self.statements += 1;
             if self.statements == MAX_STATEMENTS {
-                let what = format!("this configuration has more than {MAX_STATEMENTS} statements");
-                let error = Diagnostic::error("IV0063", what, statement.span, "no more is read from here");
+                let message = format!("this configuration has more than {MAX_STATEMENTS} statements");
+                let error = Diagnostic::error("IV0063", message, statement.span, "no more is read from here");
                 self.error(error.help("named blocks that use others many times grow fast"));
             }
             let words = statement
@@ -409,8 +410,8 @@
                 .error(error.related(at, "defined here").help("move what both need into a third block"));
         }
         if self.use_chain.len() >= MAX_INCLUDE_DEPTH {
-            let what = format!("blocks use each other more than {MAX_INCLUDE_DEPTH} deep");
-            return self.error(Diagnostic::error("IV0063", what, name.span, "by this"));
+            let message = format!("blocks use each other more than {MAX_INCLUDE_DEPTH} deep");
+            return self.error(Diagnostic::error("IV0063", message, name.span, "by this"));
         }
         self.use_chain.push((name.text.clone(), name.span));
         let mut block = self.expand_block(block, outermost);
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -116,9 +116,9 @@
         let swallowed =
             self.block.statements.iter().any(|s| s.words[1..].iter().any(|w| !w.quoted && w.text == name));
         if found.is_none() && !swallowed {
-            let what = format!("this {} has no `{name}`", self.kind);
+            let message = format!("this {} has no `{name}`", self.kind);
             self.report(
-                Diagnostic::error("IV0011", what, self.head, "in here").help(format!("write `{example}`")),
+                Diagnostic::error("IV0011", message, self.head, "in here").help(format!("write `{example}`")),
             );
         }
         found
@@ -129,8 +129,10 @@
         let name = &statement.words[0];
         if let Some(block) = &statement.block {
             let at = block.statements.first().map_or(statement.span, |s| s.span);
-            let what = format!("`{}` takes no block", name.text);
-            self.report(Diagnostic::error("IV0013", what, at, "not expected here").help("end it with `;`"));
+            let message = format!("`{}` takes no block", name.text);
+            self.report(
+                Diagnostic::error("IV0013", message, at, "not expected here").help("end it with `;`"),
+            );
             return None;
         }
         let mut words = &statement.words[1..];
@@ -142,13 +144,13 @@
             return Some(words);
         }
         if words.len() < least {
-            let what = format!("`{}` lacks a value", name.text);
-            self.report(Diagnostic::error("IV0014", what, name.span, "a value is expected after this"));
+            let message = format!("`{}` lacks a value", name.text);
+            self.report(Diagnostic::error("IV0014", message, name.span, "a value is expected after this"));
         } else {
             let extra = &words[most];
-            let what = format!("`{}` has a value too many", name.text);
+            let message = format!("`{}` has a value too many", name.text);
             let before = &statement.words[most];
-            let error = Diagnostic::error("IV0015", what, extra.span, "not expected here");
+            let error = Diagnostic::error("IV0015", message, extra.span, "not expected here");
             self.report(error.help(format!("is a `;` missing after `{}`?", before.text)));
         }
         None
@@ -174,12 +176,12 @@
                     QuantityError::WrongUnit(unit) => ("IV0022", format!("`{unit}` is no unit of this")),
                     QuantityError::NotANumber => ("IV0020", "not a quantity".to_owned()),
                 };
-                let what = format!(
+                let message = format!(
                     "`{}` is not {}",
                     word.text,
                     quantity.description().split(',').next().unwrap_or("")
                 );
-                let error = Diagnostic::error(code, what, word.span, label);
+                let error = Diagnostic::error(code, message, word.span, label);
                 self.report(error.help(format!("write {}", quantity.description())));
                 return None;
             }
@@ -244,18 +246,18 @@
     /// Reports every statement whose name was never requested.
     pub fn finish(self) {
         let known_names = self.known_names.borrow();
-        let mut told = 0;
+        let mut reported = 0;
         for statement in &self.block.statements {
             let name = &statement.words[0];
             if !name.quoted && known_names.contains(name.text.as_str()) {
                 continue;
             }
-            told += 1;
-            if told > MAX_UNKNOWN_STATEMENTS {
+            reported += 1;
+            if reported > MAX_UNKNOWN_STATEMENTS {
                 break;
             }
-            let what = format!("`{}` means nothing in this {}", name.text, self.kind);
-            let mut error = Diagnostic::error("IV0010", what, name.span, "unknown here");
+            let message = format!("`{}` means nothing in this {}", name.text, self.kind);
+            let mut error = Diagnostic::error("IV0010", message, name.span, "unknown here");
             let known: Vec<&str> = known_names.iter().copied().collect();
             let near = close_names(&name.text, &known).min();
             match near.filter(|(distance, _)| *distance <= 2) {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -52,7 +52,7 @@
 pub struct Group {
     /// UDP address on which this process receives messages.
     pub listen: SocketAddr,
-    /// Key files: messages are signed with the first key and accepted with any of them.
+    /// Key files: outgoing messages are authenticated with the first key, incoming ones are accepted with any.
     pub keys: Vec<String>,
     /// Addresses of the other processes; the list may contain the own address.
     pub peers: Vec<SocketAddr>,
--- a/crates/config/src/plausibility.rs
+++ b/crates/config/src/plausibility.rs
@@ -69,7 +69,7 @@
 
 /// Checks a value against its plausible range. Zero is always accepted, because it disables a feature.
 pub fn implausible_value(kind: &str, name: &str, text: &str, value: f64) -> Option<ImplausibleValue> {
-    let (.., least, most, what) =
+    let (.., least, most, purpose) =
         PLAUSIBLE_RANGES.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
     if value == 0.0 || (*least..=*most).contains(&value) {
         return None;
@@ -78,9 +78,9 @@
     let (number, unit) = text.split_at(end);
     let fits = |factor: f64| (*least..=*most).contains(&(value * factor));
     let other = UNIT_MISTAKES.iter().find(|(from, _, factor)| *from == unit && fits(*factor));
-    let how = if value < *least { "little" } else { "much" };
+    let amount = if value < *least { "little" } else { "much" };
     Some(ImplausibleValue {
-        why: format!("`{text}` is very {how} for {what}"),
+        why: format!("`{text}` is very {amount} for {purpose}"),
         instead: other.map(|(_, unit, _)| format!("{number}{unit}")),
     })
 }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -107,8 +107,8 @@
     fn error(&mut self, error: Diagnostic) {
         self.errors.push(error);
         if self.errors.len() == MAX_SYNTAX_ERRORS {
-            let what = "too many mistakes; the rest of this file was not read";
-            self.errors.push(Diagnostic::error("IV0007", what, self.last.1, "read up to here"));
+            let message = "too many mistakes; the rest of this file was not read";
+            self.errors.push(Diagnostic::error("IV0007", message, self.last.1, "read up to here"));
         }
     }
 
@@ -182,8 +182,8 @@
                 Some(Token::End) => return finish(words, None, comments, Some(span)),
                 Some(Token::Open) => {
                     if depth >= MAX_BLOCK_DEPTH {
-                        let what = format!("blocks are nested more than {MAX_BLOCK_DEPTH} deep");
-                        self.error(Diagnostic::error("IV0005", what, span, "this one"));
+                        let message = format!("blocks are nested more than {MAX_BLOCK_DEPTH} deep");
+                        self.error(Diagnostic::error("IV0005", message, span, "this one"));
                         self.lexer.bump(self.lexer.remainder().len());
                         return finish(words, None, comments, Some(span));
                     }
@@ -197,12 +197,12 @@
                     return finish(words, None, comments, None);
                 }
                 None => {
-                    let what = if self.text(span).starts_with('"') {
+                    let message = if self.text(span).starts_with('"') {
                         "a quoted word is not closed on its line, or holds a control character"
                     } else {
                         "this character has no place here"
                     };
-                    let error = Diagnostic::error("IV0001", what, span, "from here");
+                    let error = Diagnostic::error("IV0001", message, span, "from here");
                     self.error(error.help("a quoted word begins and ends with `\"` on one line"));
                     // The rest of the line cannot be split into tokens.
                     let rest = self.lexer.remainder();
@@ -211,8 +211,8 @@
                 }
             }
             if words.len() > MAX_STATEMENT_WORDS {
-                let what = format!("a statement has more than {MAX_STATEMENT_WORDS} words");
-                self.error(Diagnostic::error("IV0008", what, words[0].span, "this one"));
+                let message = format!("a statement has more than {MAX_STATEMENT_WORDS} words");
+                self.error(Diagnostic::error("IV0008", message, words[0].span, "this one"));
                 self.lexer.bump(self.lexer.remainder().len());
                 return None;
             }
