--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -24,7 +24,8 @@
     /// Where it belongs, such as `class read`.
     pub subject: String,
     /// What is different.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub change: String,
     /// Before; `None` if it was not there.
     pub old: Option<DifferenceSide>,
     /// Now; `None` if it is gone.
@@ -141,7 +142,7 @@
     fn note(
         &mut self,
         subject: &str,
-        what: &str,
+        change: &str,
         old: Option<(SourceSpan, &str, String)>,
         new: Option<(SourceSpan, &str, String)>,
         risk: Option<&str>,
@@ -152,8 +153,8 @@
         };
         let old = old.map(|side_| side(&self.old, side_));
         let new = new.map(|side_| side(&self.new, side_));
-        let (subject, what, risk) = (subject.to_owned(), what.to_owned(), risk.map(str::to_owned));
-        self.all.push(Difference { subject, what, old, new, risk, example: None });
+        let (subject, change, risk) = (subject.to_owned(), change.to_owned(), risk.map(str::to_owned));
+        self.all.push(Difference { subject, change, old, new, risk, example: None });
     }
 
     fn rows(&mut self, subject: &str, old: SourceSpan, new: SourceSpan, rows: Vec<Row>) {
@@ -267,12 +268,12 @@
             };
             let old_side = a.map(|n| (old.routes[n].at, "", words(old, n)));
             let new_side = b.map(|n| (new.routes[n].at, "", words(new, n)));
-            let what = match (a, b) {
+            let change = match (a, b) {
                 (Some(_), Some(_)) => "requests go elsewhere",
                 (Some(_), None) => "requests are answered 404 or 405 now",
                 _ => "requests are served that were answered 404 or 405",
             };
-            self.note("routes", what, old_side, new_side, risk);
+            self.note("routes", change, old_side, new_side, risk);
             if let Some(last) = self.all.last_mut() {
                 last.example = Some(example);
             }
--- a/crates/tool/tests/compare.rs
+++ b/crates/tool/tests/compare.rs
@@ -88,7 +88,7 @@
         "route orders { path exact /orders; methods POST; class order; pool pay; }\n",
         "route orders { path exact /order; methods POST; class order; pool pay; }\n",
     );
-    let examples: Vec<_> = gone.iter().map(|d| (d.what.as_str(), d.example.as_deref().unwrap())).collect();
+    let examples: Vec<_> = gone.iter().map(|d| (d.change.as_str(), d.example.as_deref().unwrap())).collect();
     assert_eq!(
         examples,
         [
@@ -168,7 +168,7 @@
     ];
     for (from, to, subject, what, old, new) in cases {
         let all = changed(from, to);
-        let hit = all.iter().find(|d| d.subject == subject && d.what == what);
+        let hit = all.iter().find(|d| d.subject == subject && d.change == what);
         let hit = hit.unwrap_or_else(|| panic!("{to}: {all:?}"));
         assert_eq!(
             (hit.old.as_ref().unwrap().place.as_str(), hit.new.as_ref().unwrap().place.as_str()),
@@ -181,6 +181,6 @@
 #[test]
 fn servers_that_come_and_go_are_told_once_each() {
     let all = changed("server b 127.0.0.1:9001", "server c 127.0.0.1:9001");
-    let told: Vec<_> = all.iter().map(|d| (d.subject.as_str(), d.what.as_str())).collect();
+    let told: Vec<_> = all.iter().map(|d| (d.subject.as_str(), d.change.as_str())).collect();
     assert_eq!(told, [("pool app, server b", "is gone"), ("pool app, server c", "is new")]);
 }
