--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -1,4 +1,4 @@
-//! What two configurations do differently, whatever their text.
+//! Compares two configurations by their behaviour, independently of their text.
 
 use ivygate_config::{
     Block, Class, CustomerSource, Effect, Listener, LoadedConfig, Model, Plan, Pool, RepeatPolicy, SignIn,
@@ -9,72 +9,72 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A line of one of the two.
+/// One side of a difference: a value and its position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DifferenceSide {
-    /// File, line and column.
+    /// Position as `FILE:LINE:COLUMN`.
     pub place: String,
-    /// What it says, in the checked configuration's words.
+    /// Value in the checked configuration, as text.
     pub value: String,
 }
 
-/// One thing that is done differently.
+/// Difference in behaviour between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Where it belongs, such as `class read`.
+    /// Block that it belongs to, such as `class read`.
     pub subject: String,
-    /// What is different.
+    /// Setting that changed, or a description of the change.
     #[serde(rename = "what")]
     pub change: String,
-    /// Before; `None` if it was not there.
+    /// Old side; `None` if the item is new.
     pub old: Option<DifferenceSide>,
-    /// Now; `None` if it is gone.
+    /// New side; `None` if the item was removed.
     pub new: Option<DifferenceSide>,
-    /// Why it is risky, if it is.
+    /// Reason for which the change is risky, if it is.
     pub risk: Option<String>,
-    /// A request that it concerns.
+    /// Example of an affected request.
     pub example: Option<String>,
 }
 
-/// Compares two configurations, both checked.
+/// Compares two loaded configurations. Returns no differences if one of them has errors.
 ///
 /// # Errors
-/// If their routes have too many regions to be decided on.
+/// If the routes have too many equivalence classes of requests to compare.
 pub fn compare(old: &LoadedConfig, new: &LoadedConfig) -> Result<Vec<Difference>, TooManyClasses> {
     let (Some(before), Some(after)) = (&old.model, &new.model) else { return Ok(Vec::new()) };
-    let (old, new) = (Text::new(old), Text::new(new));
-    let mut found = Comparison { old, new, all: Vec::new() };
-    found.routes(before, after)?;
-    found.classes(before, after);
-    found.pools(before, after);
-    found.plans(before, after);
-    found.identity(before, after);
-    found.listeners(before, after);
-    found.sign_ins(before, after);
-    found.limits(before, after);
-    found.journal(before, after);
-    Ok(found.all)
+    let (old, new) = (SourceText::new(old), SourceText::new(new));
+    let mut comparison = Comparison { old, new, all: Vec::new() };
+    comparison.routes(before, after)?;
+    comparison.classes(before, after);
+    comparison.pools(before, after);
+    comparison.plans(before, after);
+    comparison.identity(before, after);
+    comparison.listeners(before, after);
+    comparison.sign_ins(before, after);
+    comparison.limits(before, after);
+    comparison.journal(before, after);
+    Ok(comparison.all)
 }
 
-/// The text of a configuration, for places.
-struct Text<'a> {
+/// Source text of a configuration, used to look up positions of statements.
+struct SourceText<'a> {
     loaded: &'a LoadedConfig,
     parsed: RefCell<HashMap<u32, Block>>,
 }
 
-impl<'a> Text<'a> {
+impl<'a> SourceText<'a> {
     fn new(loaded: &'a LoadedConfig) -> Self {
         Self { loaded, parsed: RefCell::default() }
     }
 
-    /// The place of a block's statement; that of the block where it does not stand in it.
+    /// Returns the position of a statement in the block at `at`, or that of the block if it has no such statement.
     fn place(&self, at: SourceSpan, statement: &str) -> String {
         let mut parsed = self.parsed.borrow_mut();
         let file = at.0.file;
         let root = parsed
             .entry(file)
             .or_insert_with(|| ivygate_config::parse(self.loaded.sources.text(file), file).0);
-        let span = find(root, at.0).and_then(|block| {
+        let span = find_statement(root, at.0).and_then(|block| {
             let inner = block.block.as_ref()?;
             inner.statements.iter().find(|s| s.words[0].text == statement)
         });
@@ -82,31 +82,31 @@
     }
 }
 
-fn find(block: &Block, at: Span) -> Option<&Statement> {
+fn find_statement(block: &Block, at: Span) -> Option<&Statement> {
     block.statements.iter().find_map(|statement| {
         let here = statement.words[0].span.start == at.start;
         if here {
             Some(statement)
         } else {
-            find(statement.block.as_ref()?, at)
+            find_statement(statement.block.as_ref()?, at)
         }
     })
 }
 
 struct Comparison<'a> {
-    old: Text<'a>,
-    new: Text<'a>,
+    old: SourceText<'a>,
+    new: SourceText<'a>,
     all: Vec<Difference>,
 }
 
-/// A value in words; its statement; its risk where it has got worse.
+/// Compared setting: statement name, old value, new value, and the risk if the value changed.
 type Row = (&'static str, String, String, Option<&'static str>);
 
 fn row(name: &'static str, old: String, new: String, risk: Option<&'static str>) -> Row {
     (name, old, new, risk)
 }
 
-fn time(ms: f64) -> String {
+fn format_duration(ms: f64) -> String {
     if ms >= 1000.0 {
         format!("{}s", ms / 1000.0)
     } else {
@@ -114,16 +114,18 @@
     }
 }
 
-fn effect(effect: Effect) -> String {
+fn format_effect(effect: Effect) -> String {
     match effect {
         Effect::Safe => "safe".to_owned(),
-        Effect::Keyed(of, window) => format!("keyed, scope {}, window {}", of.as_str(), time(window)),
+        Effect::Keyed(of, window) => {
+            format!("keyed, scope {}, window {}", of.as_str(), format_duration(window))
+        }
         Effect::Unsafe => "unsafe".to_owned(),
     }
 }
 
-/// How freely requests are repeated, as far as the kind of effect goes.
-fn freedom(class: &Class) -> u8 {
+/// Ranks how freely requests of a class are repeated, by repeat policy and kind of effect; 0 is the strictest.
+fn repeat_looseness(class: &Class) -> u8 {
     match (class.effect, class.repeat) {
         (_, RepeatPolicy::Unsent) | (Effect::Unsafe, _) => 0,
         (Effect::Keyed(..), _) => 1,
@@ -131,7 +133,7 @@
     }
 }
 
-fn repeat(repeat: RepeatPolicy) -> String {
+fn format_repeat_policy(repeat: RepeatPolicy) -> String {
     match repeat {
         RepeatPolicy::Unsent => "unsent".to_owned(),
         RepeatPolicy::Sent => "sent".to_owned(),
@@ -139,7 +141,7 @@
 }
 
 impl Comparison<'_> {
-    fn note(
+    fn add(
         &mut self,
         subject: &str,
         change: &str,
@@ -147,26 +149,26 @@
         new: Option<(SourceSpan, &str, String)>,
         risk: Option<&str>,
     ) {
-        let side = |text: &Text, (at, statement, value): (SourceSpan, &str, String)| DifferenceSide {
+        let side = |text: &SourceText, (at, statement, value): (SourceSpan, &str, String)| DifferenceSide {
             place: text.place(at, statement),
             value,
         };
-        let old = old.map(|side_| side(&self.old, side_));
-        let new = new.map(|side_| side(&self.new, side_));
+        let old = old.map(|value| side(&self.old, value));
+        let new = new.map(|value| side(&self.new, value));
         let (subject, change, risk) = (subject.to_owned(), change.to_owned(), risk.map(str::to_owned));
         self.all.push(Difference { subject, change, old, new, risk, example: None });
     }
 
-    fn rows(&mut self, subject: &str, old: SourceSpan, new: SourceSpan, rows: Vec<Row>) {
+    fn add_changed_rows(&mut self, subject: &str, old: SourceSpan, new: SourceSpan, rows: Vec<Row>) {
         for (name, before, after, risk) in rows {
             if before != after {
-                self.note(subject, name, Some((old, name, before)), Some((new, name, after)), risk);
+                self.add(subject, name, Some((old, name, before)), Some((new, name, after)), risk);
             }
         }
     }
 
-    /// Things with names: those that are gone, those that are new, and pairs of the others.
-    fn named<'m, T>(
+    /// Matches items by name: adds a difference for each removed or new item and returns the pairs of the others.
+    fn match_by_name<'m, T>(
         &mut self,
         kind: &str,
         old: &'m [T],
@@ -181,19 +183,13 @@
             let subject = format!("{kind} {named}");
             match new.iter().find(|other| name(other) == named) {
                 Some(other) => pairs.push((subject, one, other)),
-                None => self.note(&subject, "is gone", Some((at(one), "", named)), None, None),
+                None => self.add(&subject, "is gone", Some((at(one), "", named)), None, None),
             }
         }
         for one in new {
             let named = name(one);
             if !old.iter().any(|other| name(other) == named) {
-                self.note(
-                    &format!("{kind} {named}"),
-                    "is new",
-                    None,
-                    Some((at(one), "", named)),
-                    risk_of_new,
-                );
+                self.add(&format!("{kind} {named}"), "is new", None, Some((at(one), "", named)), risk_of_new);
             }
         }
         pairs
@@ -202,7 +198,7 @@
     fn routes(&mut self, old: &Model, new: &Model) -> Result<(), TooManyClasses> {
         let table =
             |model: &Model| RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect());
-        // Both were checked, so both build.
+        // Both configurations passed the checks, so building their tables cannot fail.
         let (Ok(before), Ok(after)) = (table(old), table(new)) else { return Ok(()) };
         let target = |model: &Model, route: Option<usize>| {
             route.map(|n| {
@@ -215,7 +211,7 @@
         let targets =
             |model: &Model| (0..model.routes.len()).map(|n| target(model, Some(n))).collect::<Vec<_>>();
         let (old_targets, new_targets) = (targets(old), targets(new));
-        // For each pair of routes that differ, the shortest request, and how many regions.
+        // For each pair of different routes: the shortest example request and the number of equivalence classes.
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
         visit_equivalence_classes(&[&before, &after], |request| {
             let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
@@ -235,45 +231,46 @@
             }
         })?;
         for ((a, b), (example, _)) in pairs {
-            let words = |model: &Model, number: usize| {
+            let describe = |model: &Model, number: usize| {
                 let route = &model.routes[number];
                 let (class, pool) = (&model.classes[route.class], &model.pools[route.pool]);
                 format!(
                     "route {}: class {} ({}), pool {}{}",
                     route.name,
                     class.name,
-                    effect(class.effect),
+                    format_effect(class.effect),
                     pool.name,
                     route.sign_in.map_or(String::new(), |n| format!(", sign-in {}", model.sign_ins[n].name))
                 )
             };
-            let free = |model: &Model, number: Option<usize>| {
+            let looseness = |model: &Model, number: Option<usize>| {
                 number.map(|n| {
                     let route = &model.routes[n];
                     if route.repeat == RepeatPolicy::Unsent {
                         0
                     } else {
-                        freedom(&model.classes[route.class])
+                        repeat_looseness(&model.classes[route.class])
                     }
                 })
             };
-            let looser = free(old, a).zip(free(new, b)).is_some_and(|(before, after)| after > before);
-            let asked =
+            let looser =
+                looseness(old, a).zip(looseness(new, b)).is_some_and(|(before, after)| after > before);
+            let has_sign_in =
                 |model: &Model, number: Option<usize>| number.map(|n| model.routes[n].sign_in.is_some());
-            let unasked = asked(old, a) == Some(true) && asked(new, b) == Some(false);
-            let risk = match (unasked, looser) {
+            let sign_in_removed = has_sign_in(old, a) == Some(true) && has_sign_in(new, b) == Some(false);
+            let risk = match (sign_in_removed, looser) {
                 (true, _) => Some("sign-in is removed: these go on unchecked"),
                 (_, true) => Some("these may now be repeated more freely"),
                 _ => None,
             };
-            let old_side = a.map(|n| (old.routes[n].at, "", words(old, n)));
-            let new_side = b.map(|n| (new.routes[n].at, "", words(new, n)));
+            let old_side = a.map(|n| (old.routes[n].at, "", describe(old, n)));
+            let new_side = b.map(|n| (new.routes[n].at, "", describe(new, n)));
             let change = match (a, b) {
                 (Some(_), Some(_)) => "requests go elsewhere",
                 (Some(_), None) => "requests are answered 404 or 405 now",
                 _ => "requests are served that were answered 404 or 405",
             };
-            self.note("routes", change, old_side, new_side, risk);
+            self.add("routes", change, old_side, new_side, risk);
             if let Some(last) = self.all.last_mut() {
                 last.example = Some(example);
             }
@@ -283,29 +280,29 @@
 
     fn classes(&mut self, old: &Model, new: &Model) {
         for (subject, a, b) in
-            self.named("class", &old.classes, &new.classes, |c| c.name.clone(), |c| c.at, None)
+            self.match_by_name("class", &old.classes, &new.classes, |c| c.name.clone(), |c| c.at, None)
         {
             let longer = match (a.effect, b.effect) {
                 (Effect::Keyed(from, before), Effect::Keyed(to, after)) => after > before || to > from,
                 _ => false,
             };
-            let risk = if freedom(b) > freedom(a) {
+            let risk = if repeat_looseness(b) > repeat_looseness(a) {
                 Some("the effect is loosened: requests may run twice that could not before")
             } else if longer {
                 Some("repeats go on for longer, or to more servers: they must drop them there")
             } else {
                 None
             };
-            self.rows(
+            self.add_changed_rows(
                 &subject,
                 a.at,
                 b.at,
                 vec![
-                    row("effect", effect(a.effect), effect(b.effect), risk),
+                    row("effect", format_effect(a.effect), format_effect(b.effect), risk),
                     row(
                         "repeat",
-                        repeat(a.repeat),
-                        repeat(b.repeat),
+                        format_repeat_policy(a.repeat),
+                        format_repeat_policy(b.repeat),
                         (b.repeat > a.repeat).then_some("repeated also after a send"),
                     ),
                     row(
@@ -314,10 +311,10 @@
                         b.key_header.clone(),
                         Some("servers must drop repeats by this header"),
                     ),
-                    row("deadline", time(a.deadline), time(b.deadline), None),
-                    row("aim", time(a.aim), time(b.aim), None),
-                    row("work", time(a.work), time(b.work), None),
-                    row("upload", time(a.upload), time(b.upload), None),
+                    row("deadline", format_duration(a.deadline), format_duration(b.deadline), None),
+                    row("aim", format_duration(a.aim), format_duration(b.aim), None),
+                    row("work", format_duration(a.work), format_duration(b.work), None),
+                    row("upload", format_duration(a.upload), format_duration(b.upload), None),
                     row("worth", a.worth.to_string(), b.worth.to_string(), None),
                     row("late-worth", a.late_worth.to_string(), b.late_worth.to_string(), None),
                     row(
@@ -332,14 +329,16 @@
     }
 
     fn pools(&mut self, old: &Model, new: &Model) {
-        for (subject, a, b) in self.named("pool", &old.pools, &new.pools, |p| p.name.clone(), |p| p.at, None)
+        for (subject, a, b) in
+            self.match_by_name("pool", &old.pools, &new.pools, |p| p.name.clone(), |p| p.at, None)
         {
             let list = |statuses: &[u16]| statuses.iter().map(u16::to_string).collect::<Vec<_>>().join(" ");
             let pair = |pair: &Option<(String, String)>| {
                 pair.as_ref().map_or("none".to_owned(), |(h, v)| format!("{h} {v}"))
             };
             let drops = |p: &Pool| {
-                p.drops_repeats.map_or("not told".to_owned(), |(s, t)| format!("{} {}", s.as_str(), time(t)))
+                p.drops_repeats
+                    .map_or("not told".to_owned(), |(s, t)| format!("{} {}", s.as_str(), format_duration(t)))
             };
             let wider = match (a.drops_repeats, b.drops_repeats) {
                 (Some((from, before)), Some((to, after))) => after > before || to > from,
@@ -357,7 +356,13 @@
             };
             let cold = |p: &Pool| {
                 p.cold.map_or("none".to_owned(), |c| {
-                    format!("from {}, warm {}, fall {}, for {}", c.from, time(c.warm), c.fall, time(c.window))
+                    format!(
+                        "from {}, warm {}, fall {}, for {}",
+                        c.from,
+                        format_duration(c.warm),
+                        c.fall,
+                        format_duration(c.window)
+                    )
                 })
             };
             let yes = |yes: bool| if yes { "yes" } else { "no" }.to_owned();
@@ -372,7 +377,7 @@
                 })
             };
             let works = |p: &Pool| p.domains.as_ref().map_or(0, |d| d.maintenance_zones.len());
-            self.rows(
+            self.add_changed_rows(
                 &subject,
                 a.at,
                 b.at,
@@ -391,9 +396,14 @@
                     row("connections", a.connections.to_string(), b.connections.to_string(), None),
                     row("buffered", format!("{}B", a.buffered), format!("{}B", b.buffered), None),
                     row("repeat-limit", format!("{}B", a.repeat_limit), format!("{}B", b.repeat_limit), None),
-                    row("connect", time(a.connect), time(b.connect), None),
-                    row("keep", time(a.keep), time(b.keep), None),
-                    row("answer-stall", time(a.answer_stall), time(b.answer_stall), None),
+                    row("connect", format_duration(a.connect), format_duration(b.connect), None),
+                    row("keep", format_duration(a.keep), format_duration(b.keep), None),
+                    row(
+                        "answer-stall",
+                        format_duration(a.answer_stall),
+                        format_duration(b.answer_stall),
+                        None,
+                    ),
                     row("errors", list(&a.errors), list(&b.errors), None),
                     row(
                         "declined",
@@ -425,11 +435,16 @@
                 ],
             );
             let name = |s: &ivygate_config::Server| s.name.clone();
-            for (server, x, y) in
-                self.named(&format!("{subject}, server"), &a.servers, &b.servers, name, |s| s.at, None)
-            {
+            for (server, x, y) in self.match_by_name(
+                &format!("{subject}, server"),
+                &a.servers,
+                &b.servers,
+                name,
+                |s| s.at,
+                None,
+            ) {
                 let state = |draining: bool| if draining { "draining" } else { "serving" }.to_owned();
-                self.rows(
+                self.add_changed_rows(
                     &server,
                     x.at,
                     y.at,
@@ -448,14 +463,14 @@
     fn plans(&mut self, old: &Model, new: &Model) {
         let rate = |rate: f64| if rate > 0.0 { format!("{rate}/s") } else { "none".to_owned() };
         for (subject, a, b) in
-            self.named("plan", &old.plans, &new.plans, |p: &Plan| p.name.clone(), |p| p.at, None)
+            self.match_by_name("plan", &old.plans, &new.plans, |p: &Plan| p.name.clone(), |p| p.at, None)
         {
             let burst = |p: &Plan| if p.ceiling > 0.0 { p.ceiling_burst } else { 0.0 };
             let no_limit = |rate: f64| if rate > 0.0 { rate } else { f64::INFINITY };
             let raised = |before: f64, after: f64| {
                 (no_limit(after) > no_limit(before)).then_some("a ceiling is raised or gone")
             };
-            self.rows(
+            self.add_changed_rows(
                 &subject,
                 a.at,
                 b.at,
@@ -491,7 +506,7 @@
             let (from, to) = (before.get(name), after.get(name));
             if from.map(|(_, plan)| plan) != to.map(|(_, plan)| plan) {
                 let side = |(at, plan): &(SourceSpan, String)| (*at, "plan", plan.clone());
-                self.note(&format!("customer {name}"), "plan", from.map(side), to.map(side), None);
+                self.add(&format!("customer {name}"), "plan", from.map(side), to.map(side), None);
             }
         }
     }
@@ -506,7 +521,7 @@
         let or_none = |name: &Option<String>| name.clone().unwrap_or_else(|| "none".to_owned());
         let (a, b) = (&old.identity, &new.identity);
         let plan = |model: &Model| model.plans[model.identity.default_plan].name.clone();
-        self.rows(
+        self.add_changed_rows(
             "identity",
             a.at,
             b.at,
@@ -532,29 +547,36 @@
     fn listeners(&mut self, old: &Model, new: &Model) {
         let name = |l: &Listener| l.address.to_string();
         let risk = Some("another address takes requests");
-        for (subject, a, b) in self.named("listen", &old.listeners, &new.listeners, name, |l| l.at, risk) {
+        for (subject, a, b) in
+            self.match_by_name("listen", &old.listeners, &new.listeners, name, |l| l.at, risk)
+        {
             let trusted = |l: &Listener| l.trusted.iter().map(ToString::to_string).collect::<BTreeSet<_>>();
-            let words = |set: &BTreeSet<String>| set.iter().cloned().collect::<Vec<_>>().join(" ");
+            let join_names = |set: &BTreeSet<String>| set.iter().cloned().collect::<Vec<_>>().join(" ");
             let or_none = |path: &Option<String>| path.clone().unwrap_or_else(|| "none".to_owned());
             let (before, after) = (trusted(a), trusted(b));
-            self.rows(
+            self.add_changed_rows(
                 &subject,
                 a.at,
                 b.at,
                 vec![
                     row(
                         "trusted",
-                        words(&before),
-                        words(&after),
+                        join_names(&before),
+                        join_names(&after),
                         (!after.is_subset(&before)).then_some("more peers are believed"),
                     ),
                     row("connections", a.connections.to_string(), b.connections.to_string(), None),
                     row("head", format!("{}B", a.head), format!("{}B", b.head), None),
-                    row("head-within", time(a.head_within), time(b.head_within), None),
-                    row("body-stall", time(a.body_stall), time(b.body_stall), None),
-                    row("read-stall", time(a.read_stall), time(b.read_stall), None),
-                    row("idle", time(a.idle), time(b.idle), None),
-                    row("answer-within", time(a.answer_within), time(b.answer_within), None),
+                    row("head-within", format_duration(a.head_within), format_duration(b.head_within), None),
+                    row("body-stall", format_duration(a.body_stall), format_duration(b.body_stall), None),
+                    row("read-stall", format_duration(a.read_stall), format_duration(b.read_stall), None),
+                    row("idle", format_duration(a.idle), format_duration(b.idle), None),
+                    row(
+                        "answer-within",
+                        format_duration(a.answer_within),
+                        format_duration(b.answer_within),
+                        None,
+                    ),
                     row(
                         "answers-checks",
                         or_none(&a.answers_checks),
@@ -563,8 +585,8 @@
                     ),
                     row(
                         "ids-kept",
-                        time(a.ids_kept),
-                        time(b.ids_kept),
+                        format_duration(a.ids_kept),
+                        format_duration(b.ids_kept),
                         (b.ids_kept < a.ids_kept).then_some("an id may be let on again sooner"),
                     ),
                 ],
@@ -574,10 +596,12 @@
 
     fn sign_ins(&mut self, old: &Model, new: &Model) {
         let name = |s: &SignIn| s.name.clone();
-        for (subject, a, b) in self.named("sign-in", &old.sign_ins, &new.sign_ins, name, |s| s.at, None) {
+        for (subject, a, b) in
+            self.match_by_name("sign-in", &old.sign_ins, &new.sign_ins, name, |s| s.at, None)
+        {
             let pool = |model: &Model, s: &SignIn| model.pools[s.pool].name.clone();
             let failure = |s: &SignIn| if s.fail_open { "open" } else { "closed" }.to_owned();
-            let words = |names: &[String]| {
+            let join_names = |names: &[String]| {
                 names.iter().cloned().collect::<BTreeSet<_>>().into_iter().collect::<Vec<_>>().join(" ")
             };
             let size = |bytes: Option<usize>| bytes.map_or("none".to_owned(), |b| format!("{b}B"));
@@ -586,31 +610,36 @@
                 rate => format!("{rate}/s {}", l.burst),
             };
             let fewer = !a.answer_headers.iter().all(|name| b.answer_headers.contains(name));
-            self.rows(
+            self.add_changed_rows(
                 &subject,
                 a.at,
                 b.at,
                 vec![
                     row("pool", pool(old, a), pool(new, b), Some("others say who may go on")),
                     row("path", a.path.clone(), b.path.clone(), Some("another question is asked")),
-                    row("request-headers", words(&a.request_headers), words(&b.request_headers), None),
+                    row(
+                        "request-headers",
+                        join_names(&a.request_headers),
+                        join_names(&b.request_headers),
+                        None,
+                    ),
                     row(
                         "answer-headers",
-                        words(&a.answer_headers),
-                        words(&b.answer_headers),
+                        join_names(&a.answer_headers),
+                        join_names(&b.answer_headers),
                         fewer.then_some("clients may send these headers themselves now"),
                     ),
-                    row("within", time(a.within), time(b.within), None),
+                    row("within", format_duration(a.within), format_duration(b.within), None),
                     row("body", size(a.body), size(b.body), Some("another question is asked")),
                     row("address-limit", limit(a.address_limit), limit(b.address_limit), None),
                     row("credential-limit", limit(a.credential_limit), limit(b.credential_limit), None),
                     row(
                         "cache-yes",
-                        time(a.cache_yes),
-                        time(b.cache_yes),
+                        format_duration(a.cache_yes),
+                        format_duration(b.cache_yes),
                         (b.cache_yes > a.cache_yes).then_some("a revoked pass stays good for longer"),
                     ),
-                    row("cache-no", time(a.cache_no), time(b.cache_no), None),
+                    row("cache-no", format_duration(a.cache_no), format_duration(b.cache_no), None),
                     row("cache-size", a.cache_size.to_string(), b.cache_size.to_string(), None),
                     row(
                         "cache-unsafe",
@@ -637,13 +666,13 @@
             Some(journal) if journal.synced => "synced",
             Some(_) => "written",
         };
-        let of = |model: &Model, told: &dyn Fn(&ivygate_config::Journal) -> String| {
-            model.journal.as_ref().map_or("none".to_owned(), told)
+        let of = |model: &Model, value: &dyn Fn(&ivygate_config::Journal) -> String| {
+            model.journal.as_ref().map_or("none".to_owned(), value)
         };
         let pair =
             |name: &'static str,
-             told: &dyn Fn(&ivygate_config::Journal) -> String,
-             risk: Option<&'static str>| { row(name, of(old, told), of(new, told), risk) };
+             value: &dyn Fn(&ivygate_config::Journal) -> String,
+             risk: Option<&'static str>| { row(name, of(old, value), of(new, value), risk) };
         let operator =
             |model: &Model| model.operator.as_ref().map_or("none".into(), |o| o.address.to_string());
         let group = |model: &Model| {
@@ -653,14 +682,14 @@
         };
         let gone = new.journal.is_none().then_some("what becomes of orders is recorded no more");
         let weaker = (level(new) == "written").then_some("records are lost with the machine");
-        self.rows(
+        self.add_changed_rows(
             "journal",
             at(old),
             at(new),
             vec![
                 row("folder", folder(old), folder(new), gone.or(Some("orders are recorded elsewhere"))),
                 row("level", level(old).to_owned(), level(new).to_owned(), weaker),
-                pair("keep", &|j| time(j.keep), None),
+                pair("keep", &|j| format_duration(j.keep), None),
                 pair("disk", &|j| format!("{}B", j.disk), None),
                 pair("keyed", &|j| (if j.keyed { "yes" } else { "no" }).to_owned(), None),
                 pair("customers", &|j| (if j.hashed { "hashed" } else { "plain" }).to_owned(), None),
@@ -674,13 +703,13 @@
     fn limits(&mut self, old: &Model, new: &Model) {
         let (a, b) = (&old.limits, &new.limits);
         let memory = |bytes: Option<usize>| bytes.map_or("not told".to_owned(), |b| format!("{b}B"));
-        self.rows(
+        self.add_changed_rows(
             "limits",
             a.at,
             b.at,
             vec![
                 row("descriptors", a.descriptors.to_string(), b.descriptors.to_string(), None),
-                row("drain", time(a.drain), time(b.drain), None),
+                row("drain", format_duration(a.drain), format_duration(b.drain), None),
                 row("memory", memory(a.memory), memory(b.memory), None),
             ],
         );
--- a/crates/tool/src/explain.rs
+++ b/crates/tool/src/explain.rs
@@ -1,9 +1,9 @@
-//! What a code means, in words.
+//! Explains diagnostic codes.
 
 use ivygate_config::{Code, CODES};
 use std::fmt::Write;
 
-/// A code at length; `None` if there is no such code. Case does not matter.
+/// Returns the explanation of a code, ignoring case; `None` if there is no such code.
 pub fn explain(code: &str) -> Option<String> {
     let code = CODES.iter().find(|known| known.code.eq_ignore_ascii_case(code.trim()))?;
     let mut text = format!("{} ({}): {}\n", code.code, code.severity(), code.title);
@@ -19,7 +19,7 @@
     Some(text)
 }
 
-/// All codes as a page.
+/// Returns the reference page of all codes, in Markdown.
 pub fn all_as_markdown() -> String {
     let mut page = String::from(
         "# Codes\n\nMade by `ivygate explain --all`. Codes stay as they are; new ones are added. `IV00…` are errors, \
--- a/crates/tool/src/format.rs
+++ b/crates/tool/src/format.rs
@@ -1,27 +1,27 @@
-//! The one way in which a configuration is laid out.
+//! Formats configurations in the canonical layout.
 //!
-//! Comments stay, blank lines between statements stay (one of several), a block that was written on one line
-//! stays there if it fits. All else follows from the statements.
+//! Comments are kept, runs of blank lines between statements become one, and a block written on one line stays on
+//! one line if it fits. The rest of the layout depends on the statements only.
 
 use ivygate_config::{parse, Block, Comment, Diagnostic, Sources, Statement, Word};
 use std::fmt::Write;
 
-/// Longest line that a block may make.
-const WIDTH: usize = 100;
+/// Maximum length, in characters, of a line that holds a whole block.
+const MAX_LINE_CHARS: usize = 100;
 
-/// Why a text is not formatted: it cannot be read.
+/// Error for a text that cannot be parsed and is therefore not formatted.
 #[derive(Debug)]
 pub struct FormatError {
-    /// The text, for showing places.
+    /// Source text, for rendering the findings.
     pub sources: Sources,
-    /// The mistakes.
+    /// Syntax errors.
     pub findings: Vec<Diagnostic>,
 }
 
-/// A text as it should be laid out.
+/// Formats a text.
 ///
 /// # Errors
-/// If it cannot be read: what would be lost might be what was meant.
+/// If the text has syntax errors, because formatting would drop the parts that cannot be parsed.
 pub fn format(name: &str, text: &str) -> Result<String, FormatError> {
     let (root, findings) = parse(text, 0);
     let mut sources = Sources::default();
@@ -29,21 +29,21 @@
     if !findings.is_empty() {
         return Err(FormatError { sources, findings });
     }
-    let mut layout = Layout { lines: Lines::of(text), out: String::with_capacity(text.len()) };
+    let mut layout = Layout { lines: Lines::new(text), out: String::with_capacity(text.len()) };
     layout.block(&root, 0, None);
     Ok(layout.out)
 }
 
-/// Finds the line of a place.
+/// Offsets of the line ends, for finding the line of an offset.
 struct Lines(Vec<usize>);
 
 impl Lines {
-    fn of(text: &str) -> Self {
+    fn new(text: &str) -> Self {
         Lines(text.match_indices('\n').map(|(at, _)| at).collect())
     }
 
-    fn at(&self, place: usize) -> usize {
-        self.0.partition_point(|end| *end < place)
+    fn line_of(&self, offset: usize) -> usize {
+        self.0.partition_point(|end| *end < offset)
     }
 }
 
@@ -53,9 +53,9 @@
 }
 
 impl Layout {
-    /// The statements of a block, each on its own lines. `opened` is where the block opens.
+    /// Writes the statements of a block, each on its own lines. `opened` is the offset at which the block opens.
     fn block(&mut self, block: &Block, depth: usize, opened: Option<usize>) {
-        // Where the last thing that was written ended in the source, and whether that was a statement.
+        // Source offset at which the last written item ended, and true if that item was a statement.
         let mut before: Option<(usize, bool)> = opened.map(|at| (at, false));
         let mut first = true;
         for statement in &block.statements {
@@ -63,7 +63,7 @@
             for comment in &statement.comments {
                 self.comment(comment, depth, &mut before, &mut first, start);
             }
-            self.gap(before, start, first);
+            self.blank_line(before, start, first);
             first = false;
             self.statement(statement, depth);
             before = Some((statement.span.end - 1, true));
@@ -73,16 +73,16 @@
         }
     }
 
-    /// A blank line where the source has one or more.
-    fn gap(&mut self, before: Option<(usize, bool)>, start: usize, first: bool) {
-        let blank = before.is_some_and(|(end, _)| self.lines.at(start) > self.lines.at(end) + 1);
+    /// Writes one blank line where the source has one or more.
+    fn blank_line(&mut self, before: Option<(usize, bool)>, start: usize, first: bool) {
+        let blank = before.is_some_and(|(end, _)| self.lines.line_of(start) > self.lines.line_of(end) + 1);
         if blank && !first {
             self.out.push('\n');
         }
     }
 
-    /// A comment: behind the statement with which it shares a line, else on a line of its own. `statement` is
-    /// where the statement that it belongs to starts.
+    /// Writes a comment: after the statement with which it shares a line, otherwise on its own line. `statement` is
+    /// the offset at which the statement that it belongs to starts.
     fn comment(
         &mut self,
         comment: &Comment,
@@ -93,14 +93,15 @@
     ) {
         let start = comment.span.start;
         match *before {
-            Some((end, true)) if self.lines.at(end) == self.lines.at(start) => {
+            Some((end, true)) if self.lines.line_of(end) == self.lines.line_of(start) => {
                 self.out.pop();
                 let _ = writeln!(self.out, " {}", comment.text);
             }
             _ => {
-                // One from within a statement comes before it and says nothing of the lines between.
+                // A comment from inside a statement is moved before it, so its position tells nothing about
+                // blank lines.
                 if start < statement {
-                    self.gap(*before, start, *first);
+                    self.blank_line(*before, start, *first);
                 }
                 self.indent(depth);
                 let _ = writeln!(self.out, "{}", comment.text);
@@ -120,19 +121,19 @@
 
     fn statement(&mut self, statement: &Statement, depth: usize) {
         self.indent(depth);
-        if self.lines.at(statement.words[0].span.start) == self.lines.at(statement.span.end - 1)
+        if self.lines.line_of(statement.words[0].span.start) == self.lines.line_of(statement.span.end - 1)
             || statement.block.as_ref().is_none_or(is_empty)
         {
             let mut line = String::new();
-            if inline(statement, &mut line)
-                && (statement.block.is_none() || 4 * depth + line.chars().count() <= WIDTH)
+            if write_inline(statement, &mut line)
+                && (statement.block.is_none() || 4 * depth + line.chars().count() <= MAX_LINE_CHARS)
             {
                 self.out.push_str(&line);
                 self.out.push('\n');
                 return;
             }
         }
-        words(&statement.words, &mut self.out);
+        write_words(&statement.words, &mut self.out);
         self.out.push_str(" {\n");
         if let Some(block) = &statement.block {
             self.block(block, depth + 1, statement.words.last().map(|word| word.span.end));
@@ -146,9 +147,9 @@
     block.statements.is_empty() && block.trailing.is_empty()
 }
 
-/// Writes a statement on one line; `false` if a comment in it forbids that.
-fn inline(statement: &Statement, line: &mut String) -> bool {
-    words(&statement.words, line);
+/// Writes a statement on one line. Returns false if a comment in it prevents that.
+fn write_inline(statement: &Statement, line: &mut String) -> bool {
+    write_words(&statement.words, line);
     let Some(block) = &statement.block else {
         line.push(';');
         return true;
@@ -156,7 +157,7 @@
     line.push_str(" {");
     for inner in &block.statements {
         line.push(' ');
-        if !inner.comments.is_empty() || !inline(inner, line) {
+        if !inner.comments.is_empty() || !write_inline(inner, line) {
             return false;
         }
     }
@@ -164,7 +165,7 @@
     block.trailing.is_empty()
 }
 
-fn words(words: &[Word], out: &mut String) {
+fn write_words(words: &[Word], out: &mut String) {
     for (number, word) in words.iter().enumerate() {
         if number > 0 {
             out.push(' ');
--- a/crates/tool/src/generate.rs
+++ b/crates/tool/src/generate.rs
@@ -1,4 +1,4 @@
-//! Writes a commented configuration for one application from a short description.
+//! Generates a commented configuration for one application from a short description.
 
 use crate::format::format;
 use ivygate_config::{parse, Diagnostic, Sources};
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// What a caller says of the effect of requests.
+/// Effect that the caller declares for requests, from the loosest to the strictest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteEffect {
-    /// They may run any number of times.
+    /// Requests may run any number of times.
     Safe,
     /// Servers drop repeats with the same key.
     Keyed,
-    /// They must never run twice.
+    /// Requests must not run twice.
     Unsafe,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    fn class(self) -> &'static str {
+    fn class_name(self) -> &'static str {
         match self {
             RouteEffect::Safe => "reads",
             RouteEffect::Keyed => "keyed-writes",
@@ -51,7 +51,7 @@
     }
 }
 
-/// A route that cannot be understood.
+/// Error for a route or an effect that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteError(pub String);
 
@@ -63,19 +63,19 @@
 
 impl std::error::Error for RouteError {}
 
-/// Requests and their effect: `[METHOD[,METHOD]] PATH [EFFECT]`.
+/// Route, parsed from `[METHOD[,METHOD]] PATH [EFFECT]`.
 ///
-/// A path ends in `/**` or holds `*` for a pattern, in `/` or begins with `=` for that path alone; else it is a
-/// prefix. Without an effect GET and HEAD are safe and all else unsafe.
+/// A path that contains `*` is a pattern, one that begins with `=` is exact, and any other is a prefix. Without an
+/// effect, routes for GET and HEAD only are safe and all others unsafe.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Route {
-    /// `exact`, `prefix` or `pattern`, and the path.
+    /// Kind of match (`exact`, `prefix` or `pattern`) and the path.
     pub path: (&'static str, String),
-    /// Methods; none for any.
+    /// Methods; empty for all.
     pub methods: Vec<String>,
-    /// Their effect.
+    /// Effect of the requests.
     pub effect: RouteEffect,
-    /// Where it comes from, for a comment.
+    /// Origin of the route, written as a comment.
     pub origin: Option<String>,
 }
 
@@ -92,10 +92,10 @@
             0 => Vec::new(),
             _ => words[0].split(',').map(str::to_ascii_uppercase).collect(),
         };
-        if let Some(odd) =
+        if let Some(invalid_method) =
             methods.iter().find(|m| m.is_empty() || !m.bytes().all(|b| b.is_ascii_uppercase() || b == b'-'))
         {
-            return Err(RouteError(format!("`{odd}` is no method")));
+            return Err(RouteError(format!("`{invalid_method}` is no method")));
         }
         let path = match words[at].strip_prefix('=') {
             Some(path) => ("exact", path.to_owned()),
@@ -113,49 +113,53 @@
     }
 }
 
-/// What is known of an application.
+/// Description of an application.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AppDescription {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where the sidecar listens, if that is told.
+    /// Address on which the sidecar listens, if given.
     pub listen: Option<SocketAddr>,
-    /// Where the application listens.
+    /// Addresses on which the application listens.
     pub servers: Vec<SocketAddr>,
-    /// Its routes.
+    /// Routes.
     pub routes: Vec<Route>,
-    /// Plans: name and quota, as in `20/s`.
+    /// Plans: name and quota, such as `20/s`.
     pub plans: Vec<(String, String)>,
-    /// The header that names the customer.
+    /// Header that names the customer.
     pub customer_header: Option<String>,
-    /// What could not be carried over, for comments at the top.
+    /// Remarks on input that could not be converted, written as comments at the top.
     pub remarks: Vec<String>,
 }
 
 impl AppDescription {
-    /// Reads descriptions in the configuration's own language, one `app NAME { ... }` each.
+    /// Parses descriptions in the syntax of the configuration, one `app NAME { ... }` block each.
     ///
     /// # Errors
-    /// With all that is wrong.
+    /// If the text has errors; returns all of them with the source.
     pub fn read(file: &str, text: &str) -> Result<Vec<Self>, (Sources, Vec<Diagnostic>)> {
         let mut sources = Sources::default();
         sources.add(file, text);
         let (root, mut errors) = parse(text, 0);
         let mut all = Vec::new();
-        let bad = |at, what: &str, help: &str| Diagnostic::error("IV0010", what, at, "here").help(help);
+        let invalid = |at, what: &str, help: &str| Diagnostic::error("IV0010", what, at, "here").help(help);
         for statement in &root.statements {
             let (Some(name), Some(block), "app") =
                 (statement.words.get(1), &statement.block, statement.words[0].text.as_str())
             else {
                 let help = "write `app NAME { listen ...; server ...; route POST /orders unsafe; }`";
-                errors.push(bad(statement.words[0].span, "a description has blocks named `app` only", help));
+                errors.push(invalid(
+                    statement.words[0].span,
+                    "a description has blocks named `app` only",
+                    help,
+                ));
                 continue;
             };
             let mut app = AppDescription { name: name.text.clone(), ..AppDescription::default() };
             for inner in &block.statements {
                 let words: Vec<&str> = inner.words.iter().map(|w| w.text.as_str()).collect();
                 let at = inner.words[0].span;
-                let done = match &words[..] {
+                let result = match &words[..] {
                     ["listen", address] => address
                         .parse()
                         .map(|a| app.listen = Some(a))
@@ -177,8 +181,8 @@
                     }
                     _ => Err(format!("`{}` is not understood", words.join(" "))),
                 };
-                if let Err(what) = done {
-                    errors.push(bad(
+                if let Err(what) = result {
+                    errors.push(invalid(
                         at,
                         &what,
                         "an app has: listen, server, route, plan NAME RATE, customer header NAME",
@@ -195,88 +199,90 @@
     }
 }
 
-/// A configuration for an application that listens at `listen`. It is laid out as `format` does; whether it can
-/// be used is for the checker to say, since it depends on what the caller described.
+/// Generates the configuration of a sidecar that listens at `listen`, in the layout of `format`. The description
+/// may be invalid, so the result must still be checked.
 pub fn generate(app: &AppDescription, listen: SocketAddr) -> String {
     let mut out = String::new();
-    let mut w = |line: &str| {
+    let mut write_line = |line: &str| {
         out.push_str(line);
         out.push('\n');
     };
-    w(&format!("# The sidecar of {}.", app.name));
-    w("# Check a change with `ivygate check`, lay it out with `ivygate fmt`, see what it does with `ivygate diff`.");
+    write_line(&format!("# The sidecar of {}.", app.name));
+    write_line("# Check a change with `ivygate check`, lay it out with `ivygate fmt`, see what it does with `ivygate diff`.");
     for remark in &app.remarks {
-        w(&format!("# {}", remark.replace(['\n', '\r'], " ")));
+        write_line(&format!("# {}", remark.replace(['\n', '\r'], " ")));
     }
-    w("");
-    w("# Clients connect here. Name the proxies that stand before it: `trusted 10.0.0.0/8;`.");
-    w(&format!("listen {listen} {{ connections 256; }}"));
-    w("");
+    write_line("");
+    write_line("# Clients connect here. Name the proxies that stand before it: `trusted 10.0.0.0/8;`.");
+    write_line(&format!("listen {listen} {{ connections 256; }}"));
+    write_line("");
     let mut effects: Vec<RouteEffect> = app.routes.iter().map(|r| r.effect).collect();
     effects.sort_unstable();
     effects.dedup();
     for effect in &effects {
         match effect {
             RouteEffect::Safe => {
-                w("# May run any number of times: sent again after a failure, and to another server when one is slow.");
-                w("class reads { effect safe; aim 500ms; deadline 5s; }");
+                write_line("# May run any number of times: sent again after a failure, and to another server when one is slow.");
+                write_line("class reads { effect safe; aim 500ms; deadline 5s; }");
             }
             RouteEffect::Keyed => {
-                w("# Servers drop repeats with the same key for 15 s; without a key treated as unsafe.");
-                w("class keyed-writes { effect keyed; scope all; window 15s; key Idempotency-Key; aim 1s; deadline 10s; worth 3; }");
+                write_line(
+                    "# Servers drop repeats with the same key for 15 s; without a key treated as unsafe.",
+                );
+                write_line("class keyed-writes { effect keyed; scope all; window 15s; key Idempotency-Key; aim 1s; deadline 10s; worth 3; }");
             }
             RouteEffect::Unsafe => {
-                w("# Must never run twice: sent again only if no attempt can have run.");
-                w("class writes { effect unsafe; aim 1s; deadline 10s; worth 5; }");
+                write_line("# Must never run twice: sent again only if no attempt can have run.");
+                write_line("class writes { effect unsafe; aim 1s; deadline 10s; worth 5; }");
             }
         }
     }
-    w("");
+    write_line("");
     if !app.plans.is_empty() {
-        w("# For each customer. The first one holds for customers that nothing names another for.");
+        write_line("# For each customer. The first one holds for customers that nothing names another for.");
         for (name, quota) in &app.plans {
-            w(&format!("plan {} {{ quota {}; }}", quoted(name), quoted(quota)));
+            write_line(&format!("plan {} {{ quota {}; }}", quoted(name), quoted(quota)));
         }
-        w("");
+        write_line("");
     }
     if let Some(header) = &app.customer_header {
-        w("# Without this header a request counts for its client's address.");
-        w(&format!("identity {{ customer header {}; }}", quoted(header)));
-        w("");
+        write_line("# Without this header a request counts for its client's address.");
+        write_line(&format!("identity {{ customer header {}; }}", quoted(header)));
+        write_line("");
     }
-    w("# The application. Bodies up to 64KiB are held, so that they can be sent again.");
-    w(&format!("pool {} {{", quoted(&app.name)));
-    w("requests 128;");
+    write_line("# The application. Bodies up to 64KiB are held, so that they can be sent again.");
+    write_line(&format!("pool {} {{", quoted(&app.name)));
+    write_line("requests 128;");
     for (number, server) in app.servers.iter().enumerate() {
-        w(&format!("server {} {server};", server_name(number)));
+        write_line(&format!("server {} {server};", server_name(number)));
     }
-    w("}");
-    w("");
-    w("# What no route takes is answered 404.");
-    let mut taken: BTreeMap<String, usize> = BTreeMap::new();
+    write_line("}");
+    write_line("");
+    write_line("# What no route takes is answered 404.");
+    let mut name_counts: BTreeMap<String, usize> = BTreeMap::new();
     for route in &app.routes {
         let base = route_name(route);
-        let count = taken.entry(base.clone()).or_insert(0);
+        let count = name_counts.entry(base.clone()).or_insert(0);
         *count += 1;
         let name = if *count > 1 { format!("{base}-{count}") } else { base };
         if let Some(origin) = &route.origin {
-            w(&format!("# {}", origin.replace(['\n', '\r'], " ")));
+            write_line(&format!("# {}", origin.replace(['\n', '\r'], " ")));
         }
         let mut line = format!("route {name} {{ path {} {}; ", route.path.0, quoted(&route.path.1));
         if !route.methods.is_empty() {
-            // The caller said that these may run twice; the checker would ask.
-            let asks = route.effect == RouteEffect::Safe
+            // The caller declared these methods safe; without `meant` the checker would warn about them.
+            let needs_confirmation = route.effect == RouteEffect::Safe
                 && route.methods.iter().any(|m| m == "POST" || m == "PATCH");
-            let meant = if asks { " meant" } else { "" };
-            let _ = write!(line, "methods {}{meant}; ", route.methods.join(" "));
+            let confirmation = if needs_confirmation { " meant" } else { "" };
+            let _ = write!(line, "methods {}{confirmation}; ", route.methods.join(" "));
         }
-        let _ = write!(line, "class {}; pool {}; }}", route.effect.class(), quoted(&app.name));
-        w(&line);
+        let _ = write!(line, "class {}; pool {}; }}", route.effect.class_name(), quoted(&app.name));
+        write_line(&line);
     }
     format("generated", &out).unwrap_or(out)
 }
 
-/// `a` to `z`, then `a2` and so on.
+/// Returns the name of a server by its index: `a` to `z`, then `a2` and so on.
 fn server_name(number: usize) -> String {
     let letter = char::from(b'a' + (number % 26) as u8);
     match number / 26 {
@@ -305,7 +311,7 @@
     }
 }
 
-/// A word as the language writes it.
+/// Quotes a word where the configuration language requires it.
 fn quoted(text: &str) -> String {
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && !"{};#\"\u{FEFF}".contains(c);
     if !text.is_empty() && text.chars().all(plain) && !text.starts_with('$') && text != "meant" {
--- a/crates/tool/src/lib.rs
+++ b/crates/tool/src/lib.rs
@@ -1,7 +1,7 @@
-//! What people do with a configuration: format it, compare two, have codes explained, have one written.
+//! Operations on configurations: formatting, comparison, explanation of codes, and generation.
 //!
-//! Called by the command line. It does no I/O: texts and loaded configurations are handed in, texts and plain
-//! data come back. It must never decide what a configuration means; that is `ivygate-config`'s.
+//! The command line uses this crate. It performs no I/O: it takes texts and loaded configurations and returns
+//! texts and plain data. The meaning of a configuration is defined by `ivygate-config` only.
 
 mod compare;
 mod explain;
--- a/crates/tool/src/openapi.rs
+++ b/crates/tool/src/openapi.rs
@@ -1,4 +1,4 @@
-//! Routes from an OpenAPI 3 document, in JSON or YAML.
+//! Imports routes from an OpenAPI 3 document in JSON or YAML.
 
 use crate::generate::{Route, RouteEffect};
 use serde_json::Value;
@@ -6,21 +6,21 @@
 use std::fmt;
 
 const METHODS: [&str; 8] = ["get", "head", "options", "put", "post", "delete", "patch", "trace"];
-/// What a document says of an operation's effect, where it says so.
+/// Extension field that declares the effect of an operation or path.
 const EXTENSION: &str = "x-ivygate-effect";
 
-/// What came of a document.
+/// Result of importing a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenApiImport {
-    /// Its title.
+    /// Title of the document.
     pub title: Option<String>,
-    /// Its operations as routes, in the order in which they are to be tried.
+    /// Operations as routes, in matching order.
     pub routes: Vec<Route>,
-    /// What could not be carried over as it stands.
+    /// Remarks on parts that could not be converted exactly.
     pub remarks: Vec<String>,
 }
 
-/// Why a document cannot be used.
+/// Error for a document that cannot be imported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenApiError(String);
 
@@ -32,11 +32,13 @@
 
 impl std::error::Error for OpenApiError {}
 
-/// Reads a document. `told` says the effect of operations (`POST /search`) where the caller knows better.
+/// Imports a document. `overrides` gives the effect of single operations, such as `POST /search`, and takes
+/// precedence over the document.
 ///
 /// # Errors
-/// If it is no OpenAPI 3 document, or what is told names no operation.
-pub fn from_openapi(text: &str, told: &[(String, RouteEffect)]) -> Result<OpenApiImport, OpenApiError> {
+/// If the text is not an OpenAPI 3 document, declares an unknown effect or no operation, or an override names no
+/// operation of it.
+pub fn from_openapi(text: &str, overrides: &[(String, RouteEffect)]) -> Result<OpenApiImport, OpenApiError> {
     let document: Value = match serde_json::from_str(text) {
         Ok(document) => document,
         Err(json) => serde_yaml_ng::from_str(text).map_err(|yaml| {
@@ -56,11 +58,11 @@
     let Some(paths) = document.get("paths").and_then(Value::as_object) else {
         return Err(OpenApiError("it has no `paths`".to_owned()));
     };
-    let mut used = vec![false; told.len()];
-    // By path and effect: methods, and the operations that they come from. Two templates may be one pattern.
-    let mut found: BTreeMap<(String, String), (RouteEffect, Vec<String>)> = BTreeMap::new();
+    let mut used = vec![false; overrides.len()];
+    // Effect and source operations by path and method. Several templates may map to the same pattern.
+    let mut operations: BTreeMap<(String, String), (RouteEffect, Vec<String>)> = BTreeMap::new();
     for (template, item) in paths {
-        let path = pattern(&format!("{base}{template}"), &mut remarks);
+        let path = to_pattern(&format!("{base}{template}"), &mut remarks);
         let Some(item) = item.as_object() else { continue };
         if item.contains_key("$ref") {
             remarks.push(format!("{template} is a reference to another document and is not carried over"));
@@ -75,14 +77,14 @@
                 effect =
                     text.parse().map_err(|error| OpenApiError(format!("{name}: {EXTENSION}: {error}")))?;
             }
-            for (number, (operation, by_caller)) in told.iter().enumerate() {
+            for (number, (operation, override_effect)) in overrides.iter().enumerate() {
                 if *operation == name {
-                    effect = *by_caller;
+                    effect = *override_effect;
                     used[number] = true;
                 }
             }
             let key = (path.clone(), method.to_uppercase());
-            let entry = found.entry(key).or_insert((effect, Vec::new()));
+            let entry = operations.entry(key).or_insert((effect, Vec::new()));
             if !entry.1.is_empty() {
                 remarks.push(format!(
                     "{name} claims the same requests as {}; the stricter effect holds",
@@ -96,14 +98,14 @@
     if let Some(number) = used.iter().position(|used| !used) {
         return Err(OpenApiError(format!(
             "it has no operation `{}`; write it as `POST /path`",
-            told[number].0
+            overrides[number].0
         )));
     }
-    if found.is_empty() {
+    if operations.is_empty() {
         return Err(OpenApiError("it has no operation".to_owned()));
     }
     let mut merged: BTreeMap<(String, RouteEffect), (Vec<String>, Vec<String>)> = BTreeMap::new();
-    for ((path, method), (effect, names)) in found {
+    for ((path, method), (effect, names)) in operations {
         let entry = merged.entry((path, effect)).or_default();
         entry.0.push(method);
         entry.1.extend(names);
@@ -117,14 +119,15 @@
             origin: Some(names.join(", ")),
         })
         .collect();
-    // The first pattern that matches takes a request, so literal segments come before wildcards.
-    let rank = |route: &Route| route.path.1.split('/').map(|s| (s == "*", s.to_owned())).collect::<Vec<_>>();
-    routes.sort_by_cached_key(|route| (rank(route), route.effect));
+    // The first matching pattern wins, so literal segments sort before wildcards.
+    let sort_key =
+        |route: &Route| route.path.1.split('/').map(|s| (s == "*", s.to_owned())).collect::<Vec<_>>();
+    routes.sort_by_cached_key(|route| (sort_key(route), route.effect));
     let title = document.pointer("/info/title").and_then(Value::as_str).map(str::to_owned);
     Ok(OpenApiImport { title, routes, remarks })
 }
 
-/// The path of the document's first server.
+/// Returns the path of the document's first server URL.
 fn base_path(document: &Value, remarks: &mut Vec<String>) -> String {
     let Some(url) = document.pointer("/servers/0/url").and_then(Value::as_str) else { return String::new() };
     if url.contains('{') {
@@ -138,8 +141,8 @@
     path.trim_end_matches('/').to_owned()
 }
 
-/// A template as a pattern: a segment with a parameter is any one.
-fn pattern(template: &str, remarks: &mut Vec<String>) -> String {
+/// Converts a path template to a pattern: a segment with a parameter becomes `*`.
+fn to_pattern(template: &str, remarks: &mut Vec<String>) -> String {
     let segments: Vec<&str> = template
         .split('/')
         .map(|segment| match segment {
--- a/crates/tool/src/report.rs
+++ b/crates/tool/src/report.rs
@@ -1,10 +1,10 @@
-//! Findings for editors and other programs.
+//! Findings as JSON for editors and other programs.
 
 use ivygate_config::{Diagnostic, LoadedConfig, Severity, Sources, Span};
 use serde_json::{json, Value};
 
-/// All findings of a configuration as one JSON document. Lines and columns count from 1, columns in characters;
-/// `start` and `end` are bytes of the file.
+/// Returns all findings of a configuration as one JSON document. Lines and columns count from 1, columns in
+/// characters; `start` and `end` are byte offsets in the file.
 pub fn findings_as_json(loaded: &LoadedConfig) -> String {
     let document = json!({
         "version": 1,
@@ -12,12 +12,12 @@
         "warnings": loaded.count(Severity::Warning),
         "notes": loaded.count(Severity::Note),
         "files": loaded.sources.names().collect::<Vec<_>>(),
-        "findings": loaded.findings.iter().map(|f| finding(&loaded.sources, f)).collect::<Vec<_>>(),
+        "findings": loaded.findings.iter().map(|f| finding_to_json(&loaded.sources, f)).collect::<Vec<_>>(),
     });
     format!("{document:#}")
 }
 
-fn finding(sources: &Sources, finding: &Diagnostic) -> Value {
+fn finding_to_json(sources: &Sources, finding: &Diagnostic) -> Value {
     let severity = match finding.severity {
         Severity::Error => "error",
         Severity::Warning => "warning",
@@ -27,13 +27,13 @@
         "severity": severity,
         "code": finding.code,
         "message": finding.message,
-        "at": place(sources, finding.at.0, &finding.at.1),
-        "also": finding.related.iter().map(|(span, label)| place(sources, *span, label)).collect::<Vec<_>>(),
+        "at": position_to_json(sources, finding.at.0, &finding.at.1),
+        "also": finding.related.iter().map(|(span, label)| position_to_json(sources, *span, label)).collect::<Vec<_>>(),
         "help": finding.help,
     })
 }
 
-fn place(sources: &Sources, span: Span, label: &str) -> Value {
+fn position_to_json(sources: &Sources, span: Span, label: &str) -> Value {
     let begin = sources.position(span);
     let end = sources.position(Span { start: span.end, ..span });
     json!({
