--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -1,8 +1,9 @@
-//! Mistakes are found at their place, all in one run, and good files become the model that they mean.
+//! Tests of the checker: errors are reported at their positions in one run, and valid files produce the expected
+//! model.
 
 use ivygate_config::*;
 
-const GOOD: &str = "\
+const VALID_CONFIG: &str = "\
 listen 127.0.0.1:8080 { trusted 127.0.0.1 10.0.0.0/8; connections 200; idle 30s; }
 class read { effect safe; aim 250ms; deadline 2s; worth 2; }
 class edit { effect keyed; scope zone meant; window 15s; deadline 3s; key X-Key; }
@@ -28,8 +29,8 @@
 }
 
 #[test]
-fn a_good_file_becomes_the_model_that_it_means() {
-    let model = model(GOOD);
+fn valid_file_produces_the_expected_model() {
+    let model = model(VALID_CONFIG);
     let listener = &model.listeners[0];
     assert_eq!((listener.connections, listener.idle, listener.trusted.len()), (200, 30_000.0, 2));
     assert_eq!(model.classes[1].effect, Effect::Keyed(Scope::Zone, 15_000.0));
@@ -47,29 +48,35 @@
 }
 
 #[test]
-fn a_safe_class_takes_only_methods_that_change_nothing_unless_told() {
-    let named = |text: &str| match &model(text).routes[0].matcher.methods {
+fn safe_class_defaults_to_safe_methods() {
+    let route_methods = |text: &str| match &model(text).routes[0].matcher.methods {
         ivygate_routing::MethodMatch::Any => vec!["any".to_owned()],
         ivygate_routing::MethodMatch::Named(names) => names.clone(),
     };
-    assert_eq!(named(GOOD), ["GET", "HEAD", "OPTIONS"]);
-    assert_eq!(named(&GOOD.replace("route all { class read;", "route all { class order;")), ["any"]);
-    let told = GOOD.replace("route all { class read;", "route all { methods POST; class read;");
-    assert_eq!(named(&told), ["POST"]);
-    let warned = load("test.conf", &told);
+    assert_eq!(route_methods(VALID_CONFIG), ["GET", "HEAD", "OPTIONS"]);
+    assert_eq!(
+        route_methods(&VALID_CONFIG.replace("route all { class read;", "route all { class order;")),
+        ["any"]
+    );
+    let with_post = VALID_CONFIG.replace("route all { class read;", "route all { methods POST; class read;");
+    assert_eq!(route_methods(&with_post), ["POST"]);
+    let warned = load("test.conf", &with_post);
     let warnings: Vec<_> = warned.findings.iter().filter(|f| f.severity == Severity::Warning).collect();
     assert_eq!((warnings.len(), warnings[0].code), (1, "IV0101"));
 }
 
 #[test]
-fn places_do_not_count_when_configurations_are_compared() {
-    assert!(model(GOOD) == model(&GOOD.replace("; ", ";\n  ").replace("pool app", "# comment\n\npool app")));
-    assert!(model(GOOD) != model(&GOOD.replace("250ms", "251ms")));
+fn model_comparison_ignores_positions() {
+    assert!(
+        model(VALID_CONFIG)
+            == model(&VALID_CONFIG.replace("; ", ";\n  ").replace("pool app", "# comment\n\npool app"))
+    );
+    assert!(model(VALID_CONFIG) != model(&VALID_CONFIG.replace("250ms", "251ms")));
 }
 
 #[test]
-fn each_mistake_is_found_at_its_place_and_told_plainly() {
-    // What is replaced by what, the code, and what stands at the place.
+fn each_mistake_is_reported_at_its_position() {
+    // Text to replace, replacement, expected code, and the source text at the reported position.
     let cases = [
         ("idle 30s", "idle 30", "IV0021", "30"),
         ("idle 30s", "idle 30KiB", "IV0022", "30KiB"),
@@ -130,8 +137,8 @@
         ("\"a b\"", "\"a b", "IV0001", "\"a b {"),
     ];
     for (from, to, code, place) in &cases {
-        assert!(GOOD.contains(from), "{from}");
-        let text = GOOD.replacen(from, to, 1);
+        assert!(VALID_CONFIG.contains(from), "{from}");
+        let text = VALID_CONFIG.replacen(from, to, 1);
         let loaded = load("test.conf", &text);
         assert!(loaded.model.is_none(), "{to}: taken");
         let found: Vec<_> =
@@ -149,8 +156,8 @@
 }
 
 #[test]
-fn one_run_finds_the_mistakes_of_all_blocks() {
-    let text = GOOD
+fn one_run_reports_the_errors_of_all_blocks() {
+    let text = VALID_CONFIG
         .replace("idle 30s", "idle 30")
         .replace("effect safe", "effect save")
         .replace("pool app; methods", "pool ap; methods");
@@ -161,9 +168,9 @@
 }
 
 #[test]
-fn nothing_that_is_given_makes_the_reader_fail() {
+fn random_and_truncated_input_does_not_panic() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let pieces = [
+    let fragments = [
         "{",
         "}",
         ";",
@@ -183,22 +190,22 @@
         "server a 127.0.0.1:1",
     ];
     for _ in 0..3_000 {
-        let text: String = (0..rng.usize(0..40)).map(|_| pieces[rng.usize(..pieces.len())]).collect();
+        let text: String = (0..rng.usize(0..40)).map(|_| fragments[rng.usize(..fragments.len())]).collect();
         let loaded = load("test.conf", &text);
         assert!(loaded.model.is_none() && !loaded.findings.is_empty(), "{text:?}");
         loaded.report(Severity::Note, false);
     }
     let deep = "a {".repeat(100_000);
     assert!(load("test.conf", &deep).model.is_none());
-    // A good file that is cut anywhere is either refused or still a whole one.
-    for end in 0..GOOD.len() {
-        let loaded = load("test.conf", &GOOD[..end]);
+    // A valid file truncated at any byte is either rejected or still a complete configuration.
+    for end in 0..VALID_CONFIG.len() {
+        let loaded = load("test.conf", &VALID_CONFIG[..end]);
         assert!(loaded.model.is_some() || !loaded.findings.is_empty());
     }
 }
 
 #[test]
-fn comments_stay_in_the_tree_with_the_statement_that_they_stand_before() {
+fn comments_are_attached_to_the_following_statement() {
     let (block, errors) = parse("# first\na b; # behind\nc { # inside\n d; }\n# last\n", 0);
     assert!(errors.is_empty());
     let texts = |comments: &[Comment]| comments.iter().map(|c| c.text.clone()).collect::<Vec<_>>();
--- a/crates/tool/tests/compare.rs
+++ b/crates/tool/tests/compare.rs
@@ -1,9 +1,9 @@
-//! What two configurations do differently is told, and nothing else is.
+//! Tests that a comparison reports all differences in behaviour and no others.
 
 use ivygate_config::{load, load_with, LoadedConfig, Loader};
 use ivygate_tool::{compare, Difference};
 
-const BASE: &str = "\
+const BASE_CONFIG: &str = "\
 limits { descriptors 4096; }
 listen 127.0.0.1:8080 { trusted 127.0.0.1 10.0.0.0/8; connections 1000; }
 class read { effect safe; deadline 2s; }
@@ -21,53 +21,56 @@
 route orders { path exact /orders; methods POST; class order; pool pay; }
 ";
 
-fn good(text: &str) -> LoadedConfig {
+fn load_valid(text: &str) -> LoadedConfig {
     let loaded = load("x", text);
     assert!(loaded.model.is_some(), "{}", loaded.report(ivygate_config::Severity::Error, false));
     loaded
 }
 
 fn differences(old: &str, new: &str) -> Vec<Difference> {
-    compare(&good(old), &good(new)).unwrap()
+    compare(&load_valid(old), &load_valid(new)).unwrap()
 }
 
-fn changed(from: &str, to: &str) -> Vec<Difference> {
-    assert!(BASE.contains(from), "{from}");
-    differences(BASE, &BASE.replacen(from, to, 1))
+fn differences_after_replacing(from: &str, to: &str) -> Vec<Difference> {
+    assert!(BASE_CONFIG.contains(from), "{from}");
+    differences(BASE_CONFIG, &BASE_CONFIG.replacen(from, to, 1))
 }
 
 #[test]
-fn reordered_and_reformatted_files_are_equal() {
-    let mut lines: Vec<&str> = BASE.lines().collect();
+fn reordering_and_reformatting_make_no_difference() {
+    let mut lines: Vec<&str> = BASE_CONFIG.lines().collect();
     lines.reverse();
-    assert_eq!(differences(BASE, &lines.join("\n# c\n\n")), []);
-    assert_eq!(differences(BASE, &ivygate_tool::format("x", BASE).unwrap()), []);
-    assert_eq!(changed("trusted 127.0.0.1 10.0.0.0/8", "trusted 10.0.0.0/8 127.0.0.1/32"), []);
-    assert_eq!(changed("deadline 2s", "deadline 2000ms"), []);
+    assert_eq!(differences(BASE_CONFIG, &lines.join("\n# c\n\n")), []);
+    assert_eq!(differences(BASE_CONFIG, &ivygate_tool::format("x", BASE_CONFIG).unwrap()), []);
+    assert_eq!(
+        differences_after_replacing("trusted 127.0.0.1 10.0.0.0/8", "trusted 10.0.0.0/8 127.0.0.1/32"),
+        []
+    );
+    assert_eq!(differences_after_replacing("deadline 2s", "deadline 2000ms"), []);
 }
 
 #[test]
-fn the_same_in_other_files_and_by_variables_is_equal() {
-    struct One;
-    impl Loader for One {
+fn includes_and_variables_make_no_difference() {
+    struct SingleFileLoader;
+    impl Loader for SingleFileLoader {
         fn find(&self, _: &str, pattern: &str) -> Result<Vec<String>, String> {
             Ok(vec![pattern.to_owned()])
         }
         fn read(&self, _: &str) -> Result<Vec<u8>, String> {
-            Ok(BASE.replace("deadline 2s", "deadline $d").into_bytes())
+            Ok(BASE_CONFIG.replace("deadline 2s", "deadline $d").into_bytes())
         }
     }
-    let other = load_with("y", b"let d time 2s;\ninclude all;", &One);
-    assert_eq!(compare(&good(BASE), &other).unwrap(), []);
+    let other = load_with("y", b"let d time 2s;\ninclude all;", &SingleFileLoader);
+    assert_eq!(compare(&load_valid(BASE_CONFIG), &other).unwrap(), []);
 }
 
 #[test]
-fn a_route_that_is_renamed_or_split_without_effect_is_equal() {
-    assert_eq!(changed("route tiles", "route maps"), []);
+fn renaming_or_splitting_a_route_makes_no_difference() {
+    assert_eq!(differences_after_replacing("route tiles", "route maps"), []);
     let split = "sign-in m { pool app; path /check; answer-headers X-User; }
 route tiles { path prefix /tiles; class read; pool app; }\nroute more { path exact /tiles/one; class read; pool app; }";
     assert_eq!(
-        changed(
+        differences_after_replacing(
             "sign-in m { pool app; path /check; answer-headers X-User; }
 route tiles { path prefix /tiles; class read; pool app; }",
             split
@@ -77,18 +80,21 @@
 }
 
 #[test]
-fn requests_that_go_elsewhere_come_with_an_example_and_both_lines() {
-    let all =
-        changed("route tiles {", "route one { path exact /tiles/one; class read; pool pay; }\nroute tiles {");
+fn rerouted_requests_are_reported_with_example_and_positions() {
+    let all = differences_after_replacing(
+        "route tiles {",
+        "route one { path exact /tiles/one; class read; pool pay; }\nroute tiles {",
+    );
     assert_eq!(all.len(), 1, "{all:?}");
     assert_eq!(all[0].example.as_deref(), Some("GET http://other/tiles/one"));
     assert_eq!(all[0].old.as_ref().unwrap().place, "x:13:1");
     assert!(all[0].new.as_ref().unwrap().value.contains("pool pay"));
-    let gone = changed(
+    let rerouted = differences_after_replacing(
         "route orders { path exact /orders; methods POST; class order; pool pay; }\n",
         "route orders { path exact /order; methods POST; class order; pool pay; }\n",
     );
-    let examples: Vec<_> = gone.iter().map(|d| (d.change.as_str(), d.example.as_deref().unwrap())).collect();
+    let examples: Vec<_> =
+        rerouted.iter().map(|d| (d.change.as_str(), d.example.as_deref().unwrap())).collect();
     assert_eq!(
         examples,
         [
@@ -99,7 +105,7 @@
 }
 
 #[test]
-fn what_is_risky_is_marked_and_what_is_not_is_not() {
+fn only_risky_changes_are_marked_as_risky() {
     let cases = [
         ("effect unsafe", "effect safe", true),
         ("effect unsafe", "effect keyed; scope all; window 5s", true),
@@ -124,16 +130,16 @@
         ("class read; pool app", "sign-in m; class read; pool app", false),
     ];
     for (from, to, risky) in cases {
-        let all = changed(from, to);
+        let all = differences_after_replacing(from, to);
         assert!(!all.is_empty(), "{to}");
         assert_eq!(all.iter().any(|d| d.risk.is_some()), risky, "{to}: {all:?}");
     }
 }
 
 #[test]
-fn a_sign_in_that_is_removed_or_loosened_is_risky() {
-    let asked = BASE.replace("class read; pool app", "sign-in m; class read; pool app");
-    let all = differences(&asked, BASE);
+fn removing_or_loosening_a_sign_in_is_risky() {
+    let with_sign_in = BASE_CONFIG.replace("class read; pool app", "sign-in m; class read; pool app");
+    let all = differences(&with_sign_in, BASE_CONFIG);
     assert_eq!(all.len(), 1, "{all:?}");
     assert_eq!(all[0].risk.as_deref(), Some("sign-in is removed: these go on unchecked"));
     for (from, to, risky) in [
@@ -143,13 +149,13 @@
         ("answer-headers X-User;", "answer-headers X-Plan;", true),
         ("path /check;", "path /check; within 400ms;", false),
     ] {
-        let all = differences(&asked, &asked.replacen(from, to, 1));
+        let all = differences(&with_sign_in, &with_sign_in.replacen(from, to, 1));
         assert_eq!((all.len(), all[0].risk.is_some()), (1, risky), "{to}: {all:?}");
     }
 }
 
 #[test]
-fn each_change_names_its_subject_its_statement_and_both_lines() {
+fn each_change_names_block_setting_and_both_positions() {
     let cases = [
         ("deadline 2s", "deadline 4s", "class read", "deadline", "x:3:27", "x:3:27"),
         (
@@ -167,11 +173,14 @@
         ("connections 1000", "connections 1100", "listen 127.0.0.1:8080", "connections", "x:2:55", "x:2:55"),
     ];
     for (from, to, subject, what, old, new) in cases {
-        let all = changed(from, to);
-        let hit = all.iter().find(|d| d.subject == subject && d.change == what);
-        let hit = hit.unwrap_or_else(|| panic!("{to}: {all:?}"));
+        let all = differences_after_replacing(from, to);
+        let difference = all.iter().find(|d| d.subject == subject && d.change == what);
+        let difference = difference.unwrap_or_else(|| panic!("{to}: {all:?}"));
         assert_eq!(
-            (hit.old.as_ref().unwrap().place.as_str(), hit.new.as_ref().unwrap().place.as_str()),
+            (
+                difference.old.as_ref().unwrap().place.as_str(),
+                difference.new.as_ref().unwrap().place.as_str()
+            ),
             (old, new),
             "{to}"
         );
@@ -179,8 +188,8 @@
 }
 
 #[test]
-fn servers_that_come_and_go_are_told_once_each() {
-    let all = changed("server b 127.0.0.1:9001", "server c 127.0.0.1:9001");
-    let told: Vec<_> = all.iter().map(|d| (d.subject.as_str(), d.change.as_str())).collect();
-    assert_eq!(told, [("pool app, server b", "is gone"), ("pool app, server c", "is new")]);
+fn added_and_removed_servers_are_reported_once_each() {
+    let all = differences_after_replacing("server b 127.0.0.1:9001", "server c 127.0.0.1:9001");
+    let reported: Vec<_> = all.iter().map(|d| (d.subject.as_str(), d.change.as_str())).collect();
+    assert_eq!(reported, [("pool app, server b", "is gone"), ("pool app, server c", "is new")]);
 }
--- a/crates/tool/tests/generate.rs
+++ b/crates/tool/tests/generate.rs
@@ -1,10 +1,10 @@
-//! What is written for an application passes check and layout, and does what was asked for.
+//! Tests that generated configurations pass the checker, are formatted, and match their description.
 
 use ivygate_config::{load, Effect, Model, Severity};
 use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_tool::{format, from_openapi, generate, AppDescription, Route, RouteEffect};
 
-fn written(app: &AppDescription) -> (String, Model) {
+fn generate_checked(app: &AppDescription) -> (String, Model) {
     let text = generate(app, "127.0.0.1:8080".parse().unwrap());
     let loaded = load("x", &text);
     let report = loaded.report(Severity::Warning, false);
@@ -22,7 +22,7 @@
     }
 }
 
-/// The effect of a request's class, or none if no route takes it.
+/// Returns the effect of the class that a request is routed to, or `None` if no route matches.
 fn effect(model: &Model, method: &str, path: &str) -> Option<Effect> {
     let table = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect()).unwrap();
     match table.find("h", path, method) {
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn routes_get_the_effect_that_was_told_and_writes_are_unsafe_by_default() {
-    let (_, model) = written(&app(&[
+fn routes_get_the_declared_effect_and_writes_default_to_unsafe() {
+    let (_, model) = generate_checked(&app(&[
         "GET /tiles",
         "POST /orders",
         "POST,PUT /trails/*/edits keyed",
@@ -48,36 +48,36 @@
 }
 
 #[test]
-fn names_and_plans_that_look_like_syntax_are_quoted() {
-    let mut odd = app(&["/ safe"]);
-    odd.plans = vec![("a plan; {".into(), "20/s".into()), ("$x".into(), "5/s".into())];
-    odd.customer_header = Some("X-Customer".into());
-    let (_, model) = written(&odd);
+fn names_that_contain_syntax_are_quoted() {
+    let mut app = app(&["/ safe"]);
+    app.plans = vec![("a plan; {".into(), "20/s".into()), ("$x".into(), "5/s".into())];
+    app.customer_header = Some("X-Customer".into());
+    let (_, model) = generate_checked(&app);
     assert_eq!(model.plans.iter().map(|p| p.name.as_str()).collect::<Vec<_>>(), ["a plan; {", "$x"]);
 }
 
 #[test]
-fn many_servers_and_routes_get_names_of_their_own() {
+fn servers_and_routes_get_unique_names() {
     let mut many = app(&["/a safe", "GET /b", "POST /b", "POST /a-b", "POST /a/b", "/ safe"]);
     many.servers = (0..60).map(|n| ([127, 0, 0, 1], 9000 + n).into()).collect();
-    let (_, model) = written(&many);
+    let (_, model) = generate_checked(&many);
     assert_eq!((model.pools[0].servers.len(), model.routes.len()), (60, 6));
 }
 
 #[test]
-fn routes_that_cannot_be_understood_are_refused_in_words() {
-    for wrong in ["", "orders", "POST", "POST /a often", "/a safe now", "po$t /a", "POST /a safe x"] {
-        assert!(wrong.parse::<Route>().is_err(), "{wrong}");
+fn invalid_routes_are_rejected_with_a_reason() {
+    for invalid in ["", "orders", "POST", "POST /a often", "/a safe now", "po$t /a", "POST /a safe x"] {
+        assert!(invalid.parse::<Route>().is_err(), "{invalid}");
     }
     assert!("POST /a often".parse::<Route>().unwrap_err().to_string().contains("`often`"));
 }
 
 #[test]
-fn descriptions_in_a_file_are_read_and_their_mistakes_told_with_their_line() {
+fn description_files_are_parsed_and_errors_carry_lines() {
     let text = "app tiles { server 127.0.0.1:9101; route /tiles safe; }\napp orders {\n  listen 127.0.0.1:8082;\n  server 127.0.0.1:9301; route POST /orders;\n  plan member 5/s; customer header X-Member;\n}";
     let apps = AppDescription::read("apps", text).unwrap();
     assert_eq!(apps.iter().map(|a| a.name.as_str()).collect::<Vec<_>>(), ["tiles", "orders"]);
-    apps.iter().for_each(|app| drop(written(app)));
+    apps.iter().for_each(|app| drop(generate_checked(app)));
     let (sources, errors) =
         AppDescription::read("apps", "app x {\n server nowhere;\n route often;\n colour red;\n}\npool y { }")
             .unwrap_err();
@@ -85,7 +85,7 @@
     assert_eq!(lines, [2, 3, 4, 6]);
 }
 
-const DOCUMENT: &str = r#"
+const OPENAPI_DOCUMENT: &str = r#"
 openapi: 3.0.3
 info: { title: Trails, version: "1" }
 servers: [{ url: "https://api.example.org/v1/" }]
@@ -98,11 +98,12 @@
 "#;
 
 #[test]
-fn an_openapi_document_becomes_routes_in_which_only_reads_are_safe() {
-    let document = from_openapi(DOCUMENT, &[("POST /trails/search".into(), RouteEffect::Safe)]).unwrap();
+fn openapi_import_makes_only_reads_safe() {
+    let document =
+        from_openapi(OPENAPI_DOCUMENT, &[("POST /trails/search".into(), RouteEffect::Safe)]).unwrap();
     assert_eq!(document.title.as_deref(), Some("Trails"));
     let (text, model) =
-        written(&AppDescription { routes: document.routes, remarks: document.remarks, ..app(&[]) });
+        generate_checked(&AppDescription { routes: document.routes, remarks: document.remarks, ..app(&[]) });
     assert_eq!(effect(&model, "GET", "/v1/trails"), Some(Effect::Safe));
     assert_eq!(effect(&model, "POST", "/v1/trails"), Some(Effect::Unsafe));
     assert!(matches!(effect(&model, "PUT", "/v1/trails/7"), Some(Effect::Keyed(..))));
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn json_is_read_as_yaml_is() {
+fn json_and_yaml_documents_import_alike() {
     let json = r#"{"openapi":"3.1.0","paths":{"/a":{"get":{}}}}"#;
     assert_eq!(
         from_openapi(json, &[]).unwrap().routes,
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn two_templates_of_one_pattern_get_the_stricter_effect() {
+fn templates_with_the_same_pattern_get_the_stricter_effect() {
     let text =
         "openapi: 3.0.0\npaths:\n  /a/{x}: { post: { x-ivygate-effect: safe } }\n  /a/{y}: { post: {} }\n";
     let document = from_openapi(text, &[]).unwrap();
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn documents_that_cannot_be_used_say_why() {
+fn invalid_documents_are_rejected_with_a_reason() {
     for (text, why) in [
         ("{\"openapi\": ", "neither JSON nor YAML"),
         ("a: [", "neither JSON nor YAML"),
@@ -149,6 +150,7 @@
         let error = from_openapi(text, &[]).unwrap_err().to_string();
         assert!(error.contains(why), "{error}");
     }
-    let error = from_openapi(DOCUMENT, &[("POST /gone".into(), RouteEffect::Safe)]).unwrap_err().to_string();
+    let error =
+        from_openapi(OPENAPI_DOCUMENT, &[("POST /gone".into(), RouteEffect::Safe)]).unwrap_err().to_string();
     assert!(error.contains("`POST /gone`"), "{error}");
 }
--- a/crates/tool/tests/language.rs
+++ b/crates/tool/tests/language.rs
@@ -1,4 +1,4 @@
-//! The reference's page, the parser, the checker and the formatter hold together.
+//! Tests that the reference page, the parser, the checker and the formatter agree.
 
 use ivygate_config::{load, parse, Block, Severity};
 use ivygate_tool::{format, KEYWORDS};
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/reference/configuration.md");
 
-// ---- The grammar of the page, read and made sentences of.
+// ---- Random sentences generated from the grammar on the reference page.
 
 #[derive(Clone, Debug)]
 enum Rule {
@@ -18,11 +18,11 @@
     Repeat(Box<Rule>),
 }
 
-struct Reader<'a> {
+struct GrammarParser<'a> {
     rest: &'a str,
 }
 
-impl Reader<'_> {
+impl GrammarParser<'_> {
     fn skip(&mut self) {
         self.rest = self.rest.trim_start();
     }
@@ -88,7 +88,7 @@
 
 fn grammar() -> HashMap<String, Rule> {
     let text = PAGE.split("```ebnf\n").nth(1).unwrap().split("```").next().unwrap();
-    let mut reader = Reader { rest: text };
+    let mut reader = GrammarParser { rest: text };
     let mut rules = HashMap::new();
     loop {
         reader.skip();
@@ -103,20 +103,20 @@
     }
 }
 
-/// The words that a sentence means, statement by statement, as the maker knows them.
-struct Maker {
+/// Generates random sentences of the grammar.
+struct SentenceGenerator {
     rules: HashMap<String, Rule>,
     rng: fastrand::Rng,
     text: String,
     depth: usize,
 }
 
-impl Maker {
+impl SentenceGenerator {
     fn name(&mut self, name: &str) {
         let rule = self.rules[name].clone();
-        // Tokens may be held apart, and words must be.
+        // Tokens may be separated by white space or comments; words must be.
         if ["statement", "block", "word"].contains(&name) {
-            self.between();
+            self.separator();
         }
         if name == "statement" {
             self.depth += 1;
@@ -127,7 +127,7 @@
         }
     }
 
-    fn between(&mut self) {
+    fn separator(&mut self) {
         self.text.push_str(
             [" ", "\t", "\n", "\r\n", " # a { comment ; \"\n", "\u{FEFF}", "  \n\n "][self.rng.usize(..7)],
         );
@@ -139,14 +139,14 @@
             Rule::Named(name) => self.name(name),
             Rule::All(parts) => parts.iter().for_each(|part| self.rule(part)),
             Rule::One(choices) => {
-                // A statement at some depth ends, so that sentences do.
-                let ends = self.depth > 4;
-                let choice = if ends { 0 } else { self.rng.usize(..choices.len()) };
+                // Below a certain depth the first choice, which ends the statement, keeps sentences finite.
+                let must_end = self.depth > 4;
+                let choice = if must_end { 0 } else { self.rng.usize(..choices.len()) };
                 self.rule(&choices[choice].clone());
             }
             Rule::Repeat(inner) => {
-                let most = if self.depth > 4 { 1 } else { 4 };
-                for _ in 0..self.rng.usize(..most) {
+                let max_repeats = if self.depth > 4 { 1 } else { 4 };
+                for _ in 0..self.rng.usize(..max_repeats) {
                     self.rule(inner);
                 }
             }
@@ -171,28 +171,29 @@
 }
 
 #[test]
-fn files_made_by_the_pages_grammar_are_read_without_a_mistake_and_survive_formatting() {
+fn files_generated_from_the_documented_grammar_parse_and_format() {
     let rules = grammar();
     assert!(rules.len() >= 9, "{rules:?}");
-    let mut maker = Maker { rules, rng: fastrand::Rng::with_seed(7), text: String::new(), depth: 0 };
+    let mut generator =
+        SentenceGenerator { rules, rng: fastrand::Rng::with_seed(7), text: String::new(), depth: 0 };
     let (mut statements, mut comments) = (0, 0);
     for _ in 0..3000 {
-        maker.text.clear();
-        maker.name("file");
-        if maker.rng.bool() {
-            maker.name("comment");
+        generator.text.clear();
+        generator.name("file");
+        if generator.rng.bool() {
+            generator.name("comment");
         }
-        let (block, errors) = parse(&maker.text, 0);
-        assert!(errors.is_empty(), "{:?}: {errors:?}", maker.text);
+        let (block, errors) = parse(&generator.text, 0);
+        assert!(errors.is_empty(), "{:?}: {errors:?}", generator.text);
         statements += block.statements.len();
-        comments += maker.text.matches('#').count();
-        formatted_alike(&maker.text);
+        comments += generator.text.matches('#').count();
+        assert_formatting_keeps_meaning(&generator.text);
     }
     assert!(statements > 1000 && comments > 1000, "{statements} {comments}");
 }
 
-/// The words of all statements, and the comments.
-fn meaning(block: &Block, words: &mut String, comments: &mut Vec<String>) {
+/// Collects the words of all statements, and the comments.
+fn collect_words(block: &Block, words: &mut String, comments: &mut Vec<String>) {
     for statement in &block.statements {
         comments.extend(statement.comments.iter().map(|c| c.text.clone()));
         for word in &statement.words {
@@ -200,7 +201,7 @@
         }
         if let Some(inner) = &statement.block {
             words.push('{');
-            meaning(inner, words, comments);
+            collect_words(inner, words, comments);
             words.push('}');
         }
         words.push(';');
@@ -208,7 +209,7 @@
     comments.extend(block.trailing.iter().map(|c| c.text.clone()));
 }
 
-fn formatted_alike(text: &str) {
+fn assert_formatting_keeps_meaning(text: &str) {
     let once = format("x", text).unwrap();
     let twice = format("x", &once).unwrap();
     assert_eq!(once, twice, "from {text:?}");
@@ -216,7 +217,7 @@
         let (block, errors) = parse(text, 0);
         assert!(errors.is_empty(), "{text:?}");
         let (mut words, mut comments) = (String::new(), Vec::new());
-        meaning(&block, &mut words, &mut comments);
+        collect_words(&block, &mut words, &mut comments);
         comments.sort();
         (words, comments)
     };
@@ -225,9 +226,9 @@
 }
 
 #[test]
-fn each_list_of_the_page_is_the_checkers_own() {
-    // What the checker lists as possible, asked by a statement that is not.
-    let asked = [
+fn keywords_match_the_statements_that_the_checker_accepts() {
+    // An unknown statement makes the checker list the statements that a block may have.
+    let probes = [
         ("", "odd;"),
         ("limits", "limits { odd; }"),
         ("listen", "listen 127.0.0.1:1 { odd; }"),
@@ -243,7 +244,7 @@
         ("route", "route r { odd; }"),
         ("sign-in", "sign-in s { odd; }"),
     ];
-    for (within, text) in asked {
+    for (within, text) in probes {
         let text = &text.replace("odd", "zzzzzzzz");
         let loaded = load("x", text);
         let finding = loaded.findings.iter().find(|f| f.code == "IV0010").unwrap();
@@ -266,7 +267,7 @@
 }
 
 #[test]
-fn the_page_names_every_statement_in_its_section() {
+fn reference_page_documents_every_statement_in_its_section() {
     for keyword in KEYWORDS {
         let section = match keyword.block {
             "" if ["include", "let", "block", "use"].contains(&keyword.name) => {
@@ -287,9 +288,9 @@
     }
 }
 
-// ---- What nobody would write.
+// ---- Random and very large inputs.
 
-const PIECES: [&str; 40] = [
+const FRAGMENTS: [&str; 40] = [
     "limits",
     "listen",
     "127.0.0.1:8080",
@@ -333,13 +334,13 @@
 ];
 
 #[test]
-fn nothing_at_random_makes_reader_checker_formatter_or_messages_fail() {
+fn random_input_does_not_panic() {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut read = 0;
     for _ in 0..4000 {
         let mut text = String::new();
         for _ in 0..rng.usize(..60) {
-            text.push_str(PIECES[rng.usize(..PIECES.len())]);
+            text.push_str(FRAGMENTS[rng.usize(..FRAGMENTS.len())]);
             if rng.u8(..10) > 0 {
                 text.push(' ');
             }
@@ -349,7 +350,7 @@
         ivygate_tool::findings_as_json(&loaded);
         match format("x", &text) {
             Ok(_) => {
-                formatted_alike(&text);
+                assert_formatting_keeps_meaning(&text);
                 read += 1;
             }
             Err(error) => drop(error.sources.render(&error.findings, false)),
@@ -359,7 +360,7 @@
 }
 
 #[test]
-fn a_good_file_with_letters_changed_at_random_never_makes_anything_fail() {
+fn random_edits_of_a_valid_file_do_not_panic() {
     let good = include_str!("../../../deploy/sidecar.conf");
     let mut rng = fastrand::Rng::with_seed(6);
     for _ in 0..1500 {
@@ -381,13 +382,13 @@
         loaded.report(Severity::Note, false);
         assert_eq!(loaded.model.is_none(), loaded.count(Severity::Error) > 0, "{text}");
         if format("x", &text).is_ok() {
-            formatted_alike(&text);
+            assert_formatting_keeps_meaning(&text);
         }
     }
 }
 
 #[test]
-fn monstrous_files_are_read_in_bounds() {
+fn very_large_inputs_produce_bounded_reports() {
     let deep = "a { ".repeat(100_000);
     let words = "word ".repeat(1_000_000);
     let line = std::format!("class x {{ deadline {}; }}", "9".repeat(10 << 20));
@@ -405,10 +406,10 @@
     }
 }
 
-// ---- The layout.
+// ---- Formatting.
 
 #[test]
-fn the_layout_is_this() {
+fn format_produces_the_canonical_layout() {
     let text = "# head\r\n\r\n\r\nlimits{descriptors 2048;drain   5s ;}   # behind\nclass a{effect safe;# why\n\n\n deadline 2s;\n\
                 # last\n}\npool p { server s 127.0.0.1:1 { zone \"a b\"; }; }\nlet a time # within\n 2s;\nplan e { }";
     let wanted = "# head\n\nlimits { descriptors 2048; drain 5s; } # behind\nclass a {\n    effect safe; # why\n\n    deadline 2s;\n\
@@ -417,14 +418,14 @@
 }
 
 #[test]
-fn a_block_that_does_not_fit_its_line_is_taken_apart() {
+fn block_too_long_for_one_line_is_split() {
     let text = std::format!("class a {{ effect safe; deadline 2s; aim 1s; key {}; }}\n", "k".repeat(80));
-    let laid = format("x", &text).unwrap();
-    assert!(laid.starts_with("class a {\n    effect safe;\n"), "{laid}");
+    let formatted = format("x", &text).unwrap();
+    assert!(formatted.starts_with("class a {\n    effect safe;\n"), "{formatted}");
 }
 
 #[test]
-fn what_cannot_be_read_is_not_formatted() {
+fn text_with_syntax_errors_is_not_formatted() {
     let error = format("x.conf", "class a { effect safe").unwrap_err();
     assert!(error.sources.render(&error.findings, false).contains("x.conf:1:9"));
 }
--- a/crates/tool/tests/mistakes.rs
+++ b/crates/tool/tests/mistakes.rs
@@ -1,5 +1,5 @@
-//! Every seeded mistake is found on its line, with its code, and nothing else is; good files that look like
-//! mistakes pass. The tables in the reference are made from these files.
+//! Tests that each seeded mistake is reported on its line with its code and nothing else is, and that unusual but
+//! valid files pass. The tables in the reference are generated from these files.
 
 use ivygate_config::{load, Severity};
 use std::fmt::Write;
@@ -17,12 +17,12 @@
     file.file_name().unwrap().to_string_lossy().into_owned()
 }
 
-/// The first line's comment.
+/// Returns the comment on the first line.
 fn title(text: &str) -> &str {
     text.lines().next().unwrap().trim_start_matches("# ")
 }
 
-/// What is written on the lines that hold mistakes: line, code, and a part of the message.
+/// Returns the findings that comments in the file announce: line, code, and a part of the message.
 fn expected(text: &str) -> Vec<(usize, String, String)> {
     let mut all = Vec::new();
     for (number, line) in text.lines().enumerate() {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn each_seeded_mistake_is_found_on_its_line_and_nothing_else_is() {
+fn seeded_mistakes_are_the_only_findings() {
     let mut wrong = String::new();
     let all = files("mistakes");
     assert!(all.len() >= 50);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_what_to_write_or_with_the_other_place() {
+fn each_finding_has_a_help_text_or_a_related_position() {
     for file in files("mistakes") {
         let loaded = load(&name(&file), &fs::read_to_string(&file).unwrap());
         for finding in &loaded.findings {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn good_files_that_look_like_mistakes_pass() {
+fn unusual_valid_files_have_no_warnings() {
     let all = files("good");
     assert!(all.len() >= 50);
     for file in &all {
@@ -117,8 +117,8 @@
     page
 }
 
-/// Holds a page of the reference to what it is made from.
-fn hold(page: &str, made: &str) {
+/// Compares a reference page with its generated text; writes the page instead if `IVYGATE_BLESS` is set.
+fn assert_page_is_up_to_date(page: &str, made: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/reference").join(page);
     if std::env::var_os("IVYGATE_BLESS").is_some() {
         fs::write(&path, made).unwrap();
@@ -127,16 +127,16 @@
 }
 
 #[test]
-fn the_table_of_mistakes_is_made_from_these_files() {
-    hold("mistakes.md", &table());
+fn mistakes_page_is_up_to_date() {
+    assert_page_is_up_to_date("mistakes.md", &table());
 }
 
 #[test]
-fn the_page_of_codes_is_made_from_the_catalogue() {
-    hold("codes.md", &ivygate_tool::all_as_markdown());
+fn codes_page_is_up_to_date() {
+    assert_page_is_up_to_date("codes.md", &ivygate_tool::all_as_markdown());
 }
 
-/// All files of a folder and of the folders in it.
+/// Returns all files in a directory and its subdirectories.
 fn files_below(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_catalogue_has_all_codes_that_are_used_and_no_other() {
+fn catalogue_contains_exactly_the_used_codes() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/src");
     let codes = |text: &str| -> Vec<String> {
         text.match_indices("\"IV0").map(|(at, _)| text[at + 1..at + 7].to_owned()).collect()
