--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -66,8 +66,8 @@
     }
     consistency::check(&fields, &model);
     fields.finish();
-    let bad = findings.borrow().iter().any(|f| f.severity == Severity::Error);
-    (!bad).then_some(model)
+    let has_error = findings.borrow().iter().any(|f| f.severity == Severity::Error);
+    (!has_error).then_some(model)
 }
 
 /// Maps the span of each substituted variable to the span of its definition.
@@ -100,8 +100,8 @@
     let inner = fields.inner("journal block", fields.single("journal")?);
     let folder = inner.required("folder", "folder /var/lib/ivygate;").and_then(|s| inner.words(s, 1, 1));
     let folder = folder.map(|words| words[0].text.clone());
-    let level = "write `level synced;` (outlives the machine) or `level written;` (the process)";
-    let synced = is_first_choice(&inner, "level", ["synced", "written"], level);
+    let level_help = "write `level synced;` (outlives the machine) or `level written;` (the process)";
+    let synced = is_first_choice(&inner, "level", ["synced", "written"], level_help);
     let customers = "write `customers plain;` or `customers hashed;`";
     let journal = Journal {
         folder: folder?,
@@ -144,30 +144,30 @@
     name: &'static str,
     quantity: Quantity,
     default: f64,
-    least: f64,
-    least_words: &str,
+    minimum: f64,
+    minimum_text: &str,
 ) -> f64 {
     let value = inner.positive_or(name, quantity, default);
-    if let Some(word) = inner.word(name).filter(|_| value < least) {
+    if let Some(word) = inner.word(name).filter(|_| value < minimum) {
         let message = format!("`{name}` is too small");
-        let error = Diagnostic::error("IV0023", message, word.span, format!("at least {least_words}"));
-        inner.report(error.help(format!("write `{name} {least_words};` or more")));
+        let error = Diagnostic::error("IV0023", message, word.span, format!("at least {minimum_text}"));
+        inner.report(error.help(format!("write `{name} {minimum_text};` or more")));
     }
-    value.max(least)
+    value.max(minimum)
 }
 
 fn operator(fields: &Fields, listeners: &[Listener]) -> Option<Operator> {
     let statement = fields.single("operator")?;
     let word = &fields.words(statement, 1, 1)?[0];
     let address = address(fields, word)?;
-    let same = |l: &&Listener| {
+    let same_address = |l: &&Listener| {
         l.address.port() == address.port()
             && address.port() != 0
             && (l.address.ip() == address.ip()
                 || l.address.ip().is_unspecified()
                 || address.ip().is_unspecified())
     };
-    if let Some(listener) = listeners.iter().find(same) {
+    if let Some(listener) = listeners.iter().find(same_address) {
         let message = "clients and operators have the same address";
         let error = Diagnostic::error("IV0043", message, word.span, "again here");
         fields.report(error.related(listener.at.0, "clients connect here"));
@@ -195,8 +195,8 @@
 }
 
 fn is_token(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    !text.is_empty() && text.bytes().all(fits)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
 
 /// Parses a header name and converts it to lower case.
@@ -275,8 +275,8 @@
         let Some(name) = block_name(fields, "plan", statement, &mut seen) else { continue };
         let inner = fields.inner("plan", statement);
         let quota = inner.quantity_or("quota", Quantity::Rate, 0.0);
-        let meant = ["quota", "burst"].into_iter().any(|name| inner.is_confirmed(name));
-        if quota == 0.0 && !inner.all("quota").is_empty() && !meant {
+        let confirmed = ["quota", "burst"].into_iter().any(|name| inner.is_confirmed(name));
+        if quota == 0.0 && !inner.all("quota").is_empty() && !confirmed {
             if let Some(word) =
                 inner.word("burst").filter(|w| inner.quantity_in(w, Quantity::Number) == Some(0.0))
             {
@@ -433,7 +433,7 @@
         };
         if class.effect == Effect::Unsafe && class.repeat == RepeatPolicy::Sent && effect.is_some() {
             let at = inner.single("repeat").map_or(inner.head, |s| s.span);
-            let also = inner.single("effect").map_or(inner.head, |s| s.span);
+            let related = inner.single("effect").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error(
                 "IV0072",
                 "an unsafe class cannot be repeated after a send",
@@ -442,17 +442,17 @@
             );
             inner.report(
                 error
-                    .related(also, "must never run twice")
+                    .related(related, "must never run twice")
                     .help("write `repeat unsent;`, or `effect keyed;` if servers drop repeats by a key"),
             );
         }
         if class.aim > class.deadline {
             let at = inner.single("aim").map_or(inner.head, |s| s.span);
-            let also = inner.single("deadline").map_or(inner.head, |s| s.span);
+            let related = inner.single("deadline").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0041", "the aim lies beyond the deadline", at, "longer");
             inner.report(
                 error
-                    .related(also, "than this")
+                    .related(related, "than this")
                     .help("an aim is the time in which an answer is worth all; shorten it"),
             );
         }
@@ -722,8 +722,9 @@
         let error = Diagnostic::error("IV0095", message, word.span, "no such zone");
         pool.report(error.help(suggestion(&word.text, &zones)));
     }
-    let all_in_works = zones.iter().all(|zone| domains.maintenance_zones.iter().any(|works| works == zone));
-    if let (Some(word), true, false) = (words.first(), all_in_works, zones.is_empty()) {
+    let all_in_maintenance =
+        zones.iter().all(|zone| domains.maintenance_zones.iter().any(|name| name == zone));
+    if let (Some(word), true, false) = (words.first(), all_in_maintenance, zones.is_empty()) {
         let error =
             Diagnostic::error("IV0096", "all zones of this pool are in works", word.span, "nothing is left");
         pool.report(error.help("leave one of them out, or take the pool out of its routes"));
--- a/crates/config/src/consistency.rs
+++ b/crates/config/src/consistency.rs
@@ -118,8 +118,8 @@
         if !pool.second_copies {
             continue;
         }
-        let once = |r: &&Route| r.pool == number && r.repeat == RepeatPolicy::Unsent;
-        if let Some(route) = model.routes.iter().find(once) {
+        let never_repeated = |r: &&Route| r.pool == number && r.repeat == RepeatPolicy::Unsent;
+        if let Some(route) = model.routes.iter().find(never_repeated) {
             let class = &model.classes[route.class];
             let message = format!(
                 "second copies are allowed in a pool that gets `{}`, which must not run twice",
@@ -156,21 +156,23 @@
     window: f64,
 ) {
     let at = setting_span(fields, "class", &class.name, "window", class.at);
-    let (kept, by) = match pool.drops_repeats {
-        Some((_, kept)) => (kept, setting_span(fields, "pool", &pool.name, "drops-repeats", pool.at)),
+    let (retention, retention_span) = match pool.drops_repeats {
+        Some((_, retention)) => {
+            (retention, setting_span(fields, "pool", &pool.name, "drops-repeats", pool.at))
+        }
         None => (DEFAULT_KEY_RETENTION_MS, pool.at.0),
     };
-    if window > kept {
+    if window > retention {
         let message =
             format!("`{}` may be repeated for longer than `{}` drops repeats", class.name, pool.name);
         let error = Diagnostic::error("IV0074", message, at, "a repeat after that would run twice");
         let label = match pool.drops_repeats {
-            Some(_) => format!("{} s here", kept / 1000.0),
-            None => format!("{} s unless the pool says otherwise", kept / 1000.0),
+            Some(_) => format!("{} s here", retention / 1000.0),
+            None => format!("{} s unless the pool says otherwise", retention / 1000.0),
         };
-        fields.report(error.related(by, label).help(format!(
+        fields.report(error.related(retention_span, label).help(format!(
             "write `window {0}s;`, or `drops-repeats {1} {2}s;` in the pool if its servers do so",
-            kept / 1000.0,
+            retention / 1000.0,
             scope.as_str(),
             window / 1000.0
         )));
@@ -180,9 +182,11 @@
         let message = format!("`{}` may be repeated to servers that do not drop its repeats", class.name);
         let error = Diagnostic::error("IV0075", message, at, "wider than the servers that drop repeats");
         let label = format!("dropped by servers of one {} only", dropped.as_str());
-        fields.report(error.related(by, label).help(format!("write `scope {};`", dropped.as_str())));
+        fields.report(
+            error.related(retention_span, label).help(format!("write `scope {};`", dropped.as_str())),
+        );
     }
-    let group = |server: &Server| match scope {
+    let group_name = |server: &Server| match scope {
         Scope::All => String::new(),
         Scope::Zone => server.zone.clone(),
         Scope::Cell => server.cell.to_string(),
@@ -196,12 +200,12 @@
         );
         return;
     }
-    let mut sizes = HashMap::new();
+    let mut group_sizes = HashMap::new();
     for server in &pool.servers {
-        *sizes.entry(group(server)).or_insert(0) += 1;
+        *group_sizes.entry(group_name(server)).or_insert(0) += 1;
     }
-    let meant = setting(fields, "class", &class.name, "scope").is_some_and(is_confirmed);
-    if pool.servers.len() > 1 && !meant && sizes.values().all(|size| *size == 1) {
+    let confirmed = setting(fields, "class", &class.name, "scope").is_some_and(is_confirmed);
+    if pool.servers.len() > 1 && !confirmed && group_sizes.values().all(|size| *size == 1) {
         let message = format!(
             "no {} of `{}` has two servers, so `{}` can never be repeated",
             scope.as_str(),
@@ -221,7 +225,7 @@
 fn check_times(fields: &Fields, model: &Model) {
     for (number, pool) in model.pools.iter().enumerate() {
         let configured = |name| setting(fields, "pool", &pool.name, name);
-        let (Some(at), all) =
+        let (Some(at), total_connect_time) =
             (configured("connect").or(configured("attempts")), pool.connect * f64::from(pool.attempts))
         else {
             continue;
@@ -229,21 +233,28 @@
         if has_errors(fields, "pool", &pool.name) || any_has_errors(fields, "class") {
             continue;
         }
-        let tight = model.routes.iter().filter(|r| r.pool == number).map(|r| &model.classes[r.class]);
-        if let Some(class) =
-            tight.filter(|c| c.deadline < all).min_by(|a, b| a.deadline.total_cmp(&b.deadline))
+        let routed_classes =
+            model.routes.iter().filter(|r| r.pool == number).map(|r| &model.classes[r.class]);
+        if let Some(class) = routed_classes
+            .filter(|c| c.deadline < total_connect_time)
+            .min_by(|a, b| a.deadline.total_cmp(&b.deadline))
         {
             let message = format!(
                 "{} attempts of up to {} ms for connecting do not fit the deadline of `{}`",
                 pool.attempts, pool.connect, class.name
             );
-            let error = Diagnostic::error("IV0076", message, head_span(at), format!("{all} ms together"));
-            let also = setting_span(fields, "class", &class.name, "deadline", class.at);
+            let error = Diagnostic::error(
+                "IV0076",
+                message,
+                head_span(at),
+                format!("{total_connect_time} ms together"),
+            );
+            let related = setting_span(fields, "class", &class.name, "deadline", class.at);
             let help = format!(
                 "write `connect {}ms;` or less, or fewer `attempts`",
                 (class.deadline / f64::from(pool.attempts)).floor()
             );
-            fields.report(error.related(also, format!("{} ms", class.deadline)).help(help));
+            fields.report(error.related(related, format!("{} ms", class.deadline)).help(help));
         }
     }
     for class in &model.classes {
@@ -284,11 +295,13 @@
 
 fn check_plans(fields: &Fields, model: &Model) {
     for class in &model.classes {
-        let small = |p: &&Plan| {
+        let burst_too_small = |p: &&Plan| {
             (p.quota > 0.0 && p.burst < class.units) || (p.ceiling > 0.0 && p.ceiling_burst < class.units)
         };
-        let clean = |p: &&Plan| !has_errors(fields, "plan", &p.name);
-        if let Some(plan) = model.plans.iter().filter(clean).find(|p| class.units > 1.0 && small(p)) {
+        let without_errors = |p: &&Plan| !has_errors(fields, "plan", &p.name);
+        if let Some(plan) =
+            model.plans.iter().filter(without_errors).find(|p| class.units > 1.0 && burst_too_small(p))
+        {
             let message = format!(
                 "a request of the class `{}` takes more units than a burst of `{}` holds",
                 class.name, plan.name
@@ -300,18 +313,18 @@
         }
     }
     for plan in &model.plans {
-        let meant = setting(fields, "plan", &plan.name, "burst").is_some_and(is_confirmed);
-        if plan.quota > 0.0 && plan.burst > 24.0 * 3600.0 * plan.quota && !meant {
+        let confirmed = setting(fields, "plan", &plan.name, "burst").is_some_and(is_confirmed);
+        if plan.quota > 0.0 && plan.burst > 24.0 * 3600.0 * plan.quota && !confirmed {
             let at = setting_span(fields, "plan", &plan.name, "burst", plan.at);
             let message = format!(
                 "`burst` looks like a slip: it holds {:.0} hours of the quota",
                 plan.burst / plan.quota / 3600.0
             );
             let error = Diagnostic::error("IV0080", message, at, "is this meant?");
-            let also = setting_span(fields, "plan", &plan.name, "quota", plan.at);
+            let related = setting_span(fields, "plan", &plan.name, "quota", plan.at);
             fields.report(
                 error
-                    .related(also, "is this a rate a second?")
+                    .related(related, "is this a rate a second?")
                     .help(format!("write `burst {} meant;` if it is right", plan.burst)),
             );
         }
@@ -338,9 +351,9 @@
                 seen.insert(server.address, (pool, server));
                 continue;
             };
-            let meant = pool.shares_servers_with.contains(&other.name)
+            let confirmed = pool.shares_servers_with.contains(&other.name)
                 || other.shares_servers_with.contains(&pool.name);
-            if other.name != pool.name && !meant {
+            if other.name != pool.name && !confirmed {
                 let message = format!("the pools `{}` and `{}` have the same server", other.name, pool.name);
                 let error = Diagnostic::error("IV0078", message, server.at.0, "again here");
                 fields.report(error.related(first.at.0, "first here").help(format!(
@@ -355,7 +368,7 @@
 
 fn check_trust(fields: &Fields, model: &Model) {
     let identity = &model.identity;
-    let by = match (&identity.customer, &identity.plan_header, &identity.deadline_header) {
+    let setting = match (&identity.customer, &identity.plan_header, &identity.deadline_header) {
         (CustomerSource::Header(_), ..) => "customer",
         (_, Some(_), _) => "plan",
         (.., Some(_)) => "deadline",
@@ -373,9 +386,9 @@
             at,
             "this is everyone",
         );
-        let also = fields.single("identity").and_then(|s| s.block.as_ref());
-        let also = also.and_then(|b| b.statements.iter().find(|s| s.words[0].text == by));
-        let error = match also {
+        let related = fields.single("identity").and_then(|s| s.block.as_ref());
+        let related = related.and_then(|b| b.statements.iter().find(|s| s.words[0].text == setting));
+        let error = match related {
             Some(statement) => error.related(statement.span, "anyone could write this header"),
             None => error,
         };
@@ -398,16 +411,16 @@
 
 fn check_sign_ins(fields: &Fields, model: &Model) {
     for sign_in in &model.sign_ins {
-        let remembers = ["cache-yes", "cache-no"].into_iter().zip([sign_in.cache_yes, sign_in.cache_no]);
-        let remembers = remembers.filter(|(_, time)| *time > 0.0).map(|(name, _)| name).next();
-        if let (Some(_), Some(name)) = (sign_in.body, remembers) {
+        let cache_setting = ["cache-yes", "cache-no"].into_iter().zip([sign_in.cache_yes, sign_in.cache_no]);
+        let cache_setting = cache_setting.filter(|(_, time)| *time > 0.0).map(|(name, _)| name).next();
+        if let (Some(_), Some(name)) = (sign_in.body, cache_setting) {
             let message =
                 format!("answers of `{}` are remembered though bodies go into its checks", sign_in.name);
             let at = setting_span(fields, "sign-in", &sign_in.name, name, sign_in.at);
             let error = Diagnostic::error("IV0091", message, at, "another body would get this answer");
-            let also = setting_span(fields, "sign-in", &sign_in.name, "body", sign_in.at);
+            let related = setting_span(fields, "sign-in", &sign_in.name, "body", sign_in.at);
             fields.report(
-                error.related(also, "sent with each check").help(format!("remove `{name}` or `body`")),
+                error.related(related, "sent with each check").help(format!("remove `{name}` or `body`")),
             );
         }
     }
@@ -502,17 +515,17 @@
             )));
         }
     }
-    let open: usize = model.pools.iter().map(|p| p.requests).sum();
+    let open_requests: usize = model.pools.iter().map(|p| p.requests).sum();
     for listener in &model.listeners {
         // A waiting request holds its client's connection, so one slow pool could occupy all connections of a
         // listener. An eighth of them is kept free for new requests.
-        if open + listener.connections / 8 > listener.connections {
+        if open_requests + listener.connections / 8 > listener.connections {
             let message = "requests of slow pools could hold all connections of this listener";
             let label = format!("{} connections, an eighth of them kept free", listener.connections);
             let error = Diagnostic::error("IV0057", message, listener.at.0, label);
             let mut error = error.help(format!(
-                "the pools take {open} requests together; write `connections {};` or lower their `requests`",
-                (open * 8).div_ceil(7) + 1
+                "the pools take {open_requests} requests together; write `connections {};` or lower their `requests`",
+                (open_requests * 8).div_ceil(7) + 1
             ));
             for pool in model.pools.iter().take(8) {
                 error = error.related(pool.at.0, format!("up to {} requests", pool.requests));
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -286,16 +286,16 @@
     fn collect_definitions(&mut self, root: &mut Block) {
         for statement in std::mem::take(&mut root.statements) {
             if is_named(&statement, "let") {
-                self.variable(statement);
+                self.define_variable(statement);
             } else if is_named(&statement, "block") {
-                self.named_block(statement);
+                self.define_block(statement);
             } else {
                 root.statements.push(statement);
             }
         }
     }
 
-    fn variable(&mut self, statement: Statement) {
+    fn define_variable(&mut self, statement: Statement) {
         let at = head_span(&statement);
         let [_, name, kind, value] = &statement.words[..] else {
             let error =
@@ -333,7 +333,7 @@
         self.variables.insert(name.text.clone(), variable);
     }
 
-    fn named_block(&mut self, statement: Statement) {
+    fn define_block(&mut self, statement: Statement) {
         let at = head_span(&statement);
         let (2, Some(block)) = (statement.words.len(), statement.block) else {
             let error = Diagnostic::error("IV0068", "a named block has one name and a block", at, "here");
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -76,8 +76,8 @@
     pub fn report(&self, finding: Diagnostic) {
         let mut findings = self.findings.borrow_mut();
         // Bounds memory use. Errors have twice the limit, so that warnings cannot displace them.
-        let most = if finding.severity == Severity::Error { 2 * MAX_FINDINGS } else { MAX_FINDINGS };
-        if findings.len() < most {
+        let limit = if finding.severity == Severity::Error { 2 * MAX_FINDINGS } else { MAX_FINDINGS };
+        if findings.len() < limit {
             findings.push(finding);
         }
     }
@@ -125,7 +125,7 @@
     }
 
     /// Returns the words after the name; reports an error unless their number is in the range and there is no block.
-    pub fn words(&self, statement: &'a Statement, least: usize, most: usize) -> Option<&'a [Word]> {
+    pub fn words(&self, statement: &'a Statement, minimum: usize, maximum: usize) -> Option<&'a [Word]> {
         let name = &statement.words[0];
         if let Some(block) = &statement.block {
             let at = block.statements.first().map_or(statement.span, |s| s.span);
@@ -137,19 +137,19 @@
         }
         let mut words = &statement.words[1..];
         // A trailing `meant` confirms an implausible value; see `plausibility`.
-        if words.len() > least && words.last().is_some_and(is_meant_keyword) {
+        if words.len() > minimum && words.last().is_some_and(is_meant_keyword) {
             words = &words[..words.len() - 1];
         }
-        if (least..=most).contains(&words.len()) {
+        if (minimum..=maximum).contains(&words.len()) {
             return Some(words);
         }
-        if words.len() < least {
+        if words.len() < minimum {
             let message = format!("`{}` lacks a value", name.text);
             self.report(Diagnostic::error("IV0014", message, name.span, "a value is expected after this"));
         } else {
-            let extra = &words[most];
+            let extra = &words[maximum];
             let message = format!("`{}` has a value too many", name.text);
-            let before = &statement.words[most];
+            let before = &statement.words[maximum];
             let error = Diagnostic::error("IV0015", message, extra.span, "not expected here");
             self.report(error.help(format!("is a `;` missing after `{}`?", before.text)));
         }
