--- a/crates/ivygate/src/compare.rs
+++ b/crates/ivygate/src/compare.rs
@@ -49,7 +49,7 @@
 fn words(difference: &Difference) -> String {
     let mark = if difference.risk.is_some() { "!" } else { " " };
     let mut text = format!("{mark} {}: {}\n", difference.subject, difference.change);
-    let side = |sign: &str, side: &DifferenceSide| format!("    {sign} {} ({})\n", side.value, side.place);
+    let side = |sign: &str, side: &DifferenceSide| format!("    {sign} {} ({})\n", side.value, side.position);
     text += &difference.old.as_ref().map_or(String::new(), |old| side("-", old));
     text += &difference.new.as_ref().map_or(String::new(), |new| side("+", new));
     text +=
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -13,7 +13,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct DifferenceSide {
     /// Position as `FILE:LINE:COLUMN`.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub position: String,
     /// Value in the checked configuration, as text.
     pub value: String,
 }
@@ -68,7 +69,7 @@
     }
 
     /// Returns the position of a statement in the block at `at`, or that of the block if it has no such statement.
-    fn place(&self, at: SourceSpan, statement: &str) -> String {
+    fn position(&self, at: SourceSpan, statement: &str) -> String {
         let mut parsed = self.parsed.borrow_mut();
         let file = at.0.file;
         let root = parsed
@@ -150,7 +151,7 @@
         risk: Option<&str>,
     ) {
         let side = |text: &SourceText, (at, statement, value): (SourceSpan, &str, String)| DifferenceSide {
-            place: text.place(at, statement),
+            position: text.position(at, statement),
             value,
         };
         let old = old.map(|value| side(&self.old, value));
--- a/crates/tool/tests/compare.rs
+++ b/crates/tool/tests/compare.rs
@@ -87,7 +87,7 @@
     );
     assert_eq!(all.len(), 1, "{all:?}");
     assert_eq!(all[0].example.as_deref(), Some("GET http://other/tiles/one"));
-    assert_eq!(all[0].old.as_ref().unwrap().place, "x:13:1");
+    assert_eq!(all[0].old.as_ref().unwrap().position, "x:13:1");
     assert!(all[0].new.as_ref().unwrap().value.contains("pool pay"));
     let rerouted = differences_after_replacing(
         "route orders { path exact /orders; methods POST; class order; pool pay; }\n",
@@ -178,8 +178,8 @@
         let difference = difference.unwrap_or_else(|| panic!("{to}: {all:?}"));
         assert_eq!(
             (
-                difference.old.as_ref().unwrap().place.as_str(),
-                difference.new.as_ref().unwrap().place.as_str()
+                difference.old.as_ref().unwrap().position.as_str(),
+                difference.new.as_ref().unwrap().position.as_str()
             ),
             (old, new),
             "{to}"
