--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -802,7 +802,8 @@
     servers
 }
 
-/// Headers that control framing, the connection or routing; they cannot be carried to or from a sign-in service.
+/// Headers that control framing, the connection or routing; they cannot be carried to or from a sign-in
+/// service.
 const CONNECTION_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
--- a/crates/config/src/consistency.rs
+++ b/crates/config/src/consistency.rs
@@ -1,5 +1,5 @@
-//! Checks of the whole configuration: contradictory values, unreachable routes, and limits whose total exceeds
-//! the resources of the process.
+//! Checks of the whole configuration: contradictory values, unreachable routes, and limits whose total
+//! exceeds the resources of the process.
 
 use crate::check::{MAX_DURATION_MS, RESERVED_DESCRIPTORS};
 use crate::diagnostic::{Diagnostic, Span};
@@ -451,8 +451,8 @@
     }
 }
 
-/// Reports servers that are listeners of this process. Listeners for authorization checks forward nothing, so they
-/// cannot form a loop.
+/// Reports servers that are listeners of this process. Listeners for authorization checks forward nothing, so
+/// they cannot form a loop.
 fn check_loops(fields: &Fields, model: &Model) {
     for (pool, server) in model.pools.iter().flat_map(|pool| pool.servers.iter().map(move |s| (pool, s))) {
         let is_own = |listener: &&Listener| {
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -175,8 +175,8 @@
 
     fn snippet<'a, T: Clone>(&'a self, span: Span) -> (Snippet<'a, T>, usize) {
         let Some(source) = self.files.get(span.file as usize) else { return (Snippet::source(""), 0) };
-        // The renderer scans all of the text that it gets, which is slow for very long files and lines; only the
-        // surroundings of the span are passed on.
+        // The renderer scans all of the text that it gets, which is slow for very long files and lines; only
+        // the surroundings of the span are passed on.
         let place = self.position(span);
         let (mut from, mut to) = (0, source.text.len());
         if source.text.len() > MAX_EXCERPT_BYTES {
--- a/crates/config/src/expand.rs
+++ b/crates/config/src/expand.rs
@@ -18,8 +18,8 @@
 
 /// Finds and reads included files.
 pub trait Loader {
-    /// Returns the names of the files that a path or pattern relative to the file `from` refers to, in order. The
-    /// result is empty if a pattern matches no file.
+    /// Returns the names of the files that a path or pattern relative to the file `from` refers to, in order.
+    /// The result is empty if a pattern matches no file.
     ///
     /// # Errors
     /// If a path that is not a pattern names no file; the error is text for the operator.
@@ -467,8 +467,8 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
 }
 
-/// Returns the edit distances of known names to a word. Names whose length differs by more than 2 are skipped:
-/// they cannot match, and comparing very long words is slow.
+/// Returns the edit distances of known names to a word. Names whose length differs by more than 2 are
+/// skipped: they cannot match, and comparing very long words is slow.
 pub fn close_names<'a>(text: &'a str, known: &'a [&'a str]) -> impl Iterator<Item = (usize, &'a str)> {
     let alike = |name: &&&str| name.len().abs_diff(text.len()) <= 2;
     known.iter().filter(alike).map(|name| (strsim::damerau_levenshtein(name, text), *name))
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -112,7 +112,8 @@
     /// Returns a required statement; reports an error if it is missing.
     pub fn required(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
         let found = self.single(name);
-        // A statement that follows a missing `;` has already been reported by the parser or as an extra value.
+        // A statement that follows a missing `;` has already been reported by the parser or as an extra
+        // value.
         let swallowed =
             self.block.statements.iter().any(|s| s.words[1..].iter().any(|w| !w.quoted && w.text == name));
         if found.is_none() && !swallowed {
@@ -124,7 +125,8 @@
         found
     }
 
-    /// Returns the words after the name; reports an error unless their number is in the range and there is no block.
+    /// Returns the words after the name; reports an error unless their number is in the range and there is no
+    /// block.
     pub fn words(&self, statement: &'a Statement, minimum: usize, maximum: usize) -> Option<&'a [Word]> {
         let name = &statement.words[0];
         if let Some(block) = &statement.block {
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -52,7 +52,8 @@
 pub struct Group {
     /// UDP address on which this process receives messages.
     pub listen: SocketAddr,
-    /// Key files: outgoing messages are authenticated with the first key, incoming ones are accepted with any.
+    /// Key files: outgoing messages are authenticated with the first key, incoming ones are accepted with
+    /// any.
     pub keys: Vec<String>,
     /// Addresses of the other processes; the list may contain the own address.
     pub peers: Vec<SocketAddr>,
@@ -84,7 +85,8 @@
 pub struct Journal {
     /// Directory of the journal.
     pub folder: String,
-    /// True if a record counts only once it is synced to disk; false if a write to the operating system suffices.
+    /// True if a record counts only once it is synced to disk; false if a write to the operating system
+    /// suffices.
     pub synced: bool,
     /// Retention time of orders.
     pub keep: f64,
@@ -107,7 +109,8 @@
     pub descriptors: usize,
     /// Maximum time between the termination signal and the exit.
     pub drain: f64,
-    /// Memory budget in bytes, if set; the checker compares it with the estimated use, and it is not enforced.
+    /// Memory budget in bytes, if set; the checker compares it with the estimated use, and it is not
+    /// enforced.
     pub memory: Option<usize>,
     /// Position in the source.
     pub at: SourceSpan,
@@ -403,7 +406,8 @@
     pub answer_headers: Vec<String>,
     /// Time limit of a check.
     pub within: f64,
-    /// Maximum size of a body sent with the check; requests with larger bodies are rejected. `None` to send no body.
+    /// Maximum size of a body sent with the check; requests with larger bodies are rejected. `None` to send
+    /// no body.
     pub body: Option<usize>,
     /// Limit on failed checks from one address.
     pub address_limit: FailedCheckLimit,
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,4 +1,5 @@
-//! Lexer and parser. Words keep their spans and comments their positions, and one run reports all syntax errors.
+//! Lexer and parser. Words keep their spans and comments their positions, and one run reports all syntax
+//! errors.
 
 use crate::diagnostic::{Diagnostic, Span};
 use logos::Logos;
@@ -191,7 +192,8 @@
                     return finish(words, Some(block), comments, Some(self.last.1));
                 }
                 Some(Token::Close) => {
-                    // The block still ends here, so that the following statements are parsed at the right level.
+                    // The block still ends here, so that the following statements are parsed at the right
+                    // level.
                     self.pushed_back = true;
                     self.missing_end(&words);
                     return finish(words, None, comments, None);
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -1,5 +1,5 @@
-//! Tests of the checker: errors are reported at their positions in one run, and valid files produce the expected
-//! model.
+//! Tests of the checker: errors are reported at their positions in one run, and valid files produce the
+//! expected model.
 
 use ivygate_config::*;
 
--- a/crates/tool/src/compare.rs
+++ b/crates/tool/src/compare.rs
@@ -68,7 +68,8 @@
         Self { loaded, parsed: RefCell::default() }
     }
 
-    /// Returns the position of a statement in the block at `at`, or that of the block if it has no such statement.
+    /// Returns the position of a statement in the block at `at`, or that of the block if it has no such
+    /// statement.
     fn position(&self, at: SourceSpan, statement: &str) -> String {
         let mut parsed = self.parsed.borrow_mut();
         let file = at.0.file;
@@ -125,7 +126,8 @@
     }
 }
 
-/// Ranks how freely requests of a class are repeated, by repeat policy and kind of effect; 0 is the strictest.
+/// Ranks how freely requests of a class are repeated, by repeat policy and kind of effect; 0 is the
+/// strictest.
 fn repeat_looseness(class: &Class) -> u8 {
     match (class.effect, class.repeat) {
         (_, RepeatPolicy::Unsent) | (Effect::Unsafe, _) => 0,
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Matches items by name: adds a difference for each removed or new item and returns the pairs of the others.
+    /// Matches items by name: adds a difference for each removed or new item and returns the pairs of the
+    /// others.
     fn match_by_name<'m, T>(
         &mut self,
         kind: &str,
@@ -212,7 +215,8 @@
         let targets =
             |model: &Model| (0..model.routes.len()).map(|n| target(model, Some(n))).collect::<Vec<_>>();
         let (old_targets, new_targets) = (targets(old), targets(new));
-        // For each pair of different routes: the shortest example request and the number of equivalence classes.
+        // For each pair of different routes: the shortest example request and the number of equivalence
+        // classes.
         let mut pairs: BTreeMap<(Option<usize>, Option<usize>), (String, usize)> = BTreeMap::new();
         visit_equivalence_classes(&[&before, &after], |request| {
             let number = |table: &RouteTable| match table.find(request.host, request.path, request.method) {
--- a/crates/tool/src/format.rs
+++ b/crates/tool/src/format.rs
@@ -1,7 +1,7 @@
 //! Formats configurations in the canonical layout.
 //!
-//! Comments are kept, runs of blank lines between statements become one, and a block written on one line stays on
-//! one line if it fits. The rest of the layout depends on the statements only.
+//! Comments are kept, runs of blank lines between statements become one, and a block written on one line
+//! stays on one line if it fits. The rest of the layout depends on the statements only.
 
 use ivygate_config::{parse, Block, Comment, Diagnostic, Sources, Statement, Word};
 use std::fmt::Write;
@@ -53,7 +53,8 @@
 }
 
 impl Layout {
-    /// Writes the statements of a block, each on its own lines. `opened` is the offset at which the block opens.
+    /// Writes the statements of a block, each on its own lines. `opened` is the offset at which the block
+    /// opens.
     fn block(&mut self, block: &Block, depth: usize, opened: Option<usize>) {
         // Source offset at which the last written item ended, and true if that item was a statement.
         let mut before: Option<(usize, bool)> = opened.map(|at| (at, false));
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Writes a comment: after the statement with which it shares a line, otherwise on its own line. `statement` is
-    /// the offset at which the statement that it belongs to starts.
+    /// Writes a comment: after the statement with which it shares a line, otherwise on its own line.
+    /// `statement` is the offset at which the statement that it belongs to starts.
     fn comment(
         &mut self,
         comment: &Comment,
--- a/crates/tool/src/generate.rs
+++ b/crates/tool/src/generate.rs
@@ -65,8 +65,8 @@
 
 /// Route, parsed from `[METHOD[,METHOD]] PATH [EFFECT]`.
 ///
-/// A path that contains `*` is a pattern, one that begins with `=` is exact, and any other is a prefix. Without an
-/// effect, routes for GET and HEAD only are safe and all others unsafe.
+/// A path that contains `*` is a pattern, one that begins with `=` is exact, and any other is a prefix.
+/// Without an effect, routes for GET and HEAD only are safe and all others unsafe.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Route {
     /// Kind of match (`exact`, `prefix` or `pattern`) and the path.
@@ -199,8 +199,8 @@
     }
 }
 
-/// Generates the configuration of a sidecar that listens at `listen`, in the layout of `format`. The description
-/// may be invalid, so the result must still be checked.
+/// Generates the configuration of a sidecar that listens at `listen`, in the layout of `format`. The
+/// description may be invalid, so the result must still be checked.
 pub fn generate(app: &AppDescription, listen: SocketAddr) -> String {
     let mut out = String::new();
     let mut write_line = |line: &str| {
--- a/crates/tool/src/openapi.rs
+++ b/crates/tool/src/openapi.rs
@@ -36,8 +36,8 @@
 /// precedence over the document.
 ///
 /// # Errors
-/// If the text is not an OpenAPI 3 document, declares an unknown effect or no operation, or an override names no
-/// operation of it.
+/// If the text is not an OpenAPI 3 document, declares an unknown effect or no operation, or an override names
+/// no operation of it.
 pub fn from_openapi(text: &str, overrides: &[(String, RouteEffect)]) -> Result<OpenApiImport, OpenApiError> {
     let document: Value = match serde_json::from_str(text) {
         Ok(document) => document,
--- a/crates/tool/tests/mistakes.rs
+++ b/crates/tool/tests/mistakes.rs
@@ -1,5 +1,5 @@
-//! Tests that each seeded mistake is reported on its line with its code and nothing else is, and that unusual but
-//! valid files pass. The tables in the reference are generated from these files.
+//! Tests that each seeded mistake is reported on its line with its code and nothing else is, and that unusual
+//! but valid files pass. The tables in the reference are generated from these files.
 
 use ivygate_config::{load, Severity};
 use std::fmt::Write;
