--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,37 +1,37 @@
-//! Statements to the checked model: types, units, references and meaning.
+//! Converts statements to the checked model: types, units, references and consistency.
 
+use crate::consistency;
 use crate::diagnostic::{Diagnostic, Severity, Span};
-use crate::expand::nearest;
+use crate::expand::suggestion;
 use crate::fields::{head_span, Fields, Findings, Quantity};
-use crate::meaning;
 use crate::model::*;
-use crate::slips;
+use crate::plausibility;
 use crate::syntax::{Block, Statement, Word};
 use ipnet::IpNet;
 use ivygate_routing::{HostMatch, MethodMatch, PathMatch, RequestTarget, RouteMatch};
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Descriptors that are no listener's and no pool's: standard streams, the runtime's own, sockets in the act
-/// of closing.
-pub const RESERVE: usize = 48;
-/// Methods that change nothing by their definition; a safe class claims these where a route names none.
+/// Number of file descriptors reserved for uses other than listeners and pools: standard streams, the runtime
+/// and sockets that are being closed.
+pub const RESERVED_DESCRIPTORS: usize = 48;
+/// Methods that are safe by definition; the default of a route whose class is safe.
 pub const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
-/// Longest time of any kind.
-pub const LONGEST: f64 = 86_400_000.0;
+/// Maximum of any configured time except the journal's `keep`: one day.
+pub const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-/// How long orders are kept in the journal where nothing is said.
-const KEEP: f64 = 30.0 * LONGEST;
-/// At the least: longer than any request takes from its arrival to its end, body and answer.
-const KEEP_LEAST: f64 = 3.0 * LONGEST;
-/// What the journal may take of the disk where nothing is said, and at the least.
-const DISK: f64 = 1_073_741_824.0;
-const DISK_LEAST: f64 = 67_108_864.0;
+/// Default retention time of orders in the journal: 30 days.
+const DEFAULT_JOURNAL_KEEP_MS: f64 = 30.0 * MAX_DURATION_MS;
+/// Minimum retention time: longer than any request can take from its arrival to the end of its response.
+const MIN_JOURNAL_KEEP_MS: f64 = 3.0 * MAX_DURATION_MS;
+/// Default and minimum of the journal's disk limit in bytes.
+const DEFAULT_JOURNAL_BYTES: f64 = 1_073_741_824.0;
+const MIN_JOURNAL_BYTES: f64 = 67_108_864.0;
 
-/// Longest path of a route.
-const PATH_MOST: usize = 2048;
+/// Maximum length of a route's path.
+const MAX_PATH_BYTES: usize = 2048;
 
-/// Checks a parsed file. The model comes back unless there is an error.
+/// Checks the expanded statements. Returns the model unless there is an error.
 pub fn check(root: &Block, findings: &Findings) -> Option<Model> {
     let end = Span::default();
     let fields = Fields::new("file", root.statements.first().map_or(end, head_span), root, findings);
@@ -64,19 +64,19 @@
     if model.plans.is_empty() {
         model.plans.push(Plan::without_quota("default"));
     }
-    meaning::check(&fields, &model);
+    consistency::check(&fields, &model);
     fields.finish();
-    let bad = findings.borrow().iter().any(|f| f.severity == Severity::Error);
-    (!bad).then_some(model)
+    let has_error = findings.borrow().iter().any(|f| f.severity == Severity::Error);
+    (!has_error).then_some(model)
 }
 
-/// Words that stand for a variable, and where that is defined.
-pub fn defined(block: &Block) -> HashMap<Span, Span> {
+/// Maps the span of each substituted variable to the span of its definition.
+pub fn variable_definitions(block: &Block) -> HashMap<Span, Span> {
     let mut all = HashMap::new();
     for statement in &block.statements {
         all.extend(statement.words.iter().filter_map(|word| Some((word.span, word.defined?))));
         if let Some(inner) = &statement.block {
-            all.extend(defined(inner));
+            all.extend(variable_definitions(inner));
         }
     }
     all
@@ -84,10 +84,10 @@
 
 fn limits(fields: &Fields) -> Limits {
     let (mut descriptors, mut drain, mut memory) = (1024.0, 30_000.0, None);
-    let mut at = At::default();
-    if let Some(statement) = fields.one("limits") {
+    let mut at = SourceSpan::default();
+    if let Some(statement) = fields.single("limits") {
         let inner = fields.inner("limits block", statement);
-        at = At(inner.head);
+        at = SourceSpan(inner.head);
         descriptors = inner.positive_or("descriptors", Quantity::Count, descriptors);
         drain = duration_or(&inner, "drain", drain);
         memory = inner.quantity("memory", Quantity::Size).map(|bytes| bytes as usize);
@@ -97,120 +97,132 @@
 }
 
 fn journal(fields: &Fields) -> Option<Journal> {
-    let inner = fields.inner("journal block", fields.one("journal")?);
-    let folder = inner.needed("folder", "folder /var/lib/ivygate;").and_then(|s| inner.words(s, 1, 1));
+    let inner = fields.inner("journal block", fields.single("journal")?);
+    let folder = inner.required("folder", "folder /var/lib/ivygate;").and_then(|s| inner.words(s, 1, 1));
     let folder = folder.map(|words| words[0].text.clone());
-    let level = "write `level synced;` (outlives the machine) or `level written;` (the process)";
-    let synced = choice(&inner, "level", ["synced", "written"], level);
+    let level_help = "write `level synced;` (outlives the machine) or `level written;` (the process)";
+    let synced = is_first_choice(&inner, "level", ["synced", "written"], level_help);
     let customers = "write `customers plain;` or `customers hashed;`";
     let journal = Journal {
         folder: folder?,
         synced,
-        keep: bounded(&inner, "keep", Quantity::Duration, KEEP, KEEP_LEAST, "72h"),
-        disk: bounded(&inner, "disk", Quantity::Size, DISK, DISK_LEAST, "64MiB") as u64,
-        keyed: yes_or_no(&inner, "keyed"),
-        hashed: !choice(&inner, "customers", ["plain", "hashed"], customers),
-        id_header: inner.word("id-header").and_then(|word| header(&inner, word)).unwrap_or("req-id".into()),
-        at: At(inner.head),
+        keep: at_least(
+            &inner,
+            "keep",
+            Quantity::Duration,
+            DEFAULT_JOURNAL_KEEP_MS,
+            MIN_JOURNAL_KEEP_MS,
+            "72h",
+        ),
+        disk: at_least(&inner, "disk", Quantity::Size, DEFAULT_JOURNAL_BYTES, MIN_JOURNAL_BYTES, "64MiB")
+            as u64,
+        keyed: flag(&inner, "keyed"),
+        hashed: !is_first_choice(&inner, "customers", ["plain", "hashed"], customers),
+        id_header: inner
+            .word("id-header")
+            .and_then(|word| header_name(&inner, word))
+            .unwrap_or("req-id".into()),
+        at: SourceSpan(inner.head),
     };
     inner.finish();
     Some(journal)
 }
 
-/// Whether a statement says the first of two words; where it is not given it does.
-fn choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
+/// Returns true if a statement has the first of two possible values or is missing.
+fn is_first_choice(inner: &Fields, name: &'static str, words: [&str; 2], help: &str) -> bool {
     let Some(word) = inner.word(name) else { return true };
     if !words.contains(&word.text.as_str()) {
-        let what = format!("`{name}` is `{}` or `{}`, not `{}`", words[0], words[1], word.text);
-        inner.note(Diagnostic::error("IV0086", what, word.span, "here").help(help));
+        let message = format!("`{name}` is `{}` or `{}`, not `{}`", words[0], words[1], word.text);
+        inner.report(Diagnostic::error("IV0086", message, word.span, "here").help(help));
     }
     word.text != words[1]
 }
 
-/// A quantity that must not be less than something, or what it is by default.
-fn bounded(
+/// Returns a quantity or its default; reports an error if it is below the minimum.
+fn at_least(
     inner: &Fields,
     name: &'static str,
     quantity: Quantity,
     default: f64,
-    least: f64,
-    least_words: &str,
+    minimum: f64,
+    minimum_text: &str,
 ) -> f64 {
     let value = inner.positive_or(name, quantity, default);
-    if let Some(word) = inner.word(name).filter(|_| value < least) {
-        let what = format!("`{name}` is too small");
-        let error = Diagnostic::error("IV0023", what, word.span, format!("at least {least_words}"));
-        inner.note(error.help(format!("write `{name} {least_words};` or more")));
+    if let Some(word) = inner.word(name).filter(|_| value < minimum) {
+        let message = format!("`{name}` is too small");
+        let error = Diagnostic::error("IV0023", message, word.span, format!("at least {minimum_text}"));
+        inner.report(error.help(format!("write `{name} {minimum_text};` or more")));
     }
-    value.max(least)
+    value.max(minimum)
 }
 
 fn operator(fields: &Fields, listeners: &[Listener]) -> Option<Operator> {
-    let statement = fields.one("operator")?;
+    let statement = fields.single("operator")?;
     let word = &fields.words(statement, 1, 1)?[0];
     let address = address(fields, word)?;
-    let same = |l: &&Listener| {
+    let same_address = |l: &&Listener| {
         l.address.port() == address.port()
             && address.port() != 0
             && (l.address.ip() == address.ip()
                 || l.address.ip().is_unspecified()
                 || address.ip().is_unspecified())
     };
-    if let Some(listener) = listeners.iter().find(same) {
-        let what = "clients and operators have the same address";
-        let error = Diagnostic::error("IV0043", what, word.span, "again here");
-        fields.note(error.also(listener.at.0, "clients connect here"));
+    if let Some(listener) = listeners.iter().find(same_address) {
+        let message = "clients and operators have the same address";
+        let error = Diagnostic::error("IV0043", message, word.span, "again here");
+        fields.report(error.related(listener.at.0, "clients connect here"));
     }
-    Some(Operator { address, at: At(head_span(statement)) })
+    Some(Operator { address, at: SourceSpan(head_span(statement)) })
 }
 
 fn group(fields: &Fields, pools: &[Pool]) -> Option<Group> {
-    let inner = fields.inner("group block", fields.one("group")?);
-    let listen = inner.needed("listen", "listen 127.0.0.1:7900;").and_then(|s| inner.words(s, 1, 1));
+    let inner = fields.inner("group block", fields.single("group")?);
+    let listen = inner.required("listen", "listen 127.0.0.1:7900;").and_then(|s| inner.words(s, 1, 1));
     let listen = listen.and_then(|words| address(&inner, &words[0]));
-    let keys = inner.needed("key", "key /etc/ivygate/group.key;").and_then(|s| inner.words(s, 1, 2));
-    let peers = inner.needed("peers", "peers 10.0.0.2:7900 10.0.0.3:7900;");
-    let peers = peers.and_then(|s| inner.words(s, 1, Group::PEERS)).unwrap_or_default();
+    let keys = inner.required("key", "key /etc/ivygate/group.key;").and_then(|s| inner.words(s, 1, 2));
+    let peers = inner.required("peers", "peers 10.0.0.2:7900 10.0.0.3:7900;");
+    let peers = peers.and_then(|s| inner.words(s, 1, Group::MAX_PEERS)).unwrap_or_default();
     let peers = peers.iter().filter_map(|word| address(&inner, word)).collect();
     if pools.iter().all(|pool| pool.domains.is_none()) {
-        let what = "no pool judges its zones, so nothing is told";
-        let warning = Diagnostic::warning("IV0109", what, inner.head, "in here");
-        inner.note(warning.help("write `domains;` in a pool, or remove `group`"));
+        let message = "no pool judges its zones, so nothing is told";
+        let warning = Diagnostic::warning("IV0109", message, inner.head, "in here");
+        inner.report(warning.help("write `domains;` in a pool, or remove `group`"));
     }
     let keys = keys.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
-    let at = At(inner.head);
+    let at = SourceSpan(inner.head);
     inner.finish();
     Some(Group { listen: listen?, keys, peers, at })
 }
 
 fn is_token(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    !text.is_empty() && text.bytes().all(fits)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
 
-/// A header's name.
-fn header(fields: &Fields, word: &Word) -> Option<String> {
+/// Parses a header name and converts it to lower case.
+fn header_name(fields: &Fields, word: &Word) -> Option<String> {
     if is_token(&word.text) {
         return Some(word.text.to_ascii_lowercase());
     }
-    let what = format!("`{}` cannot be a header's name", word.text);
-    fields
-        .note(Diagnostic::error("IV0030", what, word.span, "here").help("write a name such as `X-Customer`"));
+    let message = format!("`{}` cannot be a header's name", word.text);
+    fields.report(
+        Diagnostic::error("IV0030", message, word.span, "here").help("write a name such as `X-Customer`"),
+    );
     None
 }
 
-/// The name of a block; names are unique among their kind.
-fn named<'a>(
+/// Returns the name of a block; reports an error if it is missing or already used by a block of this kind.
+fn block_name<'a>(
     fields: &Fields,
     kind: &str,
     statement: &'a Statement,
     seen: &mut HashMap<String, Span>,
 ) -> Option<&'a Word> {
     let Some(word) = statement.words.get(1) else {
-        let what = format!("this {kind} has no name");
-        fields.note(Diagnostic::error(
+        let message = format!("this {kind} has no name");
+        fields.report(Diagnostic::error(
             "IV0031",
-            what,
+            message,
             statement.words[0].span,
             "a name is expected after this",
         ));
@@ -218,53 +230,59 @@
     };
     if let Some(first) = seen.get(&word.text) {
         let kinds = if kind == "class" { "classes".to_owned() } else { format!("{kind}s") };
-        let what = format!("two {kinds} are named `{}`", word.text);
-        let error = Diagnostic::error("IV0032", what, word.span, "named again here");
-        fields.note(error.also(*first, "first named here").help("give one of them another name"));
+        let message = format!("two {kinds} are named `{}`", word.text);
+        let error = Diagnostic::error("IV0032", message, word.span, "named again here");
+        fields.report(error.related(*first, "first named here").help("give one of them another name"));
     } else {
         seen.insert(word.text.clone(), word.span);
     }
     Some(word)
 }
 
-/// The number of what a word names.
-fn refer<T>(fields: &Fields, kind: &str, word: &Word, all: &[T], name: impl Fn(&T) -> &str) -> Option<usize> {
+/// Returns the index of the item that a word names; reports an error if there is none.
+fn resolve<T>(
+    fields: &Fields,
+    kind: &str,
+    word: &Word,
+    all: &[T],
+    name: impl Fn(&T) -> &str,
+) -> Option<usize> {
     let found = all.iter().position(|one| name(one) == word.text);
     if found.is_none() {
-        let what = format!("there is no {kind} named `{}`", word.text);
-        let error = Diagnostic::error("IV0033", what, word.span, "not defined in this file");
+        let message = format!("there is no {kind} named `{}`", word.text);
+        let error = Diagnostic::error("IV0033", message, word.span, "not defined in this file");
         let known: Vec<&str> = all.iter().map(name).collect();
-        fields.note(error.help(nearest(&word.text, &known)));
+        fields.report(error.help(suggestion(&word.text, &known)));
     }
     found
 }
 
 fn duration_or(fields: &Fields, name: &'static str, default: f64) -> f64 {
     let value = fields.positive_or(name, Quantity::Duration, default);
-    if value > LONGEST {
+    if value > MAX_DURATION_MS {
         if let Some(word) = fields.word(name) {
-            let what = format!("`{name}` is longer than a day");
-            fields.note(Diagnostic::error("IV0023", what, word.span, "at most 24h"));
+            let message = format!("`{name}` is longer than a day");
+            fields.report(Diagnostic::error("IV0023", message, word.span, "at most 24h"));
         }
     }
-    value.min(LONGEST)
+    value.min(MAX_DURATION_MS)
 }
 
 fn plans(fields: &Fields) -> Vec<Plan> {
     let mut seen = HashMap::new();
     let mut plans = Vec::new();
     for statement in fields.all("plan") {
-        let Some(name) = named(fields, "plan", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "plan", statement, &mut seen) else { continue };
         let inner = fields.inner("plan", statement);
         let quota = inner.quantity_or("quota", Quantity::Rate, 0.0);
-        let meant = ["quota", "burst"].into_iter().any(|name| inner.is_meant(name));
-        if quota == 0.0 && !inner.all("quota").is_empty() && !meant {
+        let confirmed = ["quota", "burst"].into_iter().any(|name| inner.is_confirmed(name));
+        if quota == 0.0 && !inner.all("quota").is_empty() && !confirmed {
             if let Some(word) =
                 inner.word("burst").filter(|w| inner.quantity_in(w, Quantity::Number) == Some(0.0))
             {
-                let what = format!("the plan `{}` lets nothing through", name.text);
-                let error = Diagnostic::error("IV0094", what, word.span, "and nothing is saved up");
-                inner.note(error.help("write `burst 0 meant;` if that is right"));
+                let message = format!("the plan `{}` lets nothing through", name.text);
+                let error = Diagnostic::error("IV0094", message, word.span, "and nothing is saved up");
+                inner.report(error.help("write `burst 0 meant;` if that is right"));
             }
         }
         let ceiling = inner.quantity_or("ceiling", Quantity::Rate, 0.0);
@@ -279,30 +297,32 @@
             price: inner.positive_or("price", Quantity::Number, 1.0),
             excess_worth: inner.quantity_or("excess-worth", Quantity::Share, 0.0),
             excess_cost: inner.positive_or("excess-cost", Quantity::Number, 1.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         };
         for (name, rate, burst) in
             [("burst", plan.quota, plan.burst), ("ceiling-burst", plan.ceiling, plan.ceiling_burst)]
         {
             if rate > 0.0 && burst < 1.0 {
-                let at = inner.one(name).map_or(inner.head, |s| s.span);
+                let at = inner.single(name).map_or(inner.head, |s| s.span);
                 let error = Diagnostic::error(
                     "IV0049",
                     format!("`{name}` holds less than one unit"),
                     at,
                     "nothing passes",
                 );
-                inner.note(
+                inner.report(
                     error.help(format!("write `{name} 1;` or more: what a customer may use at one moment")),
                 );
             }
         }
         if plan.quota > 0.0 && plan.ceiling > 0.0 && plan.ceiling < plan.quota {
-            let at = inner.one("ceiling").map_or(inner.head, |s| s.span);
-            let quota = inner.one("quota").map_or(inner.head, |s| s.span);
+            let at = inner.single("ceiling").map_or(inner.head, |s| s.span);
+            let quota = inner.single("quota").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0040", "the ceiling lies below the quota", at, "this is less");
-            inner.note(
-                error.also(quota, "than this").help("a ceiling bounds what a quota already allows; raise it"),
+            inner.report(
+                error
+                    .related(quota, "than this")
+                    .help("a ceiling bounds what a quota already allows; raise it"),
             );
         }
         inner.finish();
@@ -313,34 +333,34 @@
 
 fn identity(fields: &Fields, plans: &[Plan]) -> Identity {
     let mut identity = Identity {
-        customer: CustomerFrom::Address,
+        customer: CustomerSource::Address,
         plan_header: None,
         default_plan: 0,
         deadline_header: None,
-        at: At::default(),
+        at: SourceSpan::default(),
     };
-    let Some(statement) = fields.one("identity") else { return identity };
+    let Some(statement) = fields.single("identity") else { return identity };
     let inner = fields.inner("identity block", statement);
-    identity.at = At(inner.head);
-    if let Some(words) = inner.one("customer").and_then(|s| inner.words(s, 1, 2)) {
+    identity.at = SourceSpan(inner.head);
+    if let Some(words) = inner.single("customer").and_then(|s| inner.words(s, 1, 2)) {
         let from = match (words[0].text.as_str(), words.get(1)) {
-            ("header", Some(name)) => header(&inner, name).map(CustomerFrom::Header),
-            ("cookie", Some(name)) if is_token(&name.text) => Some(CustomerFrom::Cookie(name.text.clone())),
-            ("address", None) => Some(CustomerFrom::Address),
-            ("name", Some(name)) => Some(CustomerFrom::Fixed(name.text.clone())),
+            ("header", Some(name)) => header_name(&inner, name).map(CustomerSource::Header),
+            ("cookie", Some(name)) if is_token(&name.text) => Some(CustomerSource::Cookie(name.text.clone())),
+            ("address", None) => Some(CustomerSource::Address),
+            ("name", Some(name)) => Some(CustomerSource::Fixed(name.text.clone())),
             _ => {
-                let what = "it is not told where a customer's name comes from";
-                let error = Diagnostic::error("IV0034", what, words[0].span, "not understood");
+                let message = "it is not told where a customer's name comes from";
+                let error = Diagnostic::error("IV0034", message, words[0].span, "not understood");
                 let help = "write `customer header NAME;`, `customer cookie NAME;`, `customer address;` or \
                             `customer name NAME;`";
-                inner.note(error.help(help));
+                inner.report(error.help(help));
                 None
             }
         };
-        identity.customer = from.unwrap_or(CustomerFrom::Address);
+        identity.customer = from.unwrap_or(CustomerSource::Address);
     }
     let header_of = |name| {
-        let words = inner.words(inner.one(name)?, 2, 2)?;
+        let words = inner.words(inner.single(name)?, 2, 2)?;
         if words[0].text != "header" {
             let error = Diagnostic::error(
                 "IV0035",
@@ -348,15 +368,15 @@
                 words[0].span,
                 "here",
             );
-            inner.note(error.help(format!("write `{name} header NAME;`")));
+            inner.report(error.help(format!("write `{name} header NAME;`")));
             return None;
         }
-        header(&inner, &words[1])
+        header_name(&inner, &words[1])
     };
     identity.plan_header = header_of("plan");
     identity.deadline_header = header_of("deadline");
     if let Some(word) = inner.word("default-plan") {
-        identity.default_plan = refer(&inner, "plan", word, plans, |p| &p.name).unwrap_or(0);
+        identity.default_plan = resolve(&inner, "plan", word, plans, |p| &p.name).unwrap_or(0);
     }
     inner.finish();
     identity
@@ -366,14 +386,14 @@
     let mut seen = HashMap::new();
     let mut customers = Vec::new();
     for statement in fields.all("customer") {
-        let Some(name) = named(fields, "customer", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "customer", statement, &mut seen) else { continue };
         if statement.words.len() > 2 {
             fields.words(statement, 1, 1);
         }
         let inner = fields.inner("customer", statement);
-        if let Some(word) = inner.needed("plan", "plan NAME;").and_then(|s| inner.words(s, 1, 1)) {
-            if let Some(plan) = refer(&inner, "plan", &word[0], plans, |p| &p.name) {
-                customers.push(Customer { name: name.text.clone(), plan, at: At(inner.head) });
+        if let Some(word) = inner.required("plan", "plan NAME;").and_then(|s| inner.words(s, 1, 1)) {
+            if let Some(plan) = resolve(&inner, "plan", &word[0], plans, |p| &p.name) {
+                customers.push(Customer { name: name.text.clone(), plan, at: SourceSpan(inner.head) });
             }
         }
         inner.finish();
@@ -385,21 +405,21 @@
     let mut seen = HashMap::new();
     let mut classes = Vec::new();
     for statement in fields.all("class") {
-        let Some(name) = named(fields, "class", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "class", statement, &mut seen) else { continue };
         let inner = fields.inner("class", statement);
-        let deadline = match inner.needed("deadline", "deadline 2s;") {
+        let deadline = match inner.required("deadline", "deadline 2s;") {
             Some(_) => duration_or(&inner, "deadline", 1000.0),
             None => 1000.0,
         };
         let effect = effect(&inner);
-        let key = inner.word("key").and_then(|word| header(&inner, word));
+        let key = inner.word("key").and_then(|word| header_name(&inner, word));
         let aim = duration_or(&inner, "aim", deadline / 2.0);
         let class = Class {
             name: name.text.clone(),
             effect: effect.unwrap_or(Effect::Unsafe),
             repeat: repeat(&inner).unwrap_or(match effect {
-                Some(Effect::Safe | Effect::Keyed(..)) => Repeat::Sent,
-                Some(Effect::Unsafe) | None => Repeat::Unsent,
+                Some(Effect::Safe | Effect::Keyed(..)) => RepeatPolicy::Sent,
+                Some(Effect::Unsafe) | None => RepeatPolicy::Unsent,
             }),
             key_header: key.unwrap_or_else(|| "idempotency-key".to_owned()),
             aim,
@@ -409,30 +429,30 @@
             worth: inner.positive_or("worth", Quantity::Number, 1.0),
             late_worth: inner.quantity_or("late-worth", Quantity::Share, 0.2),
             units: inner.positive_or("units", Quantity::Number, 1.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         };
-        if class.effect == Effect::Unsafe && class.repeat == Repeat::Sent && effect.is_some() {
-            let at = inner.one("repeat").map_or(inner.head, |s| s.span);
-            let also = inner.one("effect").map_or(inner.head, |s| s.span);
+        if class.effect == Effect::Unsafe && class.repeat == RepeatPolicy::Sent && effect.is_some() {
+            let at = inner.single("repeat").map_or(inner.head, |s| s.span);
+            let related = inner.single("effect").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error(
                 "IV0072",
                 "an unsafe class cannot be repeated after a send",
                 at,
                 "would run twice",
             );
-            inner.note(
+            inner.report(
                 error
-                    .also(also, "must never run twice")
+                    .related(related, "must never run twice")
                     .help("write `repeat unsent;`, or `effect keyed;` if servers drop repeats by a key"),
             );
         }
         if class.aim > class.deadline {
-            let at = inner.one("aim").map_or(inner.head, |s| s.span);
-            let also = inner.one("deadline").map_or(inner.head, |s| s.span);
+            let at = inner.single("aim").map_or(inner.head, |s| s.span);
+            let related = inner.single("deadline").map_or(inner.head, |s| s.span);
             let error = Diagnostic::error("IV0041", "the aim lies beyond the deadline", at, "longer");
-            inner.note(
+            inner.report(
                 error
-                    .also(also, "than this")
+                    .related(related, "than this")
                     .help("an aim is the time in which an answer is worth all; shorten it"),
             );
         }
@@ -442,15 +462,15 @@
     classes
 }
 
-fn repeat(inner: &Fields) -> Option<Repeat> {
+fn repeat(inner: &Fields) -> Option<RepeatPolicy> {
     let word = inner.word("repeat")?;
     match word.text.as_str() {
-        "unsent" => Some(Repeat::Unsent),
-        "sent" => Some(Repeat::Sent),
+        "unsent" => Some(RepeatPolicy::Unsent),
+        "sent" => Some(RepeatPolicy::Sent),
         other => {
-            let what = format!("repeats after `{other}` are not known");
-            let error = Diagnostic::error("IV0071", what, word.span, "here");
-            inner.note(error.help(
+            let message = format!("repeats after `{other}` are not known");
+            let error = Diagnostic::error("IV0071", message, word.span, "here");
+            inner.report(error.help(
                 "write `repeat unsent;` (only if no attempt can have run) or `repeat sent;` (also after one \
                  that may have run)",
             ));
@@ -467,7 +487,7 @@
         other => {
             let error =
                 Diagnostic::error("IV0036", format!("there is no scope `{other}`"), word.span, "here");
-            inner.note(
+            inner.report(
                 error.help("write `all`, `zone` or `cell`: the servers that drop each other's repeats"),
             );
             None
@@ -475,14 +495,14 @@
     }
 }
 
-fn yes_or_no(inner: &Fields, name: &'static str) -> bool {
+fn flag(inner: &Fields, name: &'static str) -> bool {
     match inner.word(name).map(|word| (word, word.text.as_str())) {
         None | Some((_, "no")) => false,
         Some((_, "yes")) => true,
         Some((word, other)) => {
-            let what = format!("`{name}` is `yes` or `no`, not `{other}`");
-            inner.note(
-                Diagnostic::error("IV0086", what, word.span, "here").help(format!("write `{name} no;`")),
+            let message = format!("`{name}` is `yes` or `no`, not `{other}`");
+            inner.report(
+                Diagnostic::error("IV0086", message, word.span, "here").help(format!("write `{name} no;`")),
             );
             false
         }
@@ -490,23 +510,24 @@
 }
 
 fn effect(inner: &Fields) -> Option<Effect> {
-    let statement = inner.needed("effect", "effect safe;`, `effect keyed;` or `effect unsafe;")?;
+    let statement = inner.required("effect", "effect safe;`, `effect keyed;` or `effect unsafe;")?;
     let word = &inner.words(statement, 1, 1)?[0];
     let keyed = word.text == "keyed";
-    let (scope, window) = (inner.one("scope"), inner.one("window"));
+    let (scope, window) = (inner.single("scope"), inner.single("window"));
     if !keyed {
-        for extra in [scope, window, inner.one("key")].into_iter().flatten() {
-            let what = format!("`{}` belongs to keyed classes only", extra.words[0].text);
-            let error = Diagnostic::error("IV0042", what, extra.span, "no repeat is dropped here");
-            inner.note(error.also(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
+        for extra in [scope, window, inner.single("key")].into_iter().flatten() {
+            let message = format!("`{}` belongs to keyed classes only", extra.words[0].text);
+            let error = Diagnostic::error("IV0042", message, extra.span, "no repeat is dropped here");
+            inner
+                .report(error.related(word.span, format!("the effect is `{}`", word.text)).help("remove it"));
         }
     }
     match word.text.as_str() {
         "safe" => Some(Effect::Safe),
         "unsafe" => Some(Effect::Unsafe),
         "keyed" => {
-            let scope = &inner.words(inner.needed("scope", "scope zone;")?, 1, 1)?[0];
-            inner.needed("window", "window 15s;")?;
+            let scope = &inner.words(inner.required("scope", "scope zone;")?, 1, 1)?[0];
+            inner.required("window", "window 15s;")?;
             let window = duration_or(inner, "window", 1000.0);
             let scope = self::scope(inner, scope)?;
             Some(Effect::Keyed(scope, window))
@@ -514,7 +535,7 @@
         other => {
             let error =
                 Diagnostic::error("IV0037", format!("there is no effect `{other}`"), word.span, "here");
-            inner.note(
+            inner.report(
                 error.help("write `safe` (may run any number of times), `keyed` or `unsafe` (never twice)"),
             );
             None
@@ -525,10 +546,11 @@
 fn address(fields: &Fields, word: &Word) -> Option<SocketAddr> {
     let address = word.text.parse().ok();
     if address.is_none() {
-        let what = format!("`{}` is not an address with a port", word.text);
-        let error = Diagnostic::error("IV0038", what, word.span, "here");
-        fields
-            .note(error.help("write one such as `127.0.0.1:8080` or `[::1]:8080`; names are not looked up"));
+        let message = format!("`{}` is not an address with a port", word.text);
+        let error = Diagnostic::error("IV0038", message, word.span, "here");
+        fields.report(
+            error.help("write one such as `127.0.0.1:8080` or `[::1]:8080`; names are not looked up"),
+        );
     }
     address
 }
@@ -537,7 +559,7 @@
     let mut listeners: Vec<Listener> = Vec::new();
     for statement in fields.all("listen") {
         let Some(word) = statement.words.get(1) else {
-            fields.note(Diagnostic::error(
+            fields.report(Diagnostic::error(
                 "IV0014",
                 "`listen` lacks an address",
                 statement.words[0].span,
@@ -549,7 +571,7 @@
         if let Some(other) = listeners.iter().find(|l| l.address == address && address.port() != 0) {
             let error =
                 Diagnostic::error("IV0043", "two listeners have the same address", word.span, "again here");
-            fields.note(error.also(other.at.0, "first here"));
+            fields.report(error.related(other.at.0, "first here"));
         }
         let inner = fields.inner("listener", statement);
         let mut trusted = Vec::new();
@@ -560,9 +582,9 @@
                 match net {
                     Some(net) => trusted.push(net),
                     None => {
-                        let what = format!("`{}` is not an address or a network", word.text);
-                        let error = Diagnostic::error("IV0039", what, word.span, "here");
-                        inner.note(error.help("write one such as `127.0.0.1` or `10.0.0.0/8`"));
+                        let message = format!("`{}` is not an address or a network", word.text);
+                        let error = Diagnostic::error("IV0039", message, word.span, "here");
+                        inner.report(error.help("write one such as `127.0.0.1` or `10.0.0.0/8`"));
                     }
                 }
             }
@@ -576,14 +598,14 @@
             body_stall: duration_or(&inner, "body-stall", 10_000.0),
             read_stall: duration_or(&inner, "read-stall", 30_000.0),
             idle: duration_or(&inner, "idle", 60_000.0),
-            answer_within: duration_or(&inner, "answer-within", LONGEST),
+            answer_within: duration_or(&inner, "answer-within", MAX_DURATION_MS),
             answers_checks: inner
-                .one("answers-checks")
+                .single("answers-checks")
                 .and_then(|s| inner.words(s, 1, 1))
-                .and_then(|w| plain_path(&inner, &w[0]))
+                .and_then(|w| request_path(&inner, &w[0]))
                 .map(|p| p.split('?').next().unwrap_or("").to_owned()),
             ids_kept: duration_or(&inner, "ids-kept", 60_000.0),
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         });
         if let Some(word) = inner.word("head").filter(|_| listeners.last().is_some_and(|l| l.head < 8192)) {
             let error = Diagnostic::error(
@@ -592,7 +614,7 @@
                 word.span,
                 "too small",
             );
-            inner.note(error.help("write `head 16KiB;`"));
+            inner.report(error.help("write `head 16KiB;`"));
         }
         inner.finish();
     }
@@ -603,21 +625,21 @@
     let mut seen = HashMap::new();
     let mut pools: Vec<Pool> = Vec::new();
     for statement in fields.all("pool") {
-        let Some(name) = named(fields, "pool", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "pool", statement, &mut seen) else { continue };
         let inner = fields.inner("pool", statement);
         let zone = inner.text_or("zone", "");
         let mut errors = vec![502, 503, 504];
-        if let Some(statement) = inner.one("errors") {
+        if let Some(statement) = inner.single("errors") {
             let words = inner.words(statement, 0, 64).unwrap_or_default();
-            errors = words.iter().filter_map(|word| status(&inner, word)).collect();
+            errors = words.iter().filter_map(|word| server_error_status(&inner, word)).collect();
         }
         let declined = inner
-            .one("declined")
+            .single("declined")
             .and_then(|s| inner.words(s, 2, 2))
-            .and_then(|words| Some((header(&inner, &words[0])?, words[1].text.clone())));
-        let cold = inner.one("cold").map(|statement| {
+            .and_then(|words| Some((header_name(&inner, &words[0])?, words[1].text.clone())));
+        let cold = inner.single("cold").map(|statement| {
             let block = inner.inner("cold block", statement);
-            let cold = Cold {
+            let cold = ColdStart {
                 from: block.quantity_or("from", Quantity::Share, 0.2),
                 warm: duration_or(&block, "warm", 10_000.0),
                 fall: block.positive_or("fall", Quantity::Number, 2.0),
@@ -626,20 +648,22 @@
             block.finish();
             cold
         });
-        let domains = inner.one("domains").map(|statement| domains(inner.inner("domains block", statement)));
-        let drops_repeats = inner.one("drops-repeats").and_then(|s| inner.words(s, 2, 2)).and_then(|words| {
-            let time = inner.quantity_in(&words[1], Quantity::Duration)?;
-            Some((scope(&inner, &words[0])?, time.min(LONGEST)))
-        });
-        let shares = inner.one("shares-servers-with").and_then(|s| inner.words(s, 1, 64));
-        let shares = shares.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
+        let domains =
+            inner.single("domains").map(|statement| domains(inner.inner("domains block", statement)));
+        let drops_repeats =
+            inner.single("drops-repeats").and_then(|s| inner.words(s, 2, 2)).and_then(|words| {
+                let time = inner.quantity_in(&words[1], Quantity::Duration)?;
+                Some((scope(&inner, &words[0])?, time.min(MAX_DURATION_MS)))
+            });
+        let shares = inner.single("shares-servers-with").and_then(|s| inner.words(s, 1, 64));
+        let shares_servers_with = shares.unwrap_or_default().iter().map(|word| word.text.clone()).collect();
         let servers = servers(&inner, &zone);
         if servers.is_empty() && inner.all("server").is_empty() {
             let error = Diagnostic::error("IV0045", "this pool has no server", inner.head, "in here");
-            inner.note(error.help("write `server NAME 127.0.0.1:9000;`"));
+            inner.report(error.help("write `server NAME 127.0.0.1:9000;`"));
         }
         let domains = domains.map(|(domains, words)| {
-            works(&inner, &domains, words, &servers);
+            check_maintenance_zones(&inner, &domains, words, &servers);
             domains
         });
         pools.push(Pool {
@@ -658,65 +682,66 @@
             declined,
             cold,
             drops_repeats,
-            second_copies: yes_or_no(&inner, "second-copies"),
-            shares,
+            second_copies: flag(&inner, "second-copies"),
+            shares_servers_with,
             cross_zone: inner.quantity_or("cross-zone", Quantity::Share, 0.0),
             domains,
             servers,
-            at: At(inner.head),
+            at: SourceSpan(inner.head),
         });
         inner.finish();
     }
     pools
 }
 
-/// A `domains` block, and the words of its zones in works.
+/// Reads a `domains` block; also returns the words that name its maintenance zones.
 fn domains<'a>(block: Fields<'a>) -> (Domains, &'a [Word]) {
-    let words = block.one("works").and_then(|s| block.words(s, 1, 64)).unwrap_or_default();
+    let words = block.single("works").and_then(|s| block.words(s, 1, 64)).unwrap_or_default();
     let distrust = match block.quantity_or("distrust", Quantity::Share, 0.5) {
         share if share > 0.0 => share,
         _ => {
             let at = block.word("distrust").map_or(block.head, |word| word.span);
             let error = Diagnostic::error("IV0024", "`distrust` is zero", at, "must be above zero");
-            block.note(error.help("write `leave no;` to leave no zone by what is seen of it"));
+            block.report(error.help("write `leave no;` to leave no zone by what is seen of it"));
             0.5
         }
     };
-    let leave = block.one("leave").is_none() || yes_or_no(&block, "leave");
-    let works = words.iter().map(|word| word.text.clone()).collect();
+    let leave = block.single("leave").is_none() || flag(&block, "leave");
+    let maintenance_zones = words.iter().map(|word| word.text.clone()).collect();
     block.finish();
-    (Domains { leave, works, distrust }, words)
+    (Domains { leave, maintenance_zones, distrust }, words)
 }
 
-/// Zones in works must be there, and one must be left that is not.
-fn works(pool: &Fields, domains: &Domains, words: &[Word], servers: &[Server]) {
+/// Checks that the maintenance zones exist and that at least one other zone is left.
+fn check_maintenance_zones(pool: &Fields, domains: &Domains, words: &[Word], servers: &[Server]) {
     let mut zones: Vec<&str> = servers.iter().map(|server| server.zone.as_str()).collect();
     zones.sort_unstable();
     zones.dedup();
     for word in words.iter().filter(|word| !zones.contains(&word.text.as_str())) {
-        let what = format!("the zone `{}` has no server in this pool", word.text);
-        let error = Diagnostic::error("IV0095", what, word.span, "no such zone");
-        pool.note(error.help(nearest(&word.text, &zones)));
+        let message = format!("the zone `{}` has no server in this pool", word.text);
+        let error = Diagnostic::error("IV0095", message, word.span, "no such zone");
+        pool.report(error.help(suggestion(&word.text, &zones)));
     }
-    let all_in_works = zones.iter().all(|zone| domains.works.iter().any(|works| works == zone));
-    if let (Some(word), true, false) = (words.first(), all_in_works, zones.is_empty()) {
+    let all_in_maintenance =
+        zones.iter().all(|zone| domains.maintenance_zones.iter().any(|name| name == zone));
+    if let (Some(word), true, false) = (words.first(), all_in_maintenance, zones.is_empty()) {
         let error =
             Diagnostic::error("IV0096", "all zones of this pool are in works", word.span, "nothing is left");
-        pool.note(error.help("leave one of them out, or take the pool out of its routes"));
+        pool.report(error.help("leave one of them out, or take the pool out of its routes"));
     }
     if zones.len() == 1 && words.is_empty() {
-        let what = "this pool has one zone, and none that it could be left for";
-        let warning = Diagnostic::warning("IV0108", what, pool.head, "in here");
-        pool.note(warning.help("say `zone NAME` at its servers, or remove `domains`"));
+        let message = "this pool has one zone, and none that it could be left for";
+        let warning = Diagnostic::warning("IV0108", message, pool.head, "in here");
+        pool.report(warning.help("say `zone NAME` at its servers, or remove `domains`"));
     }
 }
 
-fn status(fields: &Fields, word: &Word) -> Option<u16> {
+fn server_error_status(fields: &Fields, word: &Word) -> Option<u16> {
     let status = word.text.parse().ok().filter(|s| (500..600).contains(s));
     if status.is_none() {
-        let what = format!("`{}` is not a status of a server's failure", word.text);
-        let error = Diagnostic::error("IV0046", what, word.span, "here");
-        fields.note(error.help("write statuses from 500 to 599; all others are the application's answer"));
+        let message = format!("`{}` is not a status of a server's failure", word.text);
+        let error = Diagnostic::error("IV0046", message, word.span, "here");
+        fields.report(error.help("write statuses from 500 to 599; all others are the application's answer"));
     }
     status
 }
@@ -725,31 +750,31 @@
     let mut seen = HashMap::new();
     let mut servers: Vec<Server> = Vec::new();
     for statement in pool.all("server") {
-        let Some(name) = named(pool, "server", statement, &mut seen) else { continue };
+        let Some(name) = block_name(pool, "server", statement, &mut seen) else { continue };
         let Some(word) = statement.words.get(2) else {
-            let what = format!("the server `{}` has no address", name.text);
-            let error = Diagnostic::error("IV0014", what, name.span, "an address is expected after this");
-            pool.note(error.help(format!("write `server {} 127.0.0.1:9000;`", name.text)));
+            let message = format!("the server `{}` has no address", name.text);
+            let error = Diagnostic::error("IV0014", message, name.span, "an address is expected after this");
+            pool.report(error.help(format!("write `server {} 127.0.0.1:9000;`", name.text)));
             continue;
         };
         let Some(address) = address(pool, word) else { continue };
         if let Some(extra) = statement.words.get(3) {
             let error =
                 Diagnostic::error("IV0015", "a server has a value too many", extra.span, "not expected here");
-            pool.note(error.help("further settings stand in a block: `{ zone north; weight 2; }`"));
+            pool.report(error.help("further settings stand in a block: `{ zone north; weight 2; }`"));
         }
         if let Some(other) = servers.iter().find(|s| s.address == address) {
             let error =
                 Diagnostic::error("IV0047", "a server is listed twice in this pool", word.span, "again here");
-            pool.note(
+            pool.report(
                 error
-                    .also(other.at.0, "first here")
+                    .related(other.at.0, "first here")
                     .help("a server counts once; use `weight` for a larger one"),
             );
         }
         if address.port() == 0 {
             let error = Diagnostic::error("IV0092", "a server has port 0", word.span, "reaches nobody");
-            pool.note(error.help("write the port on which it listens"));
+            pool.report(error.help("write the port on which it listens"));
         }
         let inner = pool.inner("server", statement);
         let state = inner.word("state");
@@ -759,7 +784,7 @@
             Some(other) => {
                 let at = state.map_or(inner.head, |w| w.span);
                 let error = Diagnostic::error("IV0048", format!("there is no state `{other}`"), at, "here");
-                inner.note(error.help("write `serving` or `draining`"));
+                inner.report(error.help("write `serving` or `draining`"));
                 false
             }
         };
@@ -770,15 +795,16 @@
             cell: inner.quantity_or("cell", Quantity::Count, 0.0) as u32,
             weight: inner.positive_or("weight", Quantity::Number, 1.0),
             draining,
-            at: At(head_span(statement)),
+            at: SourceSpan(head_span(statement)),
         });
         inner.finish();
     }
     servers
 }
 
-/// Headers that say how a message is framed or where it goes; no service may set them.
-const FRAMING: [&str; 12] = [
+/// Headers that control framing, the connection or routing; they cannot be carried to or from a sign-in
+/// service.
+const CONNECTION_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
     "expect",
@@ -797,24 +823,24 @@
     let mut seen = HashMap::new();
     let mut sign_ins = Vec::new();
     for statement in fields.all("sign-in") {
-        let Some(name) = named(fields, "sign-in", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "sign-in", statement, &mut seen) else { continue };
         let inner = fields.inner("sign-in", statement);
-        let pool = inner.needed("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
-        let pool = pool.and_then(|w| refer(&inner, "pool", &w[0], pools, |p| &p.name));
-        let path = inner.needed("path", "path /check;").and_then(|s| inner.words(s, 1, 1));
-        let path = path.and_then(|words| plain_path(&inner, &words[0]));
+        let pool = inner.required("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
+        let pool = pool.and_then(|w| resolve(&inner, "pool", &w[0], pools, |p| &p.name));
+        let path = inner.required("path", "path /check;").and_then(|s| inner.words(s, 1, 1));
+        let path = path.and_then(|words| request_path(&inner, &words[0]));
         let headers = |name, default: &[&str]| -> Vec<String> {
-            match inner.one(name).and_then(|s| inner.words(s, 1, 64)) {
+            match inner.single(name).and_then(|s| inner.words(s, 1, 64)) {
                 None => default.iter().map(|d| (*d).to_owned()).collect(),
                 Some(words) => words
                     .iter()
                     .filter_map(|word| {
-                        let name = header(&inner, word)?;
-                        if FRAMING.contains(&name.as_str()) {
-                            let what = format!("`{}` belongs to the connection", word.text);
+                        let name = header_name(&inner, word)?;
+                        if CONNECTION_HEADERS.contains(&name.as_str()) {
+                            let message = format!("`{}` belongs to the connection", word.text);
                             let error =
-                                Diagnostic::error("IV0085", what, word.span, "cannot be carried over");
-                            inner.note(error.help("name headers such as `Authorization` or `X-User`"));
+                                Diagnostic::error("IV0085", message, word.span, "cannot be carried over");
+                            inner.report(error.help("name headers such as `Authorization` or `X-User`"));
                             return None;
                         }
                         Some(name)
@@ -822,7 +848,7 @@
                     .collect(),
             }
         };
-        let open = match inner.word("on-failure").map(|word| (word, word.text.as_str())) {
+        let fail_open = match inner.word("on-failure").map(|word| (word, word.text.as_str())) {
             None | Some((_, "closed")) => false,
             Some((_, "open")) => true,
             Some((word, other)) => {
@@ -832,7 +858,7 @@
                     word.span,
                     "here",
                 );
-                inner.note(error.help("write `on-failure closed;`"));
+                inner.report(error.help("write `on-failure closed;`"));
                 false
             }
         };
@@ -841,14 +867,14 @@
         let within = duration_or(&inner, "within", 500.0);
         let body = inner.quantity("body", Quantity::Size).map(|bytes| bytes as usize);
         let (address_limit, credential_limit) =
-            (failed_checks(&inner, "address-limit"), failed_checks(&inner, "credential-limit"));
-        let remembered = |name| inner.quantity_or(name, Quantity::Duration, 0.0).min(LONGEST);
+            (failed_check_limit(&inner, "address-limit"), failed_check_limit(&inner, "credential-limit"));
+        let remembered = |name| inner.quantity_or(name, Quantity::Duration, 0.0).min(MAX_DURATION_MS);
         let (cache_yes, cache_no) = (remembered("cache-yes"), remembered("cache-no"));
         let cache_size = inner.positive_or("cache-size", Quantity::Count, 10_000.0) as usize;
-        let cache_unsafe = yes_or_no(&inner, "cache-unsafe");
-        let at = At(inner.head);
+        let cache_unsafe = flag(&inner, "cache-unsafe");
+        let at = SourceSpan(inner.head);
         inner.finish();
-        // One with a mistake is kept too, so that routes that name it are not told of as well.
+        // A sign-in with errors is kept, so that routes that refer to it are not reported as well.
         let (pool, path) = (pool.unwrap_or(0), path.unwrap_or_default());
         let name = name.text.clone();
         sign_ins.push(SignIn {
@@ -861,7 +887,7 @@
             body,
             address_limit,
             credential_limit,
-            open,
+            fail_open,
             cache_yes,
             cache_no,
             cache_size,
@@ -872,28 +898,28 @@
     sign_ins
 }
 
-/// A limit on failed checks: a rate, and perhaps how many may fail at once.
-fn failed_checks(inner: &Fields, name: &'static str) -> FailedChecks {
-    let none = FailedChecks { rate: 0.0, burst: 0.0 };
-    let Some(words) = inner.one(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
+/// Reads a limit on failed checks: a rate and an optional burst.
+fn failed_check_limit(inner: &Fields, name: &'static str) -> FailedCheckLimit {
+    let none = FailedCheckLimit { rate: 0.0, burst: 0.0 };
+    let Some(words) = inner.single(name).and_then(|s| inner.words(s, 1, 2)) else { return none };
     let Some(rate) = inner.quantity_in(&words[0], Quantity::Rate) else { return none };
-    if !inner.is_meant(name) {
-        if let Some(suspicion) = slips::suspicion("sign-in", name, &words[0].text, rate) {
-            inner.note(suspicion.diagnostic(name, &words[0]));
+    if !inner.is_confirmed(name) {
+        if let Some(implausible) = plausibility::implausible_value("sign-in", name, &words[0].text, rate) {
+            inner.report(implausible.diagnostic(name, &words[0]));
         }
     }
-    // Two seconds' worth, and some at the least for checks that are on their way at the same time.
+    // The default burst covers two seconds, and at least 10 for checks that are in flight at the same time.
     let burst = words.get(1).and_then(|word| inner.quantity_in(word, Quantity::Count));
-    FailedChecks { rate, burst: burst.unwrap_or((2.0 * rate).max(10.0)).max(1.0) }
+    FailedCheckLimit { rate, burst: burst.unwrap_or((2.0 * rate).max(10.0)).max(1.0) }
 }
 
-/// A path to ask for, in normal form.
-fn plain_path(fields: &Fields, word: &Word) -> Option<String> {
+/// Parses a path and query and normalizes it.
+fn request_path(fields: &Fields, word: &Word) -> Option<String> {
     match RequestTarget::parse(&word.text) {
         Ok(target) if word.text.starts_with('/') => Some(target.path_and_query()),
         _ => {
             let error = Diagnostic::error("IV0052", "this is no path", word.span, "here");
-            fields.note(error.help("write one such as `/check`"));
+            fields.report(error.help("write one such as `/check`"));
             None
         }
     }
@@ -903,81 +929,81 @@
     let mut seen = HashMap::new();
     let mut routes = Vec::new();
     for statement in fields.all("route") {
-        let Some(name) = named(fields, "route", statement, &mut seen) else { continue };
+        let Some(name) = block_name(fields, "route", statement, &mut seen) else { continue };
         let inner = fields.inner("route", statement);
         let host = match inner.word("host") {
             None => Some(HostMatch::Any),
             Some(word) => HostMatch::parse(&word.text)
                 .map_err(|error| {
                     let error = Diagnostic::error("IV0050", format!("{error}"), word.span, "here");
-                    inner.note(
+                    inner.report(
                         error.help("write `tiles.example.org`, `*.example.org` or `*`, without a port"),
                     );
                 })
                 .ok(),
         };
         let path = path(&inner);
-        let class = inner.needed("class", "class NAME;").and_then(|s| inner.words(s, 1, 1));
-        let class = class.and_then(|w| refer(&inner, "class", &w[0], classes, |c| &c.name));
-        let pool = inner.needed("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
-        let pool = pool.and_then(|w| refer(&inner, "pool", &w[0], pools, |p| &p.name));
+        let class = inner.required("class", "class NAME;").and_then(|s| inner.words(s, 1, 1));
+        let class = class.and_then(|w| resolve(&inner, "class", &w[0], classes, |c| &c.name));
+        let pool = inner.required("pool", "pool NAME;").and_then(|s| inner.words(s, 1, 1));
+        let pool = pool.and_then(|w| resolve(&inner, "pool", &w[0], pools, |p| &p.name));
         let methods = methods(&inner, class.and_then(|c| classes.get(c)));
         let repeat = route_repeat(&inner, class.and_then(|c| classes.get(c)));
-        let sign_in = inner.one("sign-in").and_then(|statement| {
+        let sign_in = inner.single("sign-in").and_then(|statement| {
             let Some(word) = statement.words.get(1) else {
-                let what = "this route wants a sign-in and names no service";
-                let error = Diagnostic::error("IV0084", what, head_span(statement), "asked of whom?");
-                inner.note(error.help("write `sign-in NAME;`, or remove it if the route is open to all"));
+                let message = "this route wants a sign-in and names no service";
+                let error = Diagnostic::error("IV0084", message, head_span(statement), "asked of whom?");
+                inner.report(error.help("write `sign-in NAME;`, or remove it if the route is open to all"));
                 return None;
             };
             inner.words(statement, 1, 1)?;
-            refer(&inner, "sign-in", word, sign_ins, |s| &s.name)
+            resolve(&inner, "sign-in", word, sign_ins, |s| &s.name)
         });
-        let at = At(inner.head);
+        let at = SourceSpan(inner.head);
         inner.finish();
         if let (Some(host), Some(path), Some(methods), Some(class), Some(pool)) =
             (host, path, methods, class, pool)
         {
-            let claim = RouteMatch { host, path, methods };
-            routes.push(Route { name: name.text.clone(), claim, class, pool, repeat, sign_in, at });
+            let matcher = RouteMatch { host, path, methods };
+            routes.push(Route { name: name.text.clone(), matcher, class, pool, repeat, sign_in, at });
         }
     }
     routes
 }
 
-/// What a route says of repeats; it may only narrow what its class says.
-fn route_repeat(inner: &Fields, class: Option<&Class>) -> Repeat {
-    let of_class = class.map_or(Repeat::Unsent, |c| c.repeat);
-    let told = repeat(inner).unwrap_or(of_class);
-    // Of an unsafe class that says so itself the error stands there.
-    if let (Some(class), true) = (class, told > of_class) {
-        let at = inner.one("repeat").map_or(inner.head, |s| s.span);
-        let what = format!("this route repeats what its class `{}` does not", class.name);
-        let error = Diagnostic::error("IV0072", what, at, "this could run a request twice");
-        inner.note(
+/// Returns the repeat policy of a route, which may only be stricter than that of its class.
+fn route_repeat(inner: &Fields, class: Option<&Class>) -> RepeatPolicy {
+    let of_class = class.map_or(RepeatPolicy::Unsent, |c| c.repeat);
+    let policy = repeat(inner).unwrap_or(of_class);
+    // A looser policy of an unsafe class itself is reported at the class.
+    if let (Some(class), true) = (class, policy > of_class) {
+        let at = inner.single("repeat").map_or(inner.head, |s| s.span);
+        let message = format!("this route repeats what its class `{}` does not", class.name);
+        let error = Diagnostic::error("IV0072", message, at, "this could run a request twice");
+        inner.report(
             error
-                .also(class.at.0, "its class")
+                .related(class.at.0, "its class")
                 .help("remove it, or give the route a class that is `safe` or `keyed`"),
         );
         return of_class;
     }
-    told
+    policy
 }
 
 fn path(inner: &Fields) -> Option<PathMatch> {
-    let Some(statement) = inner.one("path") else {
+    let Some(statement) = inner.single("path") else {
         return PathMatch::prefix("/").ok();
     };
     let words = inner.words(statement, 2, 2)?;
     let text = &words[1].text;
-    if text.len() > PATH_MOST {
-        let what = format!("a path has more than {PATH_MOST} characters");
-        inner.note(
-            Diagnostic::error("IV0052", what, words[1].span, "no request can match").help("shorten it"),
+    if text.len() > MAX_PATH_BYTES {
+        let message = format!("a path has more than {MAX_PATH_BYTES} characters");
+        inner.report(
+            Diagnostic::error("IV0052", message, words[1].span, "no request can match").help("shorten it"),
         );
         return None;
     }
-    let claim = match words[0].text.as_str() {
+    let matcher = match words[0].text.as_str() {
         "exact" => PathMatch::exact(text),
         "prefix" => PathMatch::prefix(text),
         "pattern" => PathMatch::pattern(text),
@@ -988,21 +1014,22 @@
                 words[0].span,
                 "here",
             );
-            inner.note(error.help("write `path exact /p;`, `path prefix /p;` or `path pattern /p/*/q;`"));
+            inner.report(error.help("write `path exact /p;`, `path prefix /p;` or `path pattern /p/*/q;`"));
             return None;
         }
     };
-    claim
+    matcher
         .map_err(|error| {
             let error = Diagnostic::error("IV0052", error.to_string(), words[1].span, "no request can match");
-            inner.note(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"));
+            inner
+                .report(error.help("write the path as it is after `.`, `..`, `//` and escapes are resolved"));
         })
         .ok()
 }
 
 fn methods(inner: &Fields, class: Option<&Class>) -> Option<MethodMatch> {
     let safe = class.is_some_and(|c| c.effect == Effect::Safe);
-    let Some(statement) = inner.one("methods") else {
+    let Some(statement) = inner.single("methods") else {
         return Some(if safe {
             MethodMatch::Named(SAFE_METHODS.map(str::to_owned).to_vec())
         } else {
@@ -1015,13 +1042,13 @@
         if !is_token(&word.text) || word.text.bytes().any(|b| b.is_ascii_lowercase()) {
             let error =
                 Diagnostic::error("IV0053", format!("`{}` is not a method", word.text), word.span, "here");
-            inner.note(error.help("methods are written in capitals, such as `GET POST`"));
+            inner.report(error.help("methods are written in capitals, such as `GET POST`"));
             return None;
         }
-        if safe && !inner.is_meant("methods") && ["POST", "PATCH"].contains(&word.text.as_str()) {
-            let what = format!("`{}` requests of this route may be sent twice", word.text);
-            let error = Diagnostic::warning("IV0101", what, word.span, "its class is `safe`");
-            inner.note(
+        if safe && !inner.is_confirmed("methods") && ["POST", "PATCH"].contains(&word.text.as_str()) {
+            let message = format!("`{}` requests of this route may be sent twice", word.text);
+            let error = Diagnostic::warning("IV0101", message, word.span, "its class is `safe`");
+            inner.report(
                 error.help(format!(
                     "give the route a class that is `unsafe` or `keyed`, or write `methods {} meant;` if they change nothing",
                     word.text
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,46 +1,46 @@
-//! Reads the statements of one block by name, and notes what is missing, unknown, repeated or malformed.
+//! Reads the statements of a block by name and reports missing, unknown, repeated and malformed ones.
 
 use crate::diagnostic::{Diagnostic, Severity, Span};
-use crate::expand::distances;
-use crate::slips;
+use crate::expand::close_names;
+use crate::plausibility;
 use crate::syntax::{Block, Statement, Word};
 use crate::units::{self, QuantityError};
 use std::cell::RefCell;
 use std::collections::HashSet;
 
-/// Most unknown statements that are told of in one block.
-const UNKNOWN_MOST: usize = 100;
+/// Maximum number of unknown statements reported per block.
+const MAX_UNKNOWN_STATEMENTS: usize = 100;
 
-/// Most findings that are kept.
-const FINDINGS_MOST: usize = 2000;
+/// Maximum number of findings kept; errors are kept up to twice this number.
+const MAX_FINDINGS: usize = 2000;
 
-/// Findings that a whole check shares.
+/// Findings shared by all blocks of one check.
 pub type Findings = RefCell<Vec<Diagnostic>>;
 
-/// One block under check.
+/// Reader of one block's statements.
 pub struct Fields<'a> {
     block: &'a Block,
-    /// The words that opened it.
+    /// Span of the words before the opening brace.
     pub head: Span,
     kind: &'static str,
     findings: &'a Findings,
-    asked: RefCell<HashSet<&'static str>>,
+    known_names: RefCell<HashSet<&'static str>>,
 }
 
-/// What is expected of a quantity.
+/// Kind of quantity that a statement takes.
 #[derive(Clone, Copy)]
 pub enum Quantity {
     /// Milliseconds.
     Duration,
     /// Bytes.
     Size,
-    /// A number a second.
+    /// Events per second.
     Rate,
-    /// A number.
+    /// Number without a unit.
     Number,
-    /// A number from 0 to 1.
+    /// Number from 0 to 1.
     Share,
-    /// A whole number.
+    /// Whole number.
     Count,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    fn what(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
             Quantity::Duration => "a time with its unit, such as `250ms`, `15s` or `2m`",
             Quantity::Size => "a size with its unit, such as `512B`, `64KiB` or `8MiB`",
@@ -67,35 +67,35 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Begins with a block that `head` opened.
+    /// Creates a reader of the block whose opening words have the span `head`.
     pub fn new(kind: &'static str, head: Span, block: &'a Block, findings: &'a Findings) -> Self {
-        Self { block, head, kind, findings, asked: RefCell::default() }
+        Self { block, head, kind, findings, known_names: RefCell::default() }
     }
 
-    /// Notes a finding.
-    pub fn note(&self, finding: Diagnostic) {
+    /// Records a finding.
+    pub fn report(&self, finding: Diagnostic) {
         let mut findings = self.findings.borrow_mut();
-        // Guards the memory. Errors go on being noted for as long again, so that none hides behind warnings.
-        let most = if finding.severity == Severity::Error { 2 * FINDINGS_MOST } else { FINDINGS_MOST };
-        if findings.len() < most {
+        // Bounds memory use. Errors have twice the limit, so that warnings cannot displace them.
+        let limit = if finding.severity == Severity::Error { 2 * MAX_FINDINGS } else { MAX_FINDINGS };
+        if findings.len() < limit {
             findings.push(finding);
         }
     }
 
-    /// Whether an error is noted within a place.
+    /// Returns true if an error has been recorded within a span.
     pub fn has_error_in(&self, place: Span) -> bool {
         let within = |at: Span| at.file == place.file && at.start >= place.start && at.end <= place.end;
         self.findings.borrow().iter().any(|f| f.severity == Severity::Error && within(f.at.0))
     }
 
-    /// All statements of this name.
+    /// Returns all statements with a name, and marks the name as known.
     pub fn all(&self, name: &'static str) -> Vec<&'a Statement> {
-        self.asked.borrow_mut().insert(name);
+        self.known_names.borrow_mut().insert(name);
         self.block.statements.iter().filter(|s| !s.words[0].quoted && s.words[0].text == name).collect()
     }
 
-    /// The only statement of this name.
-    pub fn one(&self, name: &'static str) -> Option<&'a Statement> {
+    /// Returns the statement with a name, if there is one; reports an error if there are several.
+    pub fn single(&self, name: &'static str) -> Option<&'a Statement> {
         let all = self.all(name);
         if let [first, second, ..] = all[..] {
             let error = Diagnostic::error(
@@ -104,67 +104,71 @@
                 second.words[0].span,
                 "given again here",
             );
-            self.note(error.also(first.words[0].span, "first given here").help("remove one of them"));
+            self.report(error.related(first.words[0].span, "first given here").help("remove one of them"));
         }
         all.first().copied()
     }
 
-    /// A statement that must be there.
-    pub fn needed(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
-        let found = self.one(name);
-        // One that stands behind a missing `;` is told of already.
+    /// Returns a required statement; reports an error if it is missing.
+    pub fn required(&self, name: &'static str, example: &str) -> Option<&'a Statement> {
+        let found = self.single(name);
+        // A statement that follows a missing `;` has already been reported by the parser or as an extra
+        // value.
         let swallowed =
             self.block.statements.iter().any(|s| s.words[1..].iter().any(|w| !w.quoted && w.text == name));
         if found.is_none() && !swallowed {
-            let what = format!("this {} has no `{name}`", self.kind);
-            self.note(
-                Diagnostic::error("IV0011", what, self.head, "in here").help(format!("write `{example}`")),
+            let message = format!("this {} has no `{name}`", self.kind);
+            self.report(
+                Diagnostic::error("IV0011", message, self.head, "in here").help(format!("write `{example}`")),
             );
         }
         found
     }
 
-    /// The words behind the name: as many as the range allows, and no block.
-    pub fn words(&self, statement: &'a Statement, least: usize, most: usize) -> Option<&'a [Word]> {
+    /// Returns the words after the name; reports an error unless their number is in the range and there is no
+    /// block.
+    pub fn words(&self, statement: &'a Statement, minimum: usize, maximum: usize) -> Option<&'a [Word]> {
         let name = &statement.words[0];
         if let Some(block) = &statement.block {
             let at = block.statements.first().map_or(statement.span, |s| s.span);
-            let what = format!("`{}` takes no block", name.text);
-            self.note(Diagnostic::error("IV0013", what, at, "not expected here").help("end it with `;`"));
+            let message = format!("`{}` takes no block", name.text);
+            self.report(
+                Diagnostic::error("IV0013", message, at, "not expected here").help("end it with `;`"),
+            );
             return None;
         }
         let mut words = &statement.words[1..];
-        // Says that a value which looks like a slip is right; see `slips`.
-        if words.len() > least && words.last().is_some_and(is_meant) {
+        // A trailing `meant` confirms an implausible value; see `plausibility`.
+        if words.len() > minimum && words.last().is_some_and(is_meant_keyword) {
             words = &words[..words.len() - 1];
         }
-        if (least..=most).contains(&words.len()) {
+        if (minimum..=maximum).contains(&words.len()) {
             return Some(words);
         }
-        if words.len() < least {
-            let what = format!("`{}` lacks a value", name.text);
-            self.note(Diagnostic::error("IV0014", what, name.span, "a value is expected after this"));
+        if words.len() < minimum {
+            let message = format!("`{}` lacks a value", name.text);
+            self.report(Diagnostic::error("IV0014", message, name.span, "a value is expected after this"));
         } else {
-            let extra = &words[most];
-            let what = format!("`{}` has a value too many", name.text);
-            let before = &statement.words[most];
-            let error = Diagnostic::error("IV0015", what, extra.span, "not expected here");
-            self.note(error.help(format!("is a `;` missing after `{}`?", before.text)));
+            let extra = &words[maximum];
+            let message = format!("`{}` has a value too many", name.text);
+            let before = &statement.words[maximum];
+            let error = Diagnostic::error("IV0015", message, extra.span, "not expected here");
+            self.report(error.help(format!("is a `;` missing after `{}`?", before.text)));
         }
         None
     }
 
-    /// The only word of a statement.
+    /// Returns the single value of a statement.
     pub fn word(&self, name: &'static str) -> Option<&'a Word> {
-        self.words(self.one(name)?, 1, 1).map(|words| &words[0])
+        self.words(self.single(name)?, 1, 1).map(|words| &words[0])
     }
 
-    /// A text, or what it is by default.
+    /// Returns the text of a statement, or the default.
     pub fn text_or(&self, name: &'static str, default: &str) -> String {
         self.word(name).map_or_else(|| default.to_owned(), |word| word.text.clone())
     }
 
-    /// A quantity in a word.
+    /// Parses a word as a quantity; reports an error if it is malformed or out of range.
     pub fn quantity_in(&self, word: &Word, quantity: Quantity) -> Option<f64> {
         let value = match quantity.read(&word.text) {
             Ok(value) => value,
@@ -174,10 +178,13 @@
                     QuantityError::WrongUnit(unit) => ("IV0022", format!("`{unit}` is no unit of this")),
                     QuantityError::NotANumber => ("IV0020", "not a quantity".to_owned()),
                 };
-                let what =
-                    format!("`{}` is not {}", word.text, quantity.what().split(',').next().unwrap_or(""));
-                let error = Diagnostic::error(code, what, word.span, label);
-                self.note(error.help(format!("write {}", quantity.what())));
+                let message = format!(
+                    "`{}` is not {}",
+                    word.text,
+                    quantity.description().split(',').next().unwrap_or("")
+                );
+                let error = Diagnostic::error(code, message, word.span, label);
+                self.report(error.help(format!("write {}", quantity.description())));
                 return None;
             }
         };
@@ -189,34 +196,34 @@
         if !fits {
             let error =
                 Diagnostic::error("IV0023", format!("`{}` is out of range", word.text), word.span, "here");
-            self.note(error.help(format!("write {}", quantity.what())));
+            self.report(error.help(format!("write {}", quantity.description())));
         }
         fits.then_some(value)
     }
 
-    /// Whether a statement says that its value is meant.
-    pub fn is_meant(&self, name: &'static str) -> bool {
-        self.all(name).first().is_some_and(|s| says_meant(s))
+    /// Returns true if the statement confirms its value with a trailing `meant`.
+    pub fn is_confirmed(&self, name: &'static str) -> bool {
+        self.all(name).first().is_some_and(|s| is_confirmed(s))
     }
 
-    /// A quantity, if it is given.
+    /// Returns the quantity of a statement, if present; reports implausible values.
     pub fn quantity(&self, name: &'static str, quantity: Quantity) -> Option<f64> {
         let word = self.word(name)?;
         let value = self.quantity_in(word, quantity)?;
-        if !self.is_meant(name) {
-            if let Some(suspicion) = slips::suspicion(self.kind, name, &word.text, value) {
-                self.note(suspicion.diagnostic(name, word));
+        if !self.is_confirmed(name) {
+            if let Some(implausible) = plausibility::implausible_value(self.kind, name, &word.text, value) {
+                self.report(implausible.diagnostic(name, word));
             }
         }
         Some(value)
     }
 
-    /// A quantity above nothing, or what it is by default.
+    /// Returns the quantity of a statement or the default; reports an error if it is not above zero.
     pub fn positive_or(&self, name: &'static str, quantity: Quantity, default: f64) -> f64 {
         let Some(word) = self.word(name) else { return default };
         let Some(value) = self.quantity(name, quantity) else { return default };
         if value <= 0.0 {
-            self.note(Diagnostic::error(
+            self.report(Diagnostic::error(
                 "IV0024",
                 format!("`{name}` is zero"),
                 word.span,
@@ -227,57 +234,57 @@
         value
     }
 
-    /// A quantity, or what it is by default.
+    /// Returns the quantity of a statement, or the default.
     pub fn quantity_or(&self, name: &'static str, quantity: Quantity, default: f64) -> f64 {
         self.quantity(name, quantity).unwrap_or(default)
     }
 
-    /// A block inside this one.
+    /// Returns a reader of a nested block.
     pub fn inner(&self, kind: &'static str, statement: &'a Statement) -> Fields<'a> {
         static EMPTY: Block = Block { statements: Vec::new(), trailing: Vec::new() };
         Fields::new(kind, head_span(statement), statement.block.as_ref().unwrap_or(&EMPTY), self.findings)
     }
 
-    /// Notes every statement that nothing has asked for.
+    /// Reports every statement whose name was never requested.
     pub fn finish(self) {
-        let asked = self.asked.borrow();
-        let mut told = 0;
+        let known_names = self.known_names.borrow();
+        let mut reported = 0;
         for statement in &self.block.statements {
             let name = &statement.words[0];
-            if !name.quoted && asked.contains(name.text.as_str()) {
+            if !name.quoted && known_names.contains(name.text.as_str()) {
                 continue;
             }
-            told += 1;
-            if told > UNKNOWN_MOST {
+            reported += 1;
+            if reported > MAX_UNKNOWN_STATEMENTS {
                 break;
             }
-            let what = format!("`{}` means nothing in this {}", name.text, self.kind);
-            let mut error = Diagnostic::error("IV0010", what, name.span, "unknown here");
-            let known: Vec<&str> = asked.iter().copied().collect();
-            let near = distances(&name.text, &known).min();
+            let message = format!("`{}` means nothing in this {}", name.text, self.kind);
+            let mut error = Diagnostic::error("IV0010", message, name.span, "unknown here");
+            let known: Vec<&str> = known_names.iter().copied().collect();
+            let near = close_names(&name.text, &known).min();
             match near.filter(|(distance, _)| *distance <= 2) {
                 Some((_, near)) => error = error.help(format!("is `{near}` meant?")),
                 None => {
-                    let mut known: Vec<_> = asked.iter().copied().collect();
+                    let mut known: Vec<_> = known_names.iter().copied().collect();
                     known.sort_unstable();
                     error = error.help(format!("a {} may have: {}", self.kind, known.join(", ")));
                 }
             }
-            self.note(error);
+            self.report(error);
         }
     }
 }
 
-fn is_meant(word: &Word) -> bool {
+fn is_meant_keyword(word: &Word) -> bool {
     !word.quoted && word.defined.is_none() && word.text == "meant"
 }
 
-/// Whether a statement says that its value is meant.
-pub fn says_meant(statement: &Statement) -> bool {
-    statement.words.len() > 2 && statement.words.last().is_some_and(is_meant)
+/// Returns true if the statement confirms its value with a trailing `meant`.
+pub fn is_confirmed(statement: &Statement) -> bool {
+    statement.words.len() > 2 && statement.words.last().is_some_and(is_meant_keyword)
 }
 
-/// The words that open a statement.
+/// Returns the span of a statement's words, without its block.
 pub fn head_span(statement: &Statement) -> Span {
     let (first, last) = (statement.words[0].span, statement.words[statement.words.len() - 1].span);
     Span { file: first.file, start: first.start, end: last.end }
--- a/crates/config/src/slips.rs
+++ b/crates/config/src/plausibility.rs
@@ -1,17 +1,17 @@
-//! Values that are possible and hardly ever meant: a unit or two off, a percentage for a share.
+//! Detects values that are valid but implausible, such as a wrong unit or a percentage in place of a share.
 
 use crate::diagnostic::Diagnostic;
 use crate::syntax::Word;
 
-/// Why a value is not believed.
-pub struct Suspicion {
+/// Reason for which a value is considered implausible.
+pub struct ImplausibleValue {
     why: String,
     instead: Option<String>,
 }
 
-/// What is usual: kind of block, statement, least and most, and what the value is for. Times are
-/// milliseconds.
-const USUAL: [(&str, &str, f64, f64, &str); 41] = [
+/// Plausible ranges: kind of block, statement, minimum, maximum, and the purpose of the value. Times are in
+/// milliseconds, sizes in bytes.
+const PLAUSIBLE_RANGES: [(&str, &str, f64, f64, &str); 41] = [
     ("class", "deadline", 20.0, 600_000.0, "a client's whole wait"),
     ("class", "aim", 2.0, 300_000.0, "a good answer's time"),
     ("class", "window", 500.0, 43_200_000.0, "how long servers remember a key"),
@@ -55,8 +55,8 @@
     ("plan", "open", 0.0, 1e6, "requests of one customer out at once"),
 ];
 
-/// Units by which slips are made: what stands there, and what was probably meant.
-const MEANT: [(&str, &str, f64); 8] = [
+/// Likely unit mistakes: the unit written, the unit probably intended, and the factor between them.
+const UNIT_MISTAKES: [(&str, &str, f64); 8] = [
     ("us", "ms", 1e3),
     ("ms", "s", 1e3),
     ("s", "ms", 1e-3),
@@ -67,26 +67,26 @@
     ("KiB", "MiB", 1024.0),
 ];
 
-/// Looks at a value. Nothing is never a slip: it switches things off.
-pub fn suspicion(kind: &str, name: &str, text: &str, value: f64) -> Option<Suspicion> {
-    let (.., least, most, what) =
-        USUAL.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
+/// Checks a value against its plausible range. Zero is always accepted, because it disables a feature.
+pub fn implausible_value(kind: &str, name: &str, text: &str, value: f64) -> Option<ImplausibleValue> {
+    let (.., least, most, purpose) =
+        PLAUSIBLE_RANGES.iter().find(|(of, statement, ..)| *of == kind && *statement == name)?;
     if value == 0.0 || (*least..=*most).contains(&value) {
         return None;
     }
     let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
     let fits = |factor: f64| (*least..=*most).contains(&(value * factor));
-    let other = MEANT.iter().find(|(from, _, factor)| *from == unit && fits(*factor));
-    let how = if value < *least { "little" } else { "much" };
-    Some(Suspicion {
-        why: format!("`{text}` is very {how} for {what}"),
+    let other = UNIT_MISTAKES.iter().find(|(from, _, factor)| *from == unit && fits(*factor));
+    let amount = if value < *least { "little" } else { "much" };
+    Some(ImplausibleValue {
+        why: format!("`{text}` is very {amount} for {purpose}"),
         instead: other.map(|(_, unit, _)| format!("{number}{unit}")),
     })
 }
 
-impl Suspicion {
-    /// As an error, with the way to say that the value is right.
+impl ImplausibleValue {
+    /// Converts to an error that also tells how to confirm the value.
     pub fn diagnostic(self, name: &str, word: &Word) -> Diagnostic {
         let error = Diagnostic::error(
             "IV0080",
--- a/crates/ivygate/src/compare.rs
+++ b/crates/ivygate/src/compare.rs
@@ -1,7 +1,7 @@
 //! `ivygate diff`: compares the behaviour of two configurations.
 
 use crate::{OutputFormat, EXIT_USAGE};
-use ivygate_tool::{Difference, Side};
+use ivygate_tool::{Difference, DifferenceSide};
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -48,8 +48,8 @@
 
 fn describe(difference: &Difference) -> String {
     let mark = if difference.risk.is_some() { "!" } else { " " };
-    let mut text = format!("{mark} {}: {}\n", difference.subject, difference.what);
-    let side = |sign: &str, side: &Side| format!("    {sign} {} ({})\n", side.value, side.place);
+    let mut text = format!("{mark} {}: {}\n", difference.subject, difference.change);
+    let side = |sign: &str, side: &DifferenceSide| format!("    {sign} {} ({})\n", side.value, side.position);
     text += &difference.old.as_ref().map_or(String::new(), |old| side("-", old));
     text += &difference.new.as_ref().map_or(String::new(), |new| side("+", new));
     text +=
--- a/crates/ivygate/src/main.rs
+++ b/crates/ivygate/src/main.rs
@@ -12,7 +12,7 @@
 mod routes;
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-use ivygate_config::{Loaded, Severity};
+use ivygate_config::{LoadedConfig, Severity};
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -206,14 +206,14 @@
 }
 
 /// Loads a configuration and prints the findings to standard error.
-fn load(file: &Path) -> Result<Loaded, ExitCode> {
+fn load(file: &Path) -> Result<LoadedConfig, ExitCode> {
     let loaded = load_without_report(file)?;
     eprint!("{}", render_report(&loaded, Severity::Note));
     Ok(loaded)
 }
 
 /// Loads a configuration without printing the findings.
-fn load_without_report(file: &Path) -> Result<Loaded, ExitCode> {
+fn load_without_report(file: &Path) -> Result<LoadedConfig, ExitCode> {
     ivygate_files::load(file).map_err(|error| {
         eprintln!("ivygate: {error}");
         ExitCode::from(EXIT_USAGE)
@@ -221,6 +221,6 @@
 }
 
 /// Renders the findings of at least a severity for standard error.
-fn render_report(loaded: &Loaded, min_severity: Severity) -> String {
+fn render_report(loaded: &LoadedConfig, min_severity: Severity) -> String {
     loaded.report(min_severity, std::io::stderr().is_terminal())
 }
--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -5,7 +5,7 @@
 use crate::EXIT_USAGE;
 use clap::Args;
 use ivygate_config::Severity;
-use ivygate_tool::{from_openapi, generate, Description, Route, Wish};
+use ivygate_tool::{from_openapi, generate, AppDescription, Route, RouteEffect};
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, IsTerminal, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -134,14 +134,14 @@
 }
 
 /// Returns the descriptions of the applications.
-fn descriptions(options: &Options) -> Result<Vec<Description>, Failure> {
+fn descriptions(options: &Options) -> Result<Vec<AppDescription>, Failure> {
     let read = |path: &Path| {
         let bytes = ivygate_files::read(path).map_err(|error| usage_error(format!("ivygate: {error}")))?;
         String::from_utf8(bytes).map_err(|_| usage_error(format!("ivygate: {} is not UTF-8", path.display())))
     };
     if let Some(path) = &options.from {
         let text = read(path)?;
-        let apps = Description::read(&path.display().to_string(), &text)
+        let apps = AppDescription::read(&path.display().to_string(), &text)
             .map_err(|(sources, errors)| usage_error(sources.render(&errors, io::stderr().is_terminal())))?;
         let names: BTreeSet<&str> = apps.iter().map(|app| app.name.as_str()).collect();
         return match names.len() == apps.len() && !apps.is_empty() {
@@ -152,7 +152,7 @@
             ))),
         };
     }
-    let mut app = Description {
+    let mut app = AppDescription {
         name: options.app.clone().unwrap_or_default(),
         listen: options.listen,
         servers: options.servers.clone(),
@@ -187,19 +187,19 @@
 }
 
 /// Parses an operation and its effect.
-fn parse_effect(text: &str) -> Result<(String, Wish), Failure> {
+fn parse_effect(text: &str) -> Result<(String, RouteEffect), Failure> {
     let words: Vec<&str> = text.split_whitespace().collect();
-    let [method, path, wish] = words[..] else {
+    let [method, path, effect] = words[..] else {
         return Err(usage_error(format!(
             "ivygate: `{text}` is not an effect; write one such as `POST /search safe`"
         )));
     };
-    let wish = wish.parse().map_err(|error| usage_error(format!("ivygate: {error}")))?;
-    Ok((format!("{} {path}", method.to_uppercase()), wish))
+    let effect = effect.parse().map_err(|error| usage_error(format!("ivygate: {error}")))?;
+    Ok((format!("{} {path}", method.to_uppercase()), effect))
 }
 
 /// Prompts for the description line by line, and repeats a prompt after invalid input.
-fn prompt(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<Description> {
+fn prompt(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<AppDescription> {
     let mut ask = |question: &str| -> io::Result<Option<String>> {
         write!(output, "{question} ")?;
         output.flush()?;
@@ -208,7 +208,7 @@
         Ok((read > 0).then(|| line.trim().to_owned()))
     };
     let ended = || io::Error::new(io::ErrorKind::UnexpectedEof, "the input ended early; nothing is written");
-    let mut app = Description::default();
+    let mut app = AppDescription::default();
     while app.name.is_empty() {
         app.name = ask("Name of the application:")?.ok_or_else(ended)?;
     }
--- a/crates/sidecar/src/active_config.rs
+++ b/crates/sidecar/src/active_config.rs
@@ -5,7 +5,7 @@
 use crate::order_recorder::OrderRecorder;
 use crate::pool::{once_class_name, Pool, ServedClass};
 use hyper::header::HeaderName;
-use ivygate_config::{Class, CustomerFrom, Effect, Identity, Model, Plan, Repeat};
+use ivygate_config::{Class, CustomerSource, Effect, Identity, Model, Plan, RepeatPolicy};
 use ivygate_forward_auth::fold_header_name;
 use ivygate_routing::{LookupResult, RouteTable};
 use ivygate_runtime::Clock;
@@ -86,7 +86,7 @@
     Class {
         name: format!("(sign-in) {}", sign_in.name),
         effect: Effect::Safe,
-        repeat: Repeat::Sent,
+        repeat: RepeatPolicy::Sent,
         key_header: String::new(),
         aim: sign_in.within / 2.0,
         deadline: sign_in.within,
@@ -95,7 +95,7 @@
         worth: 1.0,
         late_worth: 1.0,
         units: 1.0,
-        at: ivygate_config::At::default(),
+        at: ivygate_config::SourceSpan::default(),
     }
 }
 
@@ -103,7 +103,7 @@
 fn protected_headers(model: &Model) -> HashSet<String> {
     let identity = &model.identity;
     let customer = match &identity.customer {
-        CustomerFrom::Header(name) => Some(name),
+        CustomerSource::Header(name) => Some(name),
         _ => None,
     };
     let named = [customer, identity.plan_header.as_ref(), identity.deadline_header.as_ref()];
@@ -122,7 +122,7 @@
 
 /// Returns whether requests of a class may be retried only with a key.
 fn is_keyed(class: &Class) -> bool {
-    matches!(class.effect, Effect::Keyed(..)) && class.repeat == Repeat::Sent
+    matches!(class.effect, Effect::Keyed(..)) && class.repeat == RepeatPolicy::Sent
 }
 
 /// Returns whether a route restricts retries further than its class.
@@ -137,7 +137,7 @@
     /// # Errors
     /// Returns an error if the settings of a pool are invalid, or routes conflict.
     pub fn new(model: &Model, before: Option<&ActiveConfig>, clock: Clock) -> Result<Self, String> {
-        let table = RouteTable::build(model.routes.iter().map(|r| r.claim.clone()).collect());
+        let table = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect());
         let table = table.map_err(|error| error.to_string())?;
         let mut pools = HashMap::new();
         for (number, pool) in model.pools.iter().enumerate() {
@@ -199,7 +199,7 @@
                     class.name.as_str().into()
                 },
                 unkeyed: key,
-                once: route.repeat == Repeat::Unsent,
+                once: route.repeat == RepeatPolicy::Unsent,
                 deadline: class.deadline,
                 upload_allowance: class.upload,
                 units: class.units,
--- a/crates/sidecar/src/failure_limits.rs
+++ b/crates/sidecar/src/failure_limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits for failed checks of a sign-in service, per client address and per credential.
 
 use crate::check_cache::CheckKey;
-use ivygate_config::FailedChecks;
+use ivygate_config::FailedCheckLimit;
 use ivygate_forward_auth::RateLimiter;
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 impl FailureLimits {
     /// Creates unused limits.
-    pub fn new(address: FailedChecks, credential: FailedChecks) -> Self {
+    pub fn new(address: FailedCheckLimit, credential: FailedCheckLimit) -> Self {
         let address = RateLimiter::new(address.rate, address.burst, MAX_KEYS);
         let credential = RateLimiter::new(credential.rate, credential.burst, MAX_KEYS);
         Self { limits: RefCell::new((address, credential)) }
--- a/crates/sidecar/src/identity/tests.rs
+++ b/crates/sidecar/src/identity/tests.rs
@@ -27,15 +27,15 @@
 #[test]
 fn conflicting_customer_names_are_rejected() {
     let client = || "9.9.9.9".into();
-    let by = |from: &CustomerFrom, pairs| customer(from, &headers(pairs), client).map(|c| c.to_string());
-    let (header, cookie) = (CustomerFrom::Header("x-c".into()), CustomerFrom::Cookie("c".into()));
+    let by = |from: &CustomerSource, pairs| customer(from, &headers(pairs), client).map(|c| c.to_string());
+    let (header, cookie) = (CustomerSource::Header("x-c".into()), CustomerSource::Cookie("c".into()));
     assert_eq!(by(&header, &[("x-c", " a ")]), Ok("a".into()));
     assert_eq!(by(&header, &[("x-c", "a"), ("x-c", "a")]), Ok("a".into()));
     assert!(by(&header, &[("x-c", "a"), ("x-c", "b")]).is_err());
     assert_eq!(by(&header, &[]), Ok("9.9.9.9".into()));
     assert_eq!(by(&cookie, &[("cookie", "b=1; c=a")]), Ok("a".into()));
     assert!(by(&cookie, &[("cookie", "c=a"), ("cookie", "c=b")]).is_err());
-    assert_eq!(by(&CustomerFrom::Fixed("f".into()), &[]), Ok("f".into()));
+    assert_eq!(by(&CustomerSource::Fixed("f".into()), &[]), Ok("f".into()));
 }
 
 #[test]
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -75,7 +75,7 @@
     ClientLimits {
         strict_head_bytes: Some(MAX_HEAD_BYTES),
         read_stall_timeout: Some(READ_STALL),
-        ..ClientLimits::new(Operator::CONNECTIONS)
+        ..ClientLimits::new(Operator::MAX_CONNECTIONS)
     }
 }
 
--- a/crates/sidecar/src/pool.rs
+++ b/crates/sidecar/src/pool.rs
@@ -186,7 +186,7 @@
                 servers: Vec::new(),
                 domains: pool.domains.as_ref().map(|_| config::Domains {
                     leave: true,
-                    works: Vec::new(),
+                    maintenance_zones: Vec::new(),
                     distrust: 0.0,
                 }),
                 ..pool.clone()
@@ -234,7 +234,7 @@
     let mut request_classes = Vec::new();
     for ServedClass { class, has_non_repeatable } in classes {
         let (effect, key_window) = match class.effect {
-            _ if class.repeat == config::Repeat::Unsent => (Effect::Unsafe, 0.0),
+            _ if class.repeat == config::RepeatPolicy::Unsent => (Effect::Unsafe, 0.0),
             config::Effect::Safe => (Effect::Safe, 0.0),
             config::Effect::Unsafe => (Effect::Unsafe, 0.0),
             config::Effect::Keyed(scope, window) => {
@@ -266,7 +266,7 @@
         }
         request_classes.push(request_class);
     }
-    let cold = pool.cold.unwrap_or(config::Cold { from: 1.0, warm: 0.0, fall: 2.0, window: 1000.0 });
+    let cold = pool.cold.unwrap_or(config::ColdStart { from: 1.0, warm: 0.0, fall: 2.0, window: 1000.0 });
     Settings {
         gateways: pool.sidecars,
         rank: 0,
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -123,7 +123,7 @@
 }
 
 fn auth_check(settings: &ivygate_config::SignIn, deadline: f64) -> AuthCheck {
-    AuthCheck::new(if settings.open { FailurePolicy::Open } else { FailurePolicy::Closed }, deadline)
+    AuthCheck::new(if settings.fail_open { FailurePolicy::Open } else { FailurePolicy::Closed }, deadline)
 }
 
 fn unanswered_outcome(settings: &ivygate_config::SignIn, now: f64, deadline: f64) -> CheckOutcome {
