--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -169,7 +169,7 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     assert!(client.ask(&request_with("order", "r1", "large", "2500m")).fails());
-    until("the attempt's connection is closed", || app.open() == 0);
+    wait_until("the attempt's connection is closed", || app.open() == 0);
     assert_eq!(app.seen(), 1);
     // There is only one response: the next one on the connection belongs to the next request.
     client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -182,9 +182,9 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.seen() == 1);
     drop(client);
-    until("the attempt's connection is closed", || app.open() == 0);
+    wait_until("the attempt's connection is closed", || app.open() == 0);
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.seen() == 1);
     assert!(node.ask(&request("order", "r1")).fails());
     assert_eq!(client.read().map(|response| response.status()), Some(200));
     assert_eq!(app.seen(), 1);
@@ -229,15 +229,15 @@
     let discovery = Discovery::start(list.clone());
     let settings = SETTINGS.replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 20000");
     let node = Node::start(&config(discovery.address, &list, &settings, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
+    wait_until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
     let mut client = node.client();
     client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(client.read().map(|response| response.status()), Some(200));
     let before = node.descriptors();
     client.write(request("order", "r1").as_bytes());
-    until("the node has started to connect", || node.descriptors() > before);
+    wait_until("the node has started to connect", || node.descriptors() > before);
     discovery.push(&listing(2, false, &[target("a", address, "north", "DRAINING")]));
-    until("the node has learned of the drain", || {
+    wait_until("the node has learned of the drain", || {
         let mut up = node.client();
         up.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         up.read().is_some_and(|response| response.status() == 503)
@@ -268,7 +268,7 @@
     let drained = target("a", apps[0].address, "north", "DRAINING");
     node.ask(&request("read", "r0"));
     discovery.push(&listing(2, false, &[drained]));
-    until("idle connections to it are closed", || {
+    wait_until("idle connections to it are closed", || {
         node.ask(&request("read", "r"));
         apps[0].open() == 0 && apps[1].seen() > 0
     });
@@ -286,12 +286,12 @@
     let list = listing(1, true, &[serving("a", &old, "north")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
+    wait_until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
     discovery.set(listing(2, true, &[serving("b", &new, "north")]));
     let lists = discovery.lists.load(Ordering::SeqCst);
     discovery.push(r#"{"rev":2,"all":false,"targets":[{"uid":"#);
-    until("the list is fetched again", || discovery.lists.load(Ordering::SeqCst) > lists);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    wait_until("the list is fetched again", || discovery.lists.load(Ordering::SeqCst) > lists);
+    wait_until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
 }
 
 #[test]
@@ -300,11 +300,11 @@
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
+    wait_until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
     discovery.hang_up();
-    until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
+    wait_until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
     // The test's agent sends no empty lines, so the watch times out.
-    until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
+    wait_until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
 }
 
 #[test]
@@ -315,9 +315,9 @@
     idle.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(idle.read().map(|response| response.status()), Some(200));
     open.write(request("order", "r1").as_bytes());
-    until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.seen() == 1);
     node.terminate();
-    until("responses to new clients close the connection", || {
+    wait_until("responses to new clients close the connection", || {
         let mut client = node.client();
         client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         client.read().is_some_and(|response| response.header("connection") == Some("close"))
@@ -383,7 +383,7 @@
         assert!(client.read().is_some_and(|response| response.status() >= 400));
     }
     drop(clients);
-    until("all sockets of the attempts are closed", || node.descriptors() <= base && app.open() == 0);
+    wait_until("all sockets of the attempts are closed", || node.descriptors() <= base && app.open() == 0);
     assert!(node.runs());
 }
 
@@ -395,7 +395,7 @@
     let settings = SETTINGS.replace("\"keepaliveMs\": 15000", "\"keepaliveMs\": 1000");
     let node = Node::start(&config(discovery.address, &list, &settings, 1024));
     assert_eq!(node.ask(&request("order", "r1")).status(), 200);
-    until("the idle connection is closed", || app.open() == 0);
+    wait_until("the idle connection is closed", || app.open() == 0);
 }
 
 #[test]
--- a/crates/ivygate/tests/refused_socket_options.rs
+++ b/crates/ivygate/tests/refused_socket_options.rs
@@ -41,7 +41,7 @@
     assert_eq!((app.seen(), app.accepted.load(std::sync::atomic::Ordering::SeqCst)), (3, 1));
     // Updates of the server list arrive as well.
     discovery.push(&listing(2, true, &[target("b", replacement.address, "north", "SERVING")]));
-    until("the new list is in use", || {
+    wait_until("the new list is in use", || {
         node.ask(&request("read", &format!("l{}", replacement.seen()))).body == b"late"
     });
     for path in [source, library] {
--- a/crates/ivygate/tests/reload.rs
+++ b/crates/ivygate/tests/reload.rs
@@ -21,14 +21,14 @@
     let node = Node::start(&config(first.address, &known, SETTINGS, 1024));
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt has been sent", || apps[0].seen() == 1);
+    wait_until("the attempt has been sent", || apps[0].seen() == 1);
     node.reload(&config(second.address, "null", SETTINGS, 1024));
     assert_eq!(client.read().map(|response| response.status()), Some(200));
-    until("the new server is used", || client.ask(&request("read", "r")).body == b"new");
-    until("the new agent is watched", || second.watched.load(Ordering::SeqCst) == 1);
+    wait_until("the new server is used", || client.ask(&request("read", "r")).body == b"new");
+    wait_until("the new agent is watched", || second.watched.load(Ordering::SeqCst) == 1);
     let drained = target("b", apps[1].address, "north", "DRAINING");
     second.push(&listing(4, false, &[drained, target("c", apps[0].address, "north", "SERVING")]));
-    until("its changes are applied", || client.ask(&request("read", "r")).body == b"late");
+    wait_until("its changes are applied", || client.ask(&request("read", "r")).body == b"late");
 }
 
 #[test]
@@ -46,7 +46,7 @@
     // The node still reloads valid configurations, several in a row, and handles SIGTERM in between.
     node.reload(&valid);
     node.reload(&valid);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    wait_until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
     node.terminate();
     node.reload(&valid);
     assert_eq!(node.exit_code(), Some(0));
--- a/crates/ivygate/tests/resource_limits.rs
+++ b/crates/ivygate/tests/resource_limits.rs
@@ -34,7 +34,7 @@
     // The state of a customer is kept until its quota is full again, which takes some MB.
     assert!(memory[2] < memory[0] + 8_000, "memory in KB: {memory:?}");
     drop(open_clients);
-    until("the number of descriptors is as before", || node.descriptors() <= before + 1);
+    wait_until("the number of descriptors is as before", || node.descriptors() <= before + 1);
 }
 
 #[test]
@@ -55,14 +55,14 @@
         if n % 20 == 0 {
             let accepted = || app.accepted.load(std::sync::atomic::Ordering::SeqCst);
             let known = accepted();
-            until("a new connection is opened to the new server", || {
+            wait_until("a new connection is opened to the new server", || {
                 assert_eq!(client.ask(&customer_request(n)).status(), 200);
                 accepted() > known
             });
         }
     }
-    until("only the last server's connection is open", || app.open() <= 1);
-    until("the number of descriptors is as before", || node.descriptors() <= before + 1);
+    wait_until("only the last server's connection is open", || app.open() <= 1);
+    wait_until("the number of descriptors is as before", || node.descriptors() <= before + 1);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let node = Node::start(&config(discovery.address, &list, &settings, 128));
     let ask = |n: usize| node.ask(&request_with("read", &format!("r{n}"), "capped", "15000m")).status();
     // The limit starts exhausted, since the node may have used it up before a restart.
-    until("a request is accepted", || ask(0) == 200);
+    wait_until("a request is accepted", || ask(0) == 200);
     let accepted = (1..200).filter(|n| ask(*n) == 200).count() + 1;
     let limit = depth + rate * started.elapsed().as_secs_f64();
     assert!(accepted as f64 <= limit + 1.0, "{accepted} accepted, limit {limit}");
--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, App, Message, Reply};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use support::{pool, Sidecar};
@@ -233,7 +233,7 @@
     let open = Arc::new(AtomicBool::new(false));
     let gate = open.clone();
     let accounts = App::start(move |_| {
-        until("the service may answer", || gate.load(Ordering::SeqCst));
+        wait_until("the service may answer", || gate.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
     let extra = asked_first(&accounts).replace("path /check;", "path /check; within 8s;");
@@ -241,11 +241,11 @@
     let question = about("POST", "/inner", "Req-Id: i\r\n");
     let mut first = sidecar.client();
     first.write(question.as_bytes());
-    until("the service is asked", || accounts.seen() == 1);
+    wait_until("the service is asked", || accounts.seen() == 1);
     assert_eq!(sidecar.ask(&question).status(), 409);
     drop(first);
     open.store(true, Ordering::SeqCst);
-    until("the id is free again", || sidecar.ask(&question).status() == 200);
+    wait_until("the id is free again", || sidecar.ask(&question).status() == 200);
     assert_eq!(sidecar.ask(&question).status(), 409);
 }
 
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, App, Message, Reply};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -71,7 +71,7 @@
     }
     assert_eq!(sidecar.get("/reads").status(), 200);
     // It runs, and is asked all the same.
-    until("what came is noted", || told(&folder)["bad"].0 == "answered");
+    wait_until("what came is noted", || told(&folder)["bad"].0 == "answered");
     assert!(tool(&["verify"], &folder).0.starts_with("whole: 3 orders, 1 unknown"));
     let mut sidecar = sidecar;
     sidecar.terminate();
@@ -164,7 +164,7 @@
             })
             .collect();
         let kill_at = before.len() + rng.usize(1..100);
-        until("the rush is on", || app.seen() >= kill_at);
+        wait_until("the rush is on", || app.seen() >= kill_at);
         drop(sidecar);
         for client in clients {
             client.join().expect("no panic");
@@ -271,7 +271,7 @@
     let key = "Idempotency-Key: k\r\n";
     // A keyed one is recorded, and its id holds nothing.
     assert_eq!((post("/keyed", "k", key), post("/keyed", "k", key)), (200, 200));
-    until("it says where", || sidecar.said().contains("operators ask on "));
+    wait_until("it says where", || sidecar.said().contains("operators ask on "));
     let said = sidecar.said();
     let address = said.split("operators ask on ").nth(1).and_then(|rest| rest.split_whitespace().next());
     let address: std::net::SocketAddr = address.expect("told").parse().expect("an address");
@@ -280,7 +280,7 @@
     let text = |answer: &Message| String::from_utf8(answer.body.clone()).expect("text");
     // What came of the last is noted a little later.
     let unknown = || text(&ask("GET /orders?state=unknown"));
-    until("one is left", || unknown().lines().count() == 1);
+    wait_until("one is left", || unknown().lines().count() == 1);
     assert!(unknown().contains("\"client_id\":\"b\""), "{}", unknown());
     // Page by page, each order once.
     let (mut after, mut seen) = (String::new(), 0);
@@ -329,11 +329,13 @@
         client.write(order("leaves").as_bytes());
         client
     };
-    until("it is sent", || app.seen() == 1);
+    wait_until("it is sent", || app.seen() == 1);
     drop(leaves);
     assert_eq!(sidecar.ask(&order("waits")).status(), 504);
     let ended = |id: &str| tool(&["show", id], &folder).0;
-    until("both are told", || ended("leaves").contains("had left") && ended("waits").contains("time was up"));
+    wait_until("both are told", || {
+        ended("leaves").contains("had left") && ended("waits").contains("time was up")
+    });
     drop(sidecar);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -340,10 +340,10 @@
     let sidecar = Sidecar::start(&config);
     let mut slow = sidecar.client();
     slow.write(b"GET /app/large HTTP/1.1\r\nHost: h\r\n\r\n");
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.seen() == 1);
     assert_eq!(sidecar.get("/app/small").status(), 200);
     // The application's thread ends when its connection is closed in the middle of the answer.
-    until("the connection behind is closed", || {
+    wait_until("the connection behind is closed", || {
         let open = app.open();
         open <= 1
     });
@@ -371,7 +371,7 @@
     assert_eq!(read_head(&mut client.stream).expect("a head").status(), 200);
     client.stream.fill_buf().expect("some of the body");
     drop(client);
-    until("the application's connection has ended", || app.ended.load(Ordering::SeqCst) == 1);
+    wait_until("the application's connection has ended", || app.ended.load(Ordering::SeqCst) == 1);
 }
 
 #[test]
@@ -443,7 +443,7 @@
             assert_eq!(told, (400, Some("close")), "{} {broken:?}", before.len());
         }
     }
-    until("no attempt is left", || app.open.load(Ordering::SeqCst) == 0);
+    wait_until("no attempt is left", || app.open.load(Ordering::SeqCst) == 0);
     assert!(app.requests.lock().expect("no panic").is_empty(), "no request was whole");
 }
 
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -202,7 +202,7 @@
     let body = "x".repeat(60_000);
     let mut first = sidecar.client();
     first.write(format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes());
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.seen() == 1);
     let answer = sidecar.post("/app", "", &body);
     assert_eq!((answer.status(), app.seen()), (503, 1));
     assert!(answer.header("retry-after").is_some());
@@ -210,7 +210,7 @@
     drop(first);
     // Asked with the same body until there is room: the place of the one that left is free again.
     let mut again = sidecar.client();
-    until("the room is free again", || {
+    wait_until("the room is free again", || {
         again = sidecar.client();
         again.write(
             format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes(),
@@ -400,7 +400,7 @@
                 format!("{method} /{name} HTTP/1.1\r\nHost: h\r\n{KEY}Content-Length: 0\r\n\r\n").as_bytes(),
             );
         }
-        until("the slow application is asked", || apps[n].seen() > before);
+        wait_until("the slow application is asked", || apps[n].seen() > before);
         for other in names.iter().filter(|other| *other != name) {
             for _ in 0..10 {
                 assert_eq!(ask(other).status(), 200, "{other} while {name} is slow");
@@ -452,7 +452,7 @@
     // Past the longest ejection, three aims: from then on orders are kept from it until it has proved itself, and
     // no other class is there to prove it. The verdict does not rest on the length of this.
     std::thread::sleep(Duration::from_secs(1));
-    until("orders go through again", || sidecar.post("/app", "", "paid").status() == 200);
+    wait_until("orders go through again", || sidecar.post("/app", "", "paid").status() == 200);
 }
 
 #[test]
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -55,7 +55,7 @@
     let a = App::start({
         let go = go.clone();
         move |_| {
-            until("the test says go", || go.load(Ordering::SeqCst));
+            wait_until("the test says go", || go.load(Ordering::SeqCst));
             Reply::ok("a")
         }
     });
@@ -63,7 +63,7 @@
     let sidecar = Sidecar::with(&[serving("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    until("the application is asked", || a.seen() == 1);
+    wait_until("the application is asked", || a.seen() == 1);
     // Its server, its pool and its route go.
     assert!(sidecar.reload(&Sidecar::text("", &[serving("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
@@ -124,7 +124,7 @@
     let mut came: Vec<std::net::TcpStream> = Vec::new();
     client.stream.get_ref().set_nonblocking(true).expect("it can be");
     let mut answer = None;
-    until("the order is answered", || {
+    wait_until("the order is answered", || {
         if let Ok((stream, _)) = listener.accept() {
             came.push(stream);
         }
@@ -184,9 +184,9 @@
         if let Some((gone, left)) = only {
             // Open requests end; then nothing comes any more to the one that is gone.
             let now = answered.load(Ordering::SeqCst);
-            until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
+            wait_until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
             let (before, other) = (gone.seen(), left.seen());
-            until("others have come", || left.seen() > other + 4);
+            wait_until("others have come", || left.seen() > other + 4);
             assert_eq!(gone.seen(), before, "reload {number}");
         }
     }
@@ -215,7 +215,7 @@
     assert!(!sidecar.reload(&(second(taken.local_addr().expect("an address")) + &text)));
     assert_eq!((get(free), get(sidecar.address)), (Some(200), Some(200)));
     assert!(sidecar.reload(&text));
-    until("the second listener is gone", || std::net::TcpStream::connect(free).is_err());
+    wait_until("the second listener is gone", || std::net::TcpStream::connect(free).is_err());
     assert_eq!(get(sidecar.address), Some(200));
 }
 
@@ -225,14 +225,14 @@
     let app = App::start({
         let go = go.clone();
         move |_| {
-            until("the test says go", || go.load(Ordering::SeqCst));
+            wait_until("the test says go", || go.load(Ordering::SeqCst));
             Reply::ok("x")
         }
     });
     let mut sidecar = Sidecar::with(&[serving("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.seen() == 1);
     sidecar.terminate();
     go.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{read_message, reset, until, App, Message, Reply, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, App, Message, Reply, Scripted};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -191,9 +191,9 @@
     let rig = rig("order", "within 5s;", |_| Reply::Silence);
     let mut client = rig.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || rig.accounts.seen() == 1);
+    wait_until("the service is asked", || rig.accounts.seen() == 1);
     drop(client);
-    until("the check's connection is closed", || rig.accounts.open() == 0);
+    wait_until("the check's connection is closed", || rig.accounts.open() == 0);
     assert_eq!(rig.app.seen(), 0);
 }
 
@@ -249,20 +249,20 @@
     let open = Arc::new(AtomicUsize::new(0));
     let gate = open.clone();
     let rig = rig("read", "cache-yes 1m; within 5s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = "POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1";
     let mut first = rig.sidecar.client();
     first.write(request.as_bytes());
-    until("the first has asked", || rig.accounts.seen() == 1);
+    wait_until("the first has asked", || rig.accounts.seen() == 1);
     let mut others: Vec<_> = (0..5).map(|_| rig.sidecar.client()).collect();
     for other in &mut others {
         other.write(request.as_bytes());
     }
     // Whoever asked leaves: one of the others asks in its place.
     drop(first);
-    until("another has asked", || rig.accounts.seen() == 2);
+    wait_until("another has asked", || rig.accounts.seen() == 2);
     open.store(1, Ordering::SeqCst);
     for other in &mut others {
         assert_eq!(other.read().expect("an answer").status(), 200);
@@ -370,12 +370,12 @@
     let open = Arc::new(AtomicUsize::new(0));
     let gate = open.clone();
     let rig = rig("order", "within 8s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
         Reply::Answer("403 Forbidden", "", Vec::new())
     });
     let mut client = rig.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || rig.accounts.seen() == 1);
+    wait_until("the service is asked", || rig.accounts.seen() == 1);
     // The new configuration asks nobody.
     let anew =
         std::fs::read_to_string(&rig.sidecar.config).expect("the file").replace("sign-in members; ", "");
@@ -392,14 +392,14 @@
     let open = Arc::new(AtomicUsize::new(0));
     let gate = open.clone();
     let rig = rig("order", "within 8s;", move |_| {
-        until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || gate.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = b"POST /app HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nContent-Length: 3\r\n\r\nx=1";
     let mut clients = [rig.sidecar.client(), rig.sidecar.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request);
-        until("the service is asked", || rig.accounts.seen() == number + 1);
+        wait_until("the service is asked", || rig.accounts.seen() == number + 1);
     }
     // The first one leaves: its order must not go on, and the other's must once.
     let [first, mut second] = clients;
@@ -489,7 +489,7 @@
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    until("orders go on again", || sidecar.post("/app", "", "x").status() == 200);
+    wait_until("orders go on again", || sidecar.post("/app", "", "x").status() == 200);
     assert_eq!(app.seen(), 1);
 }
 
@@ -540,7 +540,7 @@
     let refused = statuses.iter().filter(|status| **status == 503).count();
     assert!(refused >= 20, "a cold service was sent {} checks at once", 40 - refused);
     assert_eq!(app.seen(), 40 - refused);
-    until("it is warm", || sidecar.post("/app", "", "x").status() == 200);
+    wait_until("it is warm", || sidecar.post("/app", "", "x").status() == 200);
 }
 
 #[test]
--- a/crates/ivygate/tests/status_documents.rs
+++ b/crates/ivygate/tests/status_documents.rs
@@ -81,7 +81,7 @@
     };
     let first = Sidecar::start(&text(a, format!("operator {};\n", operators_address())));
     let _second = Sidecar::start(&text(b, String::new()));
-    until("the other one is heard", || documents(&first, "members").len() == 2);
+    wait_until("the other one is heard", || documents(&first, "members").len() == 2);
 
     let members = documents(&first, "members");
     assert_eq!(fields(&members[0]), MEMBER_FIELDS);
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -55,7 +55,7 @@
         let address = address.unwrap_or_else(|| panic!("no address in '{line}'"));
         std::thread::spawn(move || std::io::copy(&mut lines, &mut std::io::sink()));
         let node = Self { address, config: path, child };
-        until("the node is up", || {
+        wait_until("the node is up", || {
             let mut client = node.client();
             client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             client.read().is_some_and(|answer| answer.status() == 200)
@@ -220,7 +220,7 @@
         let heard = self.said.lock().expect("no panic").len();
         signal(&self.child, "-HUP");
         let mut taken = None;
-        until("the sidecar has read its configuration", || {
+        wait_until("the sidecar has read its configuration", || {
             let said = self.said.lock().expect("no panic");
             taken = said[heard..].iter().find_map(|line| match line {
                 line if line.ends_with(" read anew") => Some(true),
@@ -255,7 +255,7 @@
 
 fn exit_code(child: &mut Child) -> Option<i32> {
     let mut code = None;
-    until("the program exits", || {
+    wait_until("the program exits", || {
         code = child.try_wait().expect("it can be waited for");
         code.is_some()
     });
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, App, Message, Reply};
 use std::fs;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
@@ -293,7 +293,7 @@
             move |_: &Message| match seen.fetch_add(1, Ordering::SeqCst) {
                 // The first copy is answered once there is a second one, which never is.
                 0 => {
-                    until("there is a second copy", || seen.load(Ordering::SeqCst) > 1);
+                    wait_until("there is a second copy", || seen.load(Ordering::SeqCst) > 1);
                     Reply::ok("first")
                 }
                 _ => Reply::Silence,
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -121,7 +121,7 @@
     assert_eq!(degree("south"), "works");
     assert!(domains("text").contains("works"), "{}", domains("text"));
     assert!(sidecar.reload(&text("domains;")), "{}", sidecar.said());
-    until("the zone is returning to service", || {
+    wait_until("the zone is returning to service", || {
         ask(0);
         ["returning", "well"].contains(&degree("south").as_str())
     });
@@ -211,14 +211,14 @@
         String::from_utf8(output.stdout).expect("text")
     };
     let members = || members_output().lines().filter(|line| line.contains("\"member\"")).count();
-    until("one member is heard", || members() == 1);
+    wait_until("one member is heard", || members() == 1);
     let dropped = || {
         let output = members_output();
         let last: serde_json::Value =
             serde_json::from_str(output.lines().last().expect("a line")).expect("JSON");
         (last["dropped"]["forged"].as_u64().unwrap_or(0), last["dropped"]["own"].as_u64().unwrap_or(0))
     };
-    until("packets of the stranger and its own are dropped", || dropped().0 > 0 && dropped().1 > 0);
+    wait_until("packets of the stranger and its own are dropped", || dropped().0 > 0 && dropped().1 > 0);
     assert_eq!(members(), 1);
     // Malformed datagrams do not stop the sidecar.
     let socket = std::net::UdpSocket::bind("127.0.0.2:0").expect("a socket");
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -5,7 +5,7 @@
 use ivygate_control_state::{Item, Table};
 use ivygate_registry::{HeartbeatResponse, ServerRecord};
 use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
-use ivygate_test_servers::{read_message, reset, until, Client, Message, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, Client, Message, Scripted};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -88,7 +88,7 @@
             ivygate_proxy::run(settings).await.expect("it runs");
         });
     });
-    until("the proxy knows its routes", || {
+    wait_until("the proxy knows its routes", || {
         let Ok(stream) = TcpStream::connect(http) else { return false };
         let mut client = Client { stream: BufReader::new(stream) };
         client.ask("GET /no-route HTTP/1.1\r\nHost: h.example\r\n\r\n").status() == 404
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -9,7 +9,7 @@
     ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
     OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
-use ivygate_test_servers::{read_message, reset, until, Message as ReceivedRequest, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, Message as ReceivedRequest, Scripted};
 use ivygate_time::Millis;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -211,7 +211,7 @@
         status_and_id(&send(&driver, class, "b").await)
     });
     drop(runtime);
-    until("all connections of the server have ended", || {
+    wait_until("all connections of the server have ended", || {
         server.ended.load(std::sync::atomic::Ordering::SeqCst) == server.accepted()
     });
     (outcome, runs.count("b"))
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -15,7 +15,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Waits until a condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain until {what}");
@@ -323,7 +323,7 @@
 
     /// Writes a line to all who watch, of which there must be one.
     pub fn push(&self, line: &str) {
-        until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
+        wait_until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
         for watch in self.watches.lock().expect("no panic").iter_mut() {
             let _ = watch.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes());
         }
