--- a/crates/bench/src/bodies.rs
+++ b/crates/bench/src/bodies.rs
@@ -1,14 +1,14 @@
 //! Memory while large bodies pass: sent back by an application while they come.
 
 use crate::process::Process;
-use ivygate_test_servers::{read_head, Scripted};
+use ivygate_test_servers::{read_head, ScriptedServer};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
 
 /// Measures and prints.
 pub fn measure(mib: &[u64]) -> io::Result<()> {
-    let echo = Scripted::start(|stream, _| {
+    let echo = ScriptedServer::start(|stream, _| {
         let Some(head) = read_head(stream) else { return };
         let length: u64 = head.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -284,7 +284,7 @@
 fn large_bodies_are_streamed_both_ways_in_bounded_memory() {
     const LARGE: usize = 48 << 20;
     // Sends back what it is sent, while it comes.
-    let echo = Scripted::start(|stream, _| {
+    let echo = ScriptedServer::start(|stream, _| {
         let Some(head) = read_head(stream) else { return };
         let length: usize = head.header("content-length").and_then(|l| l.parse().ok()).expect("a length");
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
@@ -355,7 +355,7 @@
 
 #[test]
 fn a_client_that_leaves_in_the_middle_of_an_answer_ends_it_behind() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         read_message(stream);
         let piece = [b'x'; 1 << 10];
         let head = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n";
@@ -377,7 +377,7 @@
 #[test]
 fn an_answer_that_breaks_off_shows_as_broken_and_is_not_begun_anew() {
     for end in ["close", "reset", "stall"] {
-        let app = Scripted::start(move |stream, _| {
+        let app = ScriptedServer::start(move |stream, _| {
             if read_message(stream).is_none() {
                 return;
             }
@@ -402,7 +402,7 @@
 fn a_body_cut_in_the_middle_never_reaches_the_application_whole() {
     let whole = Arc::new(AtomicUsize::new(0));
     let counted = whole.clone();
-    let app = Scripted::start(move |stream, _| {
+    let app = ScriptedServer::start(move |stream, _| {
         while read_message(stream).is_some() {
             counted.fetch_add(1, Ordering::SeqCst);
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -58,7 +58,7 @@
     let address = listener.local_addr().expect("an address");
     let whole = Arc::new(AtomicUsize::new(0));
     let counted = whole.clone();
-    let app = Scripted::on(listener, move |stream, number| {
+    let app = ScriptedServer::on(listener, move |stream, number| {
         if number == 0 {
             read_head(stream);
             return reset(stream.get_ref());
@@ -270,9 +270,9 @@
 }
 
 /// What a server can do wrong, and the answer that is due.
-fn faults() -> Vec<(&'static str, Scripted)> {
+fn faults() -> Vec<(&'static str, ScriptedServer)> {
     let answering = |answer: &'static [u8], every: Duration| {
-        Scripted::start(move |stream, _| {
+        ScriptedServer::start(move |stream, _| {
             if read_message(stream).is_none() {
                 return;
             }
@@ -287,23 +287,23 @@
     vec![
         (
             "stalls",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
                 let _ = stream.read(&mut [0]);
             }),
         ),
         (
             "resets",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
                 reset(stream.get_ref());
             }),
         ),
-        ("hangs up", Scripted::start(|_, _| {})),
+        ("hangs up", ScriptedServer::start(|_, _| {})),
         ("trickles its head", answering(b"HTTP/1.1 200 OK\r\nX: ", Duration::from_millis(20))),
         (
             "floods headers",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 if read_message(stream).is_none()
                     || stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\n").is_err()
                 {
@@ -318,7 +318,7 @@
         ),
         (
             "talks nonsense",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
                 let _ = stream.get_mut().write_all(b"220 mail.example.org ESMTP\r\n");
             }),
@@ -483,7 +483,7 @@
 
 #[test]
 fn a_stray_second_answer_is_not_the_next_ones() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         while let Some(request) = read_message(stream) {
             let path = request.start.split(' ').nth(1).unwrap_or("").to_owned();
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}", path.len());
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_stream_that_does_not_end_holds_up_the_end_for_the_drain_only() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         read_message(stream);
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let _ = stream.get_mut().write_all(head);
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{read_message, reset, wait_until, App, Message, Reply, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, App, Message, Reply, ScriptedServer};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -451,7 +451,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nyes",
     ] {
-        let service = Scripted::start(move |stream, _| {
+        let service = ScriptedServer::start(move |stream, _| {
             let _ = read_message(stream);
             let _ = stream.get_mut().write_all(part.as_bytes());
             reset(stream.get_ref());
@@ -464,7 +464,7 @@
 
 #[test]
 fn a_yes_that_closes_its_connection_behind_it_is_a_yes() {
-    let service = Scripted::start(|stream, _| {
+    let service = ScriptedServer::start(|stream, _| {
         let _ = read_message(stream);
         let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nyes");
     });
@@ -484,7 +484,7 @@
         assert_eq!(sidecar.post("/app", "", "x").status(), 503);
     }
     assert_eq!(app.seen(), 0);
-    let _service = Scripted::on(TcpListener::bind(address).expect("the port is free"), |stream, _| {
+    let _service = ScriptedServer::on(TcpListener::bind(address).expect("the port is free"), |stream, _| {
         while read_message(stream).is_some() {
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -5,7 +5,7 @@
 use ivygate_control_state::{Item, Table};
 use ivygate_registry::{HeartbeatResponse, ServerRecord};
 use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
-use ivygate_test_servers::{read_message, reset, wait_until, Client, Message, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, Client, Message, ScriptedServer};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -137,10 +137,10 @@
 
 /// Starts a server that executes every request and responds according to a script. The script gets the ID and the number of
 /// earlier requests.
-fn server(script: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> (Scripted, Runs) {
+fn server(script: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> (ScriptedServer, Runs) {
     let runs = Runs::default();
     let (ran, count) = (runs.clone(), AtomicUsize::new(0));
-    let server = Scripted::start(move |stream, _| {
+    let server = ScriptedServer::start(move |stream, _| {
         while let Some(request) = read_message(stream) {
             let id = id(&request);
             ran.0.lock().expect("no panic").push(id.clone());
@@ -238,7 +238,7 @@
     let started = Mutex::new(started);
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, _| {
+    let server = ScriptedServer::start(move |stream, _| {
         while let Some(request) = read_message(stream) {
             let id = id(&request);
             ran.0.lock().expect("no panic").push(id.clone());
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -2,7 +2,7 @@
 //! broken connections, and callers that have disconnected.
 
 use ivygate_rpc::{json_response, serve, ErrorKind, Handler, RpcClient, RpcError, RpcServer};
-use ivygate_test_servers::{read_message, reset, Message, Scripted};
+use ivygate_test_servers::{read_message, reset, Message, ScriptedServer};
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::{BufReader, Write};
@@ -52,7 +52,7 @@
 fn second_call(script: Script) -> (Result<String, RpcError>, usize, usize) {
     let ran: Arc<AtomicUsize> = Arc::default();
     let counted = ran.clone();
-    let peer = Scripted::start(move |stream, number| {
+    let peer = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return respond_to_all(stream);
         }
@@ -135,10 +135,10 @@
 }
 
 /// Starts a peer that responds to one call, runs `script` on the connection, closes it, and signals that.
-fn closing_peer(script: fn(&mut BufReader<TcpStream>)) -> (Scripted, Receiver<()>) {
+fn closing_peer(script: fn(&mut BufReader<TcpStream>)) -> (ScriptedServer, Receiver<()>) {
     let (done, is_done) = channel();
     let done = Mutex::new(done);
-    let peer = Scripted::start(move |stream, number| {
+    let peer = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return respond_to_all(stream);
         }
@@ -170,7 +170,7 @@
 
 #[test]
 fn timeout_closes_the_connection() {
-    let peer = Scripted::start(|stream, number| {
+    let peer = ScriptedServer::start(|stream, number| {
         if number > 0 {
             return respond_to_all(stream);
         }
@@ -195,7 +195,7 @@
 fn response_after_the_timeout_is_discarded() {
     let ((arrived, has_arrived), (go, may_go), (done, is_done)) = (channel(), channel(), channel());
     let signals = Mutex::new((arrived, may_go, done));
-    let peer = Scripted::start(move |stream, _| {
+    let peer = ScriptedServer::start(move |stream, _| {
         let first = read_message(stream).expect("a call");
         let (arrived, may_go, done) = &*signals.lock().expect("no panic");
         arrived.send(()).expect("the test waits");
@@ -223,7 +223,7 @@
 
 #[test]
 fn peer_without_call_ids_gets_its_own_connection() {
-    let peer = Scripted::start(|stream, _| {
+    let peer = ScriptedServer::start(|stream, _| {
         while read_message(stream).is_some() {
             write(stream, &encode_response(&Message::default(), "\"page\""));
         }
@@ -384,7 +384,7 @@
             });
         });
         let server_address = address.recv().expect("it listens");
-        let link = Scripted::start(move |stream, number| {
+        let link = ScriptedServer::start(move |stream, number| {
             // The faults depend only on the seed and the number of the connection.
             forward(stream, server_address, &mut Random(seed * 1_000 + number as u64));
         });
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -9,7 +9,7 @@
     ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
     OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
-use ivygate_test_servers::{read_message, reset, wait_until, Message as ReceivedRequest, Scripted};
+use ivygate_test_servers::{read_message, reset, wait_until, Message as ReceivedRequest, ScriptedServer};
 use ivygate_time::Millis;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -196,7 +196,7 @@
 fn second_request(class: &str, script: Script) -> ((u16, String), usize) {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -253,7 +253,7 @@
 fn status_421_without_id_on_a_new_connection_lets_the_request_be_retried() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -272,7 +272,7 @@
 fn duplicate_of_an_earlier_rejection_does_not_hide_that_the_retry_ran() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -451,7 +451,7 @@
     let runs = Runs::default();
     let (done, is_done) = std::sync::mpsc::channel();
     let (ran, done) = (runs.clone(), Mutex::new(done));
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -490,7 +490,7 @@
 fn late_response_after_a_timeout_is_discarded() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -525,7 +525,7 @@
         ("Keep-Alive: timeout=soon\r\n", 59_000, 1),
     ];
     for (keep_alive, pause, connections) in rows {
-        let server = Scripted::start(move |stream, _| {
+        let server = ScriptedServer::start(move |stream, _| {
             while let Some(request) = read_message(stream) {
                 write(
                     stream,
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -116,13 +116,13 @@
 
 /// An application that does with each of its connections what a script says; connections are numbered from 0.
 #[derive(Clone)]
-pub struct Scripted {
+pub struct ScriptedServer {
     pub address: SocketAddr,
     pub accepted: Arc<AtomicUsize>,
     pub ended: Arc<AtomicUsize>,
 }
 
-impl Scripted {
+impl ScriptedServer {
     pub fn start(script: impl Fn(&mut BufReader<TcpStream>, usize) + Send + Sync + 'static) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
