--- a/crates/bench/src/isolation.rs
+++ b/crates/bench/src/isolation.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{ask, Seen};
 use crate::process::Process;
-use ivygate_test_servers::{App, Reply};
+use ivygate_test_servers::{AppServer, Reply};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,8 +18,8 @@
 
 /// Measures and prints.
 pub fn measure(seconds: f64) -> io::Result<()> {
-    let stalled = App::start(|_| Reply::Silence);
-    let orders = App::start(|_| Reply::Slow(Duration::from_millis(2)));
+    let stalled = AppServer::start(|_| Reply::Silence);
+    let orders = AppServer::start(|_| Reply::Slow(Duration::from_millis(2)));
     let sidecar = Process::sidecar(&format!(
         "limits {{ descriptors 2048; }}
 listen 127.0.0.1:0 {{ connections 1000; }}
@@ -31,7 +31,7 @@
 route orders {{ path exact /orders; class order; pool orders; }}
 ",
         stalled.address,
-        App::start(|_| Reply::Silence).address,
+        AppServer::start(|_| Reply::Silence).address,
         orders.address
     ))?;
     println!(
--- a/crates/ivygate/src/demo.rs
+++ b/crates/ivygate/src/demo.rs
@@ -1,7 +1,7 @@
 //! `ivygate demo`: three stand-in applications and a sidecar in one process.
 
 use ivygate_sidecar::StartError;
-use ivygate_test_servers::{App, Message, Reply};
+use ivygate_test_servers::{AppServer, Message, Reply};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,11 +13,11 @@
 pub fn run(write: &Path) -> Result<(), StartError> {
     let mut text = CONFIG.replace("LISTEN", &free_address().to_string());
     for (place, app) in [
-        ("TILES-A", App::start(tiles)),
-        ("TILES-B", App::start(tiles)),
-        ("EDITS-A", App::start(flaky_edits())),
-        ("EDITS-B", App::start(edits)),
-        ("ORDERS", App::start(orders)),
+        ("TILES-A", AppServer::start(tiles)),
+        ("TILES-B", AppServer::start(tiles)),
+        ("EDITS-A", AppServer::start(flaky_edits())),
+        ("EDITS-B", AppServer::start(edits)),
+        ("ORDERS", AppServer::start(orders)),
     ] {
         text = text.replace(place, &app.address.to_string());
     }
--- a/crates/ivygate/tests/client_misuse.rs
+++ b/crates/ivygate/tests/client_misuse.rs
@@ -7,8 +7,8 @@
 use support::*;
 
 /// Starts a node with one app server that responds to all requests.
-fn node() -> (App, Node) {
-    let app = App::start(|_| Reply::ok("x"));
+fn node() -> (AppServer, Node) {
+    let app = AppServer::start(|_| Reply::ok("x"));
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     (app, node)
 }
@@ -143,14 +143,14 @@
 
 #[test]
 fn connection_with_an_open_request_is_not_closed() {
-    let app = App::start(|_| Reply::Slow(Duration::from_millis(3500)));
+    let app = AppServer::start(|_| Reply::Slow(Duration::from_millis(3500)));
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     assert_eq!(node.ask(&request("order", "r1")).body, b"late");
 }
 
 #[test]
 fn silent_clients_are_disconnected_before_active_ones() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 64));
@@ -171,7 +171,7 @@
 
 #[test]
 fn burst_of_connections_does_not_delay_other_clients() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 256));
--- a/crates/ivygate/tests/load.rs
+++ b/crates/ivygate/tests/load.rs
@@ -11,18 +11,18 @@
 const WORK: Duration = Duration::from_millis(150);
 
 /// Starts one of four nodes with a latency target of eight service times.
-fn node(apps: &[App]) -> Node {
+fn node(apps: &[AppServer]) -> Node {
     let settings = SETTINGS.replace("\"balancers\": 1", "\"balancers\": 4").replace("8000", "1200");
-    let named = |(n, app): (usize, &App)| target(&format!("s{n}"), app.address, "north", "SERVING");
+    let named = |(n, app): (usize, &AppServer)| target(&format!("s{n}"), app.address, "north", "SERVING");
     let targets: Vec<_> = apps.iter().enumerate().map(named).collect();
     let list = listing(1, true, &targets);
     Node::start(&config(Discovery::start(list.clone()).address, &list, &settings, 256))
 }
 
 /// Starts an app server that responds in time, and reports busy processors from its ninth request on.
-fn busy_app() -> App {
+fn busy_app() -> AppServer {
     let requests = AtomicUsize::new(0);
-    App::start(move |_| {
+    AppServer::start(move |_| {
         sleep(WORK);
         let reports_load = requests.fetch_add(1, Ordering::SeqCst) >= 8;
         let headers = if reports_load { "Srv-Load: {\"latency_ms\":150.0,\"util\":0.97}\r\n" } else { "" };
@@ -37,12 +37,12 @@
     // Sent one at a time, so that no server has a request when the next one arrives.
     let refused = (0..32).filter(|n| node.ask(&request("read", &format!("r{n}"))).refuses()).count();
     assert_eq!(refused, 0, "refused for lack of capacity at idle servers");
-    assert_eq!(apps.iter().map(App::seen).sum::<usize>(), 32);
+    assert_eq!(apps.iter().map(AppServer::seen).sum::<usize>(), 32);
 }
 
 #[test]
 fn full_servers_get_no_more_requests_whatever_load_they_report() {
-    let idle = App::start(|_| {
+    let idle = AppServer::start(|_| {
         sleep(WORK);
         Reply::Answer("200 OK", "Srv-Load: {\"latency_ms\":150.0,\"util\":0.0}\r\n", b"x".to_vec())
     });
--- a/crates/ivygate/tests/malformed_responses.rs
+++ b/crates/ivygate/tests/malformed_responses.rs
@@ -14,8 +14,8 @@
 
 /// Starts an app server that responds to request `r1` with these bytes, keeps the connection open, and
 /// responds normally to all other requests.
-fn app_with_first_response(bytes: Vec<u8>) -> App {
-    App::start(move |request| match request.header("req-id") {
+fn app_with_first_response(bytes: Vec<u8>) -> AppServer {
+    AppServer::start(move |request| match request.header("req-id") {
         Some("r1") => Reply::Raw(bytes.clone()),
         _ => Reply::Raw(id_response(request)),
     })
@@ -57,7 +57,7 @@
 #[test]
 fn safe_request_is_retried_after_a_malformed_response() {
     let count = Mutex::new(0);
-    let app = App::start(move |request| {
+    let app = AppServer::start(move |request| {
         let mut count = count.lock().expect("no panic");
         *count += 1;
         Reply::Raw(if *count == 1 { b"noise\r\n\r\n".to_vec() } else { id_response(request) })
@@ -72,7 +72,7 @@
     type SurplusFor = fn(&[u8]) -> Vec<u8>;
     let surpluses: [SurplusFor; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
     for (number, surplus_for) in surpluses.into_iter().enumerate() {
-        let app = App::start(move |request| {
+        let app = AppServer::start(move |request| {
             let response = id_response(request);
             let surplus = surplus_for(&response);
             Reply::Raw([response, surplus].concat())
@@ -90,7 +90,7 @@
 
 #[test]
 fn interim_responses_are_skipped() {
-    let app = App::start(|request| {
+    let app = AppServer::start(|request| {
         let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         Reply::Raw([interim.to_vec(), id_response(request)].concat())
     });
@@ -105,7 +105,7 @@
 #[test]
 fn implausible_usage_and_load_figures_are_ignored() {
     let headers = "Api-Usage: 1e300\r\nSrv-Load: {\"inflight\":1e300,\"util\":1e300}\r\n";
-    let app = App::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
+    let app = AppServer::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     for number in 0..20 {
         assert_eq!(node.ask(&request("read", &format!("r{number}"))).status(), 200);
--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use support::*;
 
-fn serving(uid: &str, app: &App, zone: &str) -> String {
+fn serving(uid: &str, app: &AppServer, zone: &str) -> String {
     target(uid, app.address, zone, "SERVING")
 }
 
@@ -25,15 +25,16 @@
 }
 
 /// Returns the number of requests that all app servers have received.
-fn total_requests(apps: &[App]) -> usize {
-    apps.iter().map(App::seen).sum()
+fn total_requests(apps: &[AppServer]) -> usize {
+    apps.iter().map(AppServer::seen).sum()
 }
 
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let body: Vec<u8> = (0..50_000u32).map(|n| (n * 7 % 251) as u8).collect();
     let sent = body.clone();
-    let app = App::start(move |_| Reply::Answer("200 OK", "Content-Type: text/x-map\r\n", sent.clone()));
+    let app =
+        AppServer::start(move |_| Reply::Answer("200 OK", "Content-Type: text/x-map\r\n", sent.clone()));
     let node = Node::with(&[serving("a", &app, "north")]);
     let response = node.ask(&request("edit", "r1"));
     assert_eq!((response.status(), response.header("content-type")), (200, Some("text/x-map")));
@@ -48,7 +49,7 @@
 
 #[test]
 fn connections_to_clients_and_servers_are_reused() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     for number in 0..5 {
@@ -59,7 +60,7 @@
 
 #[test]
 fn unsafe_request_is_not_retried_after_a_reset() {
-    let apps = [App::start(|_| Reply::Close), App::start(|_| Reply::Close)];
+    let apps = [AppServer::start(|_| Reply::Close), AppServer::start(|_| Reply::Close)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
     // The response must not be a refusal either, which would tell the client to retry.
     assert!(node.ask(&request("order", "r1")).fails());
@@ -68,7 +69,7 @@
 
 #[test]
 fn failure_of_a_reused_connection_counts_as_a_reset() {
-    let app = App::start(|request| match request.header("req-id") {
+    let app = AppServer::start(|request| match request.header("req-id") {
         Some("r1") => Reply::ok("x"),
         _ => Reply::Close,
     });
@@ -82,7 +83,7 @@
 #[test]
 fn safe_request_is_retried_after_a_reset() {
     let reply = first_then_ok(|| Reply::Close);
-    let apps = [App::start(reply.clone()), App::start(reply)];
+    let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
     let response = node.ask(&request("read", "r1"));
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
@@ -92,7 +93,7 @@
 #[test]
 fn keyed_request_that_may_have_run_is_retried_in_the_same_zone() {
     let reply = first_then_ok(|| Reply::Close);
-    let apps: Vec<_> = (0..4).map(|_| App::start(reply.clone())).collect();
+    let apps: Vec<_> = (0..4).map(|_| AppServer::start(reply.clone())).collect();
     let zone = |n: usize| if n < 2 { "north" } else { "south" };
     let targets: Vec<_> =
         apps.iter().enumerate().map(|(n, app)| serving(&format!("s{n}"), app, zone(n))).collect();
@@ -106,7 +107,7 @@
 fn declined_unsafe_request_is_retried_on_another_server() {
     let declined = || Reply::Answer("503 Service Unavailable", "Srv-Declined: 1\r\n", Vec::new());
     let reply = first_then_ok(declined);
-    let apps = [App::start(reply.clone()), App::start(reply)];
+    let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
     assert_eq!(node.ask(&request("order", "r1")).status(), 200);
     assert_eq!(total_requests(&apps), 2);
@@ -114,7 +115,7 @@
 
 #[test]
 fn unsafe_request_is_not_retried_after_a_plain_503() {
-    let app = App::start(|_| Reply::Answer("503 Service Unavailable", "", Vec::new()));
+    let app = AppServer::start(|_| Reply::Answer("503 Service Unavailable", "", Vec::new()));
     let node = Node::with(&[serving("a", &app, "north")]);
     assert!(node.ask(&request("order", "r1")).fails());
     assert_eq!(app.seen(), 1);
@@ -135,7 +136,7 @@
         b"HTTP/1.1 2",
     ];
     for bytes in truncated {
-        let app = App::start(move |_| Reply::Bytes(bytes));
+        let app = AppServer::start(move |_| Reply::Bytes(bytes));
         let node = Node::with(&[serving("a", &app, "north")]);
         assert!(node.ask(&request("order", "r1")).fails());
         assert_eq!(app.seen(), 1);
@@ -145,7 +146,7 @@
 #[test]
 fn malformed_usage_and_load_headers_are_ignored() {
     let headers = "Api-Usage: plenty\r\nSrv-Load: {\"util\":\r\n";
-    let app = App::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
+    let app = AppServer::start(move |_| Reply::Answer("200 OK", headers, b"x".to_vec()));
     let node = Node::with(&[serving("a", &app, "north")]);
     for number in 0..3 {
         assert_eq!(node.ask(&request("read", &format!("r{number}"))).status(), 200);
@@ -154,8 +155,9 @@
 
 #[test]
 fn response_with_connection_close_is_valid() {
-    let app =
-        App::start(|_| Reply::Bytes(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"));
+    let app = AppServer::start(|_| {
+        Reply::Bytes(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok")
+    });
     let node = Node::with(&[serving("a", &app, "north")]);
     for number in 0..3 {
         assert_eq!(node.ask(&request("order", &format!("r{number}"))).status(), 200);
@@ -165,7 +167,7 @@
 
 #[test]
 fn unresponsive_server_causes_one_error_response_and_a_closed_connection() {
-    let app = App::start(|_| Reply::Silence);
+    let app = AppServer::start(|_| Reply::Silence);
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     assert!(client.ask(&request_with("order", "r1", "large", "2500m")).fails());
@@ -178,7 +180,7 @@
 
 #[test]
 fn client_disconnect_cancels_its_attempts() {
-    let app = App::start(|_| Reply::Silence);
+    let app = AppServer::start(|_| Reply::Silence);
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
@@ -189,7 +191,7 @@
 
 #[test]
 fn second_request_with_the_id_of_an_open_one_is_not_run() {
-    let app = App::start(|_| Reply::Slow(Duration::from_millis(500)));
+    let app = AppServer::start(|_| Reply::Slow(Duration::from_millis(500)));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
@@ -201,7 +203,7 @@
 
 #[test]
 fn customer_over_its_quota_is_refused_with_retry_after() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let responses: Vec<_> =
         (0..4).map(|n| node.ask(&request_with("read", &format!("r{n}"), "small", "15000m"))).collect();
@@ -261,7 +263,7 @@
 
 #[test]
 fn draining_server_gets_no_new_requests() {
-    let apps = [App::start(|_| Reply::ok("x")), App::start(|_| Reply::ok("x"))];
+    let apps = [AppServer::start(|_| Reply::ok("x")), AppServer::start(|_| Reply::ok("x"))];
     let list = listing(1, true, &[serving("a", &apps[0], "north"), serving("b", &apps[1], "north")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
@@ -281,8 +283,8 @@
 
 #[test]
 fn list_is_fetched_again_after_a_malformed_line() {
-    let old = App::start(|_| Reply::ok("old"));
-    let new = App::start(|_| Reply::ok("new"));
+    let old = AppServer::start(|_| Reply::ok("old"));
+    let new = AppServer::start(|_| Reply::ok("new"));
     let list = listing(1, true, &[serving("a", &old, "north")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
@@ -296,7 +298,7 @@
 
 #[test]
 fn watch_is_reopened_when_it_ends_or_becomes_silent() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
@@ -309,7 +311,7 @@
 
 #[test]
 fn sigterm_ends_the_node_after_all_responses() {
-    let app = App::start(|_| Reply::Slow(Duration::from_millis(1500)));
+    let app = AppServer::start(|_| Reply::Slow(Duration::from_millis(1500)));
     let mut node = Node::with(&[serving("a", &app, "north")]);
     let (mut open, mut idle) = (node.client(), node.client());
     idle.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -330,7 +332,7 @@
 
 #[test]
 fn body_over_the_limit_is_rejected_with_413() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let head = request("order", "r1").replace("Content-Length: 4\r\n", "Content-Length: 65537\r\n");
     assert_eq!(node.ask(head.trim_end_matches("body")).status(), 413);
@@ -339,7 +341,7 @@
 
 #[test]
 fn incomplete_body_times_out_without_delaying_other_clients() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut slow = node.client();
     slow.write(request_with("order", "r1", "large", "300m").trim_end_matches("dy").as_bytes());
@@ -350,7 +352,7 @@
 
 #[test]
 fn idle_and_incomplete_connections_are_closed_at_the_limit() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let mut node = Node::start(&config(discovery.address, &list, SETTINGS, 40));
@@ -369,7 +371,7 @@
 
 #[test]
 fn attempts_stay_within_the_descriptor_limit() {
-    let app = App::start(|_| Reply::Silence);
+    let app = AppServer::start(|_| Reply::Silence);
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let mut node = Node::start(&config(discovery.address, &list, SETTINGS, 40));
@@ -389,7 +391,7 @@
 
 #[test]
 fn idle_connections_are_closed_before_the_app_server_closes_them() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[serving("a", &app, "north")]);
     let discovery = Discovery::start(list.clone());
     let settings = SETTINGS.replace("\"keepaliveMs\": 15000", "\"keepaliveMs\": 1000");
@@ -434,7 +436,7 @@
 fn unsafe_requests_take_new_connections_if_reused_ones_are_reset() {
     // The server responds to one request on each connection, and closes it at the second one.
     let served_peers = std::sync::Mutex::new(std::collections::HashSet::new());
-    let app = App::start(move |request| {
+    let app = AppServer::start(move |request| {
         let peer = request.header("peer").expect("the client's address").to_owned();
         if served_peers.lock().expect("no panic").insert(peer) {
             Reply::ok("x")
--- a/crates/ivygate/tests/refused_socket_options.rs
+++ b/crates/ivygate/tests/refused_socket_options.rs
@@ -27,8 +27,8 @@
     let mut compiler = Command::new("cc");
     compiler.args(["-shared", "-fPIC", "-x", "c", "-o"]).arg(&library).arg(&source).stdin(Stdio::null());
     assert!(compiler.status().expect("a C compiler, as the build needs one").success());
-    let app = App::start(|_| Reply::ok("x"));
-    let replacement = App::start(|_| Reply::ok("late"));
+    let app = AppServer::start(|_| Reply::ok("x"));
+    let replacement = AppServer::start(|_| Reply::ok("late"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
--- a/crates/ivygate/tests/reload.rs
+++ b/crates/ivygate/tests/reload.rs
@@ -7,14 +7,17 @@
 use support::*;
 
 /// Returns a discovery agent with one app server, and its list.
-fn discovery(rev: u64, uid: &str, app: &App) -> (Discovery, String) {
+fn discovery(rev: u64, uid: &str, app: &AppServer) -> (Discovery, String) {
     let list = listing(rev, true, &[target(uid, app.address, "north", "SERVING")]);
     (Discovery::start(list.clone()), list)
 }
 
 #[test]
 fn reload_changes_the_discovery_agent_only() {
-    let apps = [App::start(|_| Reply::Slow(Duration::from_millis(300))), App::start(|_| Reply::ok("new"))];
+    let apps = [
+        AppServer::start(|_| Reply::Slow(Duration::from_millis(300))),
+        AppServer::start(|_| Reply::ok("new")),
+    ];
     let (first, known) = discovery(50, "a", &apps[0]);
     // The second agent has other version numbers.
     let (second, _) = discovery(3, "b", &apps[1]);
@@ -33,7 +36,7 @@
 
 #[test]
 fn invalid_configuration_changes_nothing() {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
+    let apps = [AppServer::start(|_| Reply::ok("old")), AppServer::start(|_| Reply::ok("new"))];
     let (first, known) = discovery(1, "a", &apps[0]);
     let (second, _) = discovery(1, "b", &apps[1]);
     let mut node = Node::start(&config(first.address, &known, SETTINGS, 1024));
--- a/crates/ivygate/tests/resource_limits.rs
+++ b/crates/ivygate/tests/resource_limits.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn new_connections_and_customers_do_not_accumulate() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let node = Node::start(&config(discovery.address, &list, SETTINGS, 128));
@@ -39,7 +39,7 @@
 
 #[test]
 fn connections_to_replaced_servers_are_closed() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let name = |n: u64| format!("s{n}");
     let list = listing(1, true, &[target(&name(0), app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
@@ -68,7 +68,7 @@
 #[test]
 fn just_started_server_gets_few_requests() {
     let requests_served = |boot_ms: u128| {
-        let app = App::start(|_| Reply::ok("x"));
+        let app = AppServer::start(|_| Reply::ok("x"));
         let entry = target("a", app.address, "north", "SERVING");
         let node = Node::with(&[entry.replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms}"))]);
         for number in 0..60 {
@@ -91,7 +91,7 @@
                           "capRate": {rate}, "capDepth": {depth}}},"#
     );
     let settings = SETTINGS.replace("\"contracts\": [", &capped);
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
     let discovery = Discovery::start(list.clone());
     let started = Instant::now();
--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use ivygate_test_servers::{wait_until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, AppServer, Message, Reply};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use support::{pool, Sidecar};
 
 /// Plans and routes that other programs ask about. Nothing is ever sent to the pool's server.
-fn parts(app: &App, extra: &str) -> Vec<String> {
+fn parts(app: &AppServer, extra: &str) -> Vec<String> {
     vec![
         "plan small { quota 1/m; burst 2; }\nplan large { quota 1000/s; burst 1000; }\n\
          identity { customer header X-Customer; plan header X-Plan; default-plan large; }\n"
@@ -25,12 +25,12 @@
 const ASKED: &str = "answers-checks /auth; trusted 127.0.0.1;";
 
 struct Rig {
-    app: App,
+    app: AppServer,
     sidecar: Sidecar,
 }
 
 fn rig() -> Rig {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let sidecar = Sidecar::start(&Sidecar::text(ASKED, &parts(&app, "")));
     Rig { app, sidecar }
 }
@@ -118,7 +118,7 @@
 
 #[test]
 fn peers_that_are_not_trusted_get_no_answer_to_their_question() {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let listener = "answers-checks /auth; trusted 192.0.2.0/24;";
     let sidecar = Sidecar::start(&Sidecar::text(listener, &parts(&app, "")));
     assert_eq!(sidecar.ask(&about("GET", "/reads", "")).status(), 403);
@@ -184,7 +184,7 @@
 
 #[test]
 fn no_server_to_send_to_means_no_admission() {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let text = Sidecar::text(ASKED, &parts(&app, "")).replace("zone north;", "zone north; state draining;");
     let text = text.replace("pool app {\n    zone north; state draining;", "pool app {\n    zone north;");
     let sidecar = Sidecar::start(&text);
@@ -194,7 +194,7 @@
 }
 
 /// A sign-in service before the routes that are asked about.
-fn asked_first(accounts: &App) -> String {
+fn asked_first(accounts: &AppServer) -> String {
     format!(
         "{}sign-in members {{ pool accounts; path /check; answer-headers X-User X-Customer; }}\n\
          route inner {{ path prefix /inner; methods POST; sign-in members; class order; pool app; }}\n",
@@ -204,8 +204,8 @@
 
 #[test]
 fn a_routes_own_sign_in_is_asked_and_its_no_is_the_askers_answer() {
-    let app = App::start(|_| Reply::ok("done"));
-    let accounts = App::start(|m| match m.header("authorization") {
+    let app = AppServer::start(|_| Reply::ok("done"));
+    let accounts = AppServer::start(|m| match m.header("authorization") {
         Some("good") => Reply::Answer("200 OK", "X-User: ann\r\nX-Customer: ann\r\n", Vec::new()),
         _ => Reply::Answer("401 Unauthorized", "WWW-Authenticate: Bearer\r\n", b"who?".to_vec()),
     });
@@ -229,10 +229,10 @@
 
 #[test]
 fn an_id_that_is_being_asked_about_is_not_let_on_by_another_and_is_free_if_the_asker_leaves() {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let open = Arc::new(AtomicBool::new(false));
     let gate = open.clone();
-    let accounts = App::start(move |_| {
+    let accounts = AppServer::start(move |_| {
         wait_until("the service may answer", || gate.load(Ordering::SeqCst));
         Reply::ok("yes")
     });
@@ -251,8 +251,8 @@
 
 #[test]
 fn a_sign_in_is_never_told_a_method_that_nobody_told() {
-    let app = App::start(|_| Reply::ok("done"));
-    let accounts = App::start(|_| Reply::ok("yes"));
+    let app = AppServer::start(|_| Reply::ok("done"));
+    let accounts = AppServer::start(|_| Reply::ok("yes"));
     let any = "route any { path prefix /any; sign-in members; class order; pool app; }\n";
     let extra = asked_first(&accounts) + any;
     let sidecar = Sidecar::start(&Sidecar::text(ASKED, &parts(&app, &extra)));
@@ -265,7 +265,7 @@
 
 #[test]
 fn one_ivygate_may_ask_another() {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let inner = Sidecar::start(&Sidecar::text(ASKED, &parts(&app, "")));
     let outer = Sidecar::with(&[
         pool("app", "", &[(app.address, "north")]),
@@ -287,7 +287,7 @@
 
 #[test]
 fn a_sign_in_that_leads_back_to_itself_ends_with_a_clear_error() {
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let first = Sidecar::text(ASKED, &parts(&app, ""));
     let sidecar = Sidecar::start(&first);
     // Now that its address is known it is made its own sign-in service.
@@ -300,7 +300,7 @@
     let answer = sidecar.ask(&about("POST", "/inner", ""));
     assert_eq!(answer.status(), 503);
     // What such a check is told: one that names this process, as its own checks do ...
-    let accounts = App::start(|_| Reply::ok("yes"));
+    let accounts = AppServer::start(|_| Reply::ok("yes"));
     assert!(sidecar.reload(&Sidecar::text(ASKED, &parts(&app, &asked_first(&accounts)))));
     assert_eq!(sidecar.ask(&about("POST", "/inner", "")).status(), 200);
     let seen = accounts.requests.lock().expect("no panic");
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{wait_until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, AppServer, Message, Reply};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -17,7 +17,7 @@
     folder
 }
 
-fn sidecar(folder: &Path, app: &App) -> Sidecar {
+fn sidecar(folder: &Path, app: &AppServer) -> Sidecar {
     Sidecar::with(&[
         format!("journal {{ folder {}; }}\n", folder.display()),
         pool("app", "attempts 3;", &[(app.address, "north")]),
@@ -60,7 +60,7 @@
 #[test]
 fn orders_are_told_with_what_came_of_them_and_reads_are_not_recorded() {
     let folder = folder("told");
-    let app = App::start(|m| match m.header("req-id") {
+    let app = AppServer::start(|m| match m.header("req-id") {
         Some("bad") => Reply::Answer("422 Unprocessable Content", "", Vec::new()),
         Some("broken") => Reply::Close,
         _ => Reply::ok("done"),
@@ -99,7 +99,7 @@
 #[test]
 fn a_second_sidecar_on_the_same_journal_does_not_start() {
     let folder = folder("second");
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let first = sidecar(&folder, &app);
     let text = std::fs::read_to_string(&first.config).expect("its file");
     let file = support::scratch(&text);
@@ -135,7 +135,7 @@
     let answered = Arc::<Mutex<Vec<(String, u16)>>>::default();
     let seen = Arc::<Mutex<Vec<String>>>::default();
     let log = seen.clone();
-    let app = App::start(move |m: &Message| {
+    let app = AppServer::start(move |m: &Message| {
         let id = m.header("req-id").unwrap_or_default().to_owned();
         log.lock().expect("no panic").push(id.clone());
         done_with(&id).1
@@ -197,7 +197,7 @@
 #[test]
 fn an_order_asked_for_again_after_a_crash_gets_what_is_known_and_never_a_second_run() {
     let folder = folder("again");
-    let app = App::start(|m| match m.header("req-id") {
+    let app = AppServer::start(|m| match m.header("req-id") {
         Some("broken") => Reply::Close,
         _ => Reply::ok("done"),
     });
@@ -248,7 +248,7 @@
 #[test]
 fn operators_read_on_a_listener_of_their_own_and_clients_do_not() {
     let folder = folder("operators");
-    let app = App::start(|m| match m.header("order-no") {
+    let app = AppServer::start(|m| match m.header("order-no") {
         Some("b") => Reply::Close,
         _ => Reply::ok("done"),
     });
@@ -322,7 +322,7 @@
 #[test]
 fn a_client_that_leaves_is_told_apart_from_time_that_is_up() {
     let folder = folder("left");
-    let app = App::start(|_| Reply::Silence);
+    let app = AppServer::start(|_| Reply::Silence);
     let sidecar = sidecar(&folder, &app);
     let leaves = {
         let mut client = sidecar.client();
@@ -341,7 +341,7 @@
 }
 
 /// Orders get no answer but 503 with `Retry-After`, nothing of them goes out, and all else goes on.
-fn refuses_orders_only(sidecar: &Sidecar, app: &App) {
+fn refuses_orders_only(sidecar: &Sidecar, app: &AppServer) {
     let before = app.seen();
     let refused = sidecar.ask(&order("late"));
     assert_eq!(refused.status(), 503);
@@ -354,7 +354,7 @@
 fn a_folder_that_vanishes_or_is_replaced_takes_no_more_orders() {
     for replaced in [false, true] {
         let folder = folder("vanished");
-        let app = App::start(|_| Reply::ok("done"));
+        let app = AppServer::start(|_| Reply::ok("done"));
         let sidecar = sidecar(&folder, &app);
         assert_eq!(sidecar.ask(&order("first")).status(), 200);
         std::fs::remove_dir_all(&folder).expect("removed");
@@ -370,7 +370,7 @@
 #[test]
 fn a_disk_that_takes_no_more_ends_orders_and_nothing_else() {
     let folder = folder("no-space");
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     // The process may write files up to so many blocks of 512 bytes, and hears of it by an error.
     let sidecar = Sidecar::limited(
         "trap '' XFSZ; ulimit -f 6144",
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -10,8 +10,8 @@
 const NORTH: &str = "north";
 
 /// One application in one pool, reached under `/app` with each class's methods.
-fn one(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (App, Sidecar) {
-    let app = App::start(reply);
+fn one(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (AppServer, Sidecar) {
+    let app = AppServer::start(reply);
     let parts = [pool("app", "", &[(app.address, NORTH)]), any_route("app")];
     let sidecar = Sidecar::with(&parts);
     (app, sidecar)
@@ -22,7 +22,7 @@
     format!("route {pool} {{ path prefix /{pool}; class order; pool {pool}; }}\n")
 }
 
-fn last(app: &App) -> Message {
+fn last(app: &AppServer) -> Message {
     app.requests.lock().expect("no panic").last().expect("a request").clone()
 }
 
@@ -328,7 +328,7 @@
 
 #[test]
 fn a_client_that_stops_reading_is_given_up_and_holds_up_nobody() {
-    let app = App::start(|request| {
+    let app = AppServer::start(|request| {
         Reply::Answer(
             "200 OK",
             "",
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -19,8 +19,8 @@
     reply: impl Fn(&Message) -> Reply + Clone + Send + Sync + 'static,
     zones: [&str; 2],
     extra: &str,
-) -> ([App; 2], Sidecar) {
-    let apps = [App::start(reply.clone()), App::start(reply)];
+) -> ([AppServer; 2], Sidecar) {
+    let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
     let servers = [(apps[0].address, zones[0]), (apps[1].address, zones[1])];
     let parts = [
         pool("app", extra, &servers),
@@ -32,8 +32,8 @@
     (apps, sidecar)
 }
 
-fn seen(apps: &[App]) -> usize {
-    apps.iter().map(App::seen).sum()
+fn seen(apps: &[AppServer]) -> usize {
+    apps.iter().map(AppServer::seen).sum()
 }
 
 const KEY: &str = "Idempotency-Key: k\r\n";
@@ -149,7 +149,7 @@
     };
     for (window, wanted) in [("300ms meant", 1), ("15s", 2)] {
         let reply = first_then_ok(slow_break);
-        let apps = [App::start(reply.clone()), App::start(reply)];
+        let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
         let servers = [(apps[0].address, "north"), (apps[1].address, "north")];
         let text = Sidecar::text("", &[pool("app", "", &servers), route("app", "edit")])
             .replace("window 15s", &format!("window {window}"));
@@ -176,7 +176,7 @@
 #[test]
 fn a_large_body_goes_to_another_server_while_nothing_of_it_has_gone() {
     let nowhere = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let app = App::start(|m| Reply::ok(&m.body.len().to_string()));
+    let app = AppServer::start(|m| Reply::ok(&m.body.len().to_string()));
     let parts = [
         pool("app", "repeat-limit 1KiB;", &[(nowhere, "north"), (app.address, "north")]),
         route("app", "order"),
@@ -190,8 +190,8 @@
 
 #[test]
 fn bodies_held_at_once_are_bounded_for_each_pool() {
-    let app = App::start(|_| Reply::Silence);
-    let other = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::Silence);
+    let other = AppServer::start(|_| Reply::ok("x"));
     let parts = [
         pool("app", "buffered 64KiB; repeat-limit 64KiB;", &[(app.address, "north")]),
         route("app", "order"),
@@ -222,7 +222,7 @@
 
 #[test]
 fn quotas_hold_by_customer_and_plan() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let plans = "plan wide { } plan narrow { quota 1/h; burst 2; }
         identity { customer header X-Customer; plan header X-Plan; default-plan wide; }
         customer small { plan narrow; }\n";
@@ -248,7 +248,7 @@
 
 #[test]
 fn a_trusted_peer_shortens_the_deadline_and_nobody_lengthens_it() {
-    let app = App::start(|request| {
+    let app = AppServer::start(|request| {
         let stalls = request.start.contains("stall");
         if stalls {
             Reply::Silence
@@ -329,7 +329,7 @@
 #[test]
 fn a_pool_whose_servers_all_fail_leaves_another_alone() {
     for (fault, bad) in faults() {
-        let good = App::start(|_| Reply::ok("x"));
+        let good = AppServer::start(|_| Reply::ok("x"));
         let parts = [
             pool("bad", "requests 8; connections 16;", &[(bad.address, "north")])
                 .replace("requests 64; connections 64;", ""),
@@ -376,7 +376,9 @@
         .iter()
         .map(|slow| {
             let slow = slow.clone();
-            App::start(move |_| if slow.load(Ordering::SeqCst) { Reply::Silence } else { Reply::ok("x") })
+            AppServer::start(
+                move |_| if slow.load(Ordering::SeqCst) { Reply::Silence } else { Reply::ok("x") },
+            )
         })
         .collect();
     let classes = ["read", "edit", "order"];
@@ -413,8 +415,8 @@
 
 #[test]
 fn a_flood_of_one_route_leaves_connections_for_the_others() {
-    let stuck = App::start(|_| Reply::Silence);
-    let good = App::start(|_| Reply::ok("x"));
+    let stuck = AppServer::start(|_| Reply::Silence);
+    let good = AppServer::start(|_| Reply::ok("x"));
     let parts = [
         pool("stuck", "", &[(stuck.address, "north")]).replace("requests 64", "requests 16"),
         route("stuck", "order"),
@@ -437,7 +439,7 @@
 #[test]
 fn a_pool_of_orders_only_finds_out_that_its_server_is_back() {
     let down = Arc::new(AtomicBool::new(true));
-    let app = App::start({
+    let app = AppServer::start({
         let down = down.clone();
         move |_| if down.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok("x") }
     });
@@ -458,7 +460,7 @@
 #[test]
 fn a_pool_that_was_slow_beyond_its_aim_takes_requests_again() {
     let slow = Arc::new(AtomicBool::new(true));
-    let app = App::start({
+    let app = AppServer::start({
         let slow = slow.clone();
         move |_| {
             if slow.load(Ordering::SeqCst) {
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use support::*;
 
-fn serving(name: &str, apps: &[&App]) -> String {
+fn serving(name: &str, apps: &[&AppServer]) -> String {
     let servers: Vec<_> = apps.iter().map(|a| (a.address, "north")).collect();
     pool(name, "", &servers) + &format!("route {name} {{ path prefix /{name}; class order; pool {name}; }}\n")
 }
 
 #[test]
 fn another_file_is_put_to_work_whole_and_a_bad_one_not_at_all() {
-    let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
+    let (a, b) = (AppServer::start(|_| Reply::ok("a")), AppServer::start(|_| Reply::ok("b")));
     let sidecar = Sidecar::with(&[serving("app", &[&a])]);
     assert_eq!(sidecar.get("/app").body, b"a");
     assert!(sidecar.reload(&Sidecar::text("", &[serving("app", &[&b]), serving("new", &[&a])])));
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_file_may_name_the_port_that_the_system_chose() {
-    let a = App::start(|_| Reply::ok("a"));
+    let a = AppServer::start(|_| Reply::ok("a"));
     let sidecar = Sidecar::with(&[serving("app", &[&a])]);
     let text = Sidecar::text("", &[serving("new", &[&a])]);
     assert!(sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())), "{}", sidecar.said());
@@ -52,14 +52,14 @@
 #[test]
 fn requests_in_flight_end_under_the_file_they_began_with() {
     let go = Arc::new(AtomicBool::new(false));
-    let a = App::start({
+    let a = AppServer::start({
         let go = go.clone();
         move |_| {
             wait_until("the test says go", || go.load(Ordering::SeqCst));
             Reply::ok("a")
         }
     });
-    let b = App::start(|_| Reply::ok("b"));
+    let b = AppServer::start(|_| Reply::ok("b"));
     let sidecar = Sidecar::with(&[serving("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
@@ -73,7 +73,7 @@
 
 #[test]
 fn an_unchanged_pool_keeps_quotas_and_connections_and_a_changed_one_does_not() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let plans = "plan narrow { quota 1/h; burst 3; }\nidentity { customer name all; default-plan narrow; }\n"
         .to_owned();
     let text = |extra: &str, more: &str| {
@@ -84,7 +84,7 @@
     let passed = || (0..4).filter(|_| sidecar.get("/app").status() == 200).count();
     assert_eq!(passed(), 3);
     let connections = app.accepted.load(Ordering::SeqCst);
-    let other = App::start(|_| Reply::ok("y"));
+    let other = AppServer::start(|_| Reply::ok("y"));
     // Lines move, comments come, another pool and a server are added: this pool has not changed.
     let added = serving("other", &[&other]);
     let more = text("requests 64;", &added).replace("    server s0", "# moved\n\n    server s0");
@@ -105,7 +105,7 @@
     let filling: Vec<_> = (0..4)
         .filter_map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok())
         .collect();
-    let good = App::start(|_| Reply::ok("good"));
+    let good = AppServer::start(|_| Reply::ok("good"));
     let both = pool("app", "connect 6s;", &[(address, "north")]);
     let routed = "route app { path prefix /app; class order; pool app; }\n";
     let sidecar = Sidecar::with(&[both.clone(), routed.to_owned()]);
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_hundred_reloads_under_load_lose_nothing_and_send_nothing_to_what_is_gone() {
-    let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
+    let (a, b) = (AppServer::start(|_| Reply::ok("a")), AppServer::start(|_| Reply::ok("b")));
     let texts = [
         Sidecar::text("", &[serving("app", &[&a])]),
         Sidecar::text("", &[serving("app", &[&b])]),
@@ -197,7 +197,7 @@
 
 #[test]
 fn listeners_come_and_go_with_the_file() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let sidecar = Sidecar::with(&[serving("app", &[&app])]);
     let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let second = |address: SocketAddr| format!("listen {address} {{ connections 200; }}\n");
@@ -222,7 +222,7 @@
 #[test]
 fn the_signal_to_end_finishes_what_has_been_taken() {
     let go = Arc::new(AtomicBool::new(false));
-    let app = App::start({
+    let app = AppServer::start({
         let go = go.clone();
         move |_| {
             wait_until("the test says go", || go.load(Ordering::SeqCst));
@@ -287,7 +287,7 @@
     assert_eq!(run(&["sing"]).0, Some(2));
     assert_eq!(run(&[]).0, Some(2));
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let address = taken.local_addr().expect("an address").to_string();
     let good = scratch(&Sidecar::text("", &[serving("app", &[&app])]).replace("127.0.0.1:0", &address));
     let (code, _, error) = run(&["serve", &good.display().to_string()]);
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{read_message, reset, wait_until, App, Message, Reply, ScriptedServer};
+use ivygate_test_servers::{read_message, reset, wait_until, AppServer, Message, Reply, ScriptedServer};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,8 +12,8 @@
 
 /// A sidecar whose `/app` asks first, with both sides as scripted.
 struct Rig {
-    accounts: App,
-    app: App,
+    accounts: AppServer,
+    app: AppServer,
     /// Heads that the service and the application got.
     asked: Arc<Mutex<Vec<Message>>>,
     got: Arc<Mutex<Vec<Message>>>,
@@ -36,14 +36,14 @@
     };
     let accounts = {
         let asked = asked.clone();
-        App::start(move |m| {
+        AppServer::start(move |m| {
             noted(&asked, m);
             accounts(m)
         })
     };
     let app = {
         let got = got.clone();
-        App::start(move |m| {
+        AppServer::start(move |m| {
             noted(&got, m);
             app(m)
         })
@@ -287,11 +287,11 @@
 #[test]
 fn a_flood_of_bad_passes_from_one_address_is_turned_away_before_the_service_and_good_ones_elsewhere_go_on() {
     let trusted = "trusted 127.0.0.1;";
-    let accounts = App::start(|m| match m.header("authorization") {
+    let accounts = AppServer::start(|m| match m.header("authorization") {
         Some("good") => Reply::ok("yes"),
         _ => Reply::Answer("401 Unauthorized", "", Vec::new()),
     });
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let sidecar = Sidecar::start(&Sidecar::text(
         trusted,
         &[
@@ -426,8 +426,8 @@
 }
 
 /// A sidecar whose `/app` asks a service that is at this address, and its application.
-fn asks(service: SocketAddr, extra: &str) -> (App, Sidecar, String) {
-    let app = App::start(|_| Reply::ok("done"));
+fn asks(service: SocketAddr, extra: &str) -> (AppServer, Sidecar, String) {
+    let app = AppServer::start(|_| Reply::ok("done"));
     let text = Sidecar::text(
         "",
         &[
@@ -495,10 +495,10 @@
 
 #[test]
 fn a_service_that_drains_is_asked_nothing_new_and_its_successor_is() {
-    let old = App::start(|_| Reply::ok("yes"));
+    let old = AppServer::start(|_| Reply::ok("yes"));
     let (app, sidecar, text) = asks(old.address, "");
     assert_eq!(sidecar.post("/app", "", "x").status(), 200);
-    let new = App::start(|_| Reply::ok("yes"));
+    let new = AppServer::start(|_| Reply::ok("yes"));
     // The new one has just started, so it is cold, and is spared at first.
     let line = format!("    server s0 {} {{ zone north; }}", old.address);
     let both = format!(
@@ -514,8 +514,8 @@
 
 #[test]
 fn a_cold_service_turns_a_rush_of_checks_away_and_takes_more_when_it_is_warm() {
-    let service = App::start(|_| Reply::Slow(Duration::from_millis(100)));
-    let app = App::start(|_| Reply::ok("done"));
+    let service = AppServer::start(|_| Reply::Slow(Duration::from_millis(100)));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let cold = "cold { from 0.1; warm 2s; fall 2; for 500ms; }";
     let text = |servers: &[(SocketAddr, &str)]| {
         Sidecar::text(
@@ -529,7 +529,7 @@
             ],
         )
     };
-    let before = App::start(|_| Reply::ok("yes"));
+    let before = AppServer::start(|_| Reply::ok("yes"));
     let sidecar = Sidecar::start(&text(&[(before.address, "north")]));
     assert!(sidecar.reload(&text(&[(service.address, "north")])));
     let mut clients: Vec<_> = (0..40).map(|_| sidecar.client()).collect();
--- a/crates/ivygate/tests/status_documents.rs
+++ b/crates/ivygate/tests/status_documents.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn zones_and_members_are_told_with_the_same_fields() {
-    let (north, south) = (App::start(|_| Reply::ok("n")), App::start(|_| Reply::ok("s")));
+    let (north, south) = (AppServer::start(|_| Reply::ok("n")), AppServer::start(|_| Reply::ok("s")));
     let servers = [(north.address, "north"), (south.address, "south")];
     let key = scratch("a key that both of them know");
     let (a, b) = (peer_address(), peer_address());
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_test_servers::{wait_until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, AppServer, Message, Reply};
 use std::fs;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
@@ -219,8 +219,8 @@
 }
 
 /// Three applications as the users have them: tiles, edits, paid orders.
-fn three(folder: &Folder) -> [App; 3] {
-    let apps = ["a tile", "edited", "ordered"].map(|words| App::start(move |_| Reply::ok(words)));
+fn three(folder: &Folder) -> [AppServer; 3] {
+    let apps = ["a tile", "edited", "ordered"].map(|words| AppServer::start(move |_| Reply::ok(words)));
     let [tiles, edits, orders] = apps.each_ref().map(|app| app.address);
     folder.write(
         "apps",
@@ -252,7 +252,7 @@
         let elsewhere = sidecar.client().ask("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(elsewhere.status(), 404);
     }
-    assert_eq!(apps.each_ref().map(App::seen), [1, 1, 1]);
+    assert_eq!(apps.each_ref().map(AppServer::seen), [1, 1, 1]);
 }
 
 #[test]
@@ -299,7 +299,7 @@
                 _ => Reply::Silence,
             }
         };
-        let apps = [App::start(reply.clone()), App::start(reply)];
+        let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
         let text = format!(
             "listen 127.0.0.1:0 {{ connections 400; }}\nclass read {{ effect safe; aim 200ms; deadline 4s; }}\n\
              pool app {{ second-copies {allowed}; server a {}; server b {}; }}\nroute all {{ class read; pool app; }}\n",
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -81,7 +81,7 @@
 fn operators_see_zone_states_and_take_zones_out_of_service_by_a_reload() {
     let fails = Arc::new(AtomicBool::new(false));
     let app = |name: &'static str, fails: Arc<AtomicBool>| {
-        App::start(move |_| if fails.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok(name) })
+        AppServer::start(move |_| if fails.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok(name) })
     };
     let north = [app("north", Arc::default()), app("north", Arc::default())];
     let south = [app("south", fails.clone()), app("south", fails.clone())];
@@ -133,7 +133,7 @@
 
 #[test]
 fn domains_command_reports_missing_zones_and_unreachable_sidecars() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let operator = operator_address();
     let parts =
         [format!("operator {operator};\n"), pool("app", "", &[(app.address, "north")]), route("app", "read")];
@@ -185,14 +185,14 @@
 
 #[test]
 fn operators_see_group_members_and_dropped_packets() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let key = scratch("a key that both of them know");
     let other_key = scratch("a key that nobody else knows");
     let port = || std::net::UdpSocket::bind("127.0.0.2:0").and_then(|s| s.local_addr()).expect("a port");
     let operator = operator_address();
     let (a, b, c) = (port(), port(), port());
     let servers = [(app.address, "north"), (app.address, "south")];
-    let other = App::start(|_| Reply::ok("y"));
+    let other = AppServer::start(|_| Reply::ok("y"));
     let servers = [servers[0], (other.address, "south")];
     let text = |own: std::net::SocketAddr, key: &std::path::Path, more: &str| {
         let group = format!("group {{ listen {own}; key {}; peers {a} {b} {c}; }}\n{more}", key.display());
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -182,14 +182,14 @@
 
 /// An app server; it holds what it was sent and counts its connections.
 #[derive(Clone)]
-pub struct App {
+pub struct AppServer {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<Message>>>,
     pub accepted: Arc<AtomicUsize>,
     pub open: Arc<AtomicUsize>,
 }
 
-impl App {
+impl AppServer {
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let app = Self {
