--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -383,7 +383,7 @@
             }
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             match end {
-                "reset" => reset(stream.get_ref()),
+                "reset" => reset_on_close(stream.get_ref()),
                 "stall" => drop(stream.read(&mut [0])),
                 _ => {}
             }
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -61,7 +61,7 @@
     let app = ScriptedServer::on(listener, move |stream, number| {
         if number == 0 {
             read_head(stream);
-            return reset(stream.get_ref());
+            return reset_on_close(stream.get_ref());
         }
         if read_message(stream).is_some_and(|m| m.body.len() == 16 << 20) {
             counted.fetch_add(1, Ordering::SeqCst);
@@ -296,7 +296,7 @@
             "resets",
             ScriptedServer::start(|stream, _| {
                 read_message(stream);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             }),
         ),
         ("hangs up", ScriptedServer::start(|_, _| {})),
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use ivygate_test_servers::{read_message, reset, wait_until, AppServer, Message, Reply, ScriptedServer};
+use ivygate_test_servers::{
+    read_message, reset_on_close, wait_until, AppServer, Message, Reply, ScriptedServer,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -454,7 +456,7 @@
         let service = ScriptedServer::start(move |stream, _| {
             let _ = read_message(stream);
             let _ = stream.get_mut().write_all(part.as_bytes());
-            reset(stream.get_ref());
+            reset_on_close(stream.get_ref());
         });
         let (app, sidecar, _) = asks(service.address, "within 2s;");
         assert_eq!(sidecar.post("/app", "", "x").status(), 503, "{part:?}");
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -5,7 +5,7 @@
 use ivygate_control_state::{Item, Table};
 use ivygate_registry::{HeartbeatResponse, ServerRecord};
 use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
-use ivygate_test_servers::{read_message, reset, wait_until, Client, Message, ScriptedServer};
+use ivygate_test_servers::{read_message, reset_on_close, wait_until, Client, Message, ScriptedServer};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -147,7 +147,7 @@
             let (bytes, breaks) = script(&id, count.fetch_add(1, Ordering::SeqCst));
             write(stream, &bytes);
             if breaks {
-                return reset(stream.get_ref());
+                return reset_on_close(stream.get_ref());
             }
         }
     });
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -2,7 +2,7 @@
 //! broken connections, and callers that have disconnected.
 
 use ivygate_rpc::{json_response, serve, ErrorKind, Handler, RpcClient, RpcError, RpcServer};
-use ivygate_test_servers::{read_message, reset, Message, ScriptedServer};
+use ivygate_test_servers::{read_message, reset_on_close, Message, ScriptedServer};
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::{BufReader, Write};
@@ -104,7 +104,7 @@
     let scripts: [Script; 5] = [
         |stream, _, ran| {
             receive_call(stream, ran);
-            reset(stream.get_ref());
+            reset_on_close(stream.get_ref());
         },
         |stream, _, ran| {
             receive_call(stream, ran);
@@ -153,9 +153,10 @@
 
 #[test]
 fn closed_idle_connection_is_replaced() {
-    for script in
-        [|_: &mut BufReader<TcpStream>| {}, |stream: &mut BufReader<TcpStream>| reset(stream.get_ref())]
-    {
+    for script in [
+        |_: &mut BufReader<TcpStream>| {},
+        |stream: &mut BufReader<TcpStream>| reset_on_close(stream.get_ref()),
+    ] {
         let (peer, is_done) = closing_peer(script);
         run(async {
             let client = RpcClient::default();
@@ -332,7 +333,7 @@
         let fault_kind = random.below(12);
         if fault_kind == 0 {
             // The call is read and not forwarded.
-            reset(link.get_ref());
+            reset_on_close(link.get_ref());
             return None;
         }
         let text = format!("POST {path} HTTP/1.1\r\nhost: h\r\ncall-id: {id}\r\ncontent-length: 0\r\n\r\n");
@@ -340,7 +341,7 @@
         let body = read_message(&mut server)?.body;
         let answer = encode_response(&call, &String::from_utf8(body).ok()?);
         match fault_kind {
-            1 => reset(link.get_ref()),
+            1 => reset_on_close(link.get_ref()),
             2 => write(link, &answer[..answer.len() / 2]),
             3 => write(link, &answer[..answer.len() - 1]),
             // The previous response replaces this one.
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -9,7 +9,9 @@
     ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
     OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
-use ivygate_test_servers::{read_message, reset, wait_until, Message as ReceivedRequest, ScriptedServer};
+use ivygate_test_servers::{
+    read_message, reset_on_close, wait_until, Message as ReceivedRequest, ScriptedServer,
+};
 use ivygate_time::Millis;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -306,7 +308,7 @@
             "resets before it has read the request",
             |stream, _| {
                 wait_for_request(stream);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             0,
@@ -315,7 +317,7 @@
             "reads, runs and resets",
             |stream, runs| {
                 run_second(stream, runs);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             1,
@@ -327,7 +329,7 @@
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\nIvygate-Server-Seal: s\r\n");
                 write(stream, b"Content-Length: 9\r\n\r\nb");
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             1,
@@ -422,7 +424,7 @@
     let scripts: [Script; 4] = [
         |stream, runs| {
             run_second(stream, runs);
-            reset(stream.get_ref());
+            reset_on_close(stream.get_ref());
         },
         |stream, runs| {
             run_second(stream, runs);
@@ -478,7 +480,7 @@
 fn idle_connection_that_was_closed_or_has_unread_input_is_not_reused() {
     let scripts: [Script; 3] = [
         |_, _| {},
-        |stream, _| reset(stream.get_ref()),
+        |stream, _| reset_on_close(stream.get_ref()),
         |stream, _| write(stream, &response("200 OK", "a", SEAL_HEADER)),
     ];
     for script in scripts {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -154,7 +154,7 @@
 }
 
 /// Ends a connection with a reset rather than in good order.
-pub fn reset(stream: &TcpStream) {
+pub fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
