--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -250,7 +250,7 @@
         for stream in listener.incoming().take(ours + 1) {
             let stream = stream.expect("a connection");
             if filling.pop().is_none() {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a timeout can be set");
+                stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout can be set");
                 written += { stream }.read(&mut [0; 64]).unwrap_or(0);
             }
         }
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -249,7 +249,7 @@
 
 pub fn connect(address: SocketAddr) -> Client {
     let stream = TcpStream::connect(address).expect("the program accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out can be set");
+    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a time-out can be set");
     Client { stream: BufReader::new(stream) }
 }
 
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take before a test fails. No test depends on how much of it is used.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until a condition holds.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain until {what}");
         std::thread::sleep(Duration::from_millis(5));
