--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -303,7 +303,7 @@
     let discovery = Discovery::start(list.clone());
     let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
     wait_until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-    discovery.hang_up();
+    discovery.close_watches();
     wait_until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
     // The test's agent sends no empty lines, so the watch times out.
     wait_until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -330,7 +330,7 @@
     }
 
     /// Ends all watches.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.watches.lock().expect("no panic").clear();
     }
 }
