--- a/crates/ivygate/tests/load.rs
+++ b/crates/ivygate/tests/load.rs
@@ -35,7 +35,7 @@
     let apps = [busy_app(), busy_app()];
     let node = node(&apps);
     // Sent one at a time, so that no server has a request when the next one arrives.
-    let refused = (0..32).filter(|n| node.ask(&request("read", &format!("r{n}"))).refuses()).count();
+    let refused = (0..32).filter(|n| node.ask(&request("read", &format!("r{n}"))).is_refusal()).count();
     assert_eq!(refused, 0, "refused for lack of capacity at idle servers");
     assert_eq!(apps.iter().map(AppServer::seen).sum::<usize>(), 32);
 }
@@ -57,7 +57,7 @@
     let read = |mut client: Client| spawn(move || client.read().expect("a response"));
     let readers: Vec<_> = clients.into_iter().map(read).collect();
     let responses: Vec<_> = readers.into_iter().map(|reader| reader.join().expect("no panic")).collect();
-    let refused: Vec<_> = responses.iter().filter(|response| response.refuses()).collect();
+    let refused: Vec<_> = responses.iter().filter(|response| response.is_refusal()).collect();
     assert!(refused.len() >= 20, "{} of 40 refused", refused.len());
     assert!(refused.iter().all(|response| response.header("retry-after").is_some()));
     assert!(responses.iter().any(|response| response.status() == 200));
--- a/crates/ivygate/tests/malformed_responses.rs
+++ b/crates/ivygate/tests/malformed_responses.rs
@@ -46,7 +46,7 @@
         let closes = !start.contains(" 400 ");
         let app = app_with_first_response(response.into_bytes());
         let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-        assert!(node.ask(&request("order", "r1")).fails(), "{start}");
+        assert!(node.ask(&request("order", "r1")).is_failure(), "{start}");
         // An unsafe request is only sent to healthy servers.
         assert_eq!(node.ask(&request("order", "r2")).body, b"r2", "{start}");
         assert_eq!(app.seen(), 2, "{start}");
--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -63,7 +63,7 @@
     let apps = [AppServer::start(|_| Reply::Close), AppServer::start(|_| Reply::Close)];
     let node = Node::with(&[serving("a", &apps[0], "north"), serving("b", &apps[1], "south")]);
     // The response must not be a refusal either, which would tell the client to retry.
-    assert!(node.ask(&request("order", "r1")).fails());
+    assert!(node.ask(&request("order", "r1")).is_failure());
     assert_eq!(total_requests(&apps), 1);
 }
 
@@ -76,7 +76,7 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     assert_eq!(client.ask(&request("order", "r1")).status(), 200);
-    assert!(client.ask(&request("order", "r2")).fails());
+    assert!(client.ask(&request("order", "r2")).is_failure());
     assert_eq!((app.seen(), app.accepted.load(Ordering::SeqCst)), (2, 1));
 }
 
@@ -117,14 +117,14 @@
 fn unsafe_request_is_not_retried_after_a_plain_503() {
     let app = AppServer::start(|_| Reply::Answer("503 Service Unavailable", "", Vec::new()));
     let node = Node::with(&[serving("a", &app, "north")]);
-    assert!(node.ask(&request("order", "r1")).fails());
+    assert!(node.ask(&request("order", "r1")).is_failure());
     assert_eq!(app.seen(), 1);
 }
 
 #[test]
 fn request_that_reached_no_server_is_refused() {
     let node = Node::with(&[target("a", unused_address(), "north", "SERVING")]);
-    assert!(node.ask(&request("order", "r1")).refuses());
+    assert!(node.ask(&request("order", "r1")).is_refusal());
 }
 
 #[test]
@@ -138,7 +138,7 @@
     for bytes in truncated {
         let app = AppServer::start(move |_| Reply::Bytes(bytes));
         let node = Node::with(&[serving("a", &app, "north")]);
-        assert!(node.ask(&request("order", "r1")).fails());
+        assert!(node.ask(&request("order", "r1")).is_failure());
         assert_eq!(app.seen(), 1);
     }
 }
@@ -170,7 +170,7 @@
     let app = AppServer::start(|_| Reply::Silence);
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
-    assert!(client.ask(&request_with("order", "r1", "large", "2500m")).fails());
+    assert!(client.ask(&request_with("order", "r1", "large", "2500m")).is_failure());
     wait_until("the attempt's connection is closed", || app.open() == 0);
     assert_eq!(app.seen(), 1);
     // There is only one response: the next one on the connection belongs to the next request.
@@ -196,7 +196,7 @@
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
     wait_until("the attempt has been sent", || app.seen() == 1);
-    assert!(node.ask(&request("order", "r1")).fails());
+    assert!(node.ask(&request("order", "r1")).is_failure());
     assert_eq!(client.read().map(|response| response.status()), Some(200));
     assert_eq!(app.seen(), 1);
 }
@@ -209,7 +209,7 @@
         (0..4).map(|n| node.ask(&request_with("read", &format!("r{n}"), "small", "15000m"))).collect();
     assert_eq!(responses[0].status(), 200);
     let refused = responses.last().expect("a response");
-    assert!(refused.refuses());
+    assert!(refused.is_refusal());
     let wait = refused.header("retry-after").map(str::parse::<f64>);
     assert!(matches!(wait, Some(Ok(wait)) if wait > 0.0 && wait <= 2.0), "{wait:?}");
     assert!(app.seen() < 4);
@@ -257,7 +257,7 @@
         written
     });
     // Nothing was written, so the request may be refused.
-    assert!(client.read().expect("a response").refuses());
+    assert!(client.read().expect("a response").is_refusal());
     assert_eq!(written.join().expect("no panic"), 0);
 }
 
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -41,13 +41,13 @@
     }
 
     /// Whether it tells a client that trying again is harmless.
-    pub fn refuses(&self) -> bool {
+    pub fn is_refusal(&self) -> bool {
         matches!(self.status(), 429 | 503)
     }
 
     /// Whether it is a failure, which promises nothing.
-    pub fn fails(&self) -> bool {
-        self.status() >= 400 && !self.refuses()
+    pub fn is_failure(&self) -> bool {
+        self.status() >= 400 && !self.is_refusal()
     }
 }
 
