--- a/crates/ivygate/tests/client_misuse.rs
+++ b/crates/ivygate/tests/client_misuse.rs
@@ -65,7 +65,7 @@
         client.write(valid.as_bytes());
         assert!(client.read().is_none(), "{request}");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
     assert_eq!(node.ask(&valid).status(), 200);
     assert!(node.runs());
 }
@@ -89,7 +89,7 @@
         assert!(client.read().is_none_or(|response| response.status() == 411), "{framing}");
         assert!(client.read().is_none(), "{framing}");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     };
     assert_eq!(status(0, "00000000b4d65521"), 200);
     assert_eq!(status(1, "00000000B4D65521"), 503);
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 /// Waits until the node has closed a connection, and discards what it writes before.
@@ -138,7 +138,7 @@
     }
     // The connections are closed long before the clients' timeout of 15 s.
     assert!(started.elapsed() < Duration::from_secs(10));
-    assert_eq!(app.seen(), 2);
+    assert_eq!(app.request_count(), 2);
 }
 
 #[test]
--- a/crates/ivygate/tests/load.rs
+++ b/crates/ivygate/tests/load.rs
@@ -37,7 +37,7 @@
     // Sent one at a time, so that no server has a request when the next one arrives.
     let refused = (0..32).filter(|n| node.ask(&request("read", &format!("r{n}"))).is_refusal()).count();
     assert_eq!(refused, 0, "refused for lack of capacity at idle servers");
-    assert_eq!(apps.iter().map(AppServer::seen).sum::<usize>(), 32);
+    assert_eq!(apps.iter().map(AppServer::request_count).sum::<usize>(), 32);
 }
 
 #[test]
--- a/crates/ivygate/tests/malformed_responses.rs
+++ b/crates/ivygate/tests/malformed_responses.rs
@@ -49,7 +49,7 @@
         assert!(node.ask(&request("order", "r1")).is_failure(), "{start}");
         // An unsafe request is only sent to healthy servers.
         assert_eq!(node.ask(&request("order", "r2")).body, b"r2", "{start}");
-        assert_eq!(app.seen(), 2, "{start}");
+        assert_eq!(app.request_count(), 2, "{start}");
         assert_eq!(app.accepted.load(Ordering::SeqCst) == 2, closes, "{start}");
     }
 }
@@ -64,7 +64,7 @@
     });
     let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
     assert_eq!(node.ask(&request("read", "r1")).body, b"r1");
-    assert_eq!(app.seen(), 2);
+    assert_eq!(app.request_count(), 2);
 }
 
 #[test]
@@ -84,7 +84,7 @@
             assert_eq!(client.ask(&request("order", &id)).body, id.as_bytes(), "{number}");
         }
         // No connection was reused.
-        assert_eq!((app.seen(), app.accepted.load(Ordering::SeqCst)), (10, 10), "{number}");
+        assert_eq!((app.request_count(), app.accepted.load(Ordering::SeqCst)), (10, 10), "{number}");
     }
 }
 
--- a/crates/ivygate/tests/node.rs
+++ b/crates/ivygate/tests/node.rs
@@ -26,7 +26,7 @@
 
 /// Returns the number of requests that all app servers have received.
 fn total_requests(apps: &[AppServer]) -> usize {
-    apps.iter().map(AppServer::seen).sum()
+    apps.iter().map(AppServer::request_count).sum()
 }
 
 #[test]
@@ -55,7 +55,7 @@
     for number in 0..5 {
         assert_eq!(client.ask(&request("order", &format!("r{number}"))).status(), 200);
     }
-    assert_eq!((app.seen(), app.accepted.load(Ordering::SeqCst)), (5, 1));
+    assert_eq!((app.request_count(), app.accepted.load(Ordering::SeqCst)), (5, 1));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let mut client = node.client();
     assert_eq!(client.ask(&request("order", "r1")).status(), 200);
     assert!(client.ask(&request("order", "r2")).is_failure());
-    assert_eq!((app.seen(), app.accepted.load(Ordering::SeqCst)), (2, 1));
+    assert_eq!((app.request_count(), app.accepted.load(Ordering::SeqCst)), (2, 1));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let app = AppServer::start(|_| Reply::Answer("503 Service Unavailable", "", Vec::new()));
     let node = Node::with(&[serving("a", &app, "north")]);
     assert!(node.ask(&request("order", "r1")).is_failure());
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
@@ -139,7 +139,7 @@
         let app = AppServer::start(move |_| Reply::Bytes(bytes));
         let node = Node::with(&[serving("a", &app, "north")]);
         assert!(node.ask(&request("order", "r1")).is_failure());
-        assert_eq!(app.seen(), 1);
+        assert_eq!(app.request_count(), 1);
     }
 }
 
@@ -172,7 +172,7 @@
     let mut client = node.client();
     assert!(client.ask(&request_with("order", "r1", "large", "2500m")).is_failure());
     wait_until("the attempt's connection is closed", || app.open() == 0);
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
     // There is only one response: the next one on the connection belongs to the next request.
     client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(client.read().map(|response| response.body), Some(b"up".to_vec()));
@@ -184,7 +184,7 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    wait_until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.request_count() == 1);
     drop(client);
     wait_until("the attempt's connection is closed", || app.open() == 0);
 }
@@ -195,10 +195,10 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    wait_until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.request_count() == 1);
     assert!(node.ask(&request("order", "r1")).is_failure());
     assert_eq!(client.read().map(|response| response.status()), Some(200));
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
@@ -212,7 +212,7 @@
     assert!(refused.is_refusal());
     let wait = refused.header("retry-after").map(str::parse::<f64>);
     assert!(matches!(wait, Some(Ok(wait)) if wait > 0.0 && wait <= 2.0), "{wait:?}");
-    assert!(app.seen() < 4);
+    assert!(app.request_count() < 4);
 }
 
 #[test]
@@ -272,13 +272,13 @@
     discovery.push(&listing(2, false, &[drained]));
     wait_until("idle connections to it are closed", || {
         node.ask(&request("read", "r"));
-        apps[0].open() == 0 && apps[1].seen() > 0
+        apps[0].open() == 0 && apps[1].request_count() > 0
     });
-    let before = apps[0].seen();
+    let before = apps[0].request_count();
     for number in 0..20 {
         assert_eq!(node.ask(&request("read", &format!("d{number}"))).status(), 200);
     }
-    assert_eq!(apps[0].seen(), before);
+    assert_eq!(apps[0].request_count(), before);
 }
 
 #[test]
@@ -317,7 +317,7 @@
     idle.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(idle.read().map(|response| response.status()), Some(200));
     open.write(request("order", "r1").as_bytes());
-    wait_until("the attempt has been sent", || app.seen() == 1);
+    wait_until("the attempt has been sent", || app.request_count() == 1);
     node.terminate();
     wait_until("responses to new clients close the connection", || {
         let mut client = node.client();
@@ -336,7 +336,7 @@
     let node = Node::with(&[serving("a", &app, "north")]);
     let head = request("order", "r1").replace("Content-Length: 4\r\n", "Content-Length: 65537\r\n");
     assert_eq!(node.ask(head.trim_end_matches("body")).status(), 413);
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -347,7 +347,7 @@
     slow.write(request_with("order", "r1", "large", "300m").trim_end_matches("dy").as_bytes());
     assert_eq!(node.ask(&request("order", "r2")).status(), 200);
     assert_eq!(slow.read().map(|response| response.status()), Some(408));
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
--- a/crates/ivygate/tests/refused_socket_options.rs
+++ b/crates/ivygate/tests/refused_socket_options.rs
@@ -38,11 +38,11 @@
         assert_eq!(node.ask(&request(class, &format!("r{number}"))).status(), 200, "{class}");
     }
     // All requests used one connection: none was treated as a failed connect and retried.
-    assert_eq!((app.seen(), app.accepted.load(std::sync::atomic::Ordering::SeqCst)), (3, 1));
+    assert_eq!((app.request_count(), app.accepted.load(std::sync::atomic::Ordering::SeqCst)), (3, 1));
     // Updates of the server list arrive as well.
     discovery.push(&listing(2, true, &[target("b", replacement.address, "north", "SERVING")]));
     wait_until("the new list is in use", || {
-        node.ask(&request("read", &format!("l{}", replacement.seen()))).body == b"late"
+        node.ask(&request("read", &format!("l{}", replacement.request_count()))).body == b"late"
     });
     for path in [source, library] {
         let _ = std::fs::remove_file(path);
--- a/crates/ivygate/tests/reload.rs
+++ b/crates/ivygate/tests/reload.rs
@@ -24,7 +24,7 @@
     let node = Node::start(&config(first.address, &known, SETTINGS, 1024));
     let mut client = node.client();
     client.write(request("order", "r1").as_bytes());
-    wait_until("the attempt has been sent", || apps[0].seen() == 1);
+    wait_until("the attempt has been sent", || apps[0].request_count() == 1);
     node.reload(&config(second.address, "null", SETTINGS, 1024));
     assert_eq!(client.read().map(|response| response.status()), Some(200));
     wait_until("the new server is used", || client.ask(&request("read", "r")).body == b"new");
--- a/crates/ivygate/tests/resource_limits.rs
+++ b/crates/ivygate/tests/resource_limits.rs
@@ -74,7 +74,7 @@
         for number in 0..60 {
             node.ask(&customer_request(number));
         }
-        app.seen()
+        app.request_count()
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time after 1970").as_millis();
     // A cold server has a fifth of its capacity, and a request is assumed to need 0.8 s until one has been
--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -72,7 +72,7 @@
     ] {
         assert_eq!(answer.header(name), Some(value), "{name}");
     }
-    assert_eq!(rig.app.seen(), 0, "whoever asks sends the request, and nobody else");
+    assert_eq!(rig.app.request_count(), 0, "whoever asks sends the request, and nobody else");
 }
 
 /// The subrequest of nginx's `auth_request` by its published documentation: HTTP/1.0, the client's headers without the
@@ -241,7 +241,7 @@
     let question = about("POST", "/inner", "Req-Id: i\r\n");
     let mut first = sidecar.client();
     first.write(question.as_bytes());
-    wait_until("the service is asked", || accounts.seen() == 1);
+    wait_until("the service is asked", || accounts.request_count() == 1);
     assert_eq!(sidecar.ask(&question).status(), 409);
     drop(first);
     open.store(true, Ordering::SeqCst);
@@ -257,7 +257,7 @@
     let extra = asked_first(&accounts) + any;
     let sidecar = Sidecar::start(&Sidecar::text(ASKED, &parts(&app, &extra)));
     let untold = sidecar.ask("GET /auth HTTP/1.1\r\nHost: gate\r\nX-Original-URI: /any\r\n\r\n");
-    assert_eq!((untold.status(), accounts.seen()), (400, 0));
+    assert_eq!((untold.status(), accounts.request_count()), (400, 0));
     assert_eq!(sidecar.ask(&about("POST", "/any", "")).status(), 200);
     let seen = accounts.requests.lock().expect("no panic");
     assert_eq!(seen[0].header("x-forwarded-method"), Some("POST"));
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -164,7 +164,7 @@
             })
             .collect();
         let kill_at = before.len() + rng.usize(1..100);
-        wait_until("the rush is on", || app.seen() >= kill_at);
+        wait_until("the rush is on", || app.request_count() >= kill_at);
         drop(sidecar);
         for client in clients {
             client.join().expect("no panic");
@@ -329,7 +329,7 @@
         client.write(order("leaves").as_bytes());
         client
     };
-    wait_until("it is sent", || app.seen() == 1);
+    wait_until("it is sent", || app.request_count() == 1);
     drop(leaves);
     assert_eq!(sidecar.ask(&order("waits")).status(), 504);
     let ended = |id: &str| tool(&["show", id], &folder).0;
@@ -342,11 +342,11 @@
 
 /// Orders get no answer but 503 with `Retry-After`, nothing of them goes out, and all else goes on.
 fn refuses_orders_only(sidecar: &Sidecar, app: &AppServer) {
-    let before = app.seen();
+    let before = app.request_count();
     let refused = sidecar.ask(&order("late"));
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
-    assert_eq!((app.seen(), sidecar.get("/reads").status()), (before, 200));
+    assert_eq!((app.request_count(), sidecar.get("/reads").status()), (before, 200));
     assert!(sidecar.said().contains("are refused until a restart"), "{}", sidecar.said());
 }
 
@@ -395,7 +395,7 @@
         taken += 1;
         assert!(taken < 5000, "the disk takes all");
     }
-    assert_eq!(app.seen(), taken, "what was refused was not sent");
+    assert_eq!(app.request_count(), taken, "what was refused was not sent");
     refuses_orders_only(&sidecar, &app);
     drop(sidecar);
     // What was taken is there.
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -51,7 +51,7 @@
         assert_eq!(answer.status(), 200, "{path}");
         assert_eq!(last(&app).start, format!("GET {seen} HTTP/1.1"), "{path}");
     }
-    let before = app.seen();
+    let before = app.request_count();
     for path in [
         "/app/..%2Fx",
         "/app/..;/x",
@@ -67,7 +67,7 @@
     }
     // Leads out of the prefix, so that it is no route's.
     assert_eq!(sidecar.get("/app/../secret").status(), 404);
-    assert_eq!(app.seen(), before);
+    assert_eq!(app.request_count(), before);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     for head in ["Host: h\r\nHost: h\r\n", "", "Host: a b\r\n", "Host: h/x\r\n"] {
         assert_eq!(sidecar.ask(&format!("GET /app HTTP/1.1\r\n{head}\r\n")).status(), 400, "{head:?}");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -89,7 +89,7 @@
         let answer = sidecar.post("/app", "", "x");
         assert_eq!(format!("{}", answer.status()), status[..3]);
         assert_eq!((answer.body.as_slice(), answer.header("x-app")), (&b"words"[..], Some("1")));
-        assert_eq!((answer.header("retry-after"), app.seen()), (Some("7"), 1));
+        assert_eq!((answer.header("retry-after"), app.request_count()), (Some("7"), 1));
     }
 }
 
@@ -192,7 +192,7 @@
     let upgrade = "GET /app HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n";
     assert_eq!(sidecar.ask(upgrade).status(), 501);
     assert_eq!(sidecar.ask("CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n").status(), 501);
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -235,7 +235,7 @@
         assert_eq!(client.read().map(|answer| answer.status()), Some(400), "{body:?}");
         assert!(client.read().is_none(), "{body:?}: a second answer");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
     assert_eq!(sidecar.post("/app", "", "x").status(), 200);
 }
 
@@ -254,7 +254,7 @@
         let status = client.read().map(|answer| answer.status());
         assert!(matches!(status, Some(400 | 431)), "{status:?}");
     }
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
@@ -340,7 +340,7 @@
     let sidecar = Sidecar::start(&config);
     let mut slow = sidecar.client();
     slow.write(b"GET /app/large HTTP/1.1\r\nHost: h\r\n\r\n");
-    wait_until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     assert_eq!(sidecar.get("/app/small").status(), 200);
     // The application's thread ends when its connection is closed in the middle of the answer.
     wait_until("the connection behind is closed", || {
@@ -465,5 +465,5 @@
     assert_eq!(sidecar.ask(&long).status(), 431);
     let expecting = "GET /app HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\n\r\n";
     assert_eq!(sidecar.ask(expecting).status(), 417);
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -33,7 +33,7 @@
 }
 
 fn seen(apps: &[AppServer]) -> usize {
-    apps.iter().map(AppServer::seen).sum()
+    apps.iter().map(AppServer::request_count).sum()
 }
 
 const KEY: &str = "Idempotency-Key: k\r\n";
@@ -129,7 +129,7 @@
     let (apps, sidecar) = two(first_then_ok(|| Reply::Close), ["north", "south"], "");
     let answer = sidecar.post("/w", KEY, "x");
     // The only other server of its zone is the one that broke; it may be tried again, the other zone never.
-    assert!(apps.iter().any(|a| a.seen() == 0), "{}", answer.status());
+    assert!(apps.iter().any(|a| a.request_count() == 0), "{}", answer.status());
 }
 
 #[test]
@@ -202,9 +202,9 @@
     let body = "x".repeat(60_000);
     let mut first = sidecar.client();
     first.write(format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes());
-    wait_until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     let answer = sidecar.post("/app", "", &body);
-    assert_eq!((answer.status(), app.seen()), (503, 1));
+    assert_eq!((answer.status(), app.request_count()), (503, 1));
     assert!(answer.header("retry-after").is_some());
     assert_eq!(sidecar.post("/other", "", &body).status(), 200);
     drop(first);
@@ -216,7 +216,7 @@
             format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes(),
         );
         std::thread::sleep(Duration::from_millis(20));
-        app.seen() == 2
+        app.request_count() == 2
     });
 }
 
@@ -364,7 +364,7 @@
         stop.store(true, Ordering::SeqCst);
         let answers: usize = floods.into_iter().map(|f| f.join().expect("each has one answer")).sum();
         assert!(answers >= 24, "{fault}");
-        assert_eq!(good.seen(), 40, "{fault}");
+        assert_eq!(good.request_count(), 40, "{fault}");
     }
 }
 
@@ -394,7 +394,7 @@
     };
     for (n, name) in names.iter().enumerate() {
         slow[n].store(true, Ordering::SeqCst);
-        let before = apps[n].seen();
+        let before = apps[n].request_count();
         let mut waiting: Vec<_> = (0..4).map(|_| sidecar.client()).collect();
         for client in &mut waiting {
             let method = if *name == "tiles" { "GET" } else { "POST" };
@@ -402,7 +402,7 @@
                 format!("{method} /{name} HTTP/1.1\r\nHost: h\r\n{KEY}Content-Length: 0\r\n\r\n").as_bytes(),
             );
         }
-        wait_until("the slow application is asked", || apps[n].seen() > before);
+        wait_until("the slow application is asked", || apps[n].request_count() > before);
         for other in names.iter().filter(|other| *other != name) {
             for _ in 0..10 {
                 assert_eq!(ask(other).status(), 200, "{other} while {name} is slow");
@@ -433,7 +433,7 @@
     for _ in 0..20 {
         assert_eq!(sidecar.post("/good", "", "paid").status(), 200);
     }
-    assert!(stuck.seen() <= 16, "{} open at once", stuck.seen());
+    assert!(stuck.request_count() <= 16, "{} open at once", stuck.request_count());
 }
 
 #[test]
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -63,7 +63,7 @@
     let sidecar = Sidecar::with(&[serving("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || a.seen() == 1);
+    wait_until("the application is asked", || a.request_count() == 1);
     // Its server, its pool and its route go.
     assert!(sidecar.reload(&Sidecar::text("", &[serving("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
@@ -185,14 +185,14 @@
             // Open requests end; then nothing comes any more to the one that is gone.
             let now = answered.load(Ordering::SeqCst);
             wait_until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
-            let (before, other) = (gone.seen(), left.seen());
-            wait_until("others have come", || left.seen() > other + 4);
-            assert_eq!(gone.seen(), before, "reload {number}");
+            let (before, other) = (gone.request_count(), left.request_count());
+            wait_until("others have come", || left.request_count() > other + 4);
+            assert_eq!(gone.request_count(), before, "reload {number}");
         }
     }
     stop.store(true, Ordering::SeqCst);
     load.into_iter().for_each(|l| l.join().expect("no request is lost"));
-    assert_eq!(a.seen() + b.seen(), answered.load(Ordering::SeqCst));
+    assert_eq!(a.request_count() + b.request_count(), answered.load(Ordering::SeqCst));
 }
 
 #[test]
@@ -232,7 +232,7 @@
     let mut sidecar = Sidecar::with(&[serving("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     sidecar.terminate();
     go.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -114,7 +114,7 @@
             (answer.header(&name.to_ascii_lowercase()), answer.body.as_slice()),
             (Some(value), &b"no"[..])
         );
-        assert_eq!(rig.app.seen(), 0);
+        assert_eq!(rig.app.request_count(), 0);
     }
 }
 
@@ -134,10 +134,10 @@
         let answer = post(&closed, "/app", "");
         assert_eq!(answer.status(), 503, "{name}");
         assert!(answer.header("retry-after").is_some(), "{name}");
-        assert_eq!(closed.app.seen(), 0, "{name}");
+        assert_eq!(closed.app.request_count(), 0, "{name}");
         let open = rig("read", "within 300ms; on-failure open;", script);
         assert_eq!(post(&open, "/app", "").status(), 200, "{name}");
-        assert_eq!(open.app.seen(), 1, "{name}");
+        assert_eq!(open.app.request_count(), 1, "{name}");
     }
 }
 
@@ -178,14 +178,14 @@
     // The pool may try its only server again, or refuse; never does the order go on twice.
     let status = post(&rig, "/app", "").status();
     assert!([200, 503].contains(&status), "{status}");
-    assert_eq!(rig.app.seen(), usize::from(status == 200));
+    assert_eq!(rig.app.request_count(), usize::from(status == 200));
 }
 
 #[test]
 fn an_order_that_the_application_breaks_off_is_not_sent_again_by_another_check() {
     let rig = rig_with("order", "", |_| Reply::ok("yes"), |_| Reply::Close);
     assert_eq!(post(&rig, "/app", "").status(), 502);
-    assert_eq!((rig.accounts.seen(), rig.app.seen()), (1, 1));
+    assert_eq!((rig.accounts.request_count(), rig.app.request_count()), (1, 1));
 }
 
 #[test]
@@ -193,10 +193,10 @@
     let rig = rig("order", "within 5s;", |_| Reply::Silence);
     let mut client = rig.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    wait_until("the service is asked", || rig.accounts.seen() == 1);
+    wait_until("the service is asked", || rig.accounts.request_count() == 1);
     drop(client);
     wait_until("the check's connection is closed", || rig.accounts.open() == 0);
-    assert_eq!(rig.app.seen(), 0);
+    assert_eq!(rig.app.request_count(), 0);
 }
 
 #[test]
@@ -207,7 +207,7 @@
     assert_eq!(answer.status(), 503);
     // The late yes changes nothing: the same connection goes on with the next request.
     let next = client.ask("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!((next.status(), rig.app.seen()), (404, 0));
+    assert_eq!((next.status(), rig.app.request_count()), (404, 0));
 }
 
 #[test]
@@ -218,14 +218,14 @@
     });
     for (credential, asked) in [("a", 1), ("a", 1), ("b", 2), ("a", 2), ("b", 2)] {
         assert_eq!(post(&rig, "/app", &format!("Authorization: {credential}\r\n")).status(), 200);
-        assert_eq!(rig.accounts.seen(), asked);
+        assert_eq!(rig.accounts.request_count(), asked);
         let got = rig.got.lock().expect("a list");
         assert_eq!(got.last().and_then(|m| m.header("x-user")), Some(credential));
     }
     let orders = self::rig("order", "cache-yes 1m;", |_| Reply::ok("yes"));
     for asked in 1..4 {
         assert_eq!(post(&orders, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!(orders.accounts.seen(), asked);
+        assert_eq!(orders.accounts.request_count(), asked);
     }
 }
 
@@ -242,7 +242,7 @@
             assert_eq!((answer.status(), answer.body.as_slice()), (403, &b"no"[..]));
             assert!(answer.header(&name).is_some(), "{headers}");
         }
-        assert_eq!((rig.accounts.seen(), rig.app.seen()), (asked, 0), "{headers}");
+        assert_eq!((rig.accounts.request_count(), rig.app.request_count()), (asked, 0), "{headers}");
     }
 }
 
@@ -257,19 +257,19 @@
     let request = "POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1";
     let mut first = rig.sidecar.client();
     first.write(request.as_bytes());
-    wait_until("the first has asked", || rig.accounts.seen() == 1);
+    wait_until("the first has asked", || rig.accounts.request_count() == 1);
     let mut others: Vec<_> = (0..5).map(|_| rig.sidecar.client()).collect();
     for other in &mut others {
         other.write(request.as_bytes());
     }
     // Whoever asked leaves: one of the others asks in its place.
     drop(first);
-    wait_until("another has asked", || rig.accounts.seen() == 2);
+    wait_until("another has asked", || rig.accounts.request_count() == 2);
     open.store(1, Ordering::SeqCst);
     for other in &mut others {
         assert_eq!(other.read().expect("an answer").status(), 200);
     }
-    assert_eq!(rig.accounts.seen(), 2);
+    assert_eq!(rig.accounts.request_count(), 2);
 }
 
 #[test]
@@ -311,7 +311,7 @@
     let statuses: Vec<u16> = (0..30).map(|n| ask("192.0.2.1", &format!("bad-{n}")).status()).collect();
     assert_eq!(statuses[..10], [401; 10]);
     assert_eq!(statuses[10..], [429; 20]);
-    assert_eq!(accounts.seen(), 10);
+    assert_eq!(accounts.request_count(), 10);
     assert!(ask("192.0.2.1", "bad").header("retry-after").is_some());
     // A good pass costs its address nothing, however often it comes.
     for _ in 0..50 {
@@ -320,7 +320,7 @@
     // One bad pass from many addresses has its own limit.
     let statuses: Vec<u16> = (0..30).map(|n| ask(&format!("198.51.100.{n}"), "one").status()).collect();
     assert_eq!((statuses[..10].to_vec(), statuses[10..].to_vec()), (vec![401; 10], vec![429; 20]));
-    assert_eq!(app.seen(), 50);
+    assert_eq!(app.request_count(), 50);
 }
 
 #[test]
@@ -330,7 +330,7 @@
         for _ in 0..30 {
             assert_eq!(post(&rig, "/app", "").status(), told);
         }
-        assert_eq!(rig.app.seen(), 0);
+        assert_eq!(rig.app.request_count(), 0);
     }
 }
 
@@ -363,7 +363,7 @@
     );
     for asked in 1..3 {
         assert_eq!(post(&rig, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!((rig.accounts.seen(), rig.app.seen()), (asked, asked));
+        assert_eq!((rig.accounts.request_count(), rig.app.request_count()), (asked, asked));
     }
 }
 
@@ -377,7 +377,7 @@
     });
     let mut client = rig.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    wait_until("the service is asked", || rig.accounts.seen() == 1);
+    wait_until("the service is asked", || rig.accounts.request_count() == 1);
     // The new configuration asks nobody.
     let anew =
         std::fs::read_to_string(&rig.sidecar.config).expect("the file").replace("sign-in members; ", "");
@@ -385,7 +385,7 @@
     assert!(rig.sidecar.reload(&anew));
     open.store(1, Ordering::SeqCst);
     assert_eq!(client.read().expect("an answer").status(), 403);
-    assert_eq!(rig.app.seen(), 0);
+    assert_eq!(rig.app.request_count(), 0);
     assert_eq!(post(&rig, "/app", "").status(), 200);
 }
 
@@ -401,14 +401,14 @@
     let mut clients = [rig.sidecar.client(), rig.sidecar.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request);
-        wait_until("the service is asked", || rig.accounts.seen() == number + 1);
+        wait_until("the service is asked", || rig.accounts.request_count() == number + 1);
     }
     // The first one leaves: its order must not go on, and the other's must once.
     let [first, mut second] = clients;
     drop(first);
     open.store(1, Ordering::SeqCst);
     assert_eq!(second.read().expect("an answer").status(), 200);
-    assert_eq!(rig.app.seen(), 1);
+    assert_eq!(rig.app.request_count(), 1);
 }
 
 #[test]
@@ -420,11 +420,11 @@
         let status = post(&rig, "/app", "").status();
         assert!([403, 503].contains(&status), "{status}");
     }
-    assert_eq!(rig.app.seen(), 0);
+    assert_eq!(rig.app.request_count(), 0);
     let flood = format!("HTTP/1.1 200 OK\r\n{}\r\n", "X-Flood: 1\r\n".repeat(50_000));
     let rig = self::rig("order", "", move |_| Reply::Raw(flood.as_bytes().to_vec()));
     assert_eq!(post(&rig, "/app", "").status(), 503);
-    assert_eq!(rig.app.seen(), 0);
+    assert_eq!(rig.app.request_count(), 0);
 }
 
 /// A sidecar whose `/app` asks a service that is at this address, and its application.
@@ -460,7 +460,7 @@
         });
         let (app, sidecar, _) = asks(service.address, "within 2s;");
         assert_eq!(sidecar.post("/app", "", "x").status(), 503, "{part:?}");
-        assert_eq!(app.seen(), 0, "{part:?}");
+        assert_eq!(app.request_count(), 0, "{part:?}");
     }
 }
 
@@ -472,7 +472,7 @@
     });
     let (app, sidecar, _) = asks(service.address, "");
     for orders in 1..4 {
-        assert_eq!((sidecar.post("/app", "", "x").status(), app.seen()), (200, orders));
+        assert_eq!((sidecar.post("/app", "", "x").status(), app.request_count()), (200, orders));
     }
 }
 
@@ -485,14 +485,14 @@
     for _ in 0..5 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 503);
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
     let _service = ScriptedServer::on(TcpListener::bind(address).expect("the port is free"), |stream, _| {
         while read_message(stream).is_some() {
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
     wait_until("orders go on again", || sidecar.post("/app", "", "x").status() == 200);
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
@@ -511,7 +511,7 @@
     for _ in 0..5 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 200);
     }
-    assert_eq!((old.seen(), new.seen(), app.seen()), (1, 5, 6));
+    assert_eq!((old.request_count(), new.request_count(), app.request_count()), (1, 5, 6));
 }
 
 #[test]
@@ -541,7 +541,7 @@
     let statuses: Vec<u16> = clients.iter_mut().map(|c| c.read().expect("an answer").status()).collect();
     let refused = statuses.iter().filter(|status| **status == 503).count();
     assert!(refused >= 20, "a cold service was sent {} checks at once", 40 - refused);
-    assert_eq!(app.seen(), 40 - refused);
+    assert_eq!(app.request_count(), 40 - refused);
     wait_until("it is warm", || sidecar.post("/app", "", "x").status() == 200);
 }
 
@@ -560,5 +560,5 @@
     );
     let status = post(&rig, "/app", "").status();
     assert!([502, 503].contains(&status), "{status}");
-    assert_eq!(rig.app.seen(), usize::from(status == 502));
+    assert_eq!(rig.app.request_count(), usize::from(status == 502));
 }
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -252,7 +252,7 @@
         let elsewhere = sidecar.client().ask("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
         assert_eq!(elsewhere.status(), 404);
     }
-    assert_eq!(apps.each_ref().map(AppServer::seen), [1, 1, 1]);
+    assert_eq!(apps.each_ref().map(AppServer::request_count), [1, 1, 1]);
 }
 
 #[test]
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    pub fn seen(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.lock().expect("no panic").len()
     }
 
