--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,9 +1,9 @@
-//! What stands round the program in tests and demonstrations: clients, app servers, discovery. All on
-//! loopback, on ports that the system chooses.
+//! Test doubles of the program's peers: HTTP clients, application servers and a discovery server. All of
+//! them use loopback addresses and ports that the system assigns.
 //!
-//! Called by tests, benches and the demonstration only; it must not use any other package of this workspace.
+//! Used by tests, benchmarks and the demonstration only; it must not depend on any other package of this workspace.
 
-#![allow(missing_docs, reason = "names of test helpers speak for themselves")]
+#![allow(missing_docs, reason = "the names of the test helpers are self-explanatory")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,19 +11,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a condition may take before a test fails. No test depends on how much of it is used.
+/// Time limit of [`wait_until`]. No test depends on how much of it passes.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + CONDITION_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+/// Polls a condition until it holds.
+///
+/// # Panics
+///
+/// If the condition does not hold within [`CONDITION_TIMEOUT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting until {description}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message as it was read: its first line, its headers in lower case, and its body.
+/// An HTTP message as received: its start line, its headers with names in lower case, and its body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub start: String,
@@ -40,45 +44,46 @@
         self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether it tells a client that trying again is harmless.
+    /// Returns true for a status that tells the client that a retry is safe.
     pub fn is_refusal(&self) -> bool {
         matches!(self.status(), 429 | 503)
     }
 
-    /// Whether it is a failure, which promises nothing.
+    /// Returns true for an error status that leaves open whether the request took effect.
     pub fn is_failure(&self) -> bool {
         self.status() >= 400 && !self.is_refusal()
     }
 }
 
-/// Reads one message; `None` if the connection ends or breaks before it is whole.
+/// Reads one message; `None` if the connection ends or fails before the message is complete.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = read_head(stream)?;
     if message.header("transfer-encoding").is_some() {
         return read_chunks(stream, &mut message).then_some(message);
     }
-    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a valid Content-Length"));
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// Reads a chunked body; its trailers go behind the headers. Tells whether it was whole.
+/// Reads a chunked body and appends its trailers to the headers. Returns false if the body is incomplete.
 fn read_chunks(stream: &mut BufReader<TcpStream>, message: &mut Message) -> bool {
     let line = |stream: &mut BufReader<TcpStream>| {
         let mut line = String::new();
-        let whole = stream.read_line(&mut line).is_ok() && line.ends_with('\n');
-        whole.then(|| line.trim_end().to_owned())
+        let complete = stream.read_line(&mut line).is_ok() && line.ends_with('\n');
+        complete.then(|| line.trim_end().to_owned())
     };
     loop {
         let Some(size) = line(stream) else { return false };
-        let size = usize::from_str_radix(size.split(';').next().unwrap_or(""), 16).expect("a chunk's size");
+        let size =
+            usize::from_str_radix(size.split(';').next().unwrap_or(""), 16).expect("a valid chunk size");
         if size == 0 {
             break;
         }
-        let from = message.body.len();
-        message.body.resize(from + size, 0);
-        if stream.read_exact(&mut message.body[from..]).is_err() || line(stream).is_none() {
+        let start = message.body.len();
+        message.body.resize(start + size, 0);
+        if stream.read_exact(&mut message.body[start..]).is_err() || line(stream).is_none() {
             return false;
         }
     }
@@ -87,14 +92,14 @@
             None => return false,
             Some(trailer) if trailer.is_empty() => return true,
             Some(trailer) => {
-                let (name, value) = trailer.split_once(':').expect("a trailer");
+                let (name, value) = trailer.split_once(':').expect("a valid trailer field");
                 message.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
             }
         }
     }
 }
 
-/// Reads a head alone, as that of an answer to HEAD.
+/// Reads the start line and headers only, as of the response to a HEAD request.
 pub fn read_head(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = Message::default();
     loop {
@@ -114,11 +119,13 @@
     }
 }
 
-/// An application that does with each of its connections what a script says; connections are numbered from 0.
+/// A TCP server that runs a script for each connection; connections are numbered from 0.
 #[derive(Clone)]
 pub struct ScriptedServer {
     pub address: SocketAddr,
+    /// Number of accepted connections.
     pub accepted: Arc<AtomicUsize>,
+    /// Number of connections whose script has returned.
     pub ended: Arc<AtomicUsize>,
 }
 
@@ -127,7 +134,7 @@
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), script)
     }
 
-    /// On a listener that the test has made.
+    /// Serves on a listener created by the test.
     pub fn on(
         listener: TcpListener,
         script: impl Fn(&mut BufReader<TcpStream>, usize) + Send + Sync + 'static,
@@ -153,24 +160,24 @@
     }
 }
 
-/// Ends a connection with a reset rather than in good order.
+/// Makes closing the connection send a reset instead of an orderly shutdown, by a linger time of zero.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// What an app server does with the request that it has read.
+/// Reaction of an application server to a request.
 pub enum Reply {
-    /// Answers with this status, further headers and body.
+    /// Responds with this status, additional headers and body.
     Answer(&'static str, &'static str, Vec<u8>),
     /// Writes these bytes and closes.
     Bytes(&'static [u8]),
-    /// Writes these bytes and goes on reading.
+    /// Writes these bytes and reads the next request.
     Raw(Vec<u8>),
-    /// Says nothing and waits until the other side closes.
+    /// Sends nothing and waits until the client closes the connection.
     Silence,
-    /// Closes with no answer.
+    /// Closes the connection without a response.
     Close,
-    /// Answers 200 after this time.
+    /// Responds with 200 after this delay.
     Slow(Duration),
 }
 
@@ -180,12 +187,13 @@
     }
 }
 
-/// An app server; it holds what it was sent and counts its connections.
+/// An application server that records its requests and counts its connections.
 #[derive(Clone)]
 pub struct AppServer {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<Message>>>,
     pub accepted: Arc<AtomicUsize>,
+    /// Number of connections that are open now.
     pub open: Arc<AtomicUsize>,
 }
 
@@ -217,7 +225,7 @@
         let mut stream = BufReader::new(stream);
         let peer = stream.get_ref().peer_addr().map(|peer| peer.to_string()).unwrap_or_default();
         while let Some(mut request) = read_message(&mut stream) {
-            // Tells the test which connection it came on.
+            // Lets tests tell the connections apart.
             request.headers.push(("peer".to_owned(), peer.clone()));
             self.requests.lock().expect("no panic").push(request.clone());
             let (status, headers, body) = match reply(&request) {
@@ -258,26 +266,27 @@
     }
 }
 
-/// One entry of the list, as discovery words it.
+/// Returns one entry of the discovery service's list as JSON.
 pub fn target(uid: &str, address: SocketAddr, zone: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"{zone}","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
+/// Returns a list of entries as JSON; `all` marks a full list rather than an update.
 pub fn listing(rev: u64, all: bool, targets: &[String]) -> String {
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
 }
 
-/// Discovery; it gives the list that it has been set to and pushes lines to those who watch.
+/// A discovery server that serves a list set by the test and pushes lines to open watches.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
     list: Arc<Mutex<String>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    /// How often the list was asked for.
+    /// Number of requests for the list.
     pub lists: Arc<AtomicUsize>,
-    /// How often a watch was opened.
+    /// Number of watches opened so far.
     pub watched: Arc<AtomicUsize>,
 }
 
@@ -321,7 +330,7 @@
         *self.list.lock().expect("no panic") = list;
     }
 
-    /// Writes a line to all who watch, of which there must be one.
+    /// Writes a line to all watches, after waiting for at least one.
     pub fn push(&self, line: &str) {
         wait_until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
         for watch in self.watches.lock().expect("no panic").iter_mut() {
@@ -329,13 +338,13 @@
         }
     }
 
-    /// Ends all watches.
+    /// Closes the connections of all watches.
     pub fn close_watches(&self) {
         self.watches.lock().expect("no panic").clear();
     }
 }
 
-/// Settings under which the tests run; `{}` stands for nothing to fill in.
+/// The settings document under which the tests run.
 pub const SETTINGS: &str = r#"{
     "allowed": {"cancel": true, "connectTimeoutMs": 1000, "keepaliveMs": 15000, "maxRetryAfterMs": 2000,
                 "mayProbe": false, "mostTries": 5, "retryAfter": true, "secondCopies": false},
@@ -350,7 +359,7 @@
     "domain": {"unitsTop": 4, "usePeriodMs": 1000},
     "rules": {"coldFrom": 0.2, "warmAfterMs": 9000, "fallMultiple": 2, "overloadForMs": 1000}}"#;
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: BufReader<TcpStream>,
 }
@@ -366,11 +375,11 @@
 
     pub fn ask(&mut self, request: &str) -> Message {
         self.write(request.as_bytes());
-        self.read().unwrap_or_else(|| panic!("no answer to {request}"))
+        self.read().unwrap_or_else(|| panic!("no response to {request}"))
     }
 }
 
-/// A request of a class with an id; unsafe and keyed ones carry a small body.
+/// Returns a request of a class with an id; unsafe and keyed requests carry a small body.
 pub fn request(class: &str, id: &str) -> String {
     request_with(class, id, "large", "15000m")
 }
