--- a/crates/bench/src/application.rs
+++ b/crates/bench/src/application.rs
@@ -1,4 +1,5 @@
-//! The stand-in application and sign-in service: answers 64 bytes or 1 MiB, and 401 to passes that begin with "bad".
+//! The test application and sign-in service: responds with 64 bytes or 1 MiB, and with status 401 to credentials
+//! that begin with "bad".
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -13,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Runs it for good, on one thread; each request takes so much time, one after the other.
+/// Serves requests on one thread until the process is killed; each request blocks the thread for `work`.
 pub fn run(work: Duration) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -25,30 +26,30 @@
             stream.set_nodelay(true)?;
             let bodies = bodies.clone();
             tokio::task::spawn_local(async move {
-                let service = service_fn(|request| answer(request, &bodies, work));
-                // A client that leaves ends its connection only.
+                let service = service_fn(|request| respond(request, &bodies, work));
+                // An error of one connection does not affect the others.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     })
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     bodies: &[Bytes; 2],
     work: Duration,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let large = request.uri().path().ends_with("/large");
-    let pass = request.headers().get(header::AUTHORIZATION);
-    let bad = pass.is_some_and(|pass| pass.as_bytes().starts_with(b"bad"));
+    let credential = request.headers().get(header::AUTHORIZATION);
+    let rejected = credential.is_some_and(|credential| credential.as_bytes().starts_with(b"bad"));
     let mut body = request.into_body();
     while let Some(Ok(_)) = body.frame().await {}
     if !work.is_zero() {
-        // Holds the only thread: who comes meanwhile waits.
+        // Blocks the only thread, so that requests are processed one at a time.
         std::thread::sleep(work);
     }
     let mut response = Response::new(Full::new(bodies[usize::from(large)].clone()));
-    if bad {
+    if rejected {
         *response.status_mut() = StatusCode::UNAUTHORIZED;
     }
     Ok(response)
--- a/crates/bench/src/config.rs
+++ b/crates/bench/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration tool over trees of files: time and memory against size.
+//! Run time and memory of the configuration commands, by size of the configuration tree.
 
 use std::fmt::Write;
 use std::fs;
@@ -7,24 +7,24 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Routes in one file.
-const ROUTES_A_FILE: usize = 20;
+/// Routes per file.
+const ROUTES_PER_FILE: usize = 20;
 
-/// A folder that goes with the measurement.
-struct Tree(PathBuf);
+/// A temporary configuration folder, removed on drop.
+struct ConfigTree(PathBuf);
 
-impl Drop for Tree {
+impl Drop for ConfigTree {
     fn drop(&mut self) {
-        // What stays behind is in the system's folder for such.
+        // A leftover is in the system's temporary folder.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Writes a configuration of so many routes; `changed` makes a few of them differ.
-fn tree(routes: usize, changed: bool) -> io::Result<Tree> {
+/// Writes a configuration with `routes` routes; with `changed`, one route in a thousand uses another pool.
+fn write_tree(routes: usize, changed: bool) -> io::Result<ConfigTree> {
     let folder =
         std::env::temp_dir().join(format!("ivygate-bench-{}-{}", std::process::id(), fastrand::u32(..)));
-    let tree = Tree(folder);
+    let tree = ConfigTree(folder);
     fs::create_dir_all(tree.0.join("routes"))?;
     let mut main = String::from(
         "limits { descriptors 65536; }\nlisten 127.0.0.1:8080 { connections 8000; }\n\
@@ -41,9 +41,9 @@
     }
     fs::write(tree.0.join("main.conf"), main)?;
     let mut number = 0;
-    for file in 0..routes.div_ceil(ROUTES_A_FILE) {
+    for file in 0..routes.div_ceil(ROUTES_PER_FILE) {
         let mut text = String::new();
-        while number < routes && number < (file + 1) * ROUTES_A_FILE {
+        while number < routes && number < (file + 1) * ROUTES_PER_FILE {
             let host = number % 97;
             let (path, methods, class) = match number % 4 {
                 0 => (format!("exact /a{}/b{number}", number / 97), "GET HEAD", "read"),
@@ -63,41 +63,41 @@
     Ok(tree)
 }
 
-/// Runs the program, and gives seconds, MiB at most, and how it ended.
+/// Runs `ivygate` and returns its run time in seconds, its peak memory in MiB and its exit code.
 fn run(arguments: &[&Path]) -> io::Result<(f64, f64, Option<i32>)> {
     let program = std::env::current_exe()?.with_file_name("ivygate");
     let start = Instant::now();
     let mut child =
         Command::new(program).args(arguments).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
-    let mut most: f64 = 0.0;
+    let mut peak: f64 = 0.0;
     loop {
         let status = fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("");
-        most = most.max(line.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1024.0);
-        if let Some(ended) = child.try_wait()? {
-            return Ok((start.elapsed().as_secs_f64(), most, ended.code()));
+        peak = peak.max(line.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1024.0);
+        if let Some(exit) = child.try_wait()? {
+            return Ok((start.elapsed().as_secs_f64(), peak, exit.code()));
         }
         std::thread::sleep(Duration::from_micros(500));
     }
 }
 
-/// Measures and prints.
+/// Runs the benchmark and prints a table.
 pub fn measure() -> io::Result<()> {
     println!(
         "{:>8} {:>6}  {:>9} {:>9}  {:>9} {:>9}  {:>9}",
         "routes", "files", "check s", "MiB", "diff s", "MiB", "fmt s"
     );
     for routes in [100, 1000, 10_000, 50_000] {
-        let (old, new) = (tree(routes, false)?, tree(routes, true)?);
+        let (old, new) = (write_tree(routes, false)?, write_tree(routes, true)?);
         let (old, new) = (old.0.join("main.conf"), new.0.join("main.conf"));
-        let best = |arguments: &[&Path], wanted: i32| -> io::Result<(f64, f64)> {
+        let best = |arguments: &[&Path], expected: i32| -> io::Result<(f64, f64)> {
             let mut best = (f64::INFINITY, 0.0);
             for _ in 0..5 {
-                let (seconds, most, ended) = run(arguments)?;
-                if ended != Some(wanted) {
-                    return Err(io::Error::other(format!("{arguments:?} ended with {ended:?}")));
+                let (seconds, peak, code) = run(arguments)?;
+                if code != Some(expected) {
+                    return Err(io::Error::other(format!("{arguments:?} exited with code {code:?}")));
                 }
-                best = (best.0.min(seconds), f64::max(best.1, most));
+                best = (best.0.min(seconds), f64::max(best.1, peak));
             }
             Ok(best)
         };
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -1,4 +1,4 @@
-//! What the journal costs: orders with it off, `written` and `synced`; its syncs against the disk's own; recovery.
+//! Cost of the journal: orders with it off, `written` and `synced`; its sync rate against that of the disk; recovery.
 
 use crate::process::Process;
 use crate::turns;
@@ -15,24 +15,25 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Orders in flight.
+/// Numbers of orders in flight.
 const IN_FLIGHT: [usize; 3] = [1, 16, 256];
-/// Far more than a measurement fills.
+/// Retention limits that no run reaches.
 const KEEPING: Keeping = Keeping { keep: 1e12, disk: 1 << 40 };
 
-/// Measures and prints; the folder is where the journals lie, on the disk that is to be measured.
+/// Runs the benchmark and prints tables; the journals are created below `folder`, on the disk under test.
 pub fn measure(turns: usize, seconds: f64, orders: u32, folder: &Path) -> io::Result<()> {
     let folder = folder.join(format!("ivygate-bench-journal-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let done = sidecar(turns, &folder)
-        .and_then(|()| alone(seconds, &folder))
-        .and_then(|()| recovery(orders, &folder));
+    let result = measure_sidecar(turns, &folder)
+        .and_then(|()| measure_journal(seconds, &folder))
+        .and_then(|()| measure_recovery(orders, &folder));
     std::fs::remove_dir_all(&folder)?;
-    done
+    result
 }
 
-fn sidecar(turns: usize, folder: &Path) -> io::Result<()> {
-    let application = Process::own(&["application"])?;
+/// Measures orders and reads through a sidecar at each journal level.
+fn measure_sidecar(turns: usize, folder: &Path) -> io::Result<()> {
+    let application = Process::benchmark_command(&["application"])?;
     let start = |journal: String| {
         Process::sidecar(&format!(
             "limits {{ descriptors 4096; }}
@@ -54,7 +55,7 @@
     let (off, written, synced) = (start(String::new())?, journal("written")?, journal("synced")?);
     let order = "POST /orders HTTP/1.1\r\nHost: bench\r\nContent-Length: 4\r\n\r\npaid";
     let read = "GET /app HTTP/1.1\r\nHost: bench\r\n\r\n";
-    let kinds = [
+    let workloads = [
         ("orders, off", &off, order),
         ("orders, written", &written, order),
         ("orders, synced", &synced, order),
@@ -62,18 +63,18 @@
         ("reads, synced", &synced, read),
     ];
     println!("Through the sidecar.");
-    turns::measure(&kinds, &IN_FLIGHT, turns)
+    turns::measure(&workloads, &IN_FLIGHT, turns)
 }
 
-/// A file whose syncs are counted.
+/// A storage backend that counts syncs and written bytes.
 #[derive(Debug)]
-struct Counted {
+struct CountingBackend {
     file: FileBackend,
     syncs: Arc<AtomicU64>,
     bytes: Arc<AtomicU64>,
 }
 
-impl StorageBackend for Counted {
+impl StorageBackend for CountingBackend {
     fn len(&self) -> io::Result<u64> {
         self.file.len()
     }
@@ -97,8 +98,8 @@
     }
 }
 
-/// How often a second the disk writes so many pages here and there in 64 MiB, and syncs them.
-fn own_syncs(file: &File, pages: u64, seconds: f64) -> io::Result<f64> {
+/// Returns the syncs per second of the disk, each after writing `pages` pages at random offsets within 64 MiB.
+fn disk_syncs_per_s(file: &File, pages: u64, seconds: f64) -> io::Result<f64> {
     let (mut syncs, start) = (0_u32, Instant::now());
     while start.elapsed().as_secs_f64() < seconds {
         for _ in 0..pages {
@@ -114,10 +115,11 @@
     OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)
 }
 
-fn attempt() -> Attempt {
+fn unanswered_attempt() -> Attempt {
     Attempt { number: 0, server: ([127, 0, 0, 1], 9301).into(), sent_at: 1.8e12, came: Came::Unknown }
 }
 
+/// Returns the journal id of an order and the update that records it.
 fn order(number: u64) -> (String, Update) {
     let order = Order {
         client_id: Some(format!("order-{number}")),
@@ -125,19 +127,19 @@
         route: "orders".into(),
         target: "/orders".into(),
         taken_at: 1.8e12 + number as f64,
-        attempts: vec![attempt()],
+        attempts: vec![unanswered_attempt()],
         ..Order::default()
     };
     (format!("{number:016x}-{:016x}", 7), Update::Taken(order))
 }
 
-/// The journal's thread with so many orders that wait for it at once.
-fn alone(seconds: f64, folder: &Path) -> io::Result<()> {
+/// Measures the journal without a sidecar, for each number of orders in flight.
+fn measure_journal(seconds: f64, folder: &Path) -> io::Result<()> {
     let path = folder.join("syncs");
     let file = open_file(&path)?;
-    let own = own_syncs(&file, 1, seconds)?;
+    let disk_rate = disk_syncs_per_s(&file, 1, seconds)?;
     println!(
-        "\nThe journal alone, `synced`. The disk by itself does {own:.0} syncs of one written page a second."
+        "\nThe journal alone, `synced`. The disk itself reaches {disk_rate:.0} syncs of one page per second."
     );
     println!(
         "{:>9} {:>9} {:>12} {:>12} {:>9} {:>12} {:>12}",
@@ -146,7 +148,7 @@
     for in_flight in IN_FLIGHT {
         let (counter, bytes) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let file = FileBackend::new(open_file(&path)?).map_err(io::Error::other)?;
-        let backend = Counted { file, syncs: counter.clone(), bytes: bytes.clone() };
+        let backend = CountingBackend { file, syncs: counter.clone(), bytes: bytes.clone() };
         let store = Store::on(path.clone(), backend, KEEPING).map_err(io::Error::other)?;
         let journal = Journal::start(Arc::new(store))?;
         let before = [&counter, &bytes].map(|count| count.load(Ordering::Relaxed));
@@ -159,17 +161,17 @@
                 if journal.record(&id, update).await.is_err() {
                     return false;
                 }
-                // What came of it is noted without waiting, as in the sidecar.
+                // The result is noted without waiting, as in the sidecar.
                 let _ = journal.note(&id, Update::Came(0, Came::Answer(200)));
             }
             true
         };
         let mut clients: Vec<_> = (0..in_flight).map(|_| Box::pin(client())).collect();
-        let mut whole = true;
+        let mut all_recorded = true;
         runtime.block_on(std::future::poll_fn(|cx| {
             clients.retain_mut(|one| match one.as_mut().poll(cx) {
                 Poll::Ready(recorded) => {
-                    whole &= recorded;
+                    all_recorded &= recorded;
                     false
                 }
                 Poll::Pending => true,
@@ -180,31 +182,31 @@
                 Poll::Pending
             }
         }));
-        if !whole {
-            return Err(io::Error::other("an order was not recorded"));
+        if !all_recorded {
+            return Err(io::Error::other("the journal failed to record an order"));
         }
-        let (count, took) = (next.get() as f64, start.elapsed().as_secs_f64());
+        let (count, elapsed) = (next.get() as f64, start.elapsed().as_secs_f64());
         let [syncs, bytes] =
             [0, 1].map(|n| ([&counter, &bytes][n].load(Ordering::Relaxed) - before[n]) as f64);
         let pages = (bytes / syncs / 4096.0).round().max(1.0);
-        let as_much = own_syncs(&open_file(&folder.join("as-much"))?, pages as u64, seconds)?;
+        let same_size_rate = disk_syncs_per_s(&open_file(&folder.join("as-much"))?, pages as u64, seconds)?;
         println!(
             "{in_flight:>9} {:>9.0} {:>12.3} {:>12.1} {:>9.0} {:>12.2} {:>12.2}",
-            count / took,
+            count / elapsed,
             syncs / count,
             count / syncs,
             bytes / syncs / 1024.0,
-            syncs / took / own,
-            syncs / took / as_much
+            syncs / elapsed / disk_rate,
+            syncs / elapsed / same_size_rate
         );
     }
     Ok(())
 }
 
-/// Opening a journal of so many orders, one in a thousand unknown: closed in order, and after a crash.
-fn recovery(orders: u32, folder: &Path) -> io::Result<()> {
-    let (made, crashed) = (folder.join("made"), folder.join("crashed"));
-    let store = Store::create(&made, Level::Written, KEEPING).map_err(io::Error::other)?;
+/// Measures opening a journal with one unknown order in a thousand: after a clean close and after a crash.
+fn measure_recovery(orders: u32, folder: &Path) -> io::Result<()> {
+    let (closed, crashed) = (folder.join("closed"), folder.join("crashed"));
+    let store = Store::create(&closed, Level::Written, KEEPING).map_err(io::Error::other)?;
     let numbers: Vec<u64> = (0..u64::from(orders)).collect();
     let start = Instant::now();
     for part in numbers.chunks(1024) {
@@ -213,15 +215,15 @@
         updates.extend(answered.map(|number| (order(*number).0, Update::Came(0, Came::Answer(200)))));
         store.record(&updates).map_err(io::Error::other)?;
     }
-    let took = start.elapsed().as_secs_f64();
+    let elapsed = start.elapsed().as_secs_f64();
     std::fs::create_dir_all(&crashed)?;
-    // As it lies on the disk when the process dies.
-    std::fs::copy(made.join("orders.redb"), crashed.join("orders.redb"))?;
+    // Copies the file while the store is open: its state on disk if the process died now.
+    std::fs::copy(closed.join("orders.redb"), crashed.join("orders.redb"))?;
     let size = std::fs::metadata(crashed.join("orders.redb"))?.len() >> 20;
     drop(store);
-    println!("\nRecovery of {orders} orders, recorded in {took:.1} s, {size} MiB.");
+    println!("\nRecovery of {orders} orders, recorded in {elapsed:.1} s, {size} MiB.");
     println!("{:>18} {:>9} {:>11} {:>8}", "", "open ms", "unknown ms", "MiB");
-    for (name, folder) in [("closed in order", &made), ("after a crash", &crashed)] {
+    for (name, folder) in [("clean close", &closed), ("after a crash", &crashed)] {
         let output =
             std::process::Command::new(std::env::current_exe()?).arg("open-journal").arg(folder).output()?;
         if !output.status.success() {
@@ -232,7 +234,8 @@
     Ok(())
 }
 
-/// Opens a journal in a process of its own and says how long that took, how long the unknown orders, and most memory.
+/// Opens a journal and prints the time to open it, the time to find the unknown orders, and the peak memory.
+/// Run in a process of its own.
 pub fn open(folder: &Path) -> io::Result<()> {
     let start = Instant::now();
     let store = Store::open(folder).map_err(io::Error::other)?;
@@ -241,11 +244,11 @@
     store
         .each(|(_, order)| unknown += u32::from(order.state() == ivygate_journal::State::Unknown))
         .map_err(io::Error::other)?;
-    let all = start.elapsed() - opened;
+    let scanned = start.elapsed() - opened;
     let status = std::fs::read_to_string("/proc/self/status")?;
-    let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("");
-    let most = most.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1024.0;
-    println!("{:>9.0} {:>11.0} {most:>8.0}   ({unknown} unknown)", ms(opened), ms(all));
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or("");
+    let peak = peak.trim().trim_end_matches(" kB").parse::<f64>().unwrap_or(0.0) / 1024.0;
+    println!("{:>9.0} {:>11.0} {peak:>8.0}   ({unknown} unknown)", ms(opened), ms(scanned));
     Ok(())
 }
 
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Measurements of the sidecar. Each command prints a table; none passes or fails.
+//! Benchmarks of the sidecar. Each command prints a table; none asserts a result.
 //!
-//! Called by people. It measures the program as built beside it (`target/release/ivygate`) in processes of
-//! their own, and must not reach into the program.
+//! Run by hand. It measures the `ivygate` binary built next to it (`target/release/ivygate`) in separate
+//! processes, and must not depend on the program's internals.
 
 mod application;
 mod bodies;
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(name = "ivygate-bench", about = "Measurements of the sidecar and its tools")]
+#[command(name = "ivygate-bench", about = "Benchmarks of the sidecar and its tools")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -32,21 +32,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Requests a second, latency and CPU against a pass-through with no decisions
+    /// Throughput, latency and CPU time, compared with a pass-through proxy
     Proxy {
-        /// Turns of half a second for each figure, of the sidecar and of the pass-through
+        /// Turns of half a second per figure, for the sidecar and for the pass-through proxy
         #[arg(long, default_value_t = 9)]
         turns: usize,
     },
-    /// Look-ups and memory of the route table
+    /// Lookup time and memory of the route table
     Routes,
-    /// Paid orders alone, and beside a pool of tiles that stalls
+    /// Latency of orders alone, and beside a pool whose servers stall
     Isolation {
-        /// Seconds for each of the two
+        /// Seconds per row
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
     },
-    /// Memory while large bodies pass in both directions
+    /// Memory while large bodies are forwarded in both directions
     Bodies {
         /// Sizes in MiB
         #[arg(default_values_t = [100, 1024])]
@@ -54,85 +54,85 @@
     },
     /// `check`, `diff` and `fmt` over trees of 100 to 50,000 routes
     Config,
-    /// Requests unchecked, by a remembered yes of a sign-in service, and each asked about
+    /// Requests without sign-in, with a cached acceptance of the sign-in service, and with a check per request
     SignIn {
-        /// Turns of half a second for each
+        /// Turns of half a second per figure
         #[arg(long, default_value_t = 9)]
         turns: usize,
     },
-    /// Zones left and come back to, in virtual time: decision modules alone against judged zones
+    /// Zone ejection and recovery in virtual time, without and with failure-domain detection
     Domains {
-        /// Numbers of processes
+        /// Numbers of proxy processes
         #[arg(long, value_delimiter = ',', default_value = "3,30,300")]
         nodes: Vec<usize>,
-        /// Requests a second of each process
+        /// Requests per second of each process
         #[arg(long, default_value_t = 10.0)]
         rate: f64,
-        /// Seeds for each row
+        /// Seeds per row
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Hours without a fault, at 30 processes
+        /// Virtual hours of the run without faults, with 30 processes
         #[arg(long, default_value_t = 1.0)]
         hours: f64,
     },
-    /// Good passes beside ten times as many bad ones, and the memory of remembered answers
+    /// Valid credentials beside ten times as many invalid ones, and the memory of the sign-in cache
     Flood {
-        /// Seconds for each row
+        /// Seconds per row
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
     },
-    /// Orders with the journal off, `written` and `synced`; its syncs; recovery of a large one
+    /// Orders with the journal off, `written` and `synced`; sync rate; recovery of a large journal
     Journal {
-        /// Turns of half a second for each figure
+        /// Turns of half a second per figure
         #[arg(long, default_value_t = 9)]
         turns: usize,
-        /// Seconds for each figure of the journal alone
+        /// Seconds per figure of the journal alone
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
-        /// Orders that are recovered
+        /// Number of orders to recover
         #[arg(long, default_value_t = 1_000_000)]
         orders: u32,
-        /// A folder on the disk that is to be measured
+        /// Folder on the disk under test
         #[arg(long, default_value = ".")]
         folder: std::path::PathBuf,
     },
-    /// Opens a journal (run by `journal`)
+    /// Opens a journal and prints the recovery time (run by `journal`)
     #[command(hide = true)]
     OpenJournal {
-        /// Its folder
+        /// Folder of the journal
         folder: std::path::PathBuf,
     },
-    /// Keeps one address busy in a closed loop, for a profiler to look at
+    /// Sends closed-loop load to one address, for use with a profiler
     Load {
-        /// Whom to ask
+        /// Address to send requests to
         address: SocketAddr,
-        /// For what
+        /// Path to request
         #[arg(long, default_value = "/app")]
         path: String,
-        /// Connections
+        /// Number of connections
         #[arg(long, default_value_t = 16)]
         connections: usize,
-        /// For how long
+        /// Duration in seconds
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
     },
-    /// The pass-through itself (run by the others)
+    /// Runs the pass-through proxy (run by the other commands)
     #[command(hide = true)]
     PassThrough {
-        /// Where it passes requests
+        /// Address that requests are forwarded to
         upstream: SocketAddr,
     },
-    /// The application itself (run by the others)
+    /// Runs the test application (run by the other commands)
     #[command(hide = true)]
     Application {
-        /// Work of each request, one at a time, in microseconds
+        /// Processing time of each request, one at a time, in microseconds
         #[arg(long, default_value_t = 0)]
         work_us: u64,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Proxy { turns } => proxy::measure(turns),
         Command::Routes => routes::measure(),
         Command::Isolation { seconds } => isolation::measure(seconds),
@@ -146,19 +146,19 @@
         }
         Command::OpenJournal { folder } => journal::open(&folder),
         Command::Load { address, path, connections, seconds } => {
-            load::closed_loop(address, &path, connections, seconds).map(|mut seen| {
-                let (p50, others) = (seen.percentile(50.0), seen.others + seen.broken);
+            load::closed_loop(address, &path, connections, seconds).map(|mut results| {
+                let (p50, others) = (results.percentile(50.0), results.others + results.broken);
                 println!(
                     "{} good, {others} other, {:.0} a second, p50 {p50:.3} ms",
-                    seen.times.len(),
-                    seen.rate()
+                    results.latencies_us.len(),
+                    results.rate()
                 );
             })
         }
         Command::PassThrough { upstream } => pass_through::run(upstream),
         Command::Application { work_us } => application::run(Duration::from_micros(work_us)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ivygate-bench: {error}");
--- a/crates/bench/src/pass_through.rs
+++ b/crates/bench/src/pass_through.rs
@@ -1,4 +1,4 @@
-//! What a proxy costs that decides nothing: hyper on both sides, one kept connection behind for each in front.
+//! A proxy that only forwards, as a baseline for the sidecar: hyper on both sides, upstream connections are reused.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -17,51 +17,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-type Kept = Rc<RefCell<Vec<SendRequest<Incoming>>>>;
+type IdleConnections = Rc<RefCell<Vec<SendRequest<Incoming>>>>;
 
-/// Runs it for good, on one thread.
+/// Forwards requests on one thread until the process is killed.
 pub fn run(upstream: SocketAddr) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         eprintln!("listening on {}", listener.local_addr()?);
-        let kept = Kept::default();
+        let idle = IdleConnections::default();
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
-            let kept = kept.clone();
+            let idle = idle.clone();
             tokio::task::spawn_local(async move {
-                let service = service_fn(|request| pass(request, upstream, kept.clone()));
+                let service = service_fn(|request| forward(request, upstream, idle.clone()));
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     })
 }
 
-async fn pass(
+async fn forward(
     request: Request<Incoming>,
     upstream: SocketAddr,
-    kept: Kept,
+    idle: IdleConnections,
 ) -> Result<Response<BoxBody<Bytes, hyper::Error>>, Infallible> {
-    let failed = || {
+    let bad_gateway = || {
         let mut response = Response::new(Empty::new().map_err(|never| match never {}).boxed());
         *response.status_mut() = StatusCode::BAD_GATEWAY;
         response
     };
-    let idle = kept.borrow_mut().pop();
-    let mut sender = match idle.filter(|sender| !sender.is_closed()) {
+    let reused = idle.borrow_mut().pop();
+    let mut sender = match reused.filter(|sender| !sender.is_closed()) {
         Some(sender) => sender,
         None => match connect(upstream).await {
             Some(sender) => sender,
-            None => return Ok(failed()),
+            None => return Ok(bad_gateway()),
         },
     };
     if sender.ready().await.is_err() {
-        return Ok(failed());
+        return Ok(bad_gateway());
     }
-    let Ok(answer) = sender.send_request(request).await else { return Ok(failed()) };
-    kept.borrow_mut().push(sender);
-    Ok(answer.map(BodyExt::boxed))
+    let Ok(response) = sender.send_request(request).await else { return Ok(bad_gateway()) };
+    idle.borrow_mut().push(sender);
+    Ok(response.map(BodyExt::boxed))
 }
 
 async fn connect(upstream: SocketAddr) -> Option<SendRequest<Incoming>> {
--- a/crates/bench/src/sign_in.rs
+++ b/crates/bench/src/sign_in.rs
@@ -1,14 +1,14 @@
-//! What a sign-in check costs: the same requests unchecked, by a remembered yes, and each asked about.
+//! Cost of a sign-in check: the same requests without a check, with a cached acceptance, and with a check each.
 
 use crate::process::Process;
 use crate::turns;
 use std::io;
 
-/// Measures and prints.
+/// Runs the benchmark and prints a table.
 pub fn measure(turns: usize) -> io::Result<()> {
-    let application = Process::own(&["application"])?;
-    let service = Process::own(&["application"])?;
-    let pass_through = Process::own(&["pass-through", &application.address.to_string()])?;
+    let application = Process::benchmark_command(&["application"])?;
+    let service = Process::benchmark_command(&["application"])?;
+    let pass_through = Process::benchmark_command(&["pass-through", &application.address.to_string()])?;
     let config = format!(
         "limits {{ descriptors 4096; }}
 listen 127.0.0.1:0 {{ connections 1500; }}
@@ -25,12 +25,12 @@
     );
     let sidecar = Process::sidecar(&config)?;
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: bench\r\n\r\n");
-    let [app, none, kept, each] = ["/app", "/app/none", "/app/kept", "/app/each"].map(get);
-    let kinds: [turns::Kind; 4] = [
+    let [app, unchecked, cached, checked] = ["/app", "/app/none", "/app/kept", "/app/each"].map(get);
+    let workloads: [turns::Workload; 4] = [
         ("pass-through", &pass_through, &app),
-        ("unchecked", &sidecar, &none),
-        ("remembered", &sidecar, &kept),
-        ("asked", &sidecar, &each),
+        ("unchecked", &sidecar, &unchecked),
+        ("remembered", &sidecar, &cached),
+        ("asked", &sidecar, &checked),
     ];
-    turns::measure(&kinds, &[1, 16], turns)
+    turns::measure(&workloads, &[1, 16], turns)
 }
