--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure, play_once, report, shipped, Figures, Form, Played, Program, Scenario, Select, Verdict,
+    guard, measure, play_once, report, shipped, Figures, Form, Program, RunResult, Scenario, Select, Verdict,
 };
 use serde_json::json;
 use std::io::Write;
@@ -231,7 +231,7 @@
 }
 
 /// Plays once, with a bar of its progress; one is drawn on a terminal alone.
-fn once(scenario: &Scenario, program: &Program, seed: u64, keep: Option<&Path>) -> Result<Played, String> {
+fn once(scenario: &Scenario, program: &Program, seed: u64, keep: Option<&Path>) -> Result<RunResult, String> {
     let bar = ProgressBar::new((scenario.length / 1000.0) as u64);
     if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos} of {len} s") {
         bar.set_style(style);
@@ -251,7 +251,7 @@
 }
 
 /// Plays once with a program, by default the one beside this.
-fn once_by(scenario: &Scenario, program: Option<&Path>, seed: u64) -> Result<Played, String> {
+fn once_by(scenario: &Scenario, program: Option<&Path>, seed: u64) -> Result<RunResult, String> {
     once(scenario, &started(program)?, seed, None)
 }
 
@@ -303,7 +303,7 @@
     }
 }
 
-fn in_words(played: &Played) {
+fn in_words(played: &RunResult) {
     const SHOWN: usize = 12;
     say!("{}", worded(&played.figures));
     for (fault, span) in &played.trace.faults {
@@ -328,7 +328,7 @@
     }
 }
 
-fn in_lines(scenario: &Scenario, played: &Played, seed: u64) {
+fn in_lines(scenario: &Scenario, played: &RunResult, seed: u64) {
     say!(
         "{}",
         json!({"scenario": scenario.name, "seed": seed, "nodes": scenario.nodes, "rate": scenario.rate})
--- a/crates/fault-injection/src/play.rs
+++ b/crates/fault-injection/src/play.rs
@@ -33,7 +33,7 @@
 
 /// What came of a play.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     /// What it says.
     pub verdict: Verdict,
     /// How it went.
@@ -310,7 +310,7 @@
     program: &Program,
     seed: u64,
     keep: Option<&Path>,
-) -> Result<Played, RigError> {
+) -> Result<RunResult, RigError> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let own = std::env::temp_dir().join(format!("ivygate-fleet-{}-{number}", std::process::id()));
@@ -333,7 +333,7 @@
 ///
 /// # Errors
 /// As for [`play_once`].
-pub fn play_until_told(scenario: &Scenario, program: &Program) -> Result<Played, RigError> {
+pub fn play_until_told(scenario: &Scenario, program: &Program) -> Result<RunResult, RigError> {
     const TRIES: usize = 5;
     let mut played = play_once(scenario, program, scenario.seed, None)?;
     for _ in 1..TRIES {
@@ -354,7 +354,7 @@
     program: &Program,
     folder: &Path,
     seed: u64,
-) -> Result<Played, RigError> {
+) -> Result<RunResult, RigError> {
     let mut world = World::new(scenario, program, folder, seed).await.map_err(because("the rig"))?;
     for number in 0..scenario.nodes {
         world.start(number).await.map_err(because("a node"))?;
@@ -395,5 +395,5 @@
     if !scenario.steps.iter().any(|step| matches!(step.fault, Fault::Kill(_) | Fault::Term(_))) {
         figures.cpu = Some(processor * 1e6 / figures.requests.max(1) as f64);
     }
-    Ok(Played { verdict, figures, findings, trace, said })
+    Ok(RunResult { verdict, figures, findings, trace, said })
 }
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -2,7 +2,7 @@
 //! the faults as bands. No I/O.
 
 use crate::oracle::{Figures, Verdict};
-use crate::play::Played;
+use crate::play::RunResult;
 use crate::scenario::{Scenario, ZONES};
 use crate::trace::{Answer, Run};
 use plotters::prelude::*;
@@ -21,7 +21,7 @@
 
 /// The page.
 #[must_use]
-pub fn report(scenario: &Scenario, played: &Played, seed: u64) -> String {
+pub fn report(scenario: &Scenario, played: &RunResult, seed: u64) -> String {
     let verdict = match played.verdict {
         Verdict::Kept => "kept: all rules".to_owned(),
         Verdict::Broken => format!("broken: {} findings", played.findings.len()),
@@ -86,7 +86,7 @@
 }
 
 /// What is drawn: title, unit, lines.
-fn pictures(scenario: &Scenario, played: &Played) -> Vec<(&'static str, &'static str, Vec<Series>)> {
+fn pictures(scenario: &Scenario, played: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let trace = &played.trace;
     let rate = |of: &dyn Fn(&crate::trace::Request) -> bool| {
         by_time(trace.requests.iter().filter(|r| of(r)).map(|r| (r.meant, 1.0)), 1.0 / BIN)
@@ -148,7 +148,7 @@
 }
 
 /// By time, how long a part of the served requests took at most.
-fn quantile(played: &Played, part: f64) -> Vec<(f64, f64)> {
+fn quantile(played: &RunResult, part: f64) -> Vec<(f64, f64)> {
     let mut bins: Vec<Vec<f64>> = Vec::new();
     for request in played.trace.requests.iter().filter(|r| r.answer == Answer::Served) {
         let bin = (request.meant / 1000.0 / (2.0 * BIN)) as usize;
@@ -165,7 +165,7 @@
     points
 }
 
-fn picture(scenario: &Scenario, played: &Played, unit: &str, series: &[Series]) -> Option<String> {
+fn picture(scenario: &Scenario, played: &RunResult, unit: &str, series: &[Series]) -> Option<String> {
     let most = series.iter().flat_map(|(_, points)| points).map(|(_, value)| *value).fold(0.0, f64::max);
     if most <= 0.0 {
         return Some("<p>Nothing.</p>\n".to_owned());
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -2,7 +2,7 @@
 //! was started ends with the rig.
 
 use ivygate_fault_injection::{
-    measure, report, shipped, DatagramLink, Figures, Flow, Link, Played, Scenario, Span, Then, Trace,
+    measure, report, shipped, DatagramLink, Figures, Flow, Link, RunResult, Scenario, Span, Then, Trace,
     Verdict, Way,
 };
 use std::io::Write;
@@ -238,7 +238,7 @@
     trace.faults.push(("cut & co".into(), Span { from: 1000.0, to: 2000.0 }));
     let finding = ivygate_fault_injection::Finding { rule: "settles", what: "it <did> not".into() };
     let (verdict, findings) = (Verdict::Broken, vec![finding]);
-    let mut played = Played {
+    let mut played = RunResult {
         verdict,
         figures: Figures::default(),
         findings,
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -1,18 +1,18 @@
 //! Fleets of several processes under fault injection, checked by what servers ran and what clients received.
 //! Scenarios with seeded defects show that the oracle detects violations.
 
-use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, Program, RunResult, Scenario, Verdict};
 use std::sync::{PoisonError, RwLock};
 
 /// Runs a scenario with four nodes and four servers, again if the machine was too busy for a verdict.
-fn run(extra: &str, steps: &str) -> Played {
+fn run(extra: &str, steps: &str) -> RunResult {
     run_fleet(4, 4, extra, steps)
 }
 
 /// Held exclusively by scenarios with many processes.
 static MACHINE: RwLock<()> = RwLock::new(());
 
-fn run_fleet(nodes: usize, servers: usize, extra: &str, steps: &str) -> Played {
+fn run_fleet(nodes: usize, servers: usize, extra: &str, steps: &str) -> RunResult {
     let text = format!(
         "name = \"test\"\nabout = \"a test\"\nseed = 5\nlength = \"5s\"\nsettle = \"1s\"\nnodes = {nodes}\nservers = {servers}\n\
          rate = 80\ncustomers = 10\n{extra}\n{steps}"
@@ -31,7 +31,7 @@
 
 /// Returns the violated rules, except for `settles`: the rate of served requests also drops on a busy
 /// machine.
-fn violated_rules(played: &Played) -> Vec<&'static str> {
+fn violated_rules(played: &RunResult) -> Vec<&'static str> {
     let mut rules: Vec<_> =
         played.findings.iter().map(|f| f.rule).filter(|rule| *rule != "settles").collect();
     rules.dedup();
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -3,17 +3,17 @@
 
 mod support;
 
-use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, Program, RunResult, Scenario, Verdict};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use support::*;
 
-fn run(length: &str, steps: &str) -> Played {
+fn run(length: &str, steps: &str) -> RunResult {
     run_fleet(4, length, steps)
 }
 
-fn run_fleet(nodes: usize, length: &str, steps: &str) -> Played {
+fn run_fleet(nodes: usize, length: &str, steps: &str) -> RunResult {
     let text = format!(
         "name = \"t\"\nabout = \"t\"\nseed = 5\nlength = \"{length}\"\nsettle = \"6s\"\nform = \"sidecar\"\n\
          domains = true\nnodes = {nodes}\nservers = 6\nrate = 160\ncustomers = 200\n{steps}"
@@ -34,7 +34,7 @@
 }
 
 /// Returns the times at which processes logged that a zone entered a state.
-fn transitions(played: &Played, zone: &str, to: &str) -> Vec<f64> {
+fn transitions(played: &RunResult, zone: &str, to: &str) -> Vec<f64> {
     let lines = played.said.iter().flatten();
     let matching = lines.filter(|(_, line)| {
         line.contains(&format!("zone=\"{zone}\"")) && line.contains(&format!("to=\"{to}\""))
@@ -154,7 +154,7 @@
 }
 
 /// Runs a fleet of sidecars that exchange reports, whose datagrams the steps may disturb.
-fn run_with_gossip(steps: &str) -> Played {
+fn run_with_gossip(steps: &str) -> RunResult {
     run_fleet(6, "8s", &format!("group = true\n{steps}"))
 }
 
--- a/crates/seeded-defects/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,10 +1,10 @@
 //! Each defect that is put in on purpose is found by a scenario that comes with the rig, by the rule that it breaks; the
 //! same program without a defect keeps all rules there.
 
-use ivygate_fault_injection::{play_until_told, shipped, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{play_until_told, shipped, Program, RunResult, Scenario, Verdict};
 
 /// Plays a shipped scenario until the machine has had enough to spare for a verdict.
-fn played(name: &str, defect: Option<&str>) -> Played {
+fn played(name: &str, defect: Option<&str>) -> RunResult {
     let (_, text) = shipped().into_iter().find(|(shipped, _)| *shipped == name).expect("it is shipped");
     let scenario = Scenario::parse(text).expect("it is sound");
     let program = Program {
@@ -25,7 +25,7 @@
     let (sound, planted) = std::thread::scope(|scope| {
         let sound = scope.spawn(|| played(scenario, None));
         // Whether a play brings the defect about is chance: which requests lose their answers is not the same twice.
-        let breaks = |played: &Played| played.findings.iter().any(|f| f.rule == rule);
+        let breaks = |played: &RunResult| played.findings.iter().any(|f| f.rule == rule);
         let mut planted = played(scenario, Some(defect));
         for _ in 1..PLAYS {
             if !breaks(&planted) {
