--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -29,7 +29,7 @@
 pub use measure::{measure, Measured};
 pub use node::{guard, Program};
 pub use oracle::{judge, Figures, Finding, Rules, Verdict};
-pub use play::{play, play_once, play_until_told, RigError, RunResult};
+pub use play::{play, play_once, play_until_told, HarnessError, RunResult};
 pub use relay::{Link, Then, Way};
 pub use report::report;
 pub use scenario::{
--- a/crates/fault-injection/src/play.rs
+++ b/crates/fault-injection/src/play.rs
@@ -48,21 +48,21 @@
 
 /// Why there was no play.
 #[derive(Debug)]
-pub struct RigError {
+pub struct HarnessError {
     what: &'static str,
     error: io::Error,
 }
 
-impl fmt::Display for RigError {
+impl fmt::Display for HarnessError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.what, self.error)
     }
 }
 
-impl std::error::Error for RigError {}
+impl std::error::Error for HarnessError {}
 
-fn because(what: &'static str) -> impl FnOnce(io::Error) -> RigError {
-    move |error| RigError { what, error }
+fn because(what: &'static str) -> impl FnOnce(io::Error) -> HarnessError {
+    move |error| HarnessError { what, error }
 }
 
 impl World {
@@ -310,7 +310,7 @@
     program: &Program,
     seed: u64,
     keep: Option<&Path>,
-) -> Result<RunResult, RigError> {
+) -> Result<RunResult, HarnessError> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let own = std::env::temp_dir().join(format!("ivygate-fleet-{}-{number}", std::process::id()));
@@ -333,7 +333,7 @@
 ///
 /// # Errors
 /// As for [`play_once`].
-pub fn play_until_told(scenario: &Scenario, program: &Program) -> Result<RunResult, RigError> {
+pub fn play_until_told(scenario: &Scenario, program: &Program) -> Result<RunResult, HarnessError> {
     const TRIES: usize = 5;
     let mut played = play_once(scenario, program, scenario.seed, None)?;
     for _ in 1..TRIES {
@@ -354,7 +354,7 @@
     program: &Program,
     folder: &Path,
     seed: u64,
-) -> Result<RunResult, RigError> {
+) -> Result<RunResult, HarnessError> {
     let mut world = World::new(scenario, program, folder, seed).await.map_err(because("the rig"))?;
     for number in 0..scenario.nodes {
         world.start(number).await.map_err(because("a node"))?;
