--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -15,9 +15,9 @@
 mod measure;
 mod node;
 mod oracle;
-mod play;
 mod relay;
 mod report;
+mod runner;
 mod scenario;
 mod server;
 mod sign_in;
@@ -29,9 +29,9 @@
 pub use measure::{measure, Measured};
 pub use node::{guard, Program};
 pub use oracle::{judge, Figures, Finding, Rules, Verdict};
-pub use play::{play, play_once, play_until_told, HarnessError, RunResult};
 pub use relay::{Link, Then, Way};
 pub use report::report;
+pub use runner::{run_once, run_scenario, run_until_conclusive, HarnessError, RunResult};
 pub use scenario::{
     shipped, Fault, For, Form, Kind, Place, Plant, Scenario, ScenarioError, Select, Step, Trouble, Ways,
     ZONES,
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure, play_once, report, shipped, Figures, Form, Program, RunResult, Scenario, Select, Verdict,
+    guard, measure, report, run_once, shipped, Figures, Form, Program, RunResult, Scenario, Select, Verdict,
 };
 use serde_json::json;
 use std::io::Write;
@@ -244,7 +244,7 @@
             }
             bar.finish_and_clear();
         });
-        let played = play_once(scenario, program, seed, keep).map_err(|error| error.to_string());
+        let played = run_once(scenario, program, seed, keep).map_err(|error| error.to_string());
         drop(over);
         played
     })
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -2,7 +2,7 @@
 //! the faults as bands. No I/O.
 
 use crate::oracle::{Figures, Verdict};
-use crate::play::RunResult;
+use crate::runner::RunResult;
 use crate::scenario::{Scenario, ZONES};
 use crate::trace::{Answer, Run};
 use plotters::prelude::*;
--- a/crates/fault-injection/src/play.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -305,7 +305,7 @@
 ///
 /// # Errors
 /// As for [`play`], and if there is no folder.
-pub fn play_once(
+pub fn run_once(
     scenario: &Scenario,
     program: &Program,
     seed: u64,
@@ -319,7 +319,7 @@
     std::fs::create_dir_all(folder).map_err(named).map_err(because("a folder"))?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(because("the rig"))?;
-    let played = runtime.block_on(play(scenario, program, folder, seed));
+    let played = runtime.block_on(run_scenario(scenario, program, folder, seed));
     runtime.shutdown_background();
     if keep.is_none() {
         // What can't be removed stays in the system's folder for such things.
@@ -332,15 +332,15 @@
 /// last play is void if it never had.
 ///
 /// # Errors
-/// As for [`play_once`].
-pub fn play_until_told(scenario: &Scenario, program: &Program) -> Result<RunResult, HarnessError> {
+/// As for [`run_once`].
+pub fn run_until_conclusive(scenario: &Scenario, program: &Program) -> Result<RunResult, HarnessError> {
     const TRIES: usize = 5;
-    let mut played = play_once(scenario, program, scenario.seed, None)?;
+    let mut played = run_once(scenario, program, scenario.seed, None)?;
     for _ in 1..TRIES {
         if played.verdict != Verdict::Void {
             break;
         }
-        played = play_once(scenario, program, scenario.seed, None)?;
+        played = run_once(scenario, program, scenario.seed, None)?;
     }
     Ok(played)
 }
@@ -349,7 +349,7 @@
 ///
 /// # Errors
 /// If the rig itself fails: a process that does not start, or no port.
-pub async fn play(
+pub async fn run_scenario(
     scenario: &Scenario,
     program: &Program,
     folder: &Path,
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of several processes under fault injection, checked by what servers ran and what clients received.
 //! Scenarios with seeded defects show that the oracle detects violations.
 
-use ivygate_fault_injection::{play_until_told, Program, RunResult, Scenario, Verdict};
+use ivygate_fault_injection::{run_until_conclusive, Program, RunResult, Scenario, Verdict};
 use std::sync::{PoisonError, RwLock};
 
 /// Runs a scenario with four nodes and four servers, again if the machine was too busy for a verdict.
@@ -24,7 +24,7 @@
     let is_large = nodes > 4;
     let _exclusive = is_large.then(|| MACHINE.write().unwrap_or_else(PoisonError::into_inner));
     let _shared = (!is_large).then(|| MACHINE.read().unwrap_or_else(PoisonError::into_inner));
-    let played = play_until_told(&scenario, &program).expect("a completed run");
+    let played = run_until_conclusive(&scenario, &program).expect("a completed run");
     assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
     played
 }
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use ivygate_fault_injection::{play_until_told, Program, RunResult, Scenario, Verdict};
+use ivygate_fault_injection::{run_until_conclusive, Program, RunResult, Scenario, Verdict};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     );
     let scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     let program = Program { program: env!("CARGO_BIN_EXE_ivygate").into(), ..Program::default() };
-    let played = play_until_told(&scenario, &program).expect("a completed run");
+    let played = run_until_conclusive(&scenario, &program).expect("a completed run");
     assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
     // The rate of served requests also drops on a busy machine, so it is not checked.
     let violations: Vec<_> = played.findings.iter().filter(|f| f.rule != "settles").collect();
--- a/crates/seeded-defects/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,7 +1,7 @@
 //! Each defect that is put in on purpose is found by a scenario that comes with the rig, by the rule that it breaks; the
 //! same program without a defect keeps all rules there.
 
-use ivygate_fault_injection::{play_until_told, shipped, Program, RunResult, Scenario, Verdict};
+use ivygate_fault_injection::{run_until_conclusive, shipped, Program, RunResult, Scenario, Verdict};
 
 /// Plays a shipped scenario until the machine has had enough to spare for a verdict.
 fn played(name: &str, defect: Option<&str>) -> RunResult {
@@ -12,7 +12,7 @@
         defect: defect.map(str::to_owned),
         ..Program::default()
     };
-    let played = play_until_told(&scenario, &program).expect("a play");
+    let played = run_until_conclusive(&scenario, &program).expect("a play");
     assert_ne!(played.verdict, Verdict::Void, "five plays in turn had too little of the machine");
     played
 }
