--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -29,11 +29,11 @@
 pub use measure::{measure, Measured};
 pub use node::{guard, Program};
 pub use oracle::{judge, Figures, Finding, Rules, Verdict};
-pub use relay::{Link, Then, Way};
+pub use relay::{DirectionFaults, Link, Then};
 pub use report::report;
 pub use runner::{run_once, run_scenario, run_until_conclusive, HarnessError, RunResult};
 pub use scenario::{
-    shipped, Fault, For, Form, Kind, Place, Plant, Scenario, ScenarioError, Select, Step, Trouble, Ways,
-    ZONES,
+    shipped, Directions, Fault, For, Form, Kind, Place, Plant, Scenario, ScenarioError, Select, Step,
+    Trouble, ZONES,
 };
 pub use trace::{Answer, Class, Drain, Effect, Excuse, Leave, Request, Run, Span, Stray, Trace};
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -25,7 +25,7 @@
 
 /// What holds in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct DirectionFaults {
     /// Bytes stop; they come when it ends, as they would after a break of the network.
     pub cut: bool,
     /// Bytes come this much later ...
@@ -53,8 +53,8 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct State {
-    there: Way,
-    back: Way,
+    there: DirectionFaults,
+    back: DirectionFaults,
     reset: bool,
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// Sets what holds on the way there and back from now on.
-    pub fn set(&self, there: Way, back: Way) {
+    pub fn set(&self, there: DirectionFaults, back: DirectionFaults) {
         self.state.send_modify(|state| (state.there, state.back) = (there, back));
     }
 
@@ -167,7 +167,7 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut state: watch::Receiver<State>,
-    way: impl Fn(&State) -> Way + Copy,
+    way: impl Fn(&State) -> DirectionFaults + Copy,
 ) -> Result<(), Broken> {
     let (queue, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(HELD);
     let mut seen = state.clone();
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -178,11 +178,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trouble {
     /// They stop; connections stay open, new ones say nothing.
-    Cut(Ways),
+    Cut(Directions),
     /// They come later, by a time and up to a further one.
-    Delay(Ways, f64, f64),
+    Delay(Directions, f64, f64),
     /// So many a second pass, on each connection.
-    Rate(Ways, f64),
+    Rate(Directions, f64),
     /// One byte is changed in this part of the reads on the way back.
     Change(f64),
     /// This part of the datagrams is lost.
@@ -190,7 +190,7 @@
     /// This part of the datagrams comes twice.
     Twice(f64),
     /// Something happens to a connection after so many.
-    After(Ways, u64, Then),
+    After(Directions, u64, Then),
     /// Connections are reset, and so are new ones.
     Reset,
 }
@@ -198,7 +198,7 @@
 /// Which directions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ways {
+pub enum Directions {
     /// Both.
     #[default]
     Both,
@@ -208,15 +208,15 @@
     Back,
 }
 
-impl Ways {
+impl Directions {
     /// Whether the way there is among them.
     pub fn there(self) -> bool {
-        self != Ways::Back
+        self != Directions::Back
     }
 
     /// Whether the way back is.
     pub fn back(self) -> bool {
-        self != Ways::There
+        self != Directions::There
     }
 }
 
@@ -349,7 +349,7 @@
     nodes: Option<Text>,
     servers: Option<Text>,
     customers: Option<Text>,
-    ways: Option<Ways>,
+    ways: Option<Directions>,
     by: Option<Text>,
     jitter: Option<Text>,
     period: Option<Text>,
@@ -418,10 +418,10 @@
 
 impl fmt::Display for Trouble {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let way = |ways: &Ways| match ways {
-            Ways::Both => "",
-            Ways::There => " on the way there",
-            Ways::Back => " on the way back",
+        let way = |ways: &Directions| match ways {
+            Directions::Both => "",
+            Directions::There => " on the way there",
+            Directions::Back => " on the way back",
         };
         match self {
             Trouble::Cut(ways) => write!(f, "cut{}", way(ways)),
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{Discovery, Listed};
 use crate::node::{Guard, Node, Program};
 use crate::oracle::Rules;
-use crate::relay::{Link, Way};
+use crate::relay::{DirectionFaults, Link};
 use crate::scenario::{Fault, Form, Kind, Plant, Scenario, Trouble, ZONES};
 use crate::server::{Backend, Make, Server};
 use crate::sign_in::{denied, SignIn};
@@ -502,13 +502,13 @@
 
 /// Puts on a link what holds now.
 fn put(link: &Link, holding: &[&Fault], kind: Kind, node: usize, server: usize) {
-    let (mut there, mut back, mut reset) = (Way::default(), Way::default(), false);
+    let (mut there, mut back, mut reset) = (DirectionFaults::default(), DirectionFaults::default(), false);
     for fault in holding {
         let Fault::Link(place, trouble) = fault else { continue };
         if place.kind != kind || !place.nodes.has(node) || !place.servers.has(server) {
             continue;
         }
-        let mut each = |ways: crate::scenario::Ways, change: &dyn Fn(&mut Way)| {
+        let mut each = |ways: crate::scenario::Directions, change: &dyn Fn(&mut DirectionFaults)| {
             if ways.there() {
                 change(&mut there);
             }
@@ -566,7 +566,7 @@
         if place.kind != Kind::Nodes || own == other && !place.nodes.is_all() {
             continue;
         }
-        let goes = |ways: crate::scenario::Ways| if own { ways.there() } else { ways.back() };
+        let goes = |ways: crate::scenario::Directions| if own { ways.there() } else { ways.back() };
         match *trouble {
             Trouble::Cut(ways) => flow.cut |= goes(ways),
             Trouble::Delay(ways, by, jitter) if goes(ways) => {
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -2,8 +2,8 @@
 //! was started ends with the rig.
 
 use ivygate_fault_injection::{
-    measure, report, shipped, DatagramLink, Figures, Flow, Link, RunResult, Scenario, Span, Then, Trace,
-    Verdict, Way,
+    measure, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, Link, RunResult, Scenario, Span,
+    Then, Trace, Verdict,
 };
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -25,8 +25,8 @@
     tokio::time::timeout(Duration::from_millis(100), stream.read_u8()).await.is_err()
 }
 
-fn cut() -> Way {
-    Way { cut: true, ..Way::default() }
+fn cut() -> DirectionFaults {
+    DirectionFaults { cut: true, ..DirectionFaults::default() }
 }
 
 #[tokio::test]
@@ -52,12 +52,12 @@
 #[tokio::test]
 async fn a_cut_holds_one_direction_and_what_was_held_comes_after_it() {
     let (link, mut near, mut far) = linked().await;
-    link.set(Way::default(), cut());
+    link.set(DirectionFaults::default(), cut());
     near.write_u8(1).await.expect("it takes it");
     assert_eq!(far.read_u8().await.expect("the way there is open"), 1);
     far.write_u8(2).await.expect("it takes it");
     assert!(silent(&mut near).await);
-    link.set(Way::default(), Way::default());
+    link.set(DirectionFaults::default(), DirectionFaults::default());
     assert_eq!(near.read_u8().await.expect("held, not lost"), 2);
 }
 
@@ -65,7 +65,7 @@
 async fn a_reset_breaks_what_is_open_and_what_comes_and_a_delay_takes_its_time() {
     let (link, mut near, mut far) = linked().await;
     let delay = Duration::from_millis(60);
-    link.set(Way { delay, ..Way::default() }, Way::default());
+    link.set(DirectionFaults { delay, ..DirectionFaults::default() }, DirectionFaults::default());
     let begun = std::time::Instant::now();
     near.write_u8(1).await.expect("it takes it");
     assert_eq!(far.read_u8().await.expect("later"), 1);
@@ -79,13 +79,16 @@
 #[tokio::test]
 async fn a_rate_holds_bytes_back_and_a_change_changes_some_of_them() {
     let (link, mut near, mut far) = linked().await;
-    link.set(Way { rate: Some(1000.0), ..Way::default() }, Way::default());
+    link.set(
+        DirectionFaults { rate: Some(1000.0), ..DirectionFaults::default() },
+        DirectionFaults::default(),
+    );
     let begun = std::time::Instant::now();
     near.write_all(&[7; 100]).await.expect("it takes them");
     let mut got = [0; 100];
     far.read_exact(&mut got).await.expect("they come");
     assert!(begun.elapsed() >= Duration::from_millis(100) && got == [7; 100]);
-    link.set(Way { changed: 1.0, ..Way::default() }, Way::default());
+    link.set(DirectionFaults { changed: 1.0, ..DirectionFaults::default() }, DirectionFaults::default());
     near.write_all(&[7; 100]).await.expect("it takes them");
     far.read_exact(&mut got).await.expect("they come");
     assert_eq!(got.iter().filter(|byte| **byte != 7).count(), 1);
@@ -95,7 +98,10 @@
 async fn after_some_bytes_a_connection_breaks_stands_still_or_ends_one_way() {
     for then in [Then::Reset, Then::Stall, Then::End] {
         let (link, mut near, mut far) = linked().await;
-        link.set(Way::default(), Way { after: Some((3, then)), ..Way::default() });
+        link.set(
+            DirectionFaults::default(),
+            DirectionFaults { after: Some((3, then)), ..DirectionFaults::default() },
+        );
         far.write_all(b"abcdef").await.expect("it takes them");
         let mut got = [0; 3];
         near.read_exact(&mut got).await.expect("what comes before");
@@ -106,7 +112,7 @@
             }
             Then::Stall => {
                 assert!(silent(&mut near).await);
-                link.set(Way::default(), Way::default());
+                link.set(DirectionFaults::default(), DirectionFaults::default());
                 near.read_exact(&mut got).await.expect("the rest, once the fault is over");
                 assert_eq!(&got, b"def");
             }
