--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -29,7 +29,7 @@
 pub use measure::{measure, Measured};
 pub use node::{guard, Program};
 pub use oracle::{judge, Figures, Finding, Rules, Verdict};
-pub use relay::{DirectionFaults, Link, Then};
+pub use relay::{DirectionFaults, LimitAction, Link};
 pub use report::report;
 pub use runner::{run_once, run_scenario, run_until_conclusive, HarnessError, RunResult};
 pub use scenario::{
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -37,12 +37,12 @@
     /// Part of the reads in which one byte is changed.
     pub changed: f64,
     /// What happens to a connection that has passed so many bytes.
-    pub after: Option<(u64, Then)>,
+    pub after: Option<(u64, LimitAction)>,
 }
 
 /// What happens to a connection after some bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum LimitAction {
     /// It is reset, both ways.
     Reset,
     /// Nothing more passes until the fault ends.
@@ -196,15 +196,15 @@
             }
             match then {
                 None => {}
-                Some(Then::Reset) => {
+                Some(LimitAction::Reset) => {
                     // What came before is to arrive first.
                     while queue.capacity() < HELD {
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
                     return Err(Broken);
                 }
-                Some(Then::End) => return Ok(()),
-                Some(Then::Stall) => {
+                Some(LimitAction::End) => return Ok(()),
+                Some(LimitAction::Stall) => {
                     seen.wait_for(|state| way(state).after.is_none()).await.map_err(|_| Broken)?;
                     if queue.send((Instant::now(), buffer[whole..read].to_vec())).await.is_err() {
                         return Err(Broken);
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenario files: TOML with units, checked with places. No I/O.
 
-use crate::relay::Then;
+use crate::relay::LimitAction;
 use serde::Deserialize;
 use std::fmt;
 use std::ops::Range;
@@ -190,7 +190,7 @@
     /// This part of the datagrams comes twice.
     Twice(f64),
     /// Something happens to a connection after so many.
-    After(Directions, u64, Then),
+    After(Directions, u64, LimitAction),
     /// Connections are reset, and so are new ones.
     Reset,
 }
@@ -434,9 +434,9 @@
             Trouble::Twice(part) => write!(f, "{part} twice"),
             Trouble::After(ways, bytes, then) => {
                 let then = match then {
-                    Then::Reset => "reset",
-                    Then::Stall => "stalled",
-                    Then::End => "ended",
+                    LimitAction::Reset => "reset",
+                    LimitAction::Stall => "stalled",
+                    LimitAction::End => "ended",
                 };
                 write!(f, "{then} after {bytes} bytes{}", way(ways))
             }
@@ -609,9 +609,9 @@
                 "change" => link(Trouble::Change(part()?))?,
                 "lose" => link(Trouble::Lose(part()?))?,
                 "twice" => link(Trouble::Twice(part()?))?,
-                "break" => link(Trouble::After(ways, bytes()?, Then::Reset))?,
-                "stall" => link(Trouble::After(ways, bytes()?, Then::Stall))?,
-                "end" => link(Trouble::After(ways, bytes()?, Then::End))?,
+                "break" => link(Trouble::After(ways, bytes()?, LimitAction::Reset))?,
+                "stall" => link(Trouble::After(ways, bytes()?, LimitAction::Stall))?,
+                "end" => link(Trouble::After(ways, bytes()?, LimitAction::End))?,
                 "reset" => link(Trouble::Reset)?,
                 "kill" => Fault::Kill(on_nodes()?),
                 "term" => Fault::Term(on_nodes()?),
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -2,8 +2,8 @@
 //! was started ends with the rig.
 
 use ivygate_fault_injection::{
-    measure, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, Link, RunResult, Scenario, Span,
-    Then, Trace, Verdict,
+    measure, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, LimitAction, Link, RunResult,
+    Scenario, Span, Trace, Verdict,
 };
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -96,7 +96,7 @@
 
 #[tokio::test]
 async fn after_some_bytes_a_connection_breaks_stands_still_or_ends_one_way() {
-    for then in [Then::Reset, Then::Stall, Then::End] {
+    for then in [LimitAction::Reset, LimitAction::Stall, LimitAction::End] {
         let (link, mut near, mut far) = linked().await;
         link.set(
             DirectionFaults::default(),
@@ -107,16 +107,16 @@
         near.read_exact(&mut got).await.expect("what comes before");
         assert_eq!(&got, b"abc");
         match then {
-            Then::Reset => {
+            LimitAction::Reset => {
                 assert!(near.read_u8().await.is_err() && far.read_u8().await.is_err());
             }
-            Then::Stall => {
+            LimitAction::Stall => {
                 assert!(silent(&mut near).await);
                 link.set(DirectionFaults::default(), DirectionFaults::default());
                 near.read_exact(&mut got).await.expect("the rest, once the fault is over");
                 assert_eq!(&got, b"def");
             }
-            Then::End => {
+            LimitAction::End => {
                 assert_eq!(near.read(&mut got).await.expect("an end in good order"), 0);
                 near.write_u8(1).await.expect("the other direction stands");
                 assert_eq!(far.read_u8().await.expect("and passes"), 1);
