--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -4,7 +4,7 @@
 use crate::node::Program;
 use crate::oracle::{judge, Figures, Finding, Verdict};
 use crate::relay::Link;
-use crate::scenario::{Fault, Form, Kind, Scenario, Select, Step, Trouble};
+use crate::scenario::{Fault, Form, LinkFault, LinkKind, Scenario, Select, Step};
 use crate::trace::{lock, Leave, Recorder, Span, Trace};
 use crate::world::{longest, World, LEAD, LEAVE, MIX};
 use rustix::process::{Resource, Signal};
@@ -171,10 +171,10 @@
                     self.reload(number, &left).await?;
                 }
             }
-            Fault::Link(place, _) if place.kind == Kind::Clients => {
+            Fault::Link(place, _) if place.kind == LinkKind::Clients => {
                 self.excuse_all(&place.nodes, step.at, end + BREAKS_SEEN);
             }
-            Fault::Link(place, _) if place.kind == Kind::Lists => {
+            Fault::Link(place, _) if place.kind == LinkKind::Lists => {
                 sleep_until(ends).await;
                 // What was written meanwhile has come only now, or on the next connection.
                 self.recorder.note(|trace| {
@@ -182,7 +182,7 @@
                     late.for_each(|drain| drain.at = drain.at.max(end + HEARD_AGAIN));
                 });
             }
-            Fault::Link(_, Trouble::Change(_)) => {
+            Fault::Link(_, LinkFault::Change(_)) => {
                 self.recorder.note(|trace| trace.garbled.push(Span { from: step.at, to: end }));
             }
             Fault::Drain(servers) => {
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Something happens to the bytes of links.
-    Link(Place, Trouble),
+    Link(LinkSelector, LinkFault),
     /// Nodes are killed, and start again when the time is over.
     Kill(Select),
     /// Nodes are told to end (SIGTERM), and start again when the time is over.
@@ -148,9 +148,9 @@
 
 /// Links of one kind.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct LinkSelector {
     /// Between whom.
-    pub kind: Kind,
+    pub kind: LinkKind,
     /// Of these nodes.
     pub nodes: Select,
     /// To these servers; all where there are none.
@@ -160,7 +160,7 @@
 /// Kinds of links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum LinkKind {
     /// Between clients and nodes.
     Clients,
     /// Between nodes and app servers.
@@ -176,7 +176,7 @@
 
 /// What happens to bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum LinkFault {
     /// They stop; connections stay open, new ones say nothing.
     Cut(Directions),
     /// They come later, by a time and up to a further one.
@@ -345,7 +345,7 @@
     #[serde(rename = "do")]
     does: Text,
     #[serde(default)]
-    link: Kind,
+    link: LinkKind,
     nodes: Option<Text>,
     servers: Option<Text>,
     customers: Option<Text>,
@@ -388,14 +388,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::Link(place, trouble) => match place.kind {
-                Kind::Servers => {
+                LinkKind::Servers => {
                     write!(f, "{trouble} between nodes {} and servers {}", place.nodes, place.servers)
                 }
-                Kind::Clients => write!(f, "{trouble} between clients and nodes {}", place.nodes),
-                Kind::SignIn => write!(f, "{trouble} between the sign-in service and nodes {}", place.nodes),
-                Kind::Nodes if place.nodes.is_all() => write!(f, "{trouble} between all nodes"),
-                Kind::Nodes => write!(f, "{trouble} between nodes {} and the others", place.nodes),
-                Kind::Lists => write!(f, "{trouble} between discovery and nodes {}", place.nodes),
+                LinkKind::Clients => write!(f, "{trouble} between clients and nodes {}", place.nodes),
+                LinkKind::SignIn => {
+                    write!(f, "{trouble} between the sign-in service and nodes {}", place.nodes)
+                }
+                LinkKind::Nodes if place.nodes.is_all() => write!(f, "{trouble} between all nodes"),
+                LinkKind::Nodes => write!(f, "{trouble} between nodes {} and the others", place.nodes),
+                LinkKind::Lists => write!(f, "{trouble} between discovery and nodes {}", place.nodes),
             },
             Fault::Kill(nodes) => write!(f, "nodes {nodes} killed"),
             Fault::Term(nodes) => write!(f, "nodes {nodes} told to end"),
@@ -416,7 +418,7 @@
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for LinkFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let way = |ways: &Directions| match ways {
             Directions::Both => "",
@@ -424,15 +426,15 @@
             Directions::Back => " on the way back",
         };
         match self {
-            Trouble::Cut(ways) => write!(f, "cut{}", way(ways)),
-            Trouble::Delay(ways, by, jitter) => {
+            LinkFault::Cut(ways) => write!(f, "cut{}", way(ways)),
+            LinkFault::Delay(ways, by, jitter) => {
                 write!(f, "{by:.0} to {:.0} ms later{}", by + jitter, way(ways))
             }
-            Trouble::Rate(ways, rate) => write!(f, "{rate:.0} bytes a second{}", way(ways)),
-            Trouble::Change(part) => write!(f, "{part} of the reads changed"),
-            Trouble::Lose(part) => write!(f, "{part} lost"),
-            Trouble::Twice(part) => write!(f, "{part} twice"),
-            Trouble::After(ways, bytes, then) => {
+            LinkFault::Rate(ways, rate) => write!(f, "{rate:.0} bytes a second{}", way(ways)),
+            LinkFault::Change(part) => write!(f, "{part} of the reads changed"),
+            LinkFault::Lose(part) => write!(f, "{part} lost"),
+            LinkFault::Twice(part) => write!(f, "{part} twice"),
+            LinkFault::After(ways, bytes, then) => {
                 let then = match then {
                     LimitAction::Reset => "reset",
                     LimitAction::Stall => "stalled",
@@ -440,7 +442,7 @@
                 };
                 write!(f, "{then} after {bytes} bytes{}", way(ways))
             }
-            Trouble::Reset => write!(f, "reset"),
+            LinkFault::Reset => write!(f, "reset"),
         }
     }
 }
@@ -556,25 +558,25 @@
             let place = || {
                 let all = || Ok(Select::All);
                 let servers = match step.link {
-                    Kind::Servers => on_servers()?,
-                    Kind::Clients | Kind::Lists | Kind::SignIn | Kind::Nodes => all()?,
+                    LinkKind::Servers => on_servers()?,
+                    LinkKind::Clients | LinkKind::Lists | LinkKind::SignIn | LinkKind::Nodes => all()?,
                 };
-                Ok(Place { kind: step.link, nodes: on_nodes()?, servers })
+                Ok(LinkSelector { kind: step.link, nodes: on_nodes()?, servers })
             };
-            if step.link == Kind::Lists && file.form == Form::Sidecar {
+            if step.link == LinkKind::Lists && file.form == Form::Sidecar {
                 let what = "sidecars have no link to discovery: they hear of servers by their configuration";
                 return Err(at(Some(span), what.to_owned()));
             }
-            if step.link == Kind::SignIn && !sign_in {
+            if step.link == LinkKind::SignIn && !sign_in {
                 return Err(at(Some(span), "there is no sign-in service: write sign-in = true".to_owned()));
             }
-            if step.link == Kind::Nodes && !group {
+            if step.link == LinkKind::Nodes && !group {
                 return Err(at(Some(span), "sidecars don't tell each other: write group = true".to_owned()));
             }
             let link = |trouble| {
-                let datagrams = matches!(trouble, Trouble::Lose(_) | Trouble::Twice(_));
-                let both = matches!(trouble, Trouble::Cut(_) | Trouble::Delay(..) | Trouble::Change(_));
-                if !both && datagrams != (step.link == Kind::Nodes) {
+                let datagrams = matches!(trouble, LinkFault::Lose(_) | LinkFault::Twice(_));
+                let both = matches!(trouble, LinkFault::Cut(_) | LinkFault::Delay(..) | LinkFault::Change(_));
+                if !both && datagrams != (step.link == LinkKind::Nodes) {
                     let what = "what sidecars tell each other are datagrams: cut, delay, lose, twice and change are for \
                                 them, lose and twice for nothing else";
                     return Err(at(Some(span.clone()), what.to_owned()));
@@ -595,24 +597,26 @@
             };
             let part = || number(step.part, "part", 0.0, 1.0);
             let fault = match step.does.get_ref().as_str() {
-                "cut" => link(Trouble::Cut(ways))?,
-                "delay" => link(Trouble::Delay(ways, or_none(&step.by)?, or_none(&step.jitter)?))?,
-                "rate" => link(Trouble::Rate(ways, number(step.rate, "rate, in bytes a second", 1.0, 1e9)?))?,
+                "cut" => link(LinkFault::Cut(ways))?,
+                "delay" => link(LinkFault::Delay(ways, or_none(&step.by)?, or_none(&step.jitter)?))?,
+                "rate" => {
+                    link(LinkFault::Rate(ways, number(step.rate, "rate, in bytes a second", 1.0, 1e9)?))?
+                }
                 "change"
-                    if matches!(step.link, Kind::Lists | Kind::SignIn)
+                    if matches!(step.link, LinkKind::Lists | LinkKind::SignIn)
                         || ways.there() && step.ways.is_some() =>
                 {
                     // What runs would be another request, and what is told another list: nobody could judge it.
                     let what = "only what comes back from servers and nodes can be changed".to_owned();
                     return Err(at(Some(span), what));
                 }
-                "change" => link(Trouble::Change(part()?))?,
-                "lose" => link(Trouble::Lose(part()?))?,
-                "twice" => link(Trouble::Twice(part()?))?,
-                "break" => link(Trouble::After(ways, bytes()?, LimitAction::Reset))?,
-                "stall" => link(Trouble::After(ways, bytes()?, LimitAction::Stall))?,
-                "end" => link(Trouble::After(ways, bytes()?, LimitAction::End))?,
-                "reset" => link(Trouble::Reset)?,
+                "change" => link(LinkFault::Change(part()?))?,
+                "lose" => link(LinkFault::Lose(part()?))?,
+                "twice" => link(LinkFault::Twice(part()?))?,
+                "break" => link(LinkFault::After(ways, bytes()?, LimitAction::Reset))?,
+                "stall" => link(LinkFault::After(ways, bytes()?, LimitAction::Stall))?,
+                "end" => link(LinkFault::After(ways, bytes()?, LimitAction::End))?,
+                "reset" => link(LinkFault::Reset)?,
                 "kill" => Fault::Kill(on_nodes()?),
                 "term" => Fault::Term(on_nodes()?),
                 "pause" => Fault::Pause(on_nodes()?),
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -6,7 +6,7 @@
 use crate::node::{Guard, Node, Program};
 use crate::oracle::Rules;
 use crate::relay::{DirectionFaults, Link};
-use crate::scenario::{Fault, Form, Kind, Plant, Scenario, Trouble, ZONES};
+use crate::scenario::{Fault, Form, LinkFault, LinkKind, Plant, Scenario, ZONES};
 use crate::server::{Backend, Make, Server};
 use crate::sign_in::{denied, SignIn};
 use crate::trace::{lock, Class, Drain, Effect, Excuse, Recorder, Span};
@@ -419,12 +419,12 @@
         let none = usize::MAX;
         for (number, links) in self.links.iter().enumerate() {
             for (server, link) in links.iter().enumerate() {
-                put(link, holding, Kind::Servers, number, server);
+                put(link, holding, LinkKind::Servers, number, server);
             }
             if let Some((_, links)) = &self.sign_in {
-                put(&links[number], holding, Kind::SignIn, number, none);
+                put(&links[number], holding, LinkKind::SignIn, number, none);
             }
-            put(&lock(&self.lists[number]), holding, Kind::Lists, number, none);
+            put(&lock(&self.lists[number]), holding, LinkKind::Lists, number, none);
             self.agents[number]
                 .silence(holding.iter().any(|f| matches!(f, Fault::Unlisted(n) if n.has(number))));
             if let Some(door) = self.doors().get(number) {
@@ -433,7 +433,7 @@
                 if faulty {
                     door.at_fault(true, self.recorder.now());
                 }
-                put(&door.link, holding, Kind::Clients, number, none);
+                put(&door.link, holding, LinkKind::Clients, number, none);
                 door.at_fault(faulty, self.recorder.now());
             }
         }
@@ -497,11 +497,11 @@
 
 /// Whether a fault is on a node's link to its clients.
 pub fn at_clients(fault: &Fault, node: usize) -> bool {
-    matches!(fault, Fault::Link(place, _) if place.kind == Kind::Clients && place.nodes.has(node))
+    matches!(fault, Fault::Link(place, _) if place.kind == LinkKind::Clients && place.nodes.has(node))
 }
 
 /// Puts on a link what holds now.
-fn put(link: &Link, holding: &[&Fault], kind: Kind, node: usize, server: usize) {
+fn put(link: &Link, holding: &[&Fault], kind: LinkKind, node: usize, server: usize) {
     let (mut there, mut back, mut reset) = (DirectionFaults::default(), DirectionFaults::default(), false);
     for fault in holding {
         let Fault::Link(place, trouble) = fault else { continue };
@@ -517,19 +517,19 @@
             }
         };
         match *trouble {
-            Trouble::Cut(ways) => each(ways, &|way| way.cut = true),
-            Trouble::Delay(ways, by, jitter) => each(ways, &|way| {
+            LinkFault::Cut(ways) => each(ways, &|way| way.cut = true),
+            LinkFault::Delay(ways, by, jitter) => each(ways, &|way| {
                 way.delay += Duration::from_secs_f64(by / 1000.0);
                 way.jitter += Duration::from_secs_f64(jitter / 1000.0);
             }),
-            Trouble::Rate(ways, rate) => {
+            LinkFault::Rate(ways, rate) => {
                 each(ways, &|way| way.rate = Some(way.rate.map_or(rate, |now| now.min(rate))));
             }
-            Trouble::Change(part) => back.changed = back.changed.max(part),
+            LinkFault::Change(part) => back.changed = back.changed.max(part),
             // Of datagrams alone.
-            Trouble::Lose(_) | Trouble::Twice(_) => {}
-            Trouble::After(ways, bytes, then) => each(ways, &|way| way.after = Some((bytes, then))),
-            Trouble::Reset => reset = true,
+            LinkFault::Lose(_) | LinkFault::Twice(_) => {}
+            LinkFault::After(ways, bytes, then) => each(ways, &|way| way.after = Some((bytes, then))),
+            LinkFault::Reset => reset = true,
         }
     }
     link.set(there, back);
@@ -563,19 +563,19 @@
     for fault in holding {
         let Fault::Link(place, trouble) = fault else { continue };
         let (own, other) = (place.nodes.has(from), place.nodes.has(to));
-        if place.kind != Kind::Nodes || own == other && !place.nodes.is_all() {
+        if place.kind != LinkKind::Nodes || own == other && !place.nodes.is_all() {
             continue;
         }
         let goes = |ways: crate::scenario::Directions| if own { ways.there() } else { ways.back() };
         match *trouble {
-            Trouble::Cut(ways) => flow.cut |= goes(ways),
-            Trouble::Delay(ways, by, jitter) if goes(ways) => {
+            LinkFault::Cut(ways) => flow.cut |= goes(ways),
+            LinkFault::Delay(ways, by, jitter) if goes(ways) => {
                 flow.delay += Duration::from_secs_f64(by / 1000.0);
                 flow.jitter += Duration::from_secs_f64(jitter / 1000.0);
             }
-            Trouble::Lose(part) => flow.lost = flow.lost.max(part),
-            Trouble::Twice(part) => flow.twice = flow.twice.max(part),
-            Trouble::Change(part) => flow.changed = flow.changed.max(part),
+            LinkFault::Lose(part) => flow.lost = flow.lost.max(part),
+            LinkFault::Twice(part) => flow.twice = flow.twice.max(part),
+            LinkFault::Change(part) => flow.changed = flow.changed.max(part),
             _ => {}
         }
     }
