--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -3,7 +3,8 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure, report, run_once, shipped, Figures, Form, Program, RunResult, Scenario, Select, Verdict,
+    guard, measure, report, run_once, shipped, Figures, Form, Program, RunResult, Scenario, Selection,
+    Verdict,
 };
 use serde_json::json;
 use std::io::Write;
@@ -271,7 +272,7 @@
     };
     let program = started(asked.program.as_deref()).and_then(|program| {
         let others =
-            asked.others.as_deref().map(|others| Select::parse(others, scenario.nodes)).transpose()?;
+            asked.others.as_deref().map(|others| Selection::parse(others, scenario.nodes)).transpose()?;
         Ok(Program { other: asked.other.clone().zip(others), defect: asked.defect.clone(), ..program })
     });
     let program = match program {
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -1,7 +1,7 @@
 //! One process of the program, as it is shipped, in the platform's form; and the guard that ends all of them when the
 //! rig itself is killed.
 
-use crate::scenario::{Form, Select};
+use crate::scenario::{Form, Selection};
 use crate::stat;
 use crate::trace::{lock, Recorder};
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -27,7 +27,7 @@
     /// The program under test.
     pub program: PathBuf,
     /// Another one that some nodes run, as during a release.
-    pub other: Option<(PathBuf, Select)>,
+    pub other: Option<(PathBuf, Selection)>,
     /// The defect that a planted program is to have; no other program knows of it.
     pub defect: Option<String>,
     /// This rig's own program, whose `guard` ends what it started; `None` where a test does without.
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -4,7 +4,7 @@
 use crate::node::Program;
 use crate::oracle::{judge, Figures, Finding, Verdict};
 use crate::relay::Link;
-use crate::scenario::{Fault, Form, LinkFault, LinkKind, Scenario, Select, Step};
+use crate::scenario::{Fault, Form, LinkFault, LinkKind, Scenario, Selection, Step};
 use crate::trace::{lock, Leave, Recorder, Span, Trace};
 use crate::world::{longest, World, LEAD, LEAVE, MIX};
 use rustix::process::{Resource, Signal};
@@ -66,19 +66,19 @@
 }
 
 impl World {
-    async fn signal(&self, nodes: &Select, signal: Signal) {
+    async fn signal(&self, nodes: &Selection, signal: Signal) {
         for number in nodes.of(self.scenario.nodes) {
             self.nodes[number].lock().await.signal(signal);
         }
     }
 
-    async fn limit(&self, nodes: &Select, what: Resource, count: Option<u64>) {
+    async fn limit(&self, nodes: &Selection, what: Resource, count: Option<u64>) {
         for number in nodes.of(self.scenario.nodes) {
             self.nodes[number].lock().await.limit(what, count);
         }
     }
 
-    fn excuse_all(&self, nodes: &Select, from: f64, to: f64) {
+    fn excuse_all(&self, nodes: &Selection, from: f64, to: f64) {
         nodes.of(self.scenario.nodes).iter().for_each(|number| self.excuse(*number, from, to));
     }
 
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -110,40 +110,40 @@
     /// Something happens to the bytes of links.
     Link(LinkSelector, LinkFault),
     /// Nodes are killed, and start again when the time is over.
-    Kill(Select),
+    Kill(Selection),
     /// Nodes are told to end (SIGTERM), and start again when the time is over.
-    Term(Select),
+    Term(Selection),
     /// Nodes stand still (SIGSTOP) and go on when the time is over.
-    Pause(Select),
+    Pause(Selection),
     /// Nodes stand still for a part of each period, given in milliseconds.
-    Duty(Select, f64, f64),
+    Duty(Selection, f64, f64),
     /// Nodes may have this many descriptors.
-    Descriptors(Select, u64),
+    Descriptors(Selection, u64),
     /// Files of nodes can't grow: each write beyond the end fails as on a full disk.
-    FullDisk(Select),
+    FullDisk(Selection),
     /// Servers drain, and are gone from the list when the time is over.
-    Drain(Select),
+    Drain(Selection),
     /// Servers die, and come back cold when the time is over.
-    Crash(Select),
+    Crash(Selection),
     /// Servers take this many times as long.
-    Slow(Select, For, f64),
+    Slow(Selection, RequestFilter, f64),
     /// Servers answer this part of their requests with 500, at once.
-    Wrong(Select, For, f64),
+    Wrong(Selection, RequestFilter, f64),
     /// Servers run what comes and break the connection in place of an answer.
-    Swallow(Select, For),
+    Swallow(Selection, RequestFilter),
     /// Nodes hear nothing of the list.
-    Unlisted(Select),
+    Unlisted(Selection),
     /// Discovery moves: its old address answers no more, and nodes are told the new one (SIGHUP).
-    Move(Select),
+    Move(Selection),
 }
 
 /// Which requests a server's fault is about.
 #[derive(Clone, Debug, PartialEq)]
-pub struct For {
+pub struct RequestFilter {
     /// Those that come through these nodes.
-    pub nodes: Select,
+    pub nodes: Selection,
     /// Those of these customers.
-    pub customers: Select,
+    pub customers: Selection,
 }
 
 /// Links of one kind.
@@ -152,9 +152,9 @@
     /// Between whom.
     pub kind: LinkKind,
     /// Of these nodes.
-    pub nodes: Select,
+    pub nodes: Selection,
     /// To these servers; all where there are none.
-    pub servers: Select,
+    pub servers: Selection,
 }
 
 /// Kinds of links.
@@ -222,7 +222,7 @@
 
 /// Some of the nodes or servers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Select {
+pub enum Selection {
     /// All.
     All,
     /// Those of a zone: 0 is north, 1 is south; numbers are dealt to them in turn.
@@ -236,19 +236,19 @@
 /// Names of the zones.
 pub const ZONES: [&str; 2] = ["north", "south"];
 
-impl Select {
+impl Selection {
     /// Whether it leaves nobody out.
     pub fn is_all(&self) -> bool {
-        matches!(self, Select::All)
+        matches!(self, Selection::All)
     }
 
     /// Whether a number is among them.
     pub fn has(&self, number: usize) -> bool {
         match self {
-            Select::All => true,
-            Select::Zone(zone) => number % ZONES.len() == *zone,
-            Select::Share(part, whole) => number % whole < *part,
-            Select::Numbers(numbers) => numbers.contains(&number),
+            Selection::All => true,
+            Selection::Zone(zone) => number % ZONES.len() == *zone,
+            Selection::Share(part, whole) => number % whole < *part,
+            Selection::Numbers(numbers) => numbers.contains(&number),
         }
     }
 
@@ -265,21 +265,21 @@
         let wrong =
             || format!("'{text}' is none of all, north, south, a part such as 7/10, numbers such as 0,3");
         if text == "all" {
-            return Ok(Select::All);
+            return Ok(Selection::All);
         }
         if let Some(zone) = ZONES.iter().position(|zone| *zone == text) {
-            return Ok(Select::Zone(zone));
+            return Ok(Selection::Zone(zone));
         }
         if let Some((part, whole)) = text.split_once('/') {
             let (part, whole) = (part.parse().map_err(|_| wrong())?, whole.parse().map_err(|_| wrong())?);
             let sound = 0 < part && part <= whole;
-            return if sound { Ok(Select::Share(part, whole)) } else { Err(wrong()) };
+            return if sound { Ok(Selection::Share(part, whole)) } else { Err(wrong()) };
         }
         let numbers: Vec<usize> =
             text.split(',').map(|n| n.trim().parse()).collect::<Result<_, _>>().map_err(|_| wrong())?;
         match numbers.iter().find(|number| **number >= count) {
             Some(number) => Err(format!("there is no number {number}: they go from 0 to {}", count - 1)),
-            None => Ok(Select::Numbers(numbers)),
+            None => Ok(Selection::Numbers(numbers)),
         }
     }
 }
@@ -362,7 +362,7 @@
 
 impl Fault {
     /// The nodes that it names, where it names any.
-    fn names(&self) -> Option<&Select> {
+    fn names(&self) -> Option<&Selection> {
         match self {
             Fault::Link(place, _) => Some(&place.nodes),
             Fault::Kill(nodes)
@@ -447,7 +447,7 @@
     }
 }
 
-impl fmt::Display for For {
+impl fmt::Display for RequestFilter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if !self.nodes.is_all() {
             write!(f, " for nodes {}", self.nodes)?;
@@ -459,13 +459,13 @@
     }
 }
 
-impl fmt::Display for Select {
+impl fmt::Display for Selection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Select::All => write!(f, "all"),
-            Select::Zone(zone) => write!(f, "{}", ZONES[zone % ZONES.len()]),
-            Select::Share(part, whole) => write!(f, "{part}/{whole}"),
-            Select::Numbers(numbers) => {
+            Selection::All => write!(f, "all"),
+            Selection::Zone(zone) => write!(f, "{}", ZONES[zone % ZONES.len()]),
+            Selection::Share(part, whole) => write!(f, "{part}/{whole}"),
+            Selection::Numbers(numbers) => {
                 let words: Vec<_> = numbers.iter().map(usize::to_string).collect();
                 write!(f, "{}", words.join(","))
             }
@@ -488,7 +488,7 @@
         }
         let named = self.steps.iter().filter_map(|step| step.fault.names());
         for select in named {
-            if let Select::Numbers(numbers) = select {
+            if let Selection::Numbers(numbers) = select {
                 if numbers.iter().any(|number| *number >= nodes) {
                     return Err(format!("a step is about nodes {select}, and there are {nodes}"));
                 }
@@ -543,7 +543,7 @@
             let (span, step) = (step.span(), step.get_ref());
             let some = |text: &Option<Text>, name: &str, count: usize| match text {
                 Some(text) => {
-                    Select::parse(text.get_ref(), count).map_err(|what| at(Some(text.span()), what))
+                    Selection::parse(text.get_ref(), count).map_err(|what| at(Some(text.span()), what))
                 }
                 None => Err(at(Some(span.clone()), format!("'{}' needs {name}", step.does.get_ref()))),
             };
@@ -556,7 +556,7 @@
             let or_none = |t: &Option<Text>| t.as_ref().map_or(Ok(0.0), &time);
             let ways = step.ways.unwrap_or_default();
             let place = || {
-                let all = || Ok(Select::All);
+                let all = || Ok(Selection::All);
                 let servers = match step.link {
                     LinkKind::Servers => on_servers()?,
                     LinkKind::Clients | LinkKind::Lists | LinkKind::SignIn | LinkKind::Nodes => all()?,
@@ -586,10 +586,10 @@
             let for_whom = || {
                 let or_all = |text: &Option<Text>, name, count| match text {
                     Some(_) => some(text, name, count),
-                    None => Ok(Select::All),
+                    None => Ok(Selection::All),
                 };
                 let customers = or_all(&step.customers, "customers", *file.customers.get_ref() as usize)?;
-                Ok(For { nodes: or_all(&step.nodes, "nodes", nodes)?, customers })
+                Ok(RequestFilter { nodes: or_all(&step.nodes, "nodes", nodes)?, customers })
             };
             let bytes = || {
                 let given = step.after.map(|after| after as f64);
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -3,7 +3,7 @@
 
 use crate::accept::accept;
 use crate::http::{self, Message};
-use crate::scenario::{For, ZONES};
+use crate::scenario::{RequestFilter, ZONES};
 use crate::trace::{lock, Class, Effect, Recorder, Run};
 use std::collections::HashMap;
 use std::io;
@@ -104,11 +104,11 @@
     /// When it last started, in milliseconds of the play; `None` for long ago.
     pub started: Option<f64>,
     /// It takes this many times as long.
-    pub slow: Vec<(For, f64)>,
+    pub slow: Vec<(RequestFilter, f64)>,
     /// Part of the requests that it answers with 500 at once.
-    pub wrong: Vec<(For, f64)>,
+    pub wrong: Vec<(RequestFilter, f64)>,
     /// It runs what comes and breaks the connection.
-    pub swallows: Vec<For>,
+    pub swallows: Vec<RequestFilter>,
 }
 
 impl Default for Condition {
@@ -192,7 +192,7 @@
         let customer = u32::from_str_radix(customer, 16).ok()?;
         let node = lock(&backend.origins).get(&peer).copied()?;
         let condition = self.condition.borrow().clone();
-        let about = |whom: &For| whom.nodes.has(node) && whom.customers.has(customer as usize);
+        let about = |whom: &RequestFilter| whom.nodes.has(node) && whom.customers.has(customer as usize);
         let (now, work) = (backend.recorder.now(), backend.work(class, id));
         let mut run = Run { id, server: self.number, node, at: now, work, effect: false, declined: false };
         if self.waiting.load(Ordering::SeqCst) >= QUEUE * backend.make.workers {
