--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure, report, run_once, shipped, Figures, Form, Program, RunResult, Scenario, Selection,
+    guard, measure, report, run_once, shipped, Figures, NodeKind, Program, RunResult, Scenario, Selection,
     Verdict,
 };
 use serde_json::json;
@@ -170,11 +170,11 @@
         Command::Compare { scenario, old, new, against, domains, group, turns } => {
             with(&scenario, |scenario| match against {
                 Some(other) => with(&other, |other| compare(&[scenario, other], [old, new], turns)),
-                None if group && scenario.form == Form::Sidecar => {
+                None if group && scenario.form == NodeKind::Sidecar => {
                     let with = |group| Scenario { domains: true, group, ..scenario.clone() };
                     compare(&[with(false), with(true)], [old, new], turns)
                 }
-                None if (domains || group) && scenario.form != Form::Sidecar => {
+                None if (domains || group) && scenario.form != NodeKind::Sidecar => {
                     misused("only sidecars judge zones as a whole")
                 }
                 None if domains => {
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -1,7 +1,7 @@
 //! One process of the program, as it is shipped, in the platform's form; and the guard that ends all of them when the
 //! rig itself is killed.
 
-use crate::scenario::{Form, Selection};
+use crate::scenario::{NodeKind, Selection};
 use crate::stat;
 use crate::trace::{lock, Recorder};
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -104,7 +104,7 @@
 
 /// A node, running or not.
 pub struct Node {
-    form: Form,
+    form: NodeKind,
     program: PathBuf,
     defect: Option<String>,
     recorder: Recorder,
@@ -118,8 +118,8 @@
 
 impl Node {
     /// A node that has not started; its files go into a folder.
-    pub fn new(program: &Program, folder: &Path, number: usize, form: Form, recorder: Recorder) -> Self {
-        let end = if form == Form::Sidecar { "conf" } else { "json" };
+    pub fn new(program: &Program, folder: &Path, number: usize, form: NodeKind, recorder: Recorder) -> Self {
+        let end = if form == NodeKind::Sidecar { "conf" } else { "json" };
         let (config, log) = (folder.join(format!("n{number}.{end}")), folder.join(format!("n{number}.log")));
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let (path, defect) = (program.of(number).to_owned(), program.defect.clone());
@@ -145,8 +145,8 @@
         std::fs::write(&self.config, config(self.address))?;
         let mut command = Command::new(&self.program);
         match self.form {
-            Form::EdgeNode => command.env("RELAY_CONFIG", &self.config),
-            Form::Sidecar => command.arg("serve").arg(&self.config),
+            NodeKind::EdgeNode => command.env("RELAY_CONFIG", &self.config),
+            NodeKind::Sidecar => command.arg("serve").arg(&self.config),
         };
         command.stdin(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
         if let Some(defect) = &self.defect {
@@ -197,7 +197,7 @@
                 crate::http::read(&mut stream).await.ok()?
             };
             // A sidecar has no route for it, and says so.
-            let sound = |status| status == 200 || self.form == Form::Sidecar && status == 404;
+            let sound = |status| status == 200 || self.form == NodeKind::Sidecar && status == 404;
             if asked.await.is_some_and(|answer| sound(answer.status())) {
                 return;
             }
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -4,7 +4,7 @@
 use crate::node::Program;
 use crate::oracle::{judge, Figures, Finding, Verdict};
 use crate::relay::Link;
-use crate::scenario::{Fault, Form, LinkFault, LinkKind, Scenario, Selection, Step};
+use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Scenario, Selection, Step};
 use crate::trace::{lock, Leave, Recorder, Span, Trace};
 use crate::world::{longest, World, LEAD, LEAVE, MIX};
 use rustix::process::{Resource, Signal};
@@ -161,7 +161,7 @@
                     late.for_each(|drain| drain.at = drain.at.max(step.at + HEARD_AGAIN));
                 });
             }
-            Fault::Unlisted(nodes) if self.scenario.form == Form::Sidecar => {
+            Fault::Unlisted(nodes) if self.scenario.form == NodeKind::Sidecar => {
                 sleep_until(ends).await;
                 let left: Vec<usize> = {
                     let told = lock(&self.told);
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -43,7 +43,7 @@
     /// Units a second of each customer's ceiling; 0 for none.
     pub ceiling: f64,
     /// What the processes are.
-    pub form: Form,
+    pub form: NodeKind,
     /// Whether they keep a journal of orders; sidecars only.
     pub journal: bool,
     /// Whether a sign-in service is asked first; sidecars only.
@@ -61,7 +61,7 @@
 /// What the processes are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub enum NodeKind {
     /// The platform's edge node.
     #[default]
     EdgeNode,
@@ -321,7 +321,7 @@
     #[serde(default)]
     ceiling: f64,
     #[serde(default)]
-    form: Form,
+    form: NodeKind,
     journal: Option<Spanned<bool>>,
     sign_in: Option<Spanned<bool>>,
     domains: Option<Spanned<bool>>,
@@ -525,7 +525,7 @@
         let length = time(&file.length)?;
         within(file.length.span(), "length in ms", length, 1.0, LENGTH_MOST)?;
         let sidecars_alone = |asked: &Option<Spanned<bool>>, what: &str| match asked {
-            Some(asked) if *asked.get_ref() && file.form != Form::Sidecar => {
+            Some(asked) if *asked.get_ref() && file.form != NodeKind::Sidecar => {
                 Err(at(Some(asked.span()), format!("only sidecars {what}")))
             }
             asked => Ok(asked.as_ref().is_some_and(|asked| *asked.get_ref())),
@@ -563,7 +563,7 @@
                 };
                 Ok(LinkSelector { kind: step.link, nodes: on_nodes()?, servers })
             };
-            if step.link == LinkKind::Lists && file.form == Form::Sidecar {
+            if step.link == LinkKind::Lists && file.form == NodeKind::Sidecar {
                 let what = "sidecars have no link to discovery: they hear of servers by their configuration";
                 return Err(at(Some(span), what.to_owned()));
             }
@@ -636,7 +636,7 @@
                 "wrong" => Fault::Wrong(on_servers()?, for_whom()?, part()?),
                 "swallow" => Fault::Swallow(on_servers()?, for_whom()?),
                 "unlisted" => Fault::Unlisted(on_nodes()?),
-                "move" if file.form == Form::Sidecar => {
+                "move" if file.form == NodeKind::Sidecar => {
                     let what = "sidecars have no discovery that could move".to_owned();
                     return Err(at(Some(span), what));
                 }
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -6,7 +6,7 @@
 use crate::node::{Guard, Node, Program};
 use crate::oracle::Rules;
 use crate::relay::{DirectionFaults, Link};
-use crate::scenario::{Fault, Form, LinkFault, LinkKind, Plant, Scenario, ZONES};
+use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Plant, Scenario, ZONES};
 use crate::server::{Backend, Make, Server};
 use crate::sign_in::{denied, SignIn};
 use crate::trace::{lock, Class, Drain, Effect, Excuse, Recorder, Span};
@@ -206,8 +206,8 @@
         let (listed, known) = (lock(&self.lists[number]).address, self.agents[number].known());
         let seed = self.seed_of(number);
         let config = |address| match self.scenario.form {
-            Form::EdgeNode => self.config(number, address, listed, &known, seed),
-            Form::Sidecar => self.statements(number, address),
+            NodeKind::EdgeNode => self.config(number, address, listed, &known, seed),
+            NodeKind::Sidecar => self.statements(number, address),
         };
         node.start(self.guard.as_ref(), config).await
     }
@@ -342,7 +342,7 @@
         state: &'static str,
         boot_ms: u64,
     ) -> io::Result<()> {
-        if self.scenario.form == Form::EdgeNode {
+        if self.scenario.form == NodeKind::EdgeNode {
             for (agent, links) in self.agents.iter().zip(&self.links) {
                 for server in servers.iter().copied() {
                     let address = links[server].address;
