--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -33,7 +33,7 @@
 pub use report::report;
 pub use runner::{run_once, run_scenario, run_until_conclusive, HarnessError, RunResult};
 pub use scenario::{
-    shipped, Directions, Fault, LinkFault, LinkKind, LinkSelector, NodeKind, Plant, RequestFilter, Scenario,
-    ScenarioError, Selection, Step, ZONES,
+    shipped, ConfigDefect, Directions, Fault, LinkFault, LinkKind, LinkSelector, NodeKind, RequestFilter,
+    Scenario, ScenarioError, Selection, Step, ZONES,
 };
 pub use trace::{Answer, Class, Drain, Effect, Excuse, Leave, Request, Run, Span, Stray, Trace};
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -53,7 +53,7 @@
     /// Whether they tell each other what they see; only where they judge zones.
     pub group: bool,
     /// What nodes are told wrongly.
-    pub plants: Vec<Plant>,
+    pub plants: Vec<ConfigDefect>,
     /// What happens, in order.
     pub steps: Vec<Step>,
 }
@@ -72,7 +72,7 @@
 /// What nodes are told wrongly, to see that the oracles find it: a defect that needs no other program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Plant {
+pub enum ConfigDefect {
     /// That requests which must not run twice may.
     UnsafeAsSafe,
     /// That servers of all zones drop each other's repeats.
@@ -327,7 +327,7 @@
     domains: Option<Spanned<bool>>,
     group: Option<Spanned<bool>>,
     #[serde(default, rename = "plant")]
-    plants: Vec<Plant>,
+    plants: Vec<ConfigDefect>,
     #[serde(default, rename = "step")]
     steps: Vec<Spanned<FileStep>>,
 }
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -6,7 +6,7 @@
 use crate::node::{Guard, Node, Program};
 use crate::oracle::Rules;
 use crate::relay::{DirectionFaults, Link};
-use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Plant, Scenario, ZONES};
+use crate::scenario::{ConfigDefect, Fault, LinkFault, LinkKind, NodeKind, Scenario, ZONES};
 use crate::server::{Backend, Make, Server};
 use crate::sign_in::{denied, SignIn};
 use crate::trace::{lock, Class, Drain, Effect, Excuse, Recorder, Span};
@@ -248,7 +248,7 @@
             let folder = self.folder.join(format!("journal-{number}"));
             text += &format!("journal {{ folder {}; level written; }}\n", folder.display());
         }
-        let scope = if self.plants(Plant::KeyedEverywhere) { "all" } else { "zone" };
+        let scope = if self.plants(ConfigDefect::KeyedEverywhere) { "all" } else { "zone" };
         for (number, class) in rules.classes.iter().enumerate() {
             let effect = match self.told(number).effect {
                 Effect::Safe => "safe;".to_owned(),
@@ -371,7 +371,7 @@
 
     fn config(&self, number: usize, listen: SocketAddr, agent: SocketAddr, known: &str, seed: u64) -> String {
         let (rules, scenario) = (&self.rules, &self.scenario);
-        let scope = if self.plants(Plant::KeyedEverywhere) { "all" } else { "zone" };
+        let scope = if self.plants(ConfigDefect::KeyedEverywhere) { "all" } else { "zone" };
         let (count, rank) = (self.width(), number % self.width());
         let classes: Vec<_> = rules
             .classes
@@ -457,14 +457,14 @@
         }
     }
 
-    fn plants(&self, plant: Plant) -> bool {
+    fn plants(&self, plant: ConfigDefect) -> bool {
         self.scenario.plants.contains(&plant)
     }
 
     /// A class as nodes and clients are told of it; a node refuses a request that does not fit what it was told.
     pub fn told(&self, class: usize) -> Class {
         let mut class = self.rules.classes[class].clone();
-        if class.effect == Effect::Unsafe && self.plants(Plant::UnsafeAsSafe) {
+        if class.effect == Effect::Unsafe && self.plants(ConfigDefect::UnsafeAsSafe) {
             class.effect = Effect::Safe;
         }
         class
@@ -473,7 +473,7 @@
     /// Nodes of a customer's set, as nodes and clients are told; one that takes itself for the only one takes the
     /// whole of what is shared.
     pub fn width(&self) -> usize {
-        if self.plants(Plant::Alone) {
+        if self.plants(ConfigDefect::Alone) {
             1
         } else {
             self.scenario.nodes
