--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::http::{self, Message};
 use crate::relay::Link;
-use crate::trace::{lock, Answer, Class, Effect, Recorder, Request, Stray};
+use crate::trace::{lock, Answer, Class, Effect, Recorder, Request, UnsolicitedData};
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -66,8 +66,8 @@
             match stream.get_ref().try_read(&mut [0]) {
                 Ok(0) => {}
                 Ok(_) => {
-                    let stray = Stray { node: self.node, at: recorder.now() };
-                    recorder.note(|trace| trace.strays.push(stray));
+                    let stray = UnsolicitedData { node: self.node, at: recorder.now() };
+                    recorder.note(|trace| trace.unsolicited.push(stray));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock && since.elapsed() < KEEP => {
                     return Some(stream);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -36,4 +36,6 @@
     shipped, ConfigDefect, Directions, Fault, LinkFault, LinkKind, LinkSelector, NodeKind, RequestFilter,
     Scenario, ScenarioError, Selection, Step, ZONES,
 };
-pub use trace::{Answer, Class, Drain, Effect, Excuse, Leave, Request, Run, Span, Stray, Trace};
+pub use trace::{
+    Answer, Class, Drain, Effect, Exemption, Request, Run, Shutdown, Span, Trace, UnsolicitedData,
+};
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -190,7 +190,7 @@
     findings.extend(ceilings(rules, trace, &requests));
     findings.extend(accounts(trace));
     findings.extend(sign_in(rules, trace, &requests));
-    findings.extend(leaves(rules, trace));
+    findings.extend(shutdowns(rules, trace));
     findings.extend(settling(rules, &figures));
     findings.extend(swinging(&turns));
     findings.extend(at_odds(rules, &apart));
@@ -215,7 +215,7 @@
     for request in &trace.requests {
         let end = request.meant + rules.classes[request.class].deadline + rules.answer_slack;
         let open = Span { from: request.written, to: request.ended.min(end) };
-        if trace.excuses(request.node, &open) {
+        if trace.is_exempt(request.node, &open) {
             continue;
         }
         let (id, node) = (request.id, request.node);
@@ -244,9 +244,9 @@
             _ => {}
         }
     }
-    for stray in &trace.strays {
+    for stray in &trace.unsolicited {
         let seen = Span { from: stray.at, to: stray.at };
-        if !trace.excuses(stray.node, &seen) {
+        if !trace.is_exempt(stray.node, &seen) {
             found.push(finding(ONE_ANSWER, format!("node {} sent bytes that nobody asked for", stray.node)));
         }
     }
@@ -425,8 +425,8 @@
 }
 
 /// A node that is told to end ends once what it holds has its answers.
-fn leaves(rules: &Rules, trace: &Trace) -> Vec<Finding> {
-    let late = trace.leaves.iter().filter(|leave| leave.took > rules.leave_most);
+fn shutdowns(rules: &Rules, trace: &Trace) -> Vec<Finding> {
+    let late = trace.shutdowns.iter().filter(|leave| leave.took > rules.leave_most);
     late.map(|leave| finding("ends when told", format!("node {} took {:.0} ms", leave.node, leave.took)))
         .collect()
 }
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -5,7 +5,7 @@
 use crate::oracle::{judge, Figures, Finding, Verdict};
 use crate::relay::Link;
 use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Scenario, Selection, Step};
-use crate::trace::{lock, Leave, Recorder, Span, Trace};
+use crate::trace::{lock, Recorder, Shutdown, Span, Trace};
 use crate::world::{longest, World, LEAD, LEAVE, MIX};
 use rustix::process::{Resource, Signal};
 use std::fmt;
@@ -78,8 +78,8 @@
         }
     }
 
-    fn excuse_all(&self, nodes: &Selection, from: f64, to: f64) {
-        nodes.of(self.scenario.nodes).iter().for_each(|number| self.excuse(*number, from, to));
+    fn exempt_all(&self, nodes: &Selection, from: f64, to: f64) {
+        nodes.of(self.scenario.nodes).iter().for_each(|number| self.exempt(*number, from, to));
     }
 
     /// What a step does to processes, from its beginning to its end; links and servers are set by `apply`.
@@ -103,14 +103,16 @@
                             let took =
                                 node.ended(world.guard.as_ref(), patience).await.as_secs_f64() * 1000.0;
                             if !killed {
-                                world.recorder.note(|trace| trace.leaves.push(Leave { node: number, took }));
+                                world
+                                    .recorder
+                                    .note(|trace| trace.shutdowns.push(Shutdown { node: number, took }));
                             }
                         }
                         sleep_until(ends).await;
                         world.start(number).await?;
                         world.mark_killed(number, false);
                         if killed {
-                            world.excuse(number, begun, world.recorder.now());
+                            world.exempt(number, begun, world.recorder.now());
                         }
                         Ok::<(), io::Error>(())
                     });
@@ -123,7 +125,7 @@
                 self.signal(nodes, Signal::STOP).await;
                 sleep_until(ends).await;
                 self.signal(nodes, Signal::CONT).await;
-                self.excuse_all(nodes, step.at, self.recorder.now());
+                self.exempt_all(nodes, step.at, self.recorder.now());
             }
             Fault::Duty(nodes, part, period) => {
                 let still = Duration::from_secs_f64(part * period / 1000.0);
@@ -134,14 +136,14 @@
                         tokio::time::sleep(holds).await;
                     }
                 }
-                self.excuse_all(nodes, step.at, self.recorder.now());
+                self.exempt_all(nodes, step.at, self.recorder.now());
             }
             Fault::Descriptors(nodes, count) => {
                 self.limit(nodes, Resource::Nofile, Some(*count)).await;
                 sleep_until(ends).await;
                 self.limit(nodes, Resource::Nofile, None).await;
                 // What waits in the system's queue has been taken by nobody, and no client can tell.
-                self.excuse_all(nodes, step.at, end);
+                self.exempt_all(nodes, step.at, end);
             }
             Fault::FullDisk(nodes) => {
                 self.limit(nodes, Resource::Fsize, Some(0)).await;
@@ -172,7 +174,7 @@
                 }
             }
             Fault::Link(place, _) if place.kind == LinkKind::Clients => {
-                self.excuse_all(&place.nodes, step.at, end + BREAKS_SEEN);
+                self.exempt_all(&place.nodes, step.at, end + BREAKS_SEEN);
             }
             Fault::Link(place, _) if place.kind == LinkKind::Lists => {
                 sleep_until(ends).await;
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -125,7 +125,7 @@
 
 /// A time in which a node answers for nothing: it was killed or stopped, or its link to clients was at fault.
 #[derive(Clone, Debug)]
-pub struct Excuse {
+pub struct Exemption {
     /// The node.
     pub node: usize,
     /// When.
@@ -134,7 +134,7 @@
 
 /// Bytes came on a connection on which nothing was asked.
 #[derive(Clone, Debug)]
-pub struct Stray {
+pub struct UnsolicitedData {
     /// The node that sent them.
     pub node: usize,
     /// When they were seen.
@@ -143,7 +143,7 @@
 
 /// A node that was told to end has ended.
 #[derive(Clone, Debug)]
-pub struct Leave {
+pub struct Shutdown {
     /// The node.
     pub node: usize,
     /// How long that took.
@@ -156,9 +156,9 @@
     /// Requests that the generator has begun.
     pub planned: usize,
     /// What nodes sent unasked.
-    pub strays: Vec<Stray>,
+    pub unsolicited: Vec<UnsolicitedData>,
     /// Nodes that were told to end and did.
-    pub leaves: Vec<Leave>,
+    pub shutdowns: Vec<Shutdown>,
     /// Times in which links may change what servers answer.
     pub garbled: Vec<Span>,
     /// In no order.
@@ -168,7 +168,7 @@
     /// Told drains.
     pub drains: Vec<Drain>,
     /// Times in which nodes answer for nothing.
-    pub excuses: Vec<Excuse>,
+    pub exemptions: Vec<Exemption>,
     /// Cold starts: server and when.
     pub cold: Vec<(usize, f64)>,
     /// Times in which a fault held, with its name.
@@ -181,8 +181,8 @@
 
 impl Trace {
     /// Whether a node answers for nothing at some moment of a time.
-    pub fn excuses(&self, node: usize, during: &Span) -> bool {
-        self.excuses.iter().any(|excuse| excuse.node == node && excuse.span.meets(during))
+    pub fn is_exempt(&self, node: usize, during: &Span) -> bool {
+        self.exemptions.iter().any(|excuse| excuse.node == node && excuse.span.meets(during))
     }
 }
 
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -9,7 +9,7 @@
 use crate::scenario::{ConfigDefect, Fault, LinkFault, LinkKind, NodeKind, Scenario, ZONES};
 use crate::server::{Backend, Make, Server};
 use crate::sign_in::{denied, SignIn};
-use crate::trace::{lock, Class, Drain, Effect, Excuse, Recorder, Span};
+use crate::trace::{lock, Class, Drain, Effect, Exemption, Recorder, Span};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io;
@@ -490,8 +490,8 @@
         }
     }
 
-    pub fn excuse(&self, node: usize, from: f64, to: f64) {
-        self.recorder.note(|trace| trace.excuses.push(Excuse { node, span: Span { from, to } }));
+    pub fn exempt(&self, node: usize, from: f64, to: f64) {
+        self.recorder.note(|trace| trace.exemptions.push(Exemption { node, span: Span { from, to } }));
     }
 }
 
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -86,7 +86,7 @@
         let mut trace = sound();
         change(&mut trace.requests[7]);
         assert_eq!(broken(&trace), ["one answer in time"]);
-        trace.excuses.push(Excuse { node: 1, span: Span { from: 710.0, to: 720.0 } });
+        trace.exemptions.push(Exemption { node: 1, span: Span { from: 710.0, to: 720.0 } });
         assert_eq!(broken(&trace), Vec::<&str>::new());
     }
 }
@@ -100,13 +100,13 @@
     trace.requests.push(again);
     assert_eq!(broken(&trace), ["accounted for once"], "one is missing and one is there twice");
     let mut trace = sound();
-    trace.strays.push(Stray { node: 1, at: 5000.0 });
+    trace.unsolicited.push(UnsolicitedData { node: 1, at: 5000.0 });
     assert_eq!(broken(&trace), ["one answer in time"]);
-    trace.excuses.push(Excuse { node: 1, span: Span { from: 4900.0, to: 5100.0 } });
+    trace.exemptions.push(Exemption { node: 1, span: Span { from: 4900.0, to: 5100.0 } });
     assert_eq!(broken(&trace), Vec::<&str>::new());
-    trace.leaves.push(Leave { node: 0, took: 1999.0 });
+    trace.shutdowns.push(Shutdown { node: 0, took: 1999.0 });
     assert_eq!(broken(&trace), Vec::<&str>::new());
-    trace.leaves[0].took = 2001.0;
+    trace.shutdowns[0].took = 2001.0;
     assert_eq!(broken(&trace), ["ends when told"]);
     // What a link may have changed is no answer of the node's.
     let mut trace = sound();
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -77,7 +77,7 @@
     steps += &step("3200ms", "1s", "do = \"swallow\"\nservers = \"4\"");
     let played = run_fleet(10, 8, "", &steps);
     assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert_eq!(played.trace.leaves.len(), 10);
+    assert_eq!(played.trace.shutdowns.len(), 10);
     assert!(
         played.trace.cold.len() == 2 && played.trace.drains.len() > 20,
         "{:?}",
@@ -139,7 +139,7 @@
     ];
     let played = run("form = \"sidecar\"", &steps.concat());
     assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert!(played.trace.drains.len() >= 4 && played.trace.leaves.len() == 1, "{:?}", played.trace.drains);
+    assert!(played.trace.drains.len() >= 4 && played.trace.shutdowns.len() == 1, "{:?}", played.trace.drains);
 }
 
 #[test]
