--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -37,5 +37,5 @@
     Scenario, ScenarioError, Selection, Step, ZONES,
 };
 pub use trace::{
-    Answer, Class, Drain, Effect, Exemption, Request, Run, Shutdown, Span, Trace, UnsolicitedData,
+    Answer, Class, Drain, Effect, Execution, Exemption, Request, Shutdown, Span, Trace, UnsolicitedData,
 };
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -1,6 +1,6 @@
 //! Judges a trace by the five rules, by what was served before and after the faults, and by the rig's own lateness.
 
-use crate::trace::{Answer, Class, Effect, Request, Run, Span, Trace};
+use crate::trace::{Answer, Class, Effect, Execution, Request, Span, Trace};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -256,8 +256,8 @@
 /// Rule two: no effect twice, and no refusal of what has taken effect.
 fn effects(rules: &Rules, trace: &Trace) -> Vec<Finding> {
     let mut count: HashMap<u32, Vec<usize>> = HashMap::new();
-    for run in trace.runs.iter().filter(|run| run.effect) {
-        count.entry(run.id).or_default().push(run.server);
+    for execution in trace.executions.iter().filter(|execution| execution.effect) {
+        count.entry(execution.id).or_default().push(execution.server);
     }
     let mut found = Vec::new();
     for request in &trace.requests {
@@ -280,15 +280,15 @@
 fn drains(rules: &Rules, trace: &Trace) -> Vec<Finding> {
     let mut found = Vec::new();
     for drain in &trace.drains {
-        let late = trace.runs.iter().filter(|run| {
+        let late = trace.executions.iter().filter(|execution| {
             let told = drain.at + rules.drain_grace..drain.until;
-            (run.node, run.server) == (drain.node, drain.server) && told.contains(&run.at)
+            (execution.node, execution.server) == (drain.node, drain.server) && told.contains(&execution.at)
         });
-        found.extend(late.map(|run| {
-            let (node, server, after) = (run.node, run.server, run.at - drain.at);
+        found.extend(late.map(|execution| {
+            let (node, server, after) = (execution.node, execution.server, execution.at - drain.at);
             finding(
                 "drains kept",
-                format!("node {node} sent {} to server {server} {after:.0} ms after", run.id),
+                format!("node {node} sent {} to server {server} {after:.0} ms after", execution.id),
             )
         }));
     }
@@ -320,18 +320,20 @@
         let part = ((at - start) / rules.warm_after).clamp(0.0, 1.0);
         rules.capacity * (rules.cold_from + (1.0 - rules.cold_from) * part) * rules.fall_window
     };
-    let cold = |run: &&Run| run.server == server && (0.0..rules.warm_after).contains(&(run.at - start));
-    let runs: Vec<&Run> = trace.runs.iter().filter(cold).collect();
+    let cold = |execution: &&Execution| {
+        execution.server == server && (0.0..rules.warm_after).contains(&(execution.at - start))
+    };
+    let executions: Vec<&Execution> = trace.executions.iter().filter(cold).collect();
     let mut first = 0;
     let mut sent = 0.0;
     let mut loads = Vec::new();
-    for run in &runs {
-        sent += run.work;
-        while runs[first].at <= run.at - rules.fall_window {
-            sent -= runs[first].work;
+    for execution in &executions {
+        sent += execution.work;
+        while executions[first].at <= execution.at - rules.fall_window {
+            sent -= executions[first].work;
             first += 1;
         }
-        loads.push((sent, able(run.at)));
+        loads.push((sent, able(execution.at)));
     }
     loads
 }
@@ -339,12 +341,13 @@
 /// Most work that a server was sent in a second while it was not cold, against what it can do in one.
 fn warm_load(rules: &Rules, trace: &Trace) -> f64 {
     let mut sent: HashMap<(usize, u64), f64> = HashMap::new();
-    for run in &trace.runs {
+    for execution in &trace.executions {
         let cold = trace.cold.iter().any(|(server, start)| {
-            *server == run.server && (0.0..rules.warm_after).contains(&(run.at - start))
+            *server == execution.server && (0.0..rules.warm_after).contains(&(execution.at - start))
         });
         if !cold {
-            *sent.entry((run.server, (run.at.max(0.0) / 1000.0) as u64)).or_default() += run.work;
+            *sent.entry((execution.server, (execution.at.max(0.0) / 1000.0) as u64)).or_default() +=
+                execution.work;
         }
     }
     sent.into_values().fold(0.0, f64::max) / (1000.0 * rules.capacity)
@@ -373,15 +376,19 @@
     let mut stores: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
     let mut seen = HashSet::new();
     let mut found = Vec::new();
-    for run in &trace.runs {
-        let Some(request) = requests.get(&run.id).filter(|_| seen.insert(run.id)) else { continue };
-        let (store, at) = stores.entry(request.customer).or_insert((rules.ceiling_burst, run.at));
-        let gain = (run.at - *at).max(0.0) / 1000.0 * rules.ceiling_rate;
+    for execution in &trace.executions {
+        let Some(request) = requests.get(&execution.id).filter(|_| seen.insert(execution.id)) else {
+            continue;
+        };
+        let (store, at) = stores.entry(request.customer).or_insert((rules.ceiling_burst, execution.at));
+        let gain = (execution.at - *at).max(0.0) / 1000.0 * rules.ceiling_rate;
         *store = (*store + gain).min(rules.ceiling_burst) - rules.classes[request.class].units;
-        *at = run.at;
+        *at = execution.at;
         if *store < -rules.ceiling_slack {
-            let what =
-                format!("customer {} is {:.1} units beyond at {:.0} ms", request.customer, -*store, run.at);
+            let what = format!(
+                "customer {} is {:.1} units beyond at {:.0} ms",
+                request.customer, -*store, execution.at
+            );
             found.push(finding("ceilings hold", what));
         }
     }
@@ -406,11 +413,14 @@
 fn sign_in(rules: &Rules, trace: &Trace, requests: &HashMap<u32, &Request>) -> Vec<Finding> {
     let rule = "asks first";
     let denied = |customer| rules.denied.is_some_and(|denied| denied(customer));
-    let of = |run: &Run| requests.get(&run.id).copied().filter(|request| denied(request.customer));
-    let let_on = trace.runs.iter().filter_map(|run| of(run).map(|request| (run, request)));
+    let of = |execution: &Execution| {
+        requests.get(&execution.id).copied().filter(|request| denied(request.customer))
+    };
+    let let_on =
+        trace.executions.iter().filter_map(|execution| of(execution).map(|request| (execution, request)));
     let mut found: Vec<_> = let_on
-        .map(|(run, request)| {
-            let (id, customer, server) = (run.id, request.customer, run.server);
+        .map(|(execution, request)| {
+            let (id, customer, server) = (execution.id, request.customer, execution.server);
             finding(
                 rule,
                 format!("request {id} of customer {customer}, who may not, came to server {server}"),
@@ -453,7 +463,7 @@
 
 /// Times at which what the first zone gets turned, from rising steeply to falling steeply or back.
 fn turns(rules: &Rules, trace: &Trace) -> Vec<f64> {
-    let shares = shares(rules, trace.runs.iter(), SWING_TIME, SWING_ENOUGH);
+    let shares = shares(rules, trace.executions.iter(), SWING_TIME, SWING_ENOUGH);
     let (mut found, mut last) = (Vec::new(), None::<bool>);
     for pair in shares.windows(2) {
         let [Some(from), Some(to)] = [pair[0].1, pair[1].1] else { continue };
@@ -480,17 +490,17 @@
 /// The first zone's part of runs, by time; nothing where there are too few.
 fn shares<'a>(
     rules: &Rules,
-    runs: impl Iterator<Item = &'a Run>,
+    executions: impl Iterator<Item = &'a Execution>,
     time: f64,
     enough: usize,
 ) -> Vec<(f64, Option<f64>)> {
     let mut counts: Vec<(usize, usize)> = Vec::new();
-    for run in runs {
-        let at = (run.at.max(0.0) / time) as usize;
+    for execution in executions {
+        let at = (execution.at.max(0.0) / time) as usize;
         if counts.len() <= at {
             counts.resize(at + 1, (0, 0));
         }
-        counts[at].0 += usize::from(run.server % rules.zones == 0);
+        counts[at].0 += usize::from(execution.server % rules.zones == 0);
         counts[at].1 += 1;
     }
     let part = |(first, all): &(usize, usize)| (*all >= enough).then(|| *first as f64 / *all as f64);
@@ -500,11 +510,12 @@
 /// By second, how far nodes of one zone lie apart in where they send requests first.
 fn apart(rules: &Rules, trace: &Trace) -> Vec<f64> {
     let mut seen = HashSet::new();
-    let first: Vec<&Run> = trace.runs.iter().filter(|run| seen.insert(run.id)).collect();
-    let nodes = first.iter().map(|run| run.node + 1).max().unwrap_or(0);
+    let first: Vec<&Execution> =
+        trace.executions.iter().filter(|execution| seen.insert(execution.id)).collect();
+    let nodes = first.iter().map(|execution| execution.node + 1).max().unwrap_or(0);
     let mut bounds: Vec<Vec<(f64, f64)>> = Vec::new();
     for node in 0..nodes {
-        let own = first.iter().copied().filter(|run| run.node == node);
+        let own = first.iter().copied().filter(|execution| execution.node == node);
         let shares = shares(rules, own, APART_TIME, APART_ENOUGH);
         for (at, (_, share)) in shares.iter().enumerate() {
             if bounds.len() <= at {
@@ -571,9 +582,9 @@
         (0..nodes).filter_map(|n| part(&mut all.iter().filter(|r| r.node == n))).collect();
     let (low, high) = by_node.iter().fold((1.0_f64, 0.0_f64), |(l, h), p| (l.min(*p), h.max(*p)));
     let part_of_load = |during: &dyn Fn(f64) -> bool| {
-        let runs: Vec<_> = trace.runs.iter().filter(|run| during(run.at)).collect();
-        let first = runs.iter().filter(|run| run.server % rules.zones == 0).count();
-        (runs.len() >= ENOUGH).then(|| first as f64 / runs.len() as f64)
+        let executions: Vec<_> = trace.executions.iter().filter(|execution| during(execution.at)).collect();
+        let first = executions.iter().filter(|execution| execution.server % rules.zones == 0).count();
+        (executions.len() >= ENOUGH).then(|| first as f64 / executions.len() as f64)
     };
     let mut times = Histogram::<u64>::new_with_bounds(1, LONGEST, 3).ok();
     for request in all.iter().filter(|r| r.answer == Answer::Served) {
@@ -588,7 +599,7 @@
         Answer::Wrong | Answer::Failed | Answer::Nothing => true,
     };
     let quicker = |part: f64| times.as_ref().map_or(0.0, |t| t.value_at_quantile(part) as f64 / 1000.0);
-    let length = trace.runs.last().map_or(0.0, |run| run.at).max(1.0);
+    let length = trace.executions.last().map_or(0.0, |execution| execution.at).max(1.0);
     let mut late = trace.late.clone();
     late.sort_by(f64::total_cmp);
     Figures {
@@ -608,7 +619,7 @@
             .map(|(sent, able)| sent / able)
             .max_by(f64::total_cmp),
         warm_load: warm_load(rules, trace),
-        attempts: trace.runs.len() as f64 / all.len().max(1) as f64,
+        attempts: trace.executions.len() as f64 / all.len().max(1) as f64,
         late: late.get(late.len() * 99 / 100).copied().unwrap_or(0.0),
         still: trace.still,
         spread: (high - low).max(0.0),
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -4,7 +4,7 @@
 use crate::oracle::{Figures, Verdict};
 use crate::runner::RunResult;
 use crate::scenario::{Scenario, ZONES};
-use crate::trace::{Answer, Run};
+use crate::trace::{Answer, Execution};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -101,16 +101,23 @@
     ];
     let times =
         vec![("half".to_owned(), quantile(played, 0.5)), ("99 in 100".to_owned(), quantile(played, 0.99))];
-    let runs = |of: &dyn Fn(&Run) -> bool| {
-        by_time(trace.runs.iter().filter(|run| of(run)).map(|run| (run.at, 1.0)), 1.0 / BIN)
+    let executions = |of: &dyn Fn(&Execution) -> bool| {
+        by_time(
+            trace.executions.iter().filter(|execution| of(execution)).map(|execution| (execution.at, 1.0)),
+            1.0 / BIN,
+        )
     };
     let zones = ZONES
         .iter()
         .enumerate()
-        .map(|(zone, name)| ((*name).to_owned(), runs(&|run: &Run| run.server % ZONES.len() == zone)))
+        .map(|(zone, name)| {
+            ((*name).to_owned(), executions(&|execution: &Execution| execution.server % ZONES.len() == zone))
+        })
         .collect();
     let servers = (0..scenario.servers)
-        .map(|server| (format!("server {server}"), runs(&|run: &Run| run.server == server)))
+        .map(|server| {
+            (format!("server {server}"), executions(&|execution: &Execution| execution.server == server))
+        })
         .collect();
     let believed = played
         .said
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -378,7 +378,7 @@
     faults.await.map_err(io::Error::other).and_then(|made| made).map_err(because("a fault"))?;
     watch.abort();
     let mut trace = world.recorder.take();
-    trace.runs.sort_by(|a, b| a.at.total_cmp(&b.at));
+    trace.executions.sort_by(|a, b| a.at.total_cmp(&b.at));
     let (mut verdict, mut figures, mut findings) = judge(&world.rules, &trace);
     for (number, node) in world.nodes.iter().enumerate() {
         if node.lock().await.crashed() {
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -4,7 +4,7 @@
 use crate::accept::accept;
 use crate::http::{self, Message};
 use crate::scenario::{RequestFilter, ZONES};
-use crate::trace::{lock, Class, Effect, Recorder, Run};
+use crate::trace::{lock, Class, Effect, Execution, Recorder};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -194,20 +194,21 @@
         let condition = self.condition.borrow().clone();
         let about = |whom: &RequestFilter| whom.nodes.has(node) && whom.customers.has(customer as usize);
         let (now, work) = (backend.recorder.now(), backend.work(class, id));
-        let mut run = Run { id, server: self.number, node, at: now, work, effect: false, declined: false };
+        let mut execution =
+            Execution { id, server: self.number, node, at: now, work, effect: false, declined: false };
         if self.waiting.load(Ordering::SeqCst) >= QUEUE * backend.make.workers {
-            run.declined = true;
-            backend.recorder.note(|trace| trace.runs.push(run));
+            execution.declined = true;
+            backend.recorder.note(|trace| trace.executions.push(execution));
             return Some(
                 b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
             );
         }
         let wrong = condition.wrong.iter().any(|(whom, part)| about(whom) && fastrand::f64() < *part);
-        run.effect = match backend.classes[class].effect {
+        execution.effect = match backend.classes[class].effect {
             Effect::Safe | Effect::Unsafe => true,
             Effect::Keyed => backend.is_new(self.number % ZONES.len(), id, now),
         };
-        backend.recorder.note(|trace| trace.runs.push(run));
+        backend.recorder.note(|trace| trace.executions.push(execution));
         let percent = backend.meter(customer, backend.classes[class].units, now);
         if wrong {
             return Some(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".to_vec());
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -77,7 +77,7 @@
 
 /// A request whose last byte has come to a server, which began it.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Execution {
     /// The request.
     pub id: u32,
     /// The server.
@@ -164,7 +164,7 @@
     /// In no order.
     pub requests: Vec<Request>,
     /// In the order of their coming.
-    pub runs: Vec<Run>,
+    pub executions: Vec<Execution>,
     /// Told drains.
     pub drains: Vec<Drain>,
     /// Times in which nodes answer for nothing.
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -48,7 +48,15 @@
             answer: Answer::Served,
             answers: 1,
         });
-        trace.runs.push(Run { id, server, node, at: meant + 2.0, work: 10.0, effect: true, declined: false });
+        trace.executions.push(Execution {
+            id,
+            server,
+            node,
+            at: meant + 2.0,
+            work: 10.0,
+            effect: true,
+            declined: false,
+        });
         trace.late.push(1.0);
     }
     trace
@@ -65,8 +73,8 @@
 
 fn run_again(trace: &mut Trace, id: u32, server: usize, at: f64) {
     let node = trace.requests[id as usize].node;
-    trace.runs.push(Run { id, server, node, at, work: 10.0, effect: true, declined: false });
-    trace.runs.sort_by(|a, b| a.at.total_cmp(&b.at));
+    trace.executions.push(Execution { id, server, node, at, work: 10.0, effect: true, declined: false });
+    trace.executions.sort_by(|a, b| a.at.total_cmp(&b.at));
 }
 
 #[test]
@@ -123,7 +131,7 @@
     };
     let mut trace = sound();
     assert_eq!(judged(&trace).len(), 20, "one in ten came to a server");
-    trace.runs.retain(|run| run.id % 10 != 9);
+    trace.executions.retain(|execution| execution.id % 10 != 9);
     trace.requests.iter_mut().filter(|r| r.customer == 9).for_each(|r| r.answer = Answer::Denied);
     assert_eq!(judged(&trace), Vec::<&str>::new());
     trace.requests[3].answer = Answer::Denied;
@@ -131,14 +139,14 @@
 }
 
 /// Twenty runs in each half second, sent by a rule from node and time to a server.
-fn runs(to: impl Fn(usize, f64) -> usize) -> Trace {
+fn executions(to: impl Fn(usize, f64) -> usize) -> Trace {
     let mut trace = sound();
-    trace.runs.clear();
+    trace.executions.clear();
     for number in 0..800 {
         let (node, at) = (number as usize % 4, 25.0 * f64::from(number));
         // Of nobody's request: only where they go counts.
         let (id, server) = (1000 + number, to(node, at));
-        trace.runs.push(Run { id, server, node, at, work: 1.0, effect: false, declined: false });
+        trace.executions.push(Execution { id, server, node, at, work: 1.0, effect: false, declined: false });
     }
     trace
 }
@@ -146,15 +154,15 @@
 #[test]
 fn load_that_swings_stays_away_or_is_at_odds_within_a_zone_is_found() {
     let even = |node: usize, at: f64| (node / 2 + (at / 25.0) as usize / 4) % 2;
-    assert_eq!(broken(&runs(even)), Vec::<&str>::new());
-    assert_eq!(broken(&runs(|_, at| (at / 1000.0) as usize % 2)), ["does not swing"]);
+    assert_eq!(broken(&executions(even)), Vec::<&str>::new());
+    assert_eq!(broken(&executions(|_, at| (at / 1000.0) as usize % 2)), ["does not swing"]);
     // Nodes 0 and 2 stand in one zone; for three seconds they differ, then for six.
     let odds = |until: f64| {
         move |node, at: f64| if (3000.0..until).contains(&at) { node / 2 } else { even(node, at) }
     };
-    assert_eq!(broken(&runs(odds(6000.0))), Vec::<&str>::new());
-    assert_eq!(broken(&runs(odds(9000.0))), ["decides alike"]);
-    let mut away = runs(|node, at| if at > 6000.0 { 0 } else { even(node, at) });
+    assert_eq!(broken(&executions(odds(6000.0))), Vec::<&str>::new());
+    assert_eq!(broken(&executions(odds(9000.0))), ["decides alike"]);
+    let mut away = executions(|node, at| if at > 6000.0 { 0 } else { even(node, at) });
     away.faults.push(("cut".into(), Span { from: 6000.0, to: 8000.0 }));
     assert_eq!(broken(&away), ["settles"]);
 }
@@ -193,10 +201,10 @@
     // Two warm servers' work for a second within one window.
     for id in [3, 6, 9, 12, 15] {
         trace
-            .runs
+            .executions
             .iter_mut()
-            .filter(|run| run.id == id)
-            .for_each(|run| (run.server, run.work, run.at) = (2, 500.0, 1500.0));
+            .filter(|execution| execution.id == id)
+            .for_each(|execution| (execution.server, execution.work, execution.at) = (2, 500.0, 1500.0));
     }
     assert_eq!(broken(&trace), ["cold servers"]);
 }
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -258,7 +258,7 @@
         assert!(page.contains(part), "{part}");
     }
     assert!(!page.contains("<x>") && !page.contains("<svg"));
-    let run = ivygate_fault_injection::Run {
+    let execution = ivygate_fault_injection::Execution {
         id: 1,
         server: 0,
         node: 0,
@@ -267,7 +267,7 @@
         effect: true,
         declined: false,
     };
-    played.trace.runs.push(run);
+    played.trace.executions.push(execution);
     assert_eq!(report(&scenario, &played, 5).matches("<svg").count(), 2, "runs by zone and by server");
 }
 
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -53,7 +53,7 @@
     assert!(left.len() >= 2 && left.iter().all(|at| *at > 2_000.0), "{left:?}");
     assert_eq!(transitions(&played, "north", "left"), Vec::<f64>::new());
     // The processes in zone south send requests to its servers again.
-    let back = played.trace.runs.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
+    let back = played.trace.executions.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
     assert!(back > 10, "{back}");
 }
 
@@ -72,7 +72,7 @@
 fn failures_in_all_zones_make_no_process_leave_a_zone() {
     let played = run("9s", &step("2s", "2s", "do = \"wrong\"\nservers = \"all\"\npart = 1.0"));
     for zone in [0, 1] {
-        let runs = played.trace.runs.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
+        let runs = played.trace.executions.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
         assert!(runs.count() > 60);
     }
 }
