--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::http::{self, Message};
 use crate::relay::Link;
-use crate::trace::{lock, Answer, Class, Effect, Recorder, Request, UnsolicitedData};
+use crate::trace::{lock, Class, Effect, Outcome, Recorder, Request, UnsolicitedData};
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -102,8 +102,8 @@
         written: recorder.now(),
         node: first,
         ended: 0.0,
-        answer: Answer::Nothing,
-        answers: 0,
+        outcome: Outcome::Nothing,
+        response_count: 0,
     };
     let asking = async {
         for door in doors {
@@ -131,7 +131,8 @@
                     Ok(Some(message)) => {
                         // What came behind the answer was not asked for.
                         let more = !stream.buffer().is_empty();
-                        (request.answer, request.answers) = (kind(&message, planned.id), 1 + u32::from(more));
+                        (request.outcome, request.response_count) =
+                            (kind(&message, planned.id), 1 + u32::from(more));
                         let closes = message.header("connection") == Some("close");
                         if !closes && !more {
                             door.keep(stream);
@@ -152,13 +153,13 @@
     recorder.note(|trace| trace.requests.push(request));
 }
 
-fn kind(answer: &Message, id: u32) -> Answer {
+fn kind(answer: &Message, id: u32) -> Outcome {
     match answer.status() {
-        200 if answer.body == format!("made for {id}").as_bytes() => Answer::Served,
-        200 => Answer::Wrong,
-        429 | 503 => Answer::Refused,
-        401 | 403 => Answer::Denied,
-        _ => Answer::Failed,
+        200 if answer.body == format!("made for {id}").as_bytes() => Outcome::Served,
+        200 => Outcome::Wrong,
+        429 | 503 => Outcome::Refused,
+        401 | 403 => Outcome::Denied,
+        _ => Outcome::Failed,
     }
 }
 
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -37,5 +37,5 @@
     Scenario, ScenarioError, Selection, Step, ZONES,
 };
 pub use trace::{
-    Answer, Class, Drain, Effect, Execution, Exemption, Request, Shutdown, Span, Trace, UnsolicitedData,
+    Class, Drain, Effect, Execution, Exemption, Outcome, Request, Shutdown, Span, Trace, UnsolicitedData,
 };
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -1,6 +1,6 @@
 //! Judges a trace by the five rules, by what was served before and after the faults, and by the rig's own lateness.
 
-use crate::trace::{Answer, Class, Effect, Execution, Request, Span, Trace};
+use crate::trace::{Class, Effect, Execution, Outcome, Request, Span, Trace};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -221,9 +221,9 @@
         let (id, node) = (request.id, request.node);
         let rule = ONE_ANSWER;
         let garbled = trace.garbled.iter().any(|span| span.meets(&open));
-        match request.answer {
-            Answer::Wrong if garbled => {}
-            Answer::Nothing => {
+        match request.outcome {
+            Outcome::Wrong if garbled => {}
+            Outcome::Nothing => {
                 found.push(finding(
                     rule,
                     format!(
@@ -232,11 +232,11 @@
                     ),
                 ));
             }
-            Answer::Wrong => {
+            Outcome::Wrong => {
                 found.push(finding(rule, format!("request {id} of node {node}: not what a server made")));
             }
-            _ if request.answers > 1 => {
-                found.push(finding(rule, format!("request {id}: {} answers", request.answers)));
+            _ if request.response_count > 1 => {
+                found.push(finding(rule, format!("request {id}: {} answers", request.response_count)));
             }
             _ if request.ended > end => {
                 found.push(finding(rule, format!("request {id}: {:.0} ms late", request.ended - end)));
@@ -266,7 +266,7 @@
         let (id, name) = (request.id, class.name);
         if servers.len() > 1 {
             found.push(finding("no effect twice", format!("{name} {id} took effect at servers {servers:?}")));
-        } else if request.answer == Answer::Refused {
+        } else if request.outcome == Outcome::Refused {
             found.push(finding(
                 "no effect twice",
                 format!("{name} {id} ran at server {} and was refused", servers[0]),
@@ -427,7 +427,7 @@
             )
         })
         .collect();
-    let wrongly = trace.requests.iter().filter(|r| r.answer == Answer::Denied && !denied(r.customer));
+    let wrongly = trace.requests.iter().filter(|r| r.outcome == Outcome::Denied && !denied(r.customer));
     found.extend(
         wrongly.map(|r| finding(rule, format!("request {} of customer {} was told a no", r.id, r.customer))),
     );
@@ -555,23 +555,24 @@
 }
 
 fn figures(rules: &Rules, trace: &Trace, turns: &[f64], apart: &[f64]) -> Figures {
-    let served = |r: &Request| r.answer == Answer::Served && r.ended <= r.meant + rules.classes[r.class].aim;
+    let served =
+        |r: &Request| r.outcome == Outcome::Served && r.ended <= r.meant + rules.classes[r.class].aim;
     let part = |of: &mut dyn Iterator<Item = &Request>| {
         let (mut all, mut good) = (0, 0);
-        for request in of.filter(|request| request.answer != Answer::Denied) {
+        for request in of.filter(|request| request.outcome != Outcome::Denied) {
             (all, good) = (all + 1, good + usize::from(served(request)));
         }
         (all >= ENOUGH).then(|| good as f64 / all as f64)
     };
-    let share = |answer: Answer| {
-        let count = trace.requests.iter().filter(|r| r.answer == answer).count();
+    let share = |outcome: Outcome| {
+        let count = trace.requests.iter().filter(|r| r.outcome == outcome).count();
         count as f64 / trace.requests.len().max(1) as f64
     };
     let first = trace.faults.iter().map(|(_, span)| span.from).fold(f64::INFINITY, f64::min);
     let last = trace.faults.iter().map(|(_, span)| span.to).fold(f64::NEG_INFINITY, f64::max);
     let settled = if last.is_finite() { last + rules.settle } else { f64::INFINITY };
     let all = &trace.requests;
-    let owed = all.iter().filter(|r| r.answer != Answer::Denied).count();
+    let owed = all.iter().filter(|r| r.outcome != Outcome::Denied).count();
     let phases = [
         part(&mut all.iter().filter(|r| r.meant < first)),
         part(&mut all.iter().filter(|r| (first..=last).contains(&r.meant))),
@@ -587,16 +588,16 @@
         (executions.len() >= ENOUGH).then(|| first as f64 / executions.len() as f64)
     };
     let mut times = Histogram::<u64>::new_with_bounds(1, LONGEST, 3).ok();
-    for request in all.iter().filter(|r| r.answer == Answer::Served) {
+    for request in all.iter().filter(|r| r.outcome == Outcome::Served) {
         if let Some(times) = &mut times {
             times.saturating_record((1000.0 * (request.ended - request.meant)).max(0.0) as u64);
         }
     }
     let held = |r: &&Request| (first..settled).contains(&r.meant);
-    let is_lost = |r: &Request| match r.answer {
-        Answer::Served => !served(r),
-        Answer::Refused | Answer::Denied => false,
-        Answer::Wrong | Answer::Failed | Answer::Nothing => true,
+    let is_lost = |r: &Request| match r.outcome {
+        Outcome::Served => !served(r),
+        Outcome::Refused | Outcome::Denied => false,
+        Outcome::Wrong | Outcome::Failed | Outcome::Nothing => true,
     };
     let quicker = |part: f64| times.as_ref().map_or(0.0, |t| t.value_at_quantile(part) as f64 / 1000.0);
     let length = trace.executions.last().map_or(0.0, |execution| execution.at).max(1.0);
@@ -605,12 +606,12 @@
     Figures {
         requests: all.len(),
         served: all.iter().filter(|r| served(r)).count() as f64 / owed.max(1) as f64,
-        refused: share(Answer::Refused),
-        failed: share(Answer::Failed),
-        unanswered: share(Answer::Nothing),
+        refused: share(Outcome::Refused),
+        failed: share(Outcome::Failed),
+        unanswered: share(Outcome::Nothing),
         phases,
         lost: all.iter().filter(held).filter(|r| is_lost(r)).count() as f64,
-        turned_away: all.iter().filter(held).filter(|r| r.answer == Answer::Refused).count() as f64,
+        turned_away: all.iter().filter(held).filter(|r| r.outcome == Outcome::Refused).count() as f64,
         losing: losing(trace, &is_lost),
         cold_load: trace
             .cold
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -4,7 +4,7 @@
 use crate::oracle::{Figures, Verdict};
 use crate::runner::RunResult;
 use crate::scenario::{Scenario, ZONES};
-use crate::trace::{Answer, Execution};
+use crate::trace::{Execution, Outcome};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -93,11 +93,11 @@
     };
     let answers = vec![
         ("offered".to_owned(), rate(&|_| true)),
-        ("served".to_owned(), rate(&|r| r.answer == Answer::Served)),
-        ("refused".to_owned(), rate(&|r| r.answer == Answer::Refused)),
-        ("denied".to_owned(), rate(&|r| r.answer == Answer::Denied)),
-        ("failed".to_owned(), rate(&|r| matches!(r.answer, Answer::Failed | Answer::Wrong))),
-        ("unanswered".to_owned(), rate(&|r| r.answer == Answer::Nothing)),
+        ("served".to_owned(), rate(&|r| r.outcome == Outcome::Served)),
+        ("refused".to_owned(), rate(&|r| r.outcome == Outcome::Refused)),
+        ("denied".to_owned(), rate(&|r| r.outcome == Outcome::Denied)),
+        ("failed".to_owned(), rate(&|r| matches!(r.outcome, Outcome::Failed | Outcome::Wrong))),
+        ("unanswered".to_owned(), rate(&|r| r.outcome == Outcome::Nothing)),
     ];
     let times =
         vec![("half".to_owned(), quantile(played, 0.5)), ("99 in 100".to_owned(), quantile(played, 0.99))];
@@ -157,7 +157,7 @@
 /// By time, how long a part of the served requests took at most.
 fn quantile(played: &RunResult, part: f64) -> Vec<(f64, f64)> {
     let mut bins: Vec<Vec<f64>> = Vec::new();
-    for request in played.trace.requests.iter().filter(|r| r.answer == Answer::Served) {
+    for request in played.trace.requests.iter().filter(|r| r.outcome == Outcome::Served) {
         let bin = (request.meant / 1000.0 / (2.0 * BIN)) as usize;
         if bins.len() <= bin {
             bins.resize(bin + 1, Vec::new());
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -37,7 +37,7 @@
 
 /// What a client got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Outcome {
     /// 200 with the body that a server made for this request.
     Served,
     /// 200 with anything else.
@@ -70,9 +70,9 @@
     /// When its last byte came, or when it was given up.
     pub ended: f64,
     /// What came.
-    pub answer: Answer,
+    pub outcome: Outcome,
     /// Final answers seen on its connection.
-    pub answers: u32,
+    pub response_count: u32,
 }
 
 /// A request whose last byte has come to a server, which began it.
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -45,8 +45,8 @@
             written: meant + 1.0,
             node,
             ended: meant + 50.0,
-            answer: Answer::Served,
-            answers: 1,
+            outcome: Outcome::Served,
+            response_count: 1,
         });
         trace.executions.push(Execution {
             id,
@@ -85,10 +85,10 @@
 #[test]
 fn answers_that_are_missing_late_wrong_or_double_are_found_but_for_killed_nodes() {
     let changes: [fn(&mut Request); 4] = [
-        |r| r.answer = Answer::Nothing,
+        |r| r.outcome = Outcome::Nothing,
         |r| r.ended = r.meant + 1060.0,
-        |r| r.answer = Answer::Wrong,
-        |r| r.answers = 2,
+        |r| r.outcome = Outcome::Wrong,
+        |r| r.response_count = 2,
     ];
     for change in changes {
         let mut trace = sound();
@@ -118,7 +118,7 @@
     assert_eq!(broken(&trace), ["ends when told"]);
     // What a link may have changed is no answer of the node's.
     let mut trace = sound();
-    trace.requests[50].answer = Answer::Wrong;
+    trace.requests[50].outcome = Outcome::Wrong;
     trace.garbled.push(Span { from: 4900.0, to: 5100.0 });
     assert_eq!(broken(&trace), Vec::<&str>::new());
 }
@@ -132,9 +132,9 @@
     let mut trace = sound();
     assert_eq!(judged(&trace).len(), 20, "one in ten came to a server");
     trace.executions.retain(|execution| execution.id % 10 != 9);
-    trace.requests.iter_mut().filter(|r| r.customer == 9).for_each(|r| r.answer = Answer::Denied);
+    trace.requests.iter_mut().filter(|r| r.customer == 9).for_each(|r| r.outcome = Outcome::Denied);
     assert_eq!(judged(&trace), Vec::<&str>::new());
-    trace.requests[3].answer = Answer::Denied;
+    trace.requests[3].outcome = Outcome::Denied;
     assert_eq!(judged(&trace), ["asks first"]);
 }
 
@@ -175,7 +175,7 @@
         run_again(&mut trace, id, 1, 560.0);
         assert_eq!(broken(&trace), names);
         let mut trace = sound();
-        trace.requests[id as usize].answer = Answer::Refused;
+        trace.requests[id as usize].outcome = Outcome::Refused;
         assert_eq!(broken(&trace), names);
     }
 }
@@ -227,9 +227,9 @@
         .requests
         .iter_mut()
         .filter(|r| r.meant < 8500.0 && r.meant > 6000.0)
-        .for_each(|r| r.answer = Answer::Failed);
+        .for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), Vec::<&str>::new());
-    trace.requests.iter_mut().filter(|r| r.meant > 16_000.0).for_each(|r| r.answer = Answer::Failed);
+    trace.requests.iter_mut().filter(|r| r.meant > 16_000.0).for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), ["settles"]);
     trace.late[..10].fill(40.0);
     assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -167,8 +167,12 @@
     ];
     let played = run("form = \"sidecar\"\nsign-in = true", &steps.concat());
     assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    let denied =
-        played.trace.requests.iter().filter(|r| r.answer == ivygate_fault_injection::Answer::Denied).count();
+    let denied = played
+        .trace
+        .requests
+        .iter()
+        .filter(|r| r.outcome == ivygate_fault_injection::Outcome::Denied)
+        .count();
     let [before, during, _] = played.figures.phases;
     assert!(denied > 10 && before > during, "{denied} denied, {:?}", played.figures.phases);
 }
