--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -36,7 +36,7 @@
     pub id: u32,
     pub class: usize,
     pub customer: u32,
-    pub meant: f64,
+    pub scheduled: f64,
 }
 
 impl Door {
@@ -90,15 +90,15 @@
 
 /// Asks the first of these nodes that takes a connection, and notes what came of it.
 pub async fn ask(doors: &[&Door], planned: Planned, class: &Class, spread: usize, recorder: &Recorder) {
-    let late = recorder.now() - planned.meant;
+    let late = recorder.now() - planned.scheduled;
     recorder.note(|trace| trace.late.push(late));
-    let deadline = planned.meant + class.deadline;
+    let deadline = planned.scheduled + class.deadline;
     let Some(first) = doors.first().map(|door| door.node) else { return };
     let mut request = Request {
         id: planned.id,
         class: planned.class,
         customer: planned.customer,
-        meant: planned.meant,
+        scheduled: planned.scheduled,
         written: recorder.now(),
         node: first,
         ended: 0.0,
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -213,7 +213,7 @@
 fn answers(rules: &Rules, trace: &Trace) -> Vec<Finding> {
     let mut found = Vec::new();
     for request in &trace.requests {
-        let end = request.meant + rules.classes[request.class].deadline + rules.answer_slack;
+        let end = request.scheduled + rules.classes[request.class].deadline + rules.answer_slack;
         let open = Span { from: request.written, to: request.ended.min(end) };
         if trace.is_exempt(request.node, &open) {
             continue;
@@ -360,9 +360,9 @@
     };
     let nodes = trace.requests.iter().map(|r| r.node + 1).max().unwrap_or(0);
     let mut last = vec![0.0_f64; nodes];
-    let during = |r: &&Request| (span.from..span.to).contains(&r.meant) && lost(r);
+    let during = |r: &&Request| (span.from..span.to).contains(&r.scheduled) && lost(r);
     for request in trace.requests.iter().filter(during) {
-        last[request.node] = last[request.node].max(request.meant - span.from);
+        last[request.node] = last[request.node].max(request.scheduled - span.from);
     }
     last.sort_by(f64::total_cmp);
     [0.5, 0.95].map(|part| last.get((part * nodes as f64).ceil() as usize - usize::from(nodes > 0)).copied())
@@ -556,7 +556,7 @@
 
 fn figures(rules: &Rules, trace: &Trace, turns: &[f64], apart: &[f64]) -> Figures {
     let served =
-        |r: &Request| r.outcome == Outcome::Served && r.ended <= r.meant + rules.classes[r.class].aim;
+        |r: &Request| r.outcome == Outcome::Served && r.ended <= r.scheduled + rules.classes[r.class].aim;
     let part = |of: &mut dyn Iterator<Item = &Request>| {
         let (mut all, mut good) = (0, 0);
         for request in of.filter(|request| request.outcome != Outcome::Denied) {
@@ -574,9 +574,9 @@
     let all = &trace.requests;
     let owed = all.iter().filter(|r| r.outcome != Outcome::Denied).count();
     let phases = [
-        part(&mut all.iter().filter(|r| r.meant < first)),
-        part(&mut all.iter().filter(|r| (first..=last).contains(&r.meant))),
-        part(&mut all.iter().filter(|r| r.meant >= settled)),
+        part(&mut all.iter().filter(|r| r.scheduled < first)),
+        part(&mut all.iter().filter(|r| (first..=last).contains(&r.scheduled))),
+        part(&mut all.iter().filter(|r| r.scheduled >= settled)),
     ];
     let nodes = all.iter().map(|r| r.node + 1).max().unwrap_or(0);
     let by_node: Vec<f64> =
@@ -590,10 +590,10 @@
     let mut times = Histogram::<u64>::new_with_bounds(1, LONGEST, 3).ok();
     for request in all.iter().filter(|r| r.outcome == Outcome::Served) {
         if let Some(times) = &mut times {
-            times.saturating_record((1000.0 * (request.ended - request.meant)).max(0.0) as u64);
+            times.saturating_record((1000.0 * (request.ended - request.scheduled)).max(0.0) as u64);
         }
     }
-    let held = |r: &&Request| (first..settled).contains(&r.meant);
+    let held = |r: &&Request| (first..settled).contains(&r.scheduled);
     let is_lost = |r: &Request| match r.outcome {
         Outcome::Served => !served(r),
         Outcome::Refused | Outcome::Denied => false,
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -89,7 +89,7 @@
 fn pictures(scenario: &Scenario, played: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let trace = &played.trace;
     let rate = |of: &dyn Fn(&crate::trace::Request) -> bool| {
-        by_time(trace.requests.iter().filter(|r| of(r)).map(|r| (r.meant, 1.0)), 1.0 / BIN)
+        by_time(trace.requests.iter().filter(|r| of(r)).map(|r| (r.scheduled, 1.0)), 1.0 / BIN)
     };
     let answers = vec![
         ("offered".to_owned(), rate(&|_| true)),
@@ -158,11 +158,11 @@
 fn quantile(played: &RunResult, part: f64) -> Vec<(f64, f64)> {
     let mut bins: Vec<Vec<f64>> = Vec::new();
     for request in played.trace.requests.iter().filter(|r| r.outcome == Outcome::Served) {
-        let bin = (request.meant / 1000.0 / (2.0 * BIN)) as usize;
+        let bin = (request.scheduled / 1000.0 / (2.0 * BIN)) as usize;
         if bins.len() <= bin {
             bins.resize(bin + 1, Vec::new());
         }
-        bins[bin].push(request.ended - request.meant);
+        bins[bin].push(request.ended - request.scheduled);
     }
     let mut points = Vec::new();
     for (bin, times) in bins.iter_mut().enumerate().filter(|(_, times)| !times.is_empty()) {
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -244,10 +244,10 @@
     async fn load(self: Arc<Self>) {
         let mut draw = fastrand::Rng::with_seed(self.seed);
         let mut asked = JoinSet::new();
-        let (mut meant, mut id) = (0.0, 0);
+        let (mut scheduled, mut id) = (0.0, 0);
         loop {
-            meant -= (1.0 - draw.f64()).ln() * 1000.0 / self.scenario.rate;
-            if meant >= self.scenario.length {
+            scheduled -= (1.0 - draw.f64()).ln() * 1000.0 / self.scenario.rate;
+            if scheduled >= self.scenario.length {
                 break;
             }
             id += 1;
@@ -260,9 +260,9 @@
                 })
                 .take_while(|s| *s <= lot)
                 .count();
-            let planned = Planned { id, class, customer: draw.u32(0..self.scenario.customers), meant };
+            let planned = Planned { id, class, customer: draw.u32(0..self.scenario.customers), scheduled };
             let first = draw.usize(0..self.scenario.nodes);
-            sleep_until(self.recorder.instant(meant)).await;
+            sleep_until(self.recorder.instant(scheduled)).await;
             let world = self.clone();
             self.recorder.note(|trace| trace.planned += 1);
             asked.spawn(async move {
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -62,7 +62,7 @@
     /// The customer, by number.
     pub customer: u32,
     /// When it was to be sent; all times of answers count from here.
-    pub meant: f64,
+    pub scheduled: f64,
     /// When its last byte was written.
     pub written: f64,
     /// The node.
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -35,16 +35,16 @@
 fn sound() -> Trace {
     let mut trace = Trace { planned: 200, ..Trace::default() };
     for id in 0..200 {
-        let meant = 100.0 * f64::from(id);
+        let scheduled = 100.0 * f64::from(id);
         let (node, server) = (id as usize % 2, id as usize % 4);
         trace.requests.push(Request {
             id,
             class: id as usize % 3,
             customer: id % 10,
-            meant,
-            written: meant + 1.0,
+            scheduled,
+            written: scheduled + 1.0,
             node,
-            ended: meant + 50.0,
+            ended: scheduled + 50.0,
             outcome: Outcome::Served,
             response_count: 1,
         });
@@ -52,7 +52,7 @@
             id,
             server,
             node,
-            at: meant + 2.0,
+            at: scheduled + 2.0,
             work: 10.0,
             effect: true,
             declined: false,
@@ -86,7 +86,7 @@
 fn answers_that_are_missing_late_wrong_or_double_are_found_but_for_killed_nodes() {
     let changes: [fn(&mut Request); 4] = [
         |r| r.outcome = Outcome::Nothing,
-        |r| r.ended = r.meant + 1060.0,
+        |r| r.ended = r.scheduled + 1060.0,
         |r| r.outcome = Outcome::Wrong,
         |r| r.response_count = 2,
     ];
@@ -226,10 +226,10 @@
     trace
         .requests
         .iter_mut()
-        .filter(|r| r.meant < 8500.0 && r.meant > 6000.0)
+        .filter(|r| r.scheduled < 8500.0 && r.scheduled > 6000.0)
         .for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), Vec::<&str>::new());
-    trace.requests.iter_mut().filter(|r| r.meant > 16_000.0).for_each(|r| r.outcome = Outcome::Failed);
+    trace.requests.iter_mut().filter(|r| r.scheduled > 16_000.0).for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), ["settles"]);
     trace.late[..10].fill(40.0);
     assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
