--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -100,7 +100,7 @@
 }
 
 /// What a node has said, and when.
-pub type Said = Arc<std::sync::Mutex<Vec<(f64, String)>>>;
+pub type LogLines = Arc<std::sync::Mutex<Vec<(f64, String)>>>;
 
 /// A node, running or not.
 pub struct Node {
@@ -108,7 +108,7 @@
     program: PathBuf,
     defect: Option<String>,
     recorder: Recorder,
-    said: Said,
+    logs: LogLines,
     config: PathBuf,
     log: PathBuf,
     child: Option<Child>,
@@ -128,7 +128,7 @@
             program: path,
             defect,
             recorder,
-            said: Arc::default(),
+            logs: Arc::default(),
             config,
             log,
             child: None,
@@ -161,25 +161,25 @@
         }
         let mut lines = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?).lines();
         let mut log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
-        let mut said = String::new();
+        let mut logs = String::new();
         self.address = loop {
             let line = tokio::time::timeout(START, lines.next_line()).await.map_err(io::Error::other)??;
-            let line = line.ok_or_else(|| io::Error::other(format!("a node ended at its start: {said}")))?;
+            let line = line.ok_or_else(|| io::Error::other(format!("a node ended at its start: {logs}")))?;
             if let Some((_, address)) = line.split_once("listening on ") {
                 break address.trim().parse().map_err(io::Error::other)?;
             }
-            said += &line;
+            logs += &line;
         };
-        let (recorder, said) = (self.recorder.clone(), self.said.clone());
+        let (recorder, logs) = (self.recorder.clone(), self.logs.clone());
         tokio::spawn(async move {
             use std::io::Write;
             while let Ok(Some(line)) = lines.next_line().await {
                 let now = recorder.now();
                 // A log that can't be written is missing, no more.
                 let _ = writeln!(log, "{now:.0} {line}");
-                let mut said = lock(&said);
-                if said.len() < SAID_MOST {
-                    said.push((now, line));
+                let mut logs = lock(&logs);
+                if logs.len() < SAID_MOST {
+                    logs.push((now, line));
                 }
             }
         });
@@ -240,8 +240,8 @@
     }
 
     /// What it says, and when.
-    pub fn said(&self) -> Said {
-        self.said.clone()
+    pub fn logs(&self) -> LogLines {
+        self.logs.clone()
     }
 
     /// Whether it has ended, though nobody ended it.
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -60,9 +60,9 @@
         page += &picture(scenario, played, unit, &series).unwrap_or_default();
     }
     page += "<h2>What nodes said</h2>\n";
-    for (node, said) in played.said.iter().enumerate().filter(|(_, said)| !said.is_empty()) {
+    for (node, logs) in played.logs.iter().enumerate().filter(|(_, logs)| !logs.is_empty()) {
         let lines: Vec<String> =
-            said.iter().take(SAID_MOST).map(|(at, line)| format!("{:7.2} s  {line}", at / 1000.0)).collect();
+            logs.iter().take(SAID_MOST).map(|(at, line)| format!("{:7.2} s  {line}", at / 1000.0)).collect();
         let _ = writeln!(
             page,
             "<details><summary>node {node}</summary><pre>{}</pre></details>",
@@ -120,10 +120,10 @@
         })
         .collect();
     let believed = played
-        .said
+        .logs
         .iter()
         .enumerate()
-        .map(|(node, said)| (format!("node {node}"), said.iter().filter_map(ejected).collect::<Vec<_>>()))
+        .map(|(node, logs)| (format!("node {node}"), logs.iter().filter_map(ejected).collect::<Vec<_>>()))
         .filter(|(_, points)| !points.is_empty())
         .collect();
     vec![
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -43,7 +43,7 @@
     /// All that happened.
     pub trace: Trace,
     /// What each node wrote to its standard error, and when.
-    pub said: Vec<Vec<(f64, String)>>,
+    pub logs: Vec<Vec<(f64, String)>>,
 }
 
 /// Why there was no play.
@@ -386,16 +386,16 @@
             verdict = Verdict::Broken;
         }
     }
-    let (mut said, mut processor) = (Vec::new(), 0.0);
+    let (mut logs, mut processor) = (Vec::new(), 0.0);
     for node in &world.nodes {
         let mut node = node.lock().await;
         processor += node.processor();
-        said.push(lock(&node.said()).clone());
+        logs.push(lock(&node.logs()).clone());
         node.signal(Signal::KILL);
         node.ended(world.guard.as_ref(), LEAVE_PATIENCE).await;
     }
     if !scenario.steps.iter().any(|step| matches!(step.fault, Fault::Kill(_) | Fault::Term(_))) {
         figures.cpu = Some(processor * 1e6 / figures.requests.max(1) as f64);
     }
-    Ok(RunResult { verdict, figures, findings, trace, said })
+    Ok(RunResult { verdict, figures, findings, trace, logs })
 }
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -310,12 +310,12 @@
 
     /// Has a sidecar read its configuration anew, and notes which servers it was told to leave.
     pub async fn reload(&self, number: usize, left: &[usize]) -> io::Result<()> {
-        let said = {
+        let logs = {
             let node = self.nodes[number].lock().await;
             node.reload(&self.statements(number, node.address))?;
-            node.said()
+            node.logs()
         };
-        let read = || lock(&said).iter().filter(|(_, line)| line.ends_with("read anew")).count();
+        let read = || lock(&logs).iter().filter(|(_, line)| line.ends_with("read anew")).count();
         let (before, begun) = (read(), Instant::now());
         while read() == before {
             // One that is killed or stands still meanwhile is told at its next start, or whenever it reads.
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -249,7 +249,7 @@
         figures: Figures::default(),
         findings,
         trace,
-        said: vec![vec![(1.0, "<x>".into())]],
+        logs: vec![vec![(1.0, "<x>".into())]],
     };
     let page = report(&scenario, &played, 5);
     for part in
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -35,7 +35,7 @@
 
 /// Returns the times at which processes logged that a zone entered a state.
 fn transitions(played: &RunResult, zone: &str, to: &str) -> Vec<f64> {
-    let lines = played.said.iter().flatten();
+    let lines = played.logs.iter().flatten();
     let matching = lines.filter(|(_, line)| {
         line.contains(&format!("zone=\"{zone}\"")) && line.contains(&format!("to=\"{to}\""))
     });
@@ -64,7 +64,7 @@
         + &step("3s", "500ms", "do = \"kill\"\nnodes = \"3\"")
         + &step("6s", "1s", "do = \"crash\"\nservers = \"south\"");
     let played = run("10s", &steps);
-    let pauses = played.said.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
+    let pauses = played.logs.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
     assert!(pauses >= 1);
 }
 
@@ -166,7 +166,7 @@
     // The reports spread within a second, at least to the processes in zone south.
     let within_a_second = left.iter().filter(|at| **at < first + 1_000.0).count();
     assert!(first > 2_000.0 && within_a_second >= 3, "{left:?}");
-    let reports = played.said.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
+    let reports = played.logs.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
     assert!(reports.count() >= 1);
 }
 
