--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -311,7 +311,7 @@
         say!("  {:5.1} to {:5.1} s  {fault}", span.from / 1000.0, span.to / 1000.0);
     }
     for finding in played.findings.iter().take(SHOWN) {
-        say!("  {}: {}", finding.rule, finding.what);
+        say!("  {}: {}", finding.rule, finding.description);
     }
     if played.findings.len() > SHOWN {
         say!("  and {} more", played.findings.len() - SHOWN);
@@ -338,7 +338,7 @@
         say!("{}", json!({"fault": fault, "from_ms": span.from, "to_ms": span.to}));
     }
     for finding in &played.findings {
-        say!("{}", json!({"rule": finding.rule, "finding": finding.what}));
+        say!("{}", json!({"rule": finding.rule, "finding": finding.description}));
     }
     for (name, value) in played.figures.named() {
         say!("{}", json!({"figure": name, "value": value}));
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -55,7 +55,7 @@
     /// The rule, in few words.
     pub rule: &'static str,
     /// What happened, with request, server and time.
-    pub what: String,
+    pub description: String,
 }
 
 /// What a play says.
@@ -206,7 +206,7 @@
 const ONE_ANSWER: &str = "one answer in time";
 
 fn finding(rule: &'static str, what: String) -> Finding {
-    Finding { rule, what }
+    Finding { rule, description: what }
 }
 
 /// Rule one: exactly one final answer in time for each request that a running node has taken.
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -49,7 +49,7 @@
     if !played.findings.is_empty() {
         page += "<h2>Findings</h2>\n<ul>\n";
         for finding in played.findings.iter().take(FOUND_MOST) {
-            let _ = writeln!(page, "<li>{}: {}</li>", escaped(finding.rule), escaped(&finding.what));
+            let _ = writeln!(page, "<li>{}: {}</li>", escaped(finding.rule), escaped(&finding.description));
         }
         page += "</ul>\n";
     }
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -49,20 +49,20 @@
 /// Why there was no play.
 #[derive(Debug)]
 pub struct HarnessError {
-    what: &'static str,
+    context: &'static str,
     error: io::Error,
 }
 
 impl fmt::Display for HarnessError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.what, self.error)
+        write!(f, "{}: {}", self.context, self.error)
     }
 }
 
 impl std::error::Error for HarnessError {}
 
-fn because(what: &'static str) -> impl FnOnce(io::Error) -> HarnessError {
-    move |error| HarnessError { what, error }
+fn because(context: &'static str) -> impl FnOnce(io::Error) -> HarnessError {
+    move |error| HarnessError { context, error }
 }
 
 impl World {
@@ -382,7 +382,8 @@
     let (mut verdict, mut figures, mut findings) = judge(&world.rules, &trace);
     for (number, node) in world.nodes.iter().enumerate() {
         if node.lock().await.crashed() {
-            findings.push(Finding { rule: "no crash", what: format!("node {number} ended by itself") });
+            findings
+                .push(Finding { rule: "no crash", description: format!("node {number} ended by itself") });
             verdict = Verdict::Broken;
         }
     }
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -290,12 +290,12 @@
     /// The line, from 1.
     pub line: usize,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
 impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.message)
     }
 }
 
@@ -505,7 +505,7 @@
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let at = |span: Option<Range<usize>>, what: String| ScenarioError {
             line: 1 + text[..span.map_or(0, |s| s.start.min(text.len()))].matches('\n').count(),
-            what,
+            message: what,
         };
         let file: File = toml::from_str(text).map_err(|e| at(e.span(), e.message().to_owned()))?;
         let time = |t: &Text| parse_time(t.get_ref()).map_err(|what| at(Some(t.span()), what));
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -220,7 +220,7 @@
         ("do = \"cut\"", "do = \"cut\"\nlink = \"sign-in\"", 11, "there is no sign-in service"),
     ] {
         let error = Scenario::parse(&sound.replace(from, to)).expect_err(to);
-        assert!(error.line == line && error.what.contains(what), "{to}: {error}");
+        assert!(error.line == line && error.message.contains(what), "{to}: {error}");
     }
 }
 
@@ -242,7 +242,7 @@
     let scenario = Scenario::parse(&text.replace("zone-cut", "<b>")).expect("sound");
     let mut trace = Trace::default();
     trace.faults.push(("cut & co".into(), Span { from: 1000.0, to: 2000.0 }));
-    let finding = ivygate_fault_injection::Finding { rule: "settles", what: "it <did> not".into() };
+    let finding = ivygate_fault_injection::Finding { rule: "settles", description: "it <did> not".into() };
     let (verdict, findings) = (Verdict::Broken, vec![finding]);
     let mut played = RunResult {
         verdict,
