--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -10,19 +10,19 @@
     /// The classes, by number.
     pub classes: Vec<Class>,
     /// A final answer may come this much after the deadline, in milliseconds.
-    pub answer_slack: f64,
+    pub response_slack: f64,
     /// Nothing new goes to a server later than this after its drain was told, in milliseconds.
     pub drain_grace: f64,
     /// Work that a warm server does in a millisecond, in milliseconds.
     pub capacity: f64,
     /// Part of it that a server does at its start.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// It is warm after this, in milliseconds.
-    pub warm_after: f64,
+    pub warm_up_time: f64,
     /// A cold server falls over when sent this many times what it can do ...
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// ... for this long, in milliseconds.
-    pub fall_window: f64,
+    pub overload_window: f64,
     /// Units a second that all nodes together may send on for a customer.
     pub ceiling_rate: f64,
     /// Units that the ceiling's store holds.
@@ -32,17 +32,17 @@
     /// Service is back within this after the last fault, in milliseconds.
     pub settle: f64,
     /// A play whose generator was later than this, in one request of a hundred, says nothing. In milliseconds.
-    pub late_most: f64,
+    pub max_generator_delay: f64,
     /// Nor does one whose links and stand-ins stood still for longer than this: what it calls late may be its own doing.
     /// In milliseconds.
-    pub still_most: f64,
+    pub max_stall: f64,
     /// A node that is told to end has ended within this, in milliseconds.
-    pub leave_most: f64,
+    pub max_shutdown_time: f64,
     /// Zones; servers and nodes are dealt to them in turn.
     pub zones: usize,
     /// Nodes of one zone, which stand alike and see alike, may be at odds for so many seconds; `None` where nothing is
     /// said of it. Each learns by its own attempts, so some differ for a while after every fault.
-    pub at_odds_most: Option<f64>,
+    pub max_disagreement: Option<f64>,
     /// Whether a customer may not go on, where a sign-in service says so.
     pub denied: Option<fn(u32) -> bool>,
     /// Whether all servers are there and warm after the faults, so that load should lie where it lay.
@@ -194,7 +194,7 @@
     findings.extend(settling(rules, &figures));
     findings.extend(swinging(&turns));
     findings.extend(at_odds(rules, &apart));
-    let starved = figures.late > rules.late_most || figures.still > rules.still_most;
+    let starved = figures.late > rules.max_generator_delay || figures.still > rules.max_stall;
     let verdict = match (starved, findings.is_empty()) {
         (true, _) => Verdict::Void,
         (false, true) => Verdict::Kept,
@@ -213,7 +213,7 @@
 fn answers(rules: &Rules, trace: &Trace) -> Vec<Finding> {
     let mut found = Vec::new();
     for request in &trace.requests {
-        let end = request.scheduled + rules.classes[request.class].deadline + rules.answer_slack;
+        let end = request.scheduled + rules.classes[request.class].deadline + rules.response_slack;
         let open = Span { from: request.written, to: request.ended.min(end) };
         if trace.is_exempt(request.node, &open) {
             continue;
@@ -302,9 +302,9 @@
     for (server, start) in &trace.cold {
         let over = cold_loads(rules, trace, *server, *start)
             .into_iter()
-            .find(|(sent, able)| *sent > rules.fall_multiple * able);
+            .find(|(sent, able)| *sent > rules.overload_factor * able);
         if let Some((sent, able)) = over {
-            let most = rules.fall_multiple * able;
+            let most = rules.overload_factor * able;
             let what =
                 format!("server {server} was sent {sent:.0} ms of work in a window, {most:.0} are its most");
             found.push(finding("cold servers", what));
@@ -317,11 +317,11 @@
 /// can do in one.
 fn cold_loads(rules: &Rules, trace: &Trace, server: usize, start: f64) -> Vec<(f64, f64)> {
     let able = |at: f64| {
-        let part = ((at - start) / rules.warm_after).clamp(0.0, 1.0);
-        rules.capacity * (rules.cold_from + (1.0 - rules.cold_from) * part) * rules.fall_window
+        let part = ((at - start) / rules.warm_up_time).clamp(0.0, 1.0);
+        rules.capacity * (rules.cold_capacity + (1.0 - rules.cold_capacity) * part) * rules.overload_window
     };
     let cold = |execution: &&Execution| {
-        execution.server == server && (0.0..rules.warm_after).contains(&(execution.at - start))
+        execution.server == server && (0.0..rules.warm_up_time).contains(&(execution.at - start))
     };
     let executions: Vec<&Execution> = trace.executions.iter().filter(cold).collect();
     let mut first = 0;
@@ -329,7 +329,7 @@
     let mut loads = Vec::new();
     for execution in &executions {
         sent += execution.work;
-        while executions[first].at <= execution.at - rules.fall_window {
+        while executions[first].at <= execution.at - rules.overload_window {
             sent -= executions[first].work;
             first += 1;
         }
@@ -343,7 +343,7 @@
     let mut sent: HashMap<(usize, u64), f64> = HashMap::new();
     for execution in &trace.executions {
         let cold = trace.cold.iter().any(|(server, start)| {
-            *server == execution.server && (0.0..rules.warm_after).contains(&(execution.at - start))
+            *server == execution.server && (0.0..rules.warm_up_time).contains(&(execution.at - start))
         });
         if !cold {
             *sent.entry((execution.server, (execution.at.max(0.0) / 1000.0) as u64)).or_default() +=
@@ -436,7 +436,7 @@
 
 /// A node that is told to end ends once what it holds has its answers.
 fn shutdowns(rules: &Rules, trace: &Trace) -> Vec<Finding> {
-    let late = trace.shutdowns.iter().filter(|leave| leave.took > rules.leave_most);
+    let late = trace.shutdowns.iter().filter(|leave| leave.took > rules.max_shutdown_time);
     late.map(|leave| finding("ends when told", format!("node {} took {:.0} ms", leave.node, leave.took)))
         .collect()
 }
@@ -546,7 +546,7 @@
 /// Nodes that stand alike and see alike come to decide alike.
 fn at_odds(rules: &Rules, apart: &[f64]) -> Option<Finding> {
     let (from, lasts) = at_odds_for(apart);
-    rules.at_odds_most.is_some_and(|most| lasts as f64 > most).then(|| {
+    rules.max_disagreement.is_some_and(|most| lasts as f64 > most).then(|| {
         finding(
             "decides alike",
             format!("nodes of one zone were at odds over it for {lasts} s, from {from} s on"),
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -27,9 +27,9 @@
     /// Requests that it works on at once.
     pub workers: usize,
     /// Part of its pace that it has at its start.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// It is warm after this, in milliseconds.
-    pub warm_after: f64,
+    pub warm_up_time: f64,
     /// Repeats of a key are dropped for this long, in milliseconds.
     pub key_window: f64,
     /// Units a second of a customer's quota, of which the meter tells a part.
@@ -218,8 +218,8 @@
         drop(waits);
         let begun = backend.recorder.now();
         let warmth = condition.started.map_or(1.0, |started| {
-            let age = ((begun - started) / backend.make.warm_after).clamp(0.0, 1.0);
-            backend.make.cold_from + (1.0 - backend.make.cold_from) * age
+            let age = ((begun - started) / backend.make.warm_up_time).clamp(0.0, 1.0);
+            backend.make.cold_capacity + (1.0 - backend.make.cold_capacity) * age
         });
         let slow: f64 =
             condition.slow.iter().filter(|(whom, _)| about(whom)).map(|(_, times)| times).product();
--- a/crates/fault-injection/src/world.rs
+++ b/crates/fault-injection/src/world.rs
@@ -58,25 +58,25 @@
 fn rules(scenario: &Scenario) -> Rules {
     let classes = classes();
     Rules {
-        leave_most: longest(&classes) + LEAVE + LEAVE_SLACK,
+        max_shutdown_time: longest(&classes) + LEAVE + LEAVE_SLACK,
         classes,
-        answer_slack: 50.0,
+        response_slack: 50.0,
         // 1 s by the protocol, and its slack on sockets.
         drain_grace: 1050.0,
         capacity: scenario.workers as f64,
-        cold_from: 0.25,
-        warm_after: 6000.0,
-        fall_multiple: 2.5,
-        fall_window: 2000.0,
+        cold_capacity: 0.25,
+        warm_up_time: 6000.0,
+        overload_factor: 2.5,
+        overload_window: 2000.0,
         ceiling_rate: scenario.ceiling,
         ceiling_burst: 4.0 * scenario.ceiling,
         // What nodes are told, and what the rate gives in 150 ms.
         ceiling_slack: tolerance(scenario) + 0.15 * scenario.ceiling,
         settle: scenario.settle,
-        late_most: LATE_MOST,
-        still_most: STILL_MOST,
+        max_generator_delay: LATE_MOST,
+        max_stall: STILL_MOST,
         zones: ZONES.len(),
-        at_odds_most: scenario.at_odds.map(|most| most / 1000.0),
+        max_disagreement: scenario.at_odds.map(|most| most / 1000.0),
         denied: scenario.sign_in.then_some(denied),
         steady: !scenario.steps.iter().any(|step| step.fault.moves_load()),
     }
@@ -133,8 +133,8 @@
         let recorder = Recorder::new(Instant::now() + LEAD);
         let make = Make {
             workers: scenario.workers,
-            cold_from: rules.cold_from,
-            warm_after: rules.warm_after,
+            cold_capacity: rules.cold_capacity,
+            warm_up_time: rules.warm_up_time,
             key_window: KEY_WINDOW,
             quota: quota(scenario),
         };
@@ -281,8 +281,8 @@
                  sign-in door {{ pool accounts; path /check; }}\n"
             );
         }
-        let (from, warm) = (rules.cold_from, rules.warm_after);
-        let (fall, window) = (rules.fall_multiple, rules.fall_window);
+        let (from, warm) = (rules.cold_capacity, rules.warm_up_time);
+        let (fall, window) = (rules.overload_factor, rules.overload_window);
         text += &format!(
             "pool app {{\n    zone {}; sidecars {}; cross-zone 0.02; connect 250ms; errors 500 502 503 504;\n    \
              declined Srv-Declined 1; cold {{ from {from}; warm {warm}ms; fall {fall}; for {window}ms; }}\n",
@@ -403,8 +403,8 @@
                                "capRate": rules.ceiling_rate, "capDepth": rules.ceiling_burst,
                                "tolerance": tolerance(scenario)}],
                 "domain": {"unitsTop": 3, "usePeriodMs": 1000},
-                "rules": {"coldFrom": rules.cold_from, "warmAfterMs": rules.warm_after,
-                          "fallMultiple": rules.fall_multiple, "overloadForMs": rules.fall_window}}
+                "rules": {"coldFrom": rules.cold_capacity, "warmAfterMs": rules.warm_up_time,
+                          "fallMultiple": rules.overload_factor, "overloadForMs": rules.overload_window}}
         });
         config.to_string()
     }
