--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -91,7 +91,7 @@
 /// Asks the first of these nodes that takes a connection, and notes what came of it.
 pub async fn ask(doors: &[&Door], planned: Planned, class: &Class, spread: usize, recorder: &Recorder) {
     let late = recorder.now() - planned.scheduled;
-    recorder.note(|trace| trace.late.push(late));
+    recorder.note(|trace| trace.generator_delays.push(late));
     let deadline = planned.scheduled + class.deadline;
     let Some(first) = doors.first().map(|door| door.node) else { return };
     let mut request = Request {
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -322,8 +322,8 @@
         Verdict::Void => {
             say!(
                 "void: the generator was {:.0} ms late, the rig stood still for {:.0} ms; this machine has too little to spare",
-                played.figures.late,
-                played.figures.still
+                played.figures.generator_delay,
+                played.figures.longest_stall
             );
         }
     }
@@ -412,7 +412,7 @@
         match best {
             Some((rate, figures)) => say!(
                 "{nodes:3} nodes: {rate} a second; generator late by {:.1} ms, served in time {:.3}",
-                figures.late,
+                figures.generator_delay,
                 figures.served
             ),
             None => say!("{nodes:3} nodes: not even 125 a second"),
@@ -436,13 +436,13 @@
         figures.failed,
         figures.unanswered,
         figures.attempts,
-        figures.times[0],
-        figures.times[1],
-        figures.spread,
-        figures.apart,
-        figures.at_odds,
-        figures.swing,
-        figures.late
+        figures.latencies[0],
+        figures.latencies[1],
+        figures.node_spread,
+        figures.largest_disagreement,
+        figures.disagreement_s,
+        figures.reversals_per_minute,
+        figures.generator_delay
     )
 }
 
@@ -460,7 +460,7 @@
                 Err(error) => return failed(&error),
             };
             if played.verdict == Verdict::Void {
-                let (late, still) = (played.figures.late, played.figures.still);
+                let (late, still) = (played.figures.generator_delay, played.figures.longest_stall);
                 say!("seed {seed}: void, {late:.0} ms late, stood still for {still:.0} ms");
                 return ExitCode::from(VOID);
             }
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -87,10 +87,10 @@
     /// Requests failed, unanswered or late, and those refused, from the first fault until service is to be back.
     pub lost: f64,
     /// Those refused meanwhile.
-    pub turned_away: f64,
+    pub refused_in_faults: f64,
     /// From the first fault until the last request of a node that was lost: half of the nodes, and 95 in 100 of them, are
     /// quicker, in milliseconds. Only what was to be sent while the first fault held counts.
-    pub losing: [Option<f64>; 2],
+    pub last_losses: [Option<f64>; 2],
     /// Most work that a cold server was sent in a window, against what it can do in it.
     pub cold_load: Option<f64>,
     /// Most work that any warm server was sent in a second, against what it can do in it.
@@ -98,25 +98,25 @@
     /// Attempts for each request.
     pub attempts: f64,
     /// The generator's lateness, of which one request in a hundred is later; in milliseconds.
-    pub late: f64,
+    pub generator_delay: f64,
     /// The longest time for which the rig itself stood still, in milliseconds.
-    pub still: f64,
+    pub longest_stall: f64,
     /// Largest difference between two nodes' parts of requests served, over nodes with enough of them.
-    pub spread: f64,
+    pub node_spread: f64,
     /// Times of requests served: half, 99 in 100 and all but one in a thousand are quicker. In milliseconds.
-    pub times: [f64; 3],
+    pub latencies: [f64; 3],
     /// The first zone's part of all runs, before the first fault and after the settling time.
-    pub load: [Option<f64>; 2],
+    pub first_zone_load: [Option<f64>; 2],
     /// Largest difference between two nodes of one zone in the first zone's part of where they sent requests first, in
     /// a second.
-    pub apart: f64,
+    pub largest_disagreement: f64,
     /// Seconds in a row for which they lay far apart.
-    pub at_odds: f64,
+    pub disagreement_s: f64,
     /// Processor time of the nodes for each request, in microseconds; known to whoever started them, and only where
     /// none was started again.
-    pub cpu: Option<f64>,
+    pub cpu_us: Option<f64>,
     /// How often a minute what the first zone gets turned from rising steeply to falling steeply or back.
-    pub swing: f64,
+    pub reversals_per_minute: f64,
 }
 
 impl Figures {
@@ -124,8 +124,8 @@
     #[must_use]
     pub fn named(&self) -> Vec<(&'static str, Option<f64>)> {
         let [before, during, settled] = self.phases;
-        let [half, most, nearly_all] = self.times;
-        let [load_before, load_after] = self.load;
+        let [half, most, nearly_all] = self.latencies;
+        let [load_before, load_after] = self.first_zone_load;
         vec![
             ("requests", Some(self.requests as f64)),
             ("served in time, part", Some(self.served)),
@@ -136,9 +136,9 @@
             ("failed, part", Some(self.failed)),
             ("unanswered, part", Some(self.unanswered)),
             ("lost or late from the first fault until settled", Some(self.lost)),
-            ("refused from the first fault until settled", Some(self.turned_away)),
-            ("half of the nodes lose nothing after, ms", self.losing[0]),
-            ("95 in 100 of the nodes lose nothing after, ms", self.losing[1]),
+            ("refused from the first fault until settled", Some(self.refused_in_faults)),
+            ("half of the nodes lose nothing after, ms", self.last_losses[0]),
+            ("95 in 100 of the nodes lose nothing after, ms", self.last_losses[1]),
             ("largest load on a cold server, times what it can do", self.cold_load),
             ("largest load on a warm server in a second, times that", Some(self.warm_load)),
             ("attempts a request", Some(self.attempts)),
@@ -147,13 +147,13 @@
             ("999 in 1000 are answered within, ms", Some(nearly_all)),
             ("north's load before the faults, part", load_before),
             ("north's load once settled, part", load_after),
-            ("nodes differ in what they serve by, part", Some(self.spread)),
-            ("nodes of one zone differ in what they send north by, part", Some(self.apart)),
-            ("nodes of one zone at odds for, s", Some(self.at_odds)),
-            ("load swings, a minute", Some(self.swing)),
-            ("processor time of nodes a request, us", self.cpu),
-            ("generator late by, ms", Some(self.late)),
-            ("rig stood still for, ms", Some(self.still)),
+            ("nodes differ in what they serve by, part", Some(self.node_spread)),
+            ("nodes of one zone differ in what they send north by, part", Some(self.largest_disagreement)),
+            ("nodes of one zone at odds for, s", Some(self.disagreement_s)),
+            ("load swings, a minute", Some(self.reversals_per_minute)),
+            ("processor time of nodes a request, us", self.cpu_us),
+            ("generator late by, ms", Some(self.generator_delay)),
+            ("rig stood still for, ms", Some(self.longest_stall)),
         ]
     }
 }
@@ -194,7 +194,8 @@
     findings.extend(settling(rules, &figures));
     findings.extend(swinging(&turns));
     findings.extend(at_odds(rules, &apart));
-    let starved = figures.late > rules.max_generator_delay || figures.still > rules.max_stall;
+    let starved =
+        figures.generator_delay > rules.max_generator_delay || figures.longest_stall > rules.max_stall;
     let verdict = match (starved, findings.is_empty()) {
         (true, _) => Verdict::Void,
         (false, true) => Verdict::Kept,
@@ -220,9 +221,9 @@
         }
         let (id, node) = (request.id, request.node);
         let rule = ONE_ANSWER;
-        let garbled = trace.garbled.iter().any(|span| span.meets(&open));
+        let corruption_spans = trace.corruption_spans.iter().any(|span| span.meets(&open));
         match request.outcome {
-            Outcome::Wrong if garbled => {}
+            Outcome::Wrong if corruption_spans => {}
             Outcome::Nothing => {
                 found.push(finding(
                     rule,
@@ -299,7 +300,7 @@
 /// it can do in it.
 fn cold_servers(rules: &Rules, trace: &Trace) -> Vec<Finding> {
     let mut found = Vec::new();
-    for (server, start) in &trace.cold {
+    for (server, start) in &trace.cold_starts {
         let over = cold_loads(rules, trace, *server, *start)
             .into_iter()
             .find(|(sent, able)| *sent > rules.overload_factor * able);
@@ -342,7 +343,7 @@
 fn warm_load(rules: &Rules, trace: &Trace) -> f64 {
     let mut sent: HashMap<(usize, u64), f64> = HashMap::new();
     for execution in &trace.executions {
-        let cold = trace.cold.iter().any(|(server, start)| {
+        let cold = trace.cold_starts.iter().any(|(server, start)| {
             *server == execution.server && (0.0..rules.warm_up_time).contains(&(execution.at - start))
         });
         if !cold {
@@ -354,7 +355,7 @@
 }
 
 /// For each node, how long after the first fault the last request that it lost was to be sent, as far as that fault held.
-fn losing(trace: &Trace, lost: &dyn Fn(&Request) -> bool) -> [Option<f64>; 2] {
+fn last_losses(trace: &Trace, lost: &dyn Fn(&Request) -> bool) -> [Option<f64>; 2] {
     let Some((_, span)) = trace.faults.iter().min_by(|a, b| a.1.from.total_cmp(&b.1.from)) else {
         return [None; 2];
     };
@@ -450,7 +451,7 @@
             found.push(finding("settles", what));
         }
     }
-    if let ([Some(before), Some(after)], true) = (figures.load, rules.steady) {
+    if let ([Some(before), Some(after)], true) = (figures.first_zone_load, rules.steady) {
         if (before - after).abs() > SETTLED_LOAD {
             let what = format!(
                 "the first zone got {before:.2} of the load before the faults and {after:.2} after them"
@@ -601,7 +602,7 @@
     };
     let quicker = |part: f64| times.as_ref().map_or(0.0, |t| t.value_at_quantile(part) as f64 / 1000.0);
     let length = trace.executions.last().map_or(0.0, |execution| execution.at).max(1.0);
-    let mut late = trace.late.clone();
+    let mut late = trace.generator_delays.clone();
     late.sort_by(f64::total_cmp);
     Figures {
         requests: all.len(),
@@ -611,24 +612,24 @@
         unanswered: share(Outcome::Nothing),
         phases,
         lost: all.iter().filter(held).filter(|r| is_lost(r)).count() as f64,
-        turned_away: all.iter().filter(held).filter(|r| r.outcome == Outcome::Refused).count() as f64,
-        losing: losing(trace, &is_lost),
+        refused_in_faults: all.iter().filter(held).filter(|r| r.outcome == Outcome::Refused).count() as f64,
+        last_losses: last_losses(trace, &is_lost),
         cold_load: trace
-            .cold
+            .cold_starts
             .iter()
             .flat_map(|(server, start)| cold_loads(rules, trace, *server, *start))
             .map(|(sent, able)| sent / able)
             .max_by(f64::total_cmp),
         warm_load: warm_load(rules, trace),
         attempts: trace.executions.len() as f64 / all.len().max(1) as f64,
-        late: late.get(late.len() * 99 / 100).copied().unwrap_or(0.0),
-        still: trace.still,
-        spread: (high - low).max(0.0),
-        times: [quicker(0.5), quicker(0.99), quicker(0.999)],
-        load: [part_of_load(&|at| at < first), part_of_load(&|at| at >= settled)],
-        apart: apart.iter().copied().fold(0.0, f64::max),
-        at_odds: at_odds_for(apart).1 as f64,
-        cpu: None,
-        swing: turns.len() as f64 * 60_000.0 / length,
+        generator_delay: late.get(late.len() * 99 / 100).copied().unwrap_or(0.0),
+        longest_stall: trace.longest_stall,
+        node_spread: (high - low).max(0.0),
+        latencies: [quicker(0.5), quicker(0.99), quicker(0.999)],
+        first_zone_load: [part_of_load(&|at| at < first), part_of_load(&|at| at >= settled)],
+        largest_disagreement: apart.iter().copied().fold(0.0, f64::max),
+        disagreement_s: at_odds_for(apart).1 as f64,
+        cpu_us: None,
+        reversals_per_minute: turns.len() as f64 * 60_000.0 / length,
     }
 }
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -185,7 +185,7 @@
                 });
             }
             Fault::Link(_, LinkFault::Change(_)) => {
-                self.recorder.note(|trace| trace.garbled.push(Span { from: step.at, to: end }));
+                self.recorder.note(|trace| trace.corruption_spans.push(Span { from: step.at, to: end }));
             }
             Fault::Drain(servers) => {
                 let drained = servers.of(self.scenario.servers);
@@ -205,7 +205,7 @@
                     self.servers[*server].change(|condition| condition.started = Some(now));
                 }
                 self.recorder.note(|trace| {
-                    trace.cold.extend(lost.iter().map(|server| (*server, now)));
+                    trace.cold_starts.extend(lost.iter().map(|server| (*server, now)));
                     let back = trace.drains.iter_mut().filter(|d| lost.contains(&d.server));
                     back.for_each(|drain| drain.until = drain.until.min(now));
                 });
@@ -284,7 +284,7 @@
         let due = Instant::now() + BEAT;
         sleep_until(due).await;
         let late = due.elapsed().as_secs_f64() * 1000.0;
-        recorder.note(|trace| trace.still = trace.still.max(late));
+        recorder.note(|trace| trace.longest_stall = trace.longest_stall.max(late));
     }
 }
 
@@ -396,7 +396,7 @@
         node.ended(world.guard.as_ref(), LEAVE_PATIENCE).await;
     }
     if !scenario.steps.iter().any(|step| matches!(step.fault, Fault::Kill(_) | Fault::Term(_))) {
-        figures.cpu = Some(processor * 1e6 / figures.requests.max(1) as f64);
+        figures.cpu_us = Some(processor * 1e6 / figures.requests.max(1) as f64);
     }
     Ok(RunResult { verdict, figures, findings, trace, logs })
 }
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -160,7 +160,7 @@
     /// Nodes that were told to end and did.
     pub shutdowns: Vec<Shutdown>,
     /// Times in which links may change what servers answer.
-    pub garbled: Vec<Span>,
+    pub corruption_spans: Vec<Span>,
     /// In no order.
     pub requests: Vec<Request>,
     /// In the order of their coming.
@@ -170,13 +170,13 @@
     /// Times in which nodes answer for nothing.
     pub exemptions: Vec<Exemption>,
     /// Cold starts: server and when.
-    pub cold: Vec<(usize, f64)>,
+    pub cold_starts: Vec<(usize, f64)>,
     /// Times in which a fault held, with its name.
     pub faults: Vec<(String, Span)>,
     /// The longest time for which the rig's links and stand-ins stood still, in milliseconds.
-    pub still: f64,
+    pub longest_stall: f64,
     /// How late the generator wrote each request, in milliseconds, without waiting for a connection.
-    pub late: Vec<f64>,
+    pub generator_delays: Vec<f64>,
 }
 
 impl Trace {
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -57,7 +57,7 @@
             effect: true,
             declined: false,
         });
-        trace.late.push(1.0);
+        trace.generator_delays.push(1.0);
     }
     trace
 }
@@ -119,7 +119,7 @@
     // What a link may have changed is no answer of the node's.
     let mut trace = sound();
     trace.requests[50].outcome = Outcome::Wrong;
-    trace.garbled.push(Span { from: 4900.0, to: 5100.0 });
+    trace.corruption_spans.push(Span { from: 4900.0, to: 5100.0 });
     assert_eq!(broken(&trace), Vec::<&str>::new());
 }
 
@@ -196,7 +196,7 @@
 #[test]
 fn work_that_a_cold_server_cannot_bear_is_found() {
     let mut trace = sound();
-    trace.cold.push((2, 1000.0));
+    trace.cold_starts.push((2, 1000.0));
     assert_eq!(broken(&trace), Vec::<&str>::new());
     // Two warm servers' work for a second within one window.
     for id in [3, 6, 9, 12, 15] {
@@ -231,9 +231,9 @@
     assert_eq!(broken(&trace), Vec::<&str>::new());
     trace.requests.iter_mut().filter(|r| r.scheduled > 16_000.0).for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), ["settles"]);
-    trace.late[..10].fill(40.0);
+    trace.generator_delays[..10].fill(40.0);
     assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
-    trace.late[..10].fill(0.0);
-    trace.still = 51.0;
+    trace.generator_delays[..10].fill(0.0);
+    trace.longest_stall = 51.0;
     assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
 }
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -79,7 +79,7 @@
     assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
     assert_eq!(played.trace.shutdowns.len(), 10);
     assert!(
-        played.trace.cold.len() == 2 && played.trace.drains.len() > 20,
+        played.trace.cold_starts.len() == 2 && played.trace.drains.len() > 20,
         "{:?}",
         played.trace.drains.len()
     );
