--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -1,5 +1,5 @@
-//! The open-loop generator's hands: one request, from its intended moment to its final answer. It never waits for an
-//! earlier one.
+//! The client side of the open-loop generator: sends one request at its scheduled time and waits for its final
+//! response, independently of earlier requests.
 
 use crate::http::{self, Message};
 use crate::relay::Link;
@@ -11,26 +11,26 @@
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A kept connection is used again within this time; nodes close idle ones after 5 s at the earliest.
+/// Time within which an idle connection is reused; nodes close idle connections after 5 s at the earliest.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// A client listens this long after its deadline before it calls an answer missing, in milliseconds.
+/// Time after the deadline for which a client still waits before a response counts as missing, in milliseconds.
 const RESPONSE_GRACE_MS: f64 = 300.0;
 
-/// After a fault of a node's link to its clients ends, breaks may still be seen for this long, in milliseconds.
+/// Time after a fault of a client link in which broken connections may still be seen, in milliseconds.
 const FAULT_UNCERTAINTY_MS: f64 = 500.0;
 
-/// A node as clients see it, through its own link.
+/// The client side of a node, reached through its client link.
 pub struct NodeEndpoint {
     pub node: usize,
     pub link: Link,
-    /// It was killed: what it held is lost, and is never sent again under its id.
+    /// The node was killed: its open requests are lost and never sent again with their ids.
     pub killed: AtomicBool,
-    /// Its link is at fault until then, in whole milliseconds: what was sent may have come.
+    /// End of the time in which its link is faulty, in milliseconds: requests sent before may have arrived.
     unsure_until: AtomicU64,
     idle: Mutex<Vec<(Instant, BufReader<TcpStream>)>>,
 }
 
-/// A request that is to be sent.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedRequest {
     pub id: u32,
@@ -45,7 +45,7 @@
         Self { node, link, killed, unsure_until, idle }
     }
 
-    /// Its link is at fault from now on, or no longer.
+    /// Records that its link becomes faulty or recovers.
     pub fn at_fault(&self, on: bool, now: f64) {
         let was = self.unsure_until.load(Ordering::SeqCst) == u64::MAX;
         if on || was {
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Whether a request that found a kept connection closed can't have been taken.
+    /// Returns true if a request on a reused connection that was closed cannot have been accepted.
     fn certain(&self, now: f64) -> bool {
         !self.killed.load(Ordering::SeqCst) && now as u64 >= self.unsure_until.load(Ordering::SeqCst)
     }
 
-    /// The kept connection last used, if it still stands.
+    /// Takes the most recently used idle connection that is still open.
     fn kept(&self, recorder: &Recorder) -> Option<BufReader<TcpStream>> {
         let mut idle = lock(&self.idle);
         while let Some((since, stream)) = idle.pop() {
@@ -78,7 +78,7 @@
         None
     }
 
-    /// Looks what has come on kept connections, and ends them.
+    /// Records unsolicited data on idle connections and closes them.
     pub fn close(&self, recorder: &Recorder) {
         while self.kept(recorder).is_some() {}
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Asks the first of these nodes that takes a connection, and notes what came of it.
+/// Sends a request to the first of these nodes that accepts a connection, and records its outcome.
 pub async fn ask(
     endpoints: &[&NodeEndpoint],
     planned: PlannedRequest,
@@ -113,7 +113,7 @@
     };
     let asking = async {
         for endpoint in endpoints {
-            // A kept connection that ends before a byte of the answer had not been read: once more on a new one.
+            // A reused connection that closes before the response was not read by the node: retries on a new one.
             for kept in [endpoint.kept(recorder), None] {
                 let reused = kept.is_some();
                 let mut stream = match kept {
@@ -135,7 +135,7 @@
                 };
                 match answer {
                     Ok(Some(message)) => {
-                        // What came behind the answer was not asked for.
+                        // Data after the response counts as a second response.
                         let more = !stream.buffer().is_empty();
                         (request.outcome, request.response_count) =
                             (kind(&message, planned.id), 1 + u32::from(more));
@@ -145,7 +145,7 @@
                         }
                         return;
                     }
-                    // The next node, as where the link would not have taken it.
+                    // The link found no server: continues with the next node, as after a refused connection.
                     Ok(None) | Err(_) if own.is_some_and(|own| endpoint.link.unserved(own)) => break,
                     Ok(None) | Err(_) if reused && endpoint.certain(recorder.now()) => {}
                     Ok(None) | Err(_) => return,
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! One link of datagrams: passes them on as they are between whoever sends to it and one target, and the faults put on it
-//! while it runs: cut, delay, loss, duplication, reordering, changed bytes. Each direction stands for itself.
+//! A UDP link: forwards datagrams between any senders and one target, and injects faults while it runs: cuts, delay,
+//! loss, duplication, reordering and corruption. The directions are independent.
 
 use crate::trace::lock;
 use std::collections::HashMap;
@@ -10,33 +10,33 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// Largest datagram; loopback brings no larger one.
+/// Largest datagram; loopback delivers no larger one.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Most senders to one link; further ones are dropped, as a table that is full drops them.
+/// Largest number of senders per link; datagrams of further senders are dropped, as with a full NAT table.
 const MAX_SENDERS: usize = 1024;
-/// Most datagrams that wait for their time on a link.
+/// Largest number of datagrams that wait for delivery on a link.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// What holds in one direction. Parts go from 0 to 1, each drawn for each datagram.
+/// Faults of one direction of a datagram link. Fractions are from 0 to 1 and drawn for each datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Flow {
-    /// Nothing passes; what comes meanwhile is lost, as on a network.
+    /// No datagram passes; those sent meanwhile are lost.
     pub cut: bool,
-    /// Datagrams come this much later ...
+    /// Datagrams are delayed by this time ...
     pub delay: Duration,
-    /// ... and up to this much more, each by itself: later ones may overtake.
+    /// ... plus up to this much, drawn for each one, so that they may be reordered.
     pub jitter: Duration,
-    /// Part that is lost.
+    /// Fraction that is lost.
     pub lost: f64,
-    /// Part that comes twice.
+    /// Fraction that is duplicated.
     pub twice: f64,
-    /// Part in which one byte is changed.
+    /// Fraction in which one byte is changed.
     pub changed: f64,
 }
 
-/// A link that runs until it is dropped.
+/// A running datagram link; stops when dropped.
 pub struct DatagramLink {
-    /// Where the one side sends.
+    /// Address to send to.
     pub address: SocketAddr,
     flows: watch::Sender<(Flow, Flow)>,
 }
@@ -45,16 +45,16 @@
     front: UdpSocket,
     target: SocketAddr,
     flows: watch::Receiver<(Flow, Flow)>,
-    /// The socket from which each sender's datagrams go on, so that answers find their way back.
+    /// The socket that forwards the datagrams of each sender, so that replies can be returned to it.
     senders: Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>,
     room: tokio::sync::Semaphore,
 }
 
 impl DatagramLink {
-    /// A link with no fault to an address.
+    /// Opens a link without faults to an address.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// If no port can be bound.
     pub async fn open(target: SocketAddr) -> io::Result<Self> {
         let front = UdpSocket::bind("127.0.0.1:0").await?;
         let address = front.local_addr()?;
@@ -65,14 +65,14 @@
         Ok(Self { address, flows })
     }
 
-    /// Sets what holds on the way there and back from now on.
+    /// Sets the faults of both directions from now on.
     pub fn set(&self, there: Flow, back: Flow) {
         self.flows.send_replace((there, back));
     }
 }
 
 impl DatagramRelay {
-    /// Passes on what comes from the one side, until the link is dropped.
+    /// Forwards datagrams to the target until the link is dropped.
     async fn there(self: Arc<Self>) {
         let mut gone = self.flows.clone();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -81,7 +81,7 @@
                 read = self.front.recv_from(&mut buffer) => read,
                 _ = gone.wait_for(|_| false) => return,
             };
-            // An error tells of an earlier datagram that nobody took.
+            // An error reports an earlier datagram that no socket received.
             let Ok((read, from)) = read else { continue };
             let Ok(Some(own)) = self.clone().sender(from).await else { continue };
             let (flow, target) = (self.flows.borrow().0, self.target);
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The socket of a sender, made if there is none.
+    /// Returns the socket of a sender, creating it if necessary; `None` if there are too many senders.
     async fn sender(self: Arc<Self>, from: SocketAddr) -> io::Result<Option<Arc<UdpSocket>>> {
         {
             let senders = lock(&self.senders);
@@ -109,7 +109,7 @@
         Ok(Some(own))
     }
 
-    /// Passes back to a sender what comes for it.
+    /// Returns the target's datagrams to a sender.
     async fn back(self: Arc<Self>, own: Arc<UdpSocket>, to: SocketAddr) {
         let mut gone = self.flows.clone();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Sends a datagram on as a direction says: not at all, later, changed, twice.
+    /// Forwards a datagram with the faults of its direction.
     fn pass<F, Sent>(self: &Arc<Self>, flow: Flow, mut datagram: Vec<u8>, send: F)
     where
         F: Fn(Vec<u8>) -> Sent + Clone + Send + 'static,
@@ -145,7 +145,7 @@
             let (link, datagram, send) = (self.clone(), datagram.clone(), send.clone());
             let wait = flow.delay + flow.jitter.mul_f64(fastrand::f64());
             tokio::spawn(async move {
-                // Guards the rig's memory: what finds no room is lost, as in a queue of the network.
+                // Bounds the memory of the harness: datagrams beyond the capacity are lost, as in a network queue.
                 let Ok(_room) = link.room.try_acquire() else { return };
                 if !wait.is_zero() {
                     tokio::time::sleep(wait).await;
--- a/crates/fault-injection/src/discovery.rs
+++ b/crates/fault-injection/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery's agent on one node's machine: the list as that node sees it, and a watch of its changes.
+//! A test discovery agent of one node: serves the server list that this node sees and a watch of its changes.
 
 use crate::accept::accept;
 use crate::scenario::ZONES;
@@ -11,20 +11,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// While nothing changes an empty line comes this often.
+/// Interval of empty lines on a watch while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A server as the list tells of it.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     pub server: usize,
     pub address: SocketAddr,
     pub state: &'static str,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Unix time of the server's start in milliseconds; 0 if it was warm from the beginning.
     pub boot_ms: u64,
 }
 
-/// The list: a version, and the version in which each entry changed last.
+/// The server list: its revision, and the revision in which each entry last changed.
 #[derive(Clone, Debug, Default)]
 struct List {
     rev: u64,
@@ -33,7 +33,7 @@
 }
 
 impl List {
-    /// The entries that have changed since a version, in the protocol's words.
+    /// Returns all entries, or those changed since a revision, in the JSON of the protocol.
     fn since(&self, rev: u64, all: bool) -> String {
         let entries = self.entries.iter().filter(|(_, (changed, _))| all || *changed > rev);
         let words: Vec<String> = entries
@@ -48,14 +48,14 @@
         format!(r#"{{"rev":{},"all":{all},"targets":[{}]}}"#, self.rev, words.join(","))
     }
 
-    /// Servers that are drained by what has changed since a version.
+    /// Returns the servers whose state changed to draining or removed since a revision.
     fn drained(&self, rev: u64) -> Vec<usize> {
         let ended = |(changed, e): &&(u64, ListEntry)| *changed > rev && e.state != "SERVING";
         self.entries.values().filter(ended).map(|(_, e)| e.server).collect()
     }
 }
 
-/// The agent of one node; it runs until it is dropped.
+/// The running agent of one node; stops when dropped.
 pub struct Discovery {
     pub address: SocketAddr,
     list: watch::Sender<List>,
@@ -72,7 +72,7 @@
         Ok(Self { address, list })
     }
 
-    /// Changes an entry.
+    /// Adds or replaces an entry.
     pub fn set(&self, uid: &str, listed: ListEntry) {
         self.list.send_modify(|list| {
             list.rev += 1;
@@ -80,12 +80,12 @@
         });
     }
 
-    /// Whether nothing is told; what changes meanwhile is told afterwards.
+    /// Suspends or resumes all responses; changes made meanwhile are sent afterwards.
     pub fn silence(&self, on: bool) {
         self.list.send_modify(|list| list.silent = on);
     }
 
-    /// The whole list, as a node's configuration holds it.
+    /// Returns the whole list as in the configuration of a node.
     pub fn known(&self) -> String {
         self.list.borrow().since(0, true)
     }
@@ -121,7 +121,7 @@
         if stream.get_mut().write_all(chunk.as_bytes()).await.is_err() {
             return;
         }
-        // A drain is told when it has been written.
+        // A drain counts as announced once it has been written.
         let at = recorder.now();
         let until = f64::INFINITY;
         recorder.note(|trace| {
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -1,5 +1,4 @@
-//! One process of the program, as it is shipped, in the platform's form; and the guard that ends all of them when the
-//! rig itself is killed.
+//! A node: one process of the program under test; and the guard process that kills all nodes if the harness is killed.
 
 use crate::process_stat;
 use crate::scenario::{NodeKind, Selection};
@@ -15,27 +14,27 @@
 use tokio::process::{Child, ChildStdin, Command};
 use tokio::sync::Mutex;
 
-/// How long a node may take to say where it listens and to answer `GET /up`.
+/// Time limit for a node to print its address, and again to respond to `GET /up`.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Most lines of a node that are kept for the report.
+/// Largest number of log lines per node that are kept for the report.
 const MAX_LOG_LINES: usize = 500;
 
-/// What is started.
+/// Programs to start.
 #[derive(Clone, Debug, Default)]
 pub struct Program {
     /// The program under test.
     pub program: PathBuf,
-    /// Another one that some nodes run, as during a release.
+    /// Another version that some nodes run, as during a rollout.
     pub other: Option<(PathBuf, Selection)>,
-    /// The defect that a planted program is to have; no other program knows of it.
+    /// Defect to activate in a program with seeded defects; other programs ignore it.
     pub defect: Option<String>,
-    /// This rig's own program, whose `guard` ends what it started; `None` where a test does without.
+    /// The `ivygate-fleet` binary, whose `guard` command kills leftover nodes; `None` for no guard.
     pub guard: Option<PathBuf>,
 }
 
 impl Program {
-    /// What a node runs.
+    /// Returns the program of a node.
     fn of(&self, number: usize) -> &Path {
         match &self.other {
             Some((other, nodes)) if nodes.has(number) => other,
@@ -44,7 +43,7 @@
     }
 }
 
-/// A process that ends those it was told of when its own standard input ends.
+/// A process that kills the registered processes when its standard input ends.
 pub struct Guard {
     input: Mutex<ChildStdin>,
     _child: Child,
@@ -60,17 +59,17 @@
     }
 
     async fn tell(&self, sign: char, id: u32) {
-        // A guard that has died guards nothing any more; the rig's own ends still hold.
+        // Without the guard the harness still ends the nodes in its own orderly shutdown.
         let mut input = self.input.lock().await;
         let _ = input.write_all(format!("{sign}{id}\n").as_bytes()).await;
         let _ = input.flush().await;
     }
 }
 
-/// Reads `+ID` and `-ID` line by line, and at the end kills those processes that are left.
+/// Reads lines `+ID` and `-ID` that register and unregister processes, and kills the registered ones at the end of input.
 ///
 /// # Errors
-/// If standard input cannot be read; what is known is ended all the same.
+/// If the input cannot be read; the processes registered so far are killed anyway.
 pub fn guard(input: impl io::BufRead) -> io::Result<()> {
     let mut watched = std::collections::BTreeMap::new();
     let mut read = Ok(());
@@ -89,7 +88,7 @@
         }
     }
     for (id, when) in watched {
-        // Guards a stranger that has the number of one that ended meanwhile.
+        // The start time protects an unrelated process that reuses the id of one that has ended.
         if let Some(pid) =
             Pid::from_raw(id).filter(|_| when.is_some() && process_stat::started(&id.to_string()) == when)
         {
@@ -99,10 +98,10 @@
     read
 }
 
-/// What a node has said, and when.
+/// Log lines of a node with their times.
 pub type LogLines = Arc<std::sync::Mutex<Vec<(f64, String)>>>;
 
-/// A node, running or not.
+/// A node that may or may not be running.
 pub struct Node {
     form: NodeKind,
     program: PathBuf,
@@ -112,12 +111,12 @@
     config: PathBuf,
     log: PathBuf,
     child: Option<Child>,
-    /// Where it listens, also after a restart.
+    /// Listening address, kept across restarts.
     pub address: SocketAddr,
 }
 
 impl Node {
-    /// A node that has not started; its files go into a folder.
+    /// Creates a node without starting it; its files are written to `folder`.
     pub fn new(program: &Program, folder: &Path, number: usize, form: NodeKind, recorder: Recorder) -> Self {
         let end = if form == NodeKind::Sidecar { "conf" } else { "json" };
         let (config, log) = (folder.join(format!("n{number}.{end}")), folder.join(format!("n{number}.log")));
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Starts it and waits until it answers; `config` makes its configuration from the address to listen on.
+    /// Starts the process and waits until it responds; `config` returns its configuration for a listening address.
     pub async fn start(
         &mut self,
         guard: Option<&Guard>,
@@ -152,7 +151,7 @@
         if let Some(defect) = &self.defect {
             command.env("IVYGATE_DEFECT", defect);
         }
-        // Apart: a start takes milliseconds, in which the links of this thread would stand still.
+        // Spawning takes milliseconds, which would stall the links that this thread serves.
         let spawned = tokio::task::spawn_blocking(move || command.spawn()).await.map_err(io::Error::other)?;
         let mut child = spawned
             .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", self.program.display())))?;
@@ -176,7 +175,7 @@
             use std::io::Write;
             while let Ok(Some(line)) = lines.next_line().await {
                 let now = recorder.now();
-                // A log that can't be written is missing, no more.
+                // A log file that cannot be written does not affect the run.
                 let _ = writeln!(log, "{now:.0} {line}");
                 let mut logs = lock(&logs);
                 if logs.len() < MAX_LOG_LINES {
@@ -188,7 +187,7 @@
         tokio::time::timeout(START_TIMEOUT, self.up()).await.map_err(io::Error::other)
     }
 
-    /// Waits until it answers `GET /up`.
+    /// Waits until it responds to `GET /up`.
     async fn up(&self) {
         loop {
             let asked = async {
@@ -197,7 +196,7 @@
                 stream.get_mut().write_all(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n").await.ok()?;
                 crate::http::read(&mut stream).await.ok()?
             };
-            // A sidecar has no route for it, and says so.
+            // A sidecar has no route for this path and responds with 404.
             let sound = |status| status == 200 || self.form == NodeKind::Sidecar && status == 404;
             if asked.await.is_some_and(|answer| sound(answer.status())) {
                 return;
@@ -213,44 +212,44 @@
     /// Sends it a signal, if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.id() {
-            // One that has ended by itself is found out when it is waited for.
+            // A process that has ended by itself is detected when it is waited for.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Lets it have so much of something, if it runs; `None` for as much as this process may have itself.
+    /// Sets a resource limit of the process if it runs; `None` restores the limit of this process.
     pub fn limit(&self, what: Resource, count: Option<u64>) {
         let own = getrlimit(what);
         let to = Rlimit { current: count.or(own.current), maximum: own.maximum };
         if let Some(pid) = self.id() {
-            // One that has ended by itself is found out when it is waited for.
+            // A process that has ended by itself is detected when it is waited for.
             let _ = prlimit(Some(pid), what, to);
         }
     }
 
-    /// Has it read another configuration while it runs.
+    /// Replaces its configuration file and makes it reload.
     pub fn reload(&self, config: &str) -> io::Result<()> {
         std::fs::write(&self.config, config)?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// Processor time of its process so far, in seconds.
+    /// Returns the CPU time of the process so far, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         self.id().map_or(0.0, |pid| process_stat::cpu_seconds(&pid.as_raw_nonzero().to_string()))
     }
 
-    /// What it says, and when.
+    /// Returns its log lines, which grow while it runs.
     pub fn logs(&self) -> LogLines {
         self.logs.clone()
     }
 
-    /// Whether it has ended, though nobody ended it.
+    /// Returns true if the process has ended by itself.
     pub fn crashed(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Waits for the end of its process, which is killed if that takes longer than a time. Tells how long it took.
+    /// Waits for the process to end and kills it after `patience`. Returns the time that it took.
     pub async fn ended(&mut self, guard: Option<&Guard>, patience: Duration) -> Duration {
         let begun = Instant::now();
         let Some(mut child) = self.child.take() else { return Duration::ZERO };
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,5 +1,5 @@
-//! One link: a relay that passes bytes on as they are, and the faults put on it while it runs. Each direction stands
-//! for itself; back-pressure passes through.
+//! A TCP link: a relay that forwards bytes unchanged and injects faults while it runs. The directions are independent;
+//! back-pressure is preserved.
 
 use crate::accept::accept;
 use crate::trace::lock;
@@ -14,40 +14,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// Most bytes in one read.
+/// Largest number of bytes per read.
 const READ_BYTES: usize = 16 << 10;
-/// Most reads that wait for their time in one direction.
+/// Largest number of reads that wait for delivery in one direction.
 const QUEUE_CAPACITY: usize = 16;
-/// How long a server may take to take a connection; on loopback it is there at once or not at all.
+/// Time limit for connecting to the server; on loopback it accepts at once or not at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most connections of which it is kept that nobody took them; who asks, asks at once.
+/// Largest number of recorded connections without a server; clients query them at once.
 const MAX_UNSERVED: usize = 4096;
 
-/// What holds in one direction.
+/// Faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DirectionFaults {
-    /// Bytes stop; they come when it ends, as they would after a break of the network.
+    /// No data passes; held data is delivered when the fault ends, as after a network outage.
     pub cut: bool,
-    /// Bytes come this much later ...
+    /// Data is delayed by this time ...
     pub delay: Duration,
-    /// ... and up to this much more, in their order.
+    /// ... plus up to this much, in order.
     pub jitter: Duration,
-    /// So many bytes a second pass, of each connection; `None` for all that come.
+    /// Bytes per second of each connection; `None` for no limit.
     pub rate: Option<f64>,
-    /// Part of the reads in which one byte is changed.
+    /// Fraction of the reads in which one byte is changed.
     pub changed: f64,
-    /// What happens to a connection that has passed so many bytes.
+    /// Number of bytes that a connection may pass, and the action after them.
     pub after: Option<(u64, LimitAction)>,
 }
 
-/// What happens to a connection after some bytes.
+/// Action on a connection that has passed its number of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitAction {
-    /// It is reset, both ways.
+    /// It is reset in both directions.
     Reset,
-    /// Nothing more passes until the fault ends.
+    /// No more data passes until the fault ends.
     Stall,
-    /// This direction ends in good order; what comes later is dropped.
+    /// This direction is shut down in order; later data is dropped.
     End,
 }
 
@@ -58,23 +58,23 @@
     reset: bool,
 }
 
-/// A link that runs until it is dropped.
+/// A running link; stops when dropped.
 pub struct Link {
-    /// Where the one side connects.
+    /// Address to connect to.
     pub address: SocketAddr,
     state: watch::Sender<State>,
     unserved: Arc<Mutex<HashSet<SocketAddr>>>,
 }
 
-/// A connection broke, or is to be broken.
+/// A connection failed or must be reset.
 struct Broken;
 
 impl Link {
-    /// A link with no fault to an address. `opened` is told the address from which each connection to it comes,
-    /// before any byte does.
+    /// Opens a link without faults to an address. `opened` is called with the local address of each connection to the
+    /// target before any data is forwarded.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// If no port can be bound.
     pub async fn open(
         target: SocketAddr,
         opened: impl Fn(SocketAddr) + Clone + Send + Sync + 'static,
@@ -99,24 +99,24 @@
         Ok(Self { address, state, unserved })
     }
 
-    /// Sets what holds on the way there and back from now on.
+    /// Sets the faults of both directions from now on.
     pub fn set(&self, there: DirectionFaults, back: DirectionFaults) {
         self.state.send_modify(|state| (state.there, state.back) = (there, back));
     }
 
-    /// Whether connections are reset, those that are open and new ones.
+    /// Starts or stops resetting open and new connections.
     pub fn reset(&self, on: bool) {
         self.state.send_modify(|state| state.reset = on);
     }
 
-    /// Whether nobody took the connection that came from this address: a link itself takes all, where a process that
-    /// does not listen would have refused it. Told once.
+    /// Returns true, once, if the connection from this address could not be forwarded. The link accepts all connections,
+    /// where a process that does not listen would refuse them.
     pub fn unserved(&self, from: SocketAddr) -> bool {
         lock(&self.unserved).remove(&from)
     }
 }
 
-/// Passes one connection on, until one side or the link ends it.
+/// Forwards one connection until one side or the link ends it.
 async fn pass(
     mut client: TcpStream,
     target: SocketAddr,
@@ -124,15 +124,15 @@
     opened: impl Fn(SocketAddr),
     not_taken: impl Fn(),
 ) {
-    // Whatever ends a connection but its sides' own ends is to be seen as a break.
+    // Any end other than an orderly one of the two sides must appear as a reset.
     break_off(&client);
     let mut watched = state.clone();
     let over = async move {
-        // An error means that the link is gone, which resets what is open as the end of a machine would.
+        // An error means that the link was dropped, which resets open connections as the loss of a machine would.
         let _ = watched.wait_for(|state| state.reset).await;
     };
     let passing = async {
-        // A connection to a side that is cut off never comes up: it is taken here and hears nothing.
+        // A connection to a peer that is cut off is accepted here and stays silent.
         if state.wait_for(|state| !state.there.cut && !state.back.cut).await.is_err() {
             return;
         }
@@ -143,13 +143,13 @@
         if let Ok(own) = server.local_addr() {
             opened(own);
         }
-        // Hints: without them bytes come a little later.
+        // Without TCP_NODELAY data arrives slightly later, which is harmless.
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         break_off(&server);
         let ((from_client, to_client), (from_server, to_server)) = (client.split(), server.split());
         let there = one_way(from_client, to_server, state.clone(), |state| state.there);
         let back = one_way(from_server, to_client, state.clone(), |state| state.back);
-        // One direction that breaks breaks the other.
+        // A failure of one direction ends the other.
         let _ = tokio::try_join!(there, back);
     };
     tokio::select! {
@@ -158,12 +158,12 @@
     }
 }
 
-/// Makes the end of a connection a reset, in place of one in good order.
+/// Makes closing a connection send a reset instead of an orderly shutdown.
 fn break_off(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes one direction on. A side that ends its sending ends it on the other side too; one that breaks, breaks.
+/// Forwards one direction. An orderly end of the sender is forwarded; a failure ends the connection.
 async fn one_way(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
@@ -198,7 +198,7 @@
             match then {
                 None => {}
                 Some(LimitAction::Reset) => {
-                    // What came before is to arrive first.
+                    // Earlier data must be delivered first.
                     while queue.capacity() < QUEUE_CAPACITY {
                         tokio::time::sleep(Duration::from_millis(1)).await;
                     }
@@ -225,7 +225,7 @@
         Ok(())
     };
     tokio::try_join!(reading, writing)?;
-    // In good order: what was written last is still to arrive.
+    // Closes in order, so that data written last is still delivered.
     let _ = socket2::SockRef::from(to.as_ref()).set_linger(None);
     let _ = to.shutdown().await;
     Ok(())
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: TOML with units, checked with places. No I/O.
+//! Scenario files: TOML with time units; errors carry the line. No I/O.
 
 use crate::relay::LimitAction;
 use serde::Deserialize;
@@ -6,59 +6,59 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// Most processes that a scenario may start.
+/// Largest number of nodes.
 const MAX_NODES: usize = 40;
-/// Most app servers.
+/// Largest number of application servers.
 const MAX_SERVERS: usize = 64;
-/// Most requests a second.
+/// Largest request rate per second.
 const MAX_RATE: f64 = 5000.0;
-/// Longest play, in milliseconds.
+/// Longest run, in milliseconds.
 const MAX_LENGTH_MS: f64 = 600_000.0;
 
-/// A scenario, read and checked. Times are milliseconds.
+/// A parsed and validated scenario. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// What happens, in a sentence.
+    /// Description in one sentence.
     pub about: String,
-    /// Decides all draws but where `--seed` gives another.
+    /// Seed of the random generators, unless `--seed` replaces it.
     pub seed: u64,
-    /// How long requests come.
+    /// Duration of the load.
     pub length: f64,
-    /// Service is back within this after the last fault.
+    /// Time after the last fault within which service recovers.
     pub settle: f64,
-    /// Nodes of one zone may be at odds over where to send for so long; `None` where that is not judged.
+    /// Longest time for which nodes of one zone may disagree on where to send requests; `None` if that is not checked.
     pub at_odds: Option<f64>,
-    /// Processes of the program.
+    /// Number of nodes: processes of the program under test.
     pub nodes: usize,
-    /// App servers.
+    /// Number of application servers.
     pub servers: usize,
-    /// Requests that an app server works on at once.
+    /// Requests that an application server processes concurrently.
     pub workers: usize,
-    /// Requests a second, over all nodes.
+    /// Requests per second over all nodes.
     pub rate: f64,
-    /// Customers.
+    /// Number of customers.
     pub customers: u32,
-    /// Units a second of each customer's ceiling; 0 for none.
+    /// Ceiling of each customer in units per second; 0 for none.
     pub ceiling: f64,
-    /// What the processes are.
+    /// Kind of the nodes.
     pub form: NodeKind,
-    /// Whether they keep a journal of orders; sidecars only.
+    /// True if nodes keep a journal of orders; sidecars only.
     pub journal: bool,
-    /// Whether a sign-in service is asked first; sidecars only.
+    /// True if requests are checked by a sign-in service; sidecars only.
     pub sign_in: bool,
-    /// Whether they judge the zones of their servers as a whole; sidecars only.
+    /// True if nodes detect failures of whole zones; sidecars only.
     pub domains: bool,
-    /// Whether they tell each other what they see; only where they judge zones.
+    /// True if nodes exchange their observations; requires `domains`.
     pub group: bool,
-    /// What nodes are told wrongly.
+    /// Defects seeded into the configuration.
     pub plants: Vec<ConfigDefect>,
-    /// What happens, in order.
+    /// Faults, in order of their start.
     pub steps: Vec<Step>,
 }
 
-/// What the processes are.
+/// Kinds of nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeKind {
@@ -69,95 +69,95 @@
     Sidecar,
 }
 
-/// What nodes are told wrongly, to see that the oracles find it: a defect that needs no other program.
+/// A defect of the nodes' configuration, seeded to verify that the oracle detects it. It needs no modified program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigDefect {
-    /// That requests which must not run twice may.
+    /// Requests that must not be repeated are declared safe.
     UnsafeAsSafe,
-    /// That servers of all zones drop each other's repeats.
+    /// Servers of all zones are declared to share their idempotency keys.
     KeyedEverywhere,
-    /// That there is no other node.
+    /// Each node is told that it is the only one.
     Alone,
 }
 
-/// A fault, when it begins and how long it holds.
+/// A fault with its start and duration.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When.
+    /// Start.
     pub at: f64,
-    /// How long.
+    /// Duration.
     pub lasts: f64,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
 impl Step {
-    /// When it is over.
+    /// Returns the time at which the fault ends.
     pub fn end(&self) -> f64 {
         self.at + self.lasts
     }
 
-    /// Whether it holds at a time.
+    /// Returns true if the fault is active at a time.
     pub fn holds(&self, at: f64) -> bool {
         self.at <= at && at < self.end()
     }
 }
 
-/// What may happen.
+/// Faults that a scenario can inject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Something happens to the bytes of links.
+    /// A fault of network links.
     Link(LinkSelector, LinkFault),
-    /// Nodes are killed, and start again when the time is over.
+    /// Nodes are killed, and started again at the end of the fault.
     Kill(Selection),
-    /// Nodes are told to end (SIGTERM), and start again when the time is over.
+    /// Nodes are shut down (SIGTERM), and started again at the end of the fault.
     Term(Selection),
-    /// Nodes stand still (SIGSTOP) and go on when the time is over.
+    /// Nodes are stopped (SIGSTOP) and continued at the end of the fault.
     Pause(Selection),
-    /// Nodes stand still for a part of each period, given in milliseconds.
+    /// Nodes are stopped for a fraction of each period, given in milliseconds.
     Duty(Selection, f64, f64),
-    /// Nodes may have this many descriptors.
+    /// Nodes may open this many file descriptors.
     Descriptors(Selection, u64),
-    /// Files of nodes can't grow: each write beyond the end fails as on a full disk.
+    /// Files of nodes cannot grow: writes beyond the end fail as on a full disk.
     FullDisk(Selection),
-    /// Servers drain, and are gone from the list when the time is over.
+    /// Servers drain, and are removed from the list at the end of the fault.
     Drain(Selection),
-    /// Servers die, and come back cold when the time is over.
+    /// Servers crash, and return cold at the end of the fault.
     Crash(Selection),
-    /// Servers take this many times as long.
+    /// Servers take this multiple of their time.
     Slow(Selection, RequestFilter, f64),
-    /// Servers answer this part of their requests with 500, at once.
+    /// Servers respond to this fraction of their requests with status 500 at once.
     Wrong(Selection, RequestFilter, f64),
-    /// Servers run what comes and break the connection in place of an answer.
+    /// Servers execute requests but reset the connection instead of responding.
     Swallow(Selection, RequestFilter),
-    /// Nodes hear nothing of the list.
+    /// Nodes receive no updates of the server list.
     Unlisted(Selection),
-    /// Discovery moves: its old address answers no more, and nodes are told the new one (SIGHUP).
+    /// Discovery moves: its old address no longer responds, and nodes are reconfigured with the new one (SIGHUP).
     Move(Selection),
 }
 
-/// Which requests a server's fault is about.
+/// Selects the requests that a server fault affects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestFilter {
-    /// Those that come through these nodes.
+    /// Nodes through which the requests arrive.
     pub nodes: Selection,
-    /// Those of these customers.
+    /// Customers of the requests.
     pub customers: Selection,
 }
 
-/// Links of one kind.
+/// Selects links of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkSelector {
-    /// Between whom.
+    /// Kind of the links.
     pub kind: LinkKind,
-    /// Of these nodes.
+    /// Nodes at one end of the links.
     pub nodes: Selection,
-    /// To these servers; all where there are none.
+    /// Servers at the other end; all if the links do not lead to servers.
     pub servers: Selection,
 }
 
-/// Kinds of links.
+/// Kinds of links, by their two ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkKind {
@@ -170,66 +170,66 @@
     Lists,
     /// Between sidecars and the sign-in service.
     SignIn,
-    /// Between sidecars that tell each other (datagrams): of some with the others, or of all.
+    /// Between sidecars that exchange observations (datagrams): between the selected and the others, or among all.
     Nodes,
 }
 
-/// What happens to bytes.
+/// Faults of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkFault {
-    /// They stop; connections stay open, new ones say nothing.
+    /// No data passes; open connections stay open, new ones are accepted and stay silent.
     Cut(Directions),
-    /// They come later, by a time and up to a further one.
+    /// Data is delayed by the first time plus a random jitter of up to the second.
     Delay(Directions, f64, f64),
-    /// So many a second pass, on each connection.
+    /// Bytes per second of each connection are limited.
     Rate(Directions, f64),
-    /// One byte is changed in this part of the reads on the way back.
+    /// One byte is changed in this fraction of the reads from the server side.
     Change(f64),
-    /// This part of the datagrams is lost.
+    /// This fraction of the datagrams is lost.
     Lose(f64),
-    /// This part of the datagrams comes twice.
+    /// This fraction of the datagrams is duplicated.
     Twice(f64),
-    /// Something happens to a connection after so many.
+    /// A connection is reset, stalled or ended after a number of bytes.
     After(Directions, u64, LimitAction),
-    /// Connections are reset, and so are new ones.
+    /// Open and new connections are reset.
     Reset,
 }
 
-/// Which directions of a link.
+/// Directions of a link that a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Directions {
-    /// Both.
+    /// Both directions.
     #[default]
     Both,
-    /// Towards whoever listens: from clients to nodes, from nodes to servers and discovery.
+    /// Towards the listening side: from clients to nodes, from nodes to servers and discovery.
     There,
-    /// The way back alone.
+    /// From the listening side only.
     Back,
 }
 
 impl Directions {
-    /// Whether the way there is among them.
+    /// Returns true if the direction towards the listening side is affected.
     pub fn there(self) -> bool {
         self != Directions::Back
     }
 
-    /// Whether the way back is.
+    /// Returns true if the direction from the listening side is affected.
     pub fn back(self) -> bool {
         self != Directions::There
     }
 }
 
-/// Some of the nodes or servers.
+/// A selection of nodes, servers or customers by number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Selection {
-    /// All.
+    /// All numbers.
     All,
-    /// Those of a zone: 0 is north, 1 is south; numbers are dealt to them in turn.
+    /// The numbers of a zone: 0 is north, 1 is south; numbers are assigned to zones round-robin.
     Zone(usize),
-    /// The first so many of each so many.
+    /// The first numbers of each group, given as count and group size.
     Share(usize, usize),
-    /// These.
+    /// The listed numbers.
     Numbers(Vec<usize>),
 }
 
@@ -237,12 +237,12 @@
 pub const ZONES: [&str; 2] = ["north", "south"];
 
 impl Selection {
-    /// Whether it leaves nobody out.
+    /// Returns true if it selects all numbers without a condition.
     pub fn is_all(&self) -> bool {
         matches!(self, Selection::All)
     }
 
-    /// Whether a number is among them.
+    /// Returns true if it selects a number.
     pub fn has(&self, number: usize) -> bool {
         match self {
             Selection::All => true,
@@ -252,15 +252,15 @@
         }
     }
 
-    /// Those of the first `count` numbers that are among them.
+    /// Returns the selected numbers below `count`.
     pub fn of(&self, count: usize) -> Vec<usize> {
         (0..count).filter(|number| self.has(*number)).collect()
     }
 
-    /// Reads one; numbers lie below `count`.
+    /// Parses a selection of numbers below `count`.
     ///
     /// # Errors
-    /// Says what is wrong with it.
+    /// If the text is no selection, or a number is not below `count`.
     pub fn parse(text: &str, count: usize) -> Result<Self, String> {
         let wrong =
             || format!("'{text}' is none of all, north, south, a part such as 7/10, numbers such as 0,3");
@@ -284,12 +284,12 @@
     }
 }
 
-/// What is wrong with a scenario, and where.
+/// An error in a scenario file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -474,10 +474,10 @@
 }
 
 impl Scenario {
-    /// With another number of nodes or another rate, where they are given.
+    /// Replaces the number of nodes and the rate where they are given.
     ///
     /// # Errors
-    /// If one is out of bounds, or a step names a node that is no longer there.
+    /// If a value is out of bounds, or a step names a node that no longer exists.
     pub fn resized(mut self, nodes: Option<usize>, rate: Option<f64>) -> Result<Self, String> {
         let (nodes, rate) = (nodes.unwrap_or(self.nodes), rate.unwrap_or(self.rate));
         if !(1..=MAX_NODES).contains(&nodes) {
@@ -498,10 +498,10 @@
         Ok(self)
     }
 
-    /// Reads a scenario.
+    /// Parses a scenario.
     ///
     /// # Errors
-    /// Tells the line and what is wrong in it.
+    /// If the text is no valid scenario, with the line of the first error.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let at = |span: Option<Range<usize>>, what: String| ScenarioError {
             line: 1 + text[..span.map_or(0, |s| s.start.min(text.len()))].matches('\n').count(),
@@ -606,7 +606,7 @@
                     if matches!(step.link, LinkKind::Lists | LinkKind::SignIn)
                         || ways.there() && step.ways.is_some() =>
                 {
-                    // What runs would be another request, and what is told another list: nobody could judge it.
+                    // A changed request or server list would be a different valid one, so that the oracle could not check the outcome.
                     let what = "only what comes back from servers and nodes can be changed".to_owned();
                     return Err(at(Some(span), what));
                 }
@@ -680,7 +680,7 @@
     }
 }
 
-/// A number and its unit, `ms` or `s`, in milliseconds.
+/// Parses a number with the unit `ms` or `s` into milliseconds.
 fn parse_time(text: &str) -> Result<f64, String> {
     let wrong = || format!("'{text}' is no time such as 250ms or 2.5s");
     let (number, factor) = match text.strip_suffix("ms") {
@@ -695,7 +695,7 @@
     }
 }
 
-/// The scenarios that come with the program: name and text.
+/// Returns the built-in scenarios: name and text.
 pub fn shipped() -> Vec<(&'static str, &'static str)> {
     macro_rules! shipped {
         ($($name:literal),*) => { vec![$(($name, include_str!(concat!("../scenarios/", $name, ".toml")))),*] };
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -1,5 +1,5 @@
-//! A stand-in app server of the platform's protocol: a queue, some workers, a cold start, memory of keys by zone, the
-//! meter, and the faults put on it while it runs.
+//! A test application server of the platform's protocol: a queue, workers, a cold start, idempotency keys by zone, the
+//! usage meter, and faults that are injected while it runs.
 
 use crate::accept::accept;
 use crate::http::{self, Message};
@@ -15,37 +15,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Requests that wait for each worker before further ones are turned away.
+/// Queued requests per worker from which further ones are declined.
 const QUEUE_PER_WORKER: usize = 16;
-/// Period of the meter, and how late its readings are, in milliseconds.
+/// Period of the usage meter and delay of its readings, in milliseconds.
 const METER_PERIOD_MS: f64 = 1000.0;
 const METER_DELAY_MS: f64 = 400.0;
 
-/// What an app server is like.
+/// Properties of an application server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerProfile {
-    /// Requests that it works on at once.
+    /// Number of requests processed concurrently.
     pub workers: usize,
-    /// Part of its pace that it has at its start.
+    /// Fraction of its full speed right after the start.
     pub cold_capacity: f64,
-    /// It is warm after this, in milliseconds.
+    /// Time from the start until full speed, in milliseconds.
     pub warm_up_time: f64,
-    /// Repeats of a key are dropped for this long, in milliseconds.
+    /// Time for which repeats of a key are dropped, in milliseconds.
     pub key_window: f64,
-    /// Units a second of a customer's quota, of which the meter tells a part.
+    /// A customer's quota in units per second; the meter reports usage relative to it.
     pub quota: f64,
 }
 
-/// What all app servers share.
+/// State shared by all application servers.
 pub struct SharedState {
     pub classes: Vec<Class>,
     pub profile: ServerProfile,
     pub recorder: Recorder,
-    /// Keys known to each zone, and until when.
+    /// Keys known to each zone, with the time at which they expire.
     keys: Mutex<[HashMap<u32, f64>; ZONES.len()]>,
-    /// Units by customer and period.
+    /// Used units by customer and period.
     meter: Mutex<HashMap<u32, Vec<(u64, f64)>>>,
-    /// Through which node a connection comes, by the address that it comes from.
+    /// The node of each connection, by the connection's source address.
     origins: Mutex<HashMap<SocketAddr, usize>>,
     seed: u64,
 }
@@ -56,19 +56,19 @@
         Arc::new(Self { classes, profile, recorder, keys, meter, origins, seed })
     }
 
-    /// From now on a connection from this address is a node's.
+    /// Registers the source address of a node's connection.
     pub fn comes_from(&self, address: SocketAddr, node: usize) {
         lock(&self.origins).insert(address, node);
     }
 
-    /// The work of a request, the same at every server.
+    /// Returns the work of a request in milliseconds, the same at every server.
     pub fn work(&self, class: usize, id: u32) -> f64 {
         let mut draw = fastrand::Rng::with_seed(self.seed ^ (u64::from(id) << 20));
         draw.f64();
         self.classes[class].work * (0.3 - 0.7 * (1.0 - draw.f64()).ln())
     }
 
-    /// Whether a keyed request is new to a zone, which from now on knows it.
+    /// Records a keyed request in a zone; returns true if it was unknown there.
     fn is_new(&self, zone: usize, id: u32, now: f64) -> bool {
         let mut keys = lock(&self.keys);
         let known = keys[zone].get(&id).is_some_and(|until| now < *until);
@@ -78,7 +78,7 @@
         !known
     }
 
-    /// Takes in a run, and tells the customer's use in the last period that is told by now, in percent.
+    /// Records used units; returns the customer's usage in the last published period, in percent of its quota.
     fn meter(&self, customer: u32, units: f64, now: f64) -> u64 {
         let period = (now / METER_PERIOD_MS) as u64;
         let mut meter = lock(&self.meter);
@@ -96,18 +96,18 @@
     }
 }
 
-/// What holds at a server now.
+/// Current conditions of a server: its state and injected faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerConditions {
-    /// It runs; one that does not resets what is open and what comes.
+    /// True while it runs; otherwise it resets open and new connections.
     pub up: bool,
-    /// When it last started, in milliseconds of the play; `None` for long ago.
+    /// Time of its last start, in milliseconds of the run; `None` if it was warm from the beginning.
     pub started: Option<f64>,
-    /// It takes this many times as long.
+    /// Factors by which the processing time of selected requests is multiplied.
     pub slow: Vec<(RequestFilter, f64)>,
-    /// Part of the requests that it answers with 500 at once.
+    /// Fractions of selected requests that get status 500 at once.
     pub wrong: Vec<(RequestFilter, f64)>,
-    /// It runs what comes and breaks the connection.
+    /// Selected requests that are executed but get a reset instead of a response.
     pub swallows: Vec<RequestFilter>,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// An app server that runs until it is dropped.
+/// A running application server; stops when dropped.
 pub struct Server {
     pub number: usize,
     pub address: SocketAddr,
@@ -151,7 +151,7 @@
         Ok(Self { number, address, condition })
     }
 
-    /// Changes what holds.
+    /// Changes its conditions.
     pub fn change(&self, change: impl FnOnce(&mut ServerConditions)) {
         self.condition.send_modify(change);
     }
@@ -159,7 +159,7 @@
 
 impl ServerTask {
     async fn serve(self: Arc<Self>, stream: TcpStream, peer: SocketAddr) {
-        // A break is to be seen as one.
+        // Any end other than an orderly one must appear as a reset.
         let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         let _ = stream.set_nodelay(true);
         let mut condition = self.condition.clone();
@@ -183,7 +183,7 @@
         lock(&self.shared.origins).remove(&peer);
     }
 
-    /// The answer to a request; `None` breaks the connection.
+    /// Returns the response to a request; `None` resets the connection.
     async fn answer(&self, request: &Message, peer: SocketAddr) -> Option<Vec<u8>> {
         let shared = &self.shared;
         let id: u32 = request.header("req-id")?.parse().ok()?;
@@ -235,7 +235,7 @@
     }
 }
 
-/// A request that waits for a worker; also one whose connection breaks meanwhile waits no more.
+/// Counts a request that waits for a worker, until it is dropped, also when its connection fails meanwhile.
 struct QueueSlot<'a>(&'a AtomicUsize);
 
 impl<'a> QueueSlot<'a> {
