--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -26,7 +26,7 @@
     /// The node was killed: its open requests are lost and never sent again with their ids.
     pub killed: AtomicBool,
     /// End of the time in which its link is faulty, in milliseconds: requests sent before may have arrived.
-    unsure_until: AtomicU64,
+    faulty_until: AtomicU64,
     idle: Mutex<Vec<(Instant, BufReader<TcpStream>)>>,
 }
 
@@ -41,26 +41,26 @@
 
 impl NodeEndpoint {
     pub fn new(node: usize, link: Link) -> Self {
-        let (killed, unsure_until, idle) = Default::default();
-        Self { node, link, killed, unsure_until, idle }
+        let (killed, faulty_until, idle) = Default::default();
+        Self { node, link, killed, faulty_until, idle }
     }
 
     /// Records that its link becomes faulty or recovers.
-    pub fn at_fault(&self, on: bool, now: f64) {
-        let was = self.unsure_until.load(Ordering::SeqCst) == u64::MAX;
+    pub fn set_faulty(&self, on: bool, now: f64) {
+        let was = self.faulty_until.load(Ordering::SeqCst) == u64::MAX;
         if on || was {
             let until = if on { u64::MAX } else { (now + FAULT_UNCERTAINTY_MS) as u64 };
-            self.unsure_until.store(until, Ordering::SeqCst);
+            self.faulty_until.store(until, Ordering::SeqCst);
         }
     }
 
     /// Returns true if a request on a reused connection that was closed cannot have been accepted.
-    fn certain(&self, now: f64) -> bool {
-        !self.killed.load(Ordering::SeqCst) && now as u64 >= self.unsure_until.load(Ordering::SeqCst)
+    fn is_unaccepted(&self, now: f64) -> bool {
+        !self.killed.load(Ordering::SeqCst) && now as u64 >= self.faulty_until.load(Ordering::SeqCst)
     }
 
     /// Takes the most recently used idle connection that is still open.
-    fn kept(&self, recorder: &Recorder) -> Option<BufReader<TcpStream>> {
+    fn take_idle(&self, recorder: &Recorder) -> Option<BufReader<TcpStream>> {
         let mut idle = lock(&self.idle);
         while let Some((since, stream)) = idle.pop() {
             match stream.get_ref().try_read(&mut [0]) {
@@ -80,16 +80,16 @@
 
     /// Records unsolicited data on idle connections and closes them.
     pub fn close(&self, recorder: &Recorder) {
-        while self.kept(recorder).is_some() {}
+        while self.take_idle(recorder).is_some() {}
     }
 
-    fn keep(&self, stream: BufReader<TcpStream>) {
+    fn put_idle(&self, stream: BufReader<TcpStream>) {
         lock(&self.idle).push((Instant::now(), stream));
     }
 }
 
 /// Sends a request to the first of these nodes that accepts a connection, and records its outcome.
-pub async fn ask(
+pub async fn send_request(
     endpoints: &[&NodeEndpoint],
     planned: PlannedRequest,
     class: &Class,
@@ -114,7 +114,7 @@
     let asking = async {
         for endpoint in endpoints {
             // A reused connection that closes before the response was not read by the node: retries on a new one.
-            for kept in [endpoint.kept(recorder), None] {
+            for kept in [endpoint.take_idle(recorder), None] {
                 let reused = kept.is_some();
                 let mut stream = match kept {
                     Some(stream) => stream,
@@ -126,7 +126,7 @@
                 (request.node, request.written) = (endpoint.node, recorder.now());
                 let own = stream.get_ref().local_addr().ok();
                 let left = deadline - recorder.now();
-                let text = text(planned, class, spread, left);
+                let text = request_text(planned, class, spread, left);
                 let written = stream.get_mut().write_all(text.as_bytes()).await;
                 request.written = recorder.now();
                 let answer = match written {
@@ -138,16 +138,16 @@
                         // Data after the response counts as a second response.
                         let more = !stream.buffer().is_empty();
                         (request.outcome, request.response_count) =
-                            (kind(&message, planned.id), 1 + u32::from(more));
+                            (outcome_of(&message, planned.id), 1 + u32::from(more));
                         let closes = message.header("connection") == Some("close");
                         if !closes && !more {
-                            endpoint.keep(stream);
+                            endpoint.put_idle(stream);
                         }
                         return;
                     }
                     // The link found no server: continues with the next node, as after a refused connection.
                     Ok(None) | Err(_) if own.is_some_and(|own| endpoint.link.unserved(own)) => break,
-                    Ok(None) | Err(_) if reused && endpoint.certain(recorder.now()) => {}
+                    Ok(None) | Err(_) if reused && endpoint.is_unaccepted(recorder.now()) => {}
                     Ok(None) | Err(_) => return,
                 }
             }
@@ -159,7 +159,7 @@
     recorder.note(|trace| trace.requests.push(request));
 }
 
-fn kind(answer: &Message, id: u32) -> Outcome {
+fn outcome_of(answer: &Message, id: u32) -> Outcome {
     match answer.status() {
         200 if answer.body == format!("made for {id}").as_bytes() => Outcome::Served,
         200 => Outcome::Wrong,
@@ -169,7 +169,7 @@
     }
 }
 
-fn text(planned: PlannedRequest, class: &Class, spread: usize, left: f64) -> String {
+fn request_text(planned: PlannedRequest, class: &Class, spread: usize, left: f64) -> String {
     let PlannedRequest { id, customer, .. } = planned;
     let (method, key, body) = match class.effect {
         Effect::Safe => ("GET", String::new(), ""),
--- a/crates/fault-injection/src/datagrams.rs
+++ b/crates/fault-injection/src/datagrams.rs
@@ -60,32 +60,32 @@
         let address = front.local_addr()?;
         let (flows, seen) = watch::channel(Default::default());
         let (senders, room) = (Mutex::default(), tokio::sync::Semaphore::new(QUEUE_CAPACITY));
-        let passing = Arc::new(DatagramRelay { front, target, flows: seen, senders, room });
-        tokio::spawn(passing.there());
+        let relay = Arc::new(DatagramRelay { front, target, flows: seen, senders, room });
+        tokio::spawn(relay.forward());
         Ok(Self { address, flows })
     }
 
     /// Sets the faults of both directions from now on.
-    pub fn set(&self, there: Flow, back: Flow) {
-        self.flows.send_replace((there, back));
+    pub fn set(&self, forward: Flow, backward: Flow) {
+        self.flows.send_replace((forward, backward));
     }
 }
 
 impl DatagramRelay {
     /// Forwards datagrams to the target until the link is dropped.
-    async fn there(self: Arc<Self>) {
-        let mut gone = self.flows.clone();
+    async fn forward(self: Arc<Self>) {
+        let mut closed = self.flows.clone();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let read = tokio::select! {
                 read = self.front.recv_from(&mut buffer) => read,
-                _ = gone.wait_for(|_| false) => return,
+                _ = closed.wait_for(|_| false) => return,
             };
             // An error reports an earlier datagram that no socket received.
             let Ok((read, from)) = read else { continue };
             let Ok(Some(own)) = self.clone().sender(from).await else { continue };
             let (flow, target) = (self.flows.borrow().0, self.target);
-            self.pass(flow, buffer[..read].to_vec(), move |datagram| {
+            self.deliver(flow, buffer[..read].to_vec(), move |datagram| {
                 let own = own.clone();
                 async move { drop(own.send_to(&datagram, target).await) }
             });
@@ -105,23 +105,23 @@
         }
         let own = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         lock(&self.senders).insert(from, own.clone());
-        tokio::spawn(self.back(own.clone(), from));
+        tokio::spawn(self.backward(own.clone(), from));
         Ok(Some(own))
     }
 
     /// Returns the target's datagrams to a sender.
-    async fn back(self: Arc<Self>, own: Arc<UdpSocket>, to: SocketAddr) {
-        let mut gone = self.flows.clone();
+    async fn backward(self: Arc<Self>, own: Arc<UdpSocket>, to: SocketAddr) {
+        let mut closed = self.flows.clone();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let read = tokio::select! {
                 read = own.recv(&mut buffer) => read,
-                _ = gone.wait_for(|_| false) => return,
+                _ = closed.wait_for(|_| false) => return,
             };
             let Ok(read) = read else { continue };
             let flow = self.flows.borrow().1;
             let link = self.clone();
-            self.pass(flow, buffer[..read].to_vec(), move |datagram| {
+            self.deliver(flow, buffer[..read].to_vec(), move |datagram| {
                 let link = link.clone();
                 async move { drop(link.front.send_to(&datagram, to).await) }
             });
@@ -129,7 +129,7 @@
     }
 
     /// Forwards a datagram with the faults of its direction.
-    fn pass<F, Sent>(self: &Arc<Self>, flow: Flow, mut datagram: Vec<u8>, send: F)
+    fn deliver<F, Sent>(self: &Arc<Self>, flow: Flow, mut datagram: Vec<u8>, send: F)
     where
         F: Fn(Vec<u8>) -> Sent + Clone + Send + 'static,
         Sent: std::future::Future<Output = ()> + Send,
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -232,28 +232,33 @@
 }
 
 /// Plays once, with a bar of its progress; one is drawn on a terminal alone.
-fn once(scenario: &Scenario, program: &Program, seed: u64, keep: Option<&Path>) -> Result<RunResult, String> {
+fn run_with_progress(
+    scenario: &Scenario,
+    program: &Program,
+    seed: u64,
+    keep: Option<&Path>,
+) -> Result<RunResult, String> {
     let bar = ProgressBar::new((scenario.length / 1000.0) as u64);
     if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos} of {len} s") {
         bar.set_style(style);
     }
-    let (over, played) = mpsc::channel::<()>();
+    let (over, result) = mpsc::channel::<()>();
     std::thread::scope(|scope| {
         scope.spawn(move || {
-            while played.recv_timeout(Duration::from_secs(1)) == Err(mpsc::RecvTimeoutError::Timeout) {
+            while result.recv_timeout(Duration::from_secs(1)) == Err(mpsc::RecvTimeoutError::Timeout) {
                 bar.inc(1);
             }
             bar.finish_and_clear();
         });
-        let played = run_once(scenario, program, seed, keep).map_err(|error| error.to_string());
+        let result = run_once(scenario, program, seed, keep).map_err(|error| error.to_string());
         drop(over);
-        played
+        result
     })
 }
 
 /// Plays once with a program, by default the one beside this.
 fn run_with_program(scenario: &Scenario, program: Option<&Path>, seed: u64) -> Result<RunResult, String> {
-    once(scenario, &find_program(program)?, seed, None)
+    run_with_progress(scenario, &find_program(program)?, seed, None)
 }
 
 fn find_program(program: Option<&Path>) -> Result<Program, String> {
@@ -283,67 +288,67 @@
     if !asked.json {
         say!("{}: {} (seed {seed})", scenario.name, scenario.about);
     }
-    let played = match once(&scenario, &program, seed, asked.keep.as_deref()) {
-        Ok(played) => played,
+    let result = match run_with_progress(&scenario, &program, seed, asked.keep.as_deref()) {
+        Ok(result) => result,
         Err(error) => return failed(&error),
     };
     if let Some(file) = &asked.report {
-        if let Err(error) = std::fs::write(file, report(&scenario, &played, seed)) {
+        if let Err(error) = std::fs::write(file, report(&scenario, &result, seed)) {
             return failed(&format!("{}: {error}", file.display()));
         }
     }
     if asked.json {
-        print_json(&scenario, &played, seed);
+        print_json(&scenario, &result, seed);
     } else {
-        print_text(&played);
+        print_text(&result);
     }
-    match played.verdict {
+    match result.verdict {
         Verdict::Kept => ExitCode::SUCCESS,
         Verdict::Broken => ExitCode::FAILURE,
         Verdict::Void => ExitCode::from(EXIT_VOID),
     }
 }
 
-fn print_text(played: &RunResult) {
+fn print_text(result: &RunResult) {
     const SHOWN: usize = 12;
-    say!("{}", figures_text(&played.figures));
-    for (fault, span) in &played.trace.faults {
+    say!("{}", figures_text(&result.figures));
+    for (fault, span) in &result.trace.faults {
         say!("  {:5.1} to {:5.1} s  {fault}", span.from / 1000.0, span.to / 1000.0);
     }
-    for finding in played.findings.iter().take(SHOWN) {
+    for finding in result.findings.iter().take(SHOWN) {
         say!("  {}: {}", finding.rule, finding.description);
     }
-    if played.findings.len() > SHOWN {
-        say!("  and {} more", played.findings.len() - SHOWN);
+    if result.findings.len() > SHOWN {
+        say!("  and {} more", result.findings.len() - SHOWN);
     }
-    match played.verdict {
+    match result.verdict {
         Verdict::Kept => say!("kept: all rules"),
-        Verdict::Broken => say!("broken: {} findings", played.findings.len()),
+        Verdict::Broken => say!("broken: {} findings", result.findings.len()),
         Verdict::Void => {
             say!(
                 "void: the generator was {:.0} ms late, the rig stood still for {:.0} ms; this machine has too little to spare",
-                played.figures.generator_delay,
-                played.figures.longest_stall
+                result.figures.generator_delay,
+                result.figures.longest_stall
             );
         }
     }
 }
 
-fn print_json(scenario: &Scenario, played: &RunResult, seed: u64) {
+fn print_json(scenario: &Scenario, result: &RunResult, seed: u64) {
     say!(
         "{}",
         json!({"scenario": scenario.name, "seed": seed, "nodes": scenario.nodes, "rate": scenario.rate})
     );
-    for (fault, span) in &played.trace.faults {
+    for (fault, span) in &result.trace.faults {
         say!("{}", json!({"fault": fault, "from_ms": span.from, "to_ms": span.to}));
     }
-    for finding in &played.findings {
+    for finding in &result.findings {
         say!("{}", json!({"rule": finding.rule, "finding": finding.description}));
     }
-    for (name, value) in played.figures.named() {
+    for (name, value) in result.figures.named() {
         say!("{}", json!({"figure": name, "value": value}));
     }
-    let verdict = match played.verdict {
+    let verdict = match result.verdict {
         Verdict::Kept => "kept",
         Verdict::Broken => "broken",
         Verdict::Void => "void",
@@ -353,22 +358,22 @@
 
 /// Plays on one seed again and again: what differs is the machine's doing, and the noise of each figure.
 fn noise(scenario: &Scenario, times: u64, program: Option<&Path>) -> ExitCode {
-    let mut plays = Vec::new();
+    let mut results = Vec::new();
     let mut broken = 0;
     for _ in 0..times.max(2) {
         match run_with_program(scenario, program, scenario.seed) {
-            Ok(played) if played.verdict == Verdict::Void => say!("a void play is left out"),
-            Ok(played) => {
-                broken += usize::from(played.verdict == Verdict::Broken);
-                plays.push(played.figures.named());
+            Ok(result) if result.verdict == Verdict::Void => say!("a void play is left out"),
+            Ok(result) => {
+                broken += usize::from(result.verdict == Verdict::Broken);
+                results.push(result.figures.named());
             }
             Err(error) => return failed(&error),
         }
     }
-    say!("{}: {} plays on seed {}, {broken} with a broken rule", scenario.name, plays.len(), scenario.seed);
+    say!("{}: {} plays on seed {}, {broken} with a broken rule", scenario.name, results.len(), scenario.seed);
     say!("{:58} {:>9} {:>9} {:>9} {:>9}", "", "mean", "spread", "least", "most");
-    for (at, (name, _)) in plays.first().into_iter().flatten().enumerate() {
-        let values: Vec<f64> = plays.iter().filter_map(|play| play[at].1).collect();
+    for (at, (name, _)) in results.first().into_iter().flatten().enumerate() {
+        let values: Vec<f64> = results.iter().filter_map(|play| play[at].1).collect();
         if values.len() < 2 {
             continue;
         }
@@ -404,8 +409,8 @@
                 Err(error) => return usage_error(&error.to_string()),
             };
             match run_with_program(&scenario, program, 1) {
-                Ok(played) if played.verdict == Verdict::Void => break,
-                Ok(played) => best = Some((rate, played.figures)),
+                Ok(result) if result.verdict == Verdict::Void => break,
+                Ok(result) => best = Some((rate, result.figures)),
                 Err(error) => return failed(&error),
             }
         }
@@ -450,23 +455,23 @@
 fn compare(scenarios: &[Scenario; 2], programs: [PathBuf; 2], turns: u64) -> ExitCode {
     let mut differences = Vec::new();
     let mut broken = [0; 2];
-    let mut plays = [Vec::new(), Vec::new()];
+    let mut results = [Vec::new(), Vec::new()];
     for turn in 0..turns.max(1) {
         let seed = scenarios[0].seed.wrapping_add(turn);
         let mut served = [0.0; 2];
         for which in if turn % 2 == 0 { [0, 1] } else { [1, 0] } {
-            let played = match run_with_program(&scenarios[which], Some(&programs[which]), seed) {
-                Ok(played) => played,
+            let result = match run_with_program(&scenarios[which], Some(&programs[which]), seed) {
+                Ok(result) => result,
                 Err(error) => return failed(&error),
             };
-            if played.verdict == Verdict::Void {
-                let (late, still) = (played.figures.generator_delay, played.figures.longest_stall);
+            if result.verdict == Verdict::Void {
+                let (late, still) = (result.figures.generator_delay, result.figures.longest_stall);
                 say!("seed {seed}: void, {late:.0} ms late, stood still for {still:.0} ms");
                 return ExitCode::from(EXIT_VOID);
             }
-            broken[which] += usize::from(played.verdict == Verdict::Broken);
-            served[which] = played.figures.served;
-            plays[which].push(played.figures.named());
+            broken[which] += usize::from(result.verdict == Verdict::Broken);
+            served[which] = result.figures.served;
+            results[which].push(result.figures.named());
         }
         say!("seed {seed}: old {:.3}, new {:.3}", served[0], served[1]);
         differences.push(served[1] - served[0]);
@@ -479,9 +484,9 @@
         f64::INFINITY
     };
     say!("{:58} {:>9} {:>9} {:>9} {:>9}", "mean of all plays, and spread", "old", "spread", "new", "spread");
-    for (at, (name, _)) in plays[0].first().into_iter().flatten().enumerate() {
+    for (at, (name, _)) in results[0].first().into_iter().flatten().enumerate() {
         let values =
-            [0, 1].map(|which| plays[which].iter().filter_map(|play| play[at].1).collect::<Vec<f64>>());
+            [0, 1].map(|which| results[which].iter().filter_map(|play| play[at].1).collect::<Vec<f64>>());
         if values.iter().all(|values| !values.is_empty()) {
             let [(old, old_spread), (new, new_spread)] = values.map(|values| spread(&values));
             say!("{name:58} {old:9.3} {old_spread:9.3} {new:9.3} {new_spread:9.3}");
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -35,7 +35,7 @@
 
 impl Program {
     /// Returns the program of a node.
-    fn of(&self, number: usize) -> &Path {
+    fn program_of(&self, number: usize) -> &Path {
         match &self.other {
             Some((other, nodes)) if nodes.has(number) => other,
             _ => &self.program,
@@ -58,7 +58,7 @@
         Ok(Self { input: Mutex::new(input), _child: child })
     }
 
-    async fn tell(&self, sign: char, id: u32) {
+    async fn send(&self, sign: char, id: u32) {
         // Without the guard the harness still ends the nodes in its own orderly shutdown.
         let mut input = self.input.lock().await;
         let _ = input.write_all(format!("{sign}{id}\n").as_bytes()).await;
@@ -66,7 +66,8 @@
     }
 }
 
-/// Reads lines `+ID` and `-ID` that register and unregister processes, and kills the registered ones at the end of input.
+/// Reads lines `+ID` and `-ID` that register and unregister processes, and kills the registered ones at the end of
+/// the input.
 ///
 /// # Errors
 /// If the input cannot be read; the processes registered so far are killed anyway.
@@ -121,7 +122,7 @@
         let end = if form == NodeKind::Sidecar { "conf" } else { "json" };
         let (config, log) = (folder.join(format!("n{number}.{end}")), folder.join(format!("n{number}.log")));
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (path, defect) = (program.of(number).to_owned(), program.defect.clone());
+        let (path, defect) = (program.program_of(number).to_owned(), program.defect.clone());
         Self {
             form,
             program: path,
@@ -156,7 +157,7 @@
         let mut child = spawned
             .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", self.program.display())))?;
         if let (Some(guard), Some(id)) = (guard, child.id()) {
-            guard.tell('+', id).await;
+            guard.send('+', id).await;
         }
         let mut lines = BufReader::new(child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?).lines();
         let mut log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log)?;
@@ -164,7 +165,8 @@
         self.address = loop {
             let line =
                 tokio::time::timeout(START_TIMEOUT, lines.next_line()).await.map_err(io::Error::other)??;
-            let line = line.ok_or_else(|| io::Error::other(format!("a node ended at its start: {logs}")))?;
+            let line =
+                line.ok_or_else(|| io::Error::other(format!("the node exited before listening: {logs}")))?;
             if let Some((_, address)) = line.split_once("listening on ") {
                 break address.trim().parse().map_err(io::Error::other)?;
             }
@@ -184,11 +186,11 @@
             }
         });
         self.child = Some(child);
-        tokio::time::timeout(START_TIMEOUT, self.up()).await.map_err(io::Error::other)
+        tokio::time::timeout(START_TIMEOUT, self.wait_until_up()).await.map_err(io::Error::other)
     }
 
     /// Waits until it responds to `GET /up`.
-    async fn up(&self) {
+    async fn wait_until_up(&self) {
         loop {
             let asked = async {
                 let stream = tokio::net::TcpStream::connect(self.address).await.ok()?;
@@ -250,7 +252,7 @@
     }
 
     /// Waits for the process to end and kills it after `patience`. Returns the time that it took.
-    pub async fn ended(&mut self, guard: Option<&Guard>, patience: Duration) -> Duration {
+    pub async fn wait_for_end(&mut self, guard: Option<&Guard>, patience: Duration) -> Duration {
         let begun = Instant::now();
         let Some(mut child) = self.child.take() else { return Duration::ZERO };
         let id = child.id();
@@ -258,7 +260,7 @@
             let _ = child.kill().await;
         }
         if let (Some(guard), Some(id)) = (guard, id) {
-            guard.tell('-', id).await;
+            guard.send('-', id).await;
         }
         begun.elapsed()
     }
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -81,14 +81,15 @@
     pub failed: f64,
     /// Fraction without a response, including those of nodes that were killed or cut off.
     pub unanswered: f64,
-    /// Fractions served within the target latency before the first fault, during the faults and after the settling time.
+    /// Fractions served within the target latency: before the first fault, during the faults, after the settling
+    /// time.
     pub phases: [Option<f64>; 3],
     /// Number of requests failed, unanswered or late from the first fault until the end of the settling time.
     pub lost: f64,
     /// Number of requests refused in the same time.
     pub refused_in_faults: f64,
-    /// Time from the first fault to the last lost request of a node, in milliseconds: median and 95th percentile over the
-    /// nodes. Only requests scheduled during the first fault count.
+    /// Time from the first fault to the last lost request of a node, in milliseconds: median and 95th percentile over
+    /// the nodes. Only requests scheduled during the first fault count.
     pub last_losses: [Option<f64>; 2],
     /// Largest load of a cold server in a window, relative to its capacity.
     pub cold_load: Option<f64>,
@@ -106,7 +107,8 @@
     pub latencies: [f64; 3],
     /// The first zone's share of executions before the first fault and after the settling time.
     pub first_zone_load: [Option<f64>; 2],
-    /// Largest difference within a second between two nodes of one zone in the first zone's share of their first attempts.
+    /// Largest difference within a second between two nodes of one zone in the first zone's share of their first
+    /// attempts.
     pub largest_disagreement: f64,
     /// Longest disagreement of nodes of one zone, in consecutive seconds.
     pub disagreement_s: f64,
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -53,8 +53,8 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct State {
-    there: DirectionFaults,
-    back: DirectionFaults,
+    forward: DirectionFaults,
+    backward: DirectionFaults,
     reset: bool,
 }
 
@@ -87,21 +87,21 @@
         accept(listener, seen.clone(), move |stream, peer| {
             let (seen, opened, noted) = (seen.clone(), opened.clone(), noted.clone());
             tokio::spawn(async move {
-                let not_taken = || {
+                let record_unserved = || {
                     let mut noted = lock(&noted);
                     if noted.len() < MAX_UNSERVED {
                         noted.insert(peer);
                     }
                 };
-                pass(stream, target, seen, opened, not_taken).await;
+                forward_connection(stream, target, seen, opened, record_unserved).await;
             });
         });
         Ok(Self { address, state, unserved })
     }
 
     /// Sets the faults of both directions from now on.
-    pub fn set(&self, there: DirectionFaults, back: DirectionFaults) {
-        self.state.send_modify(|state| (state.there, state.back) = (there, back));
+    pub fn set(&self, forward: DirectionFaults, backward: DirectionFaults) {
+        self.state.send_modify(|state| (state.forward, state.backward) = (forward, backward));
     }
 
     /// Starts or stops resetting open and new connections.
@@ -109,66 +109,66 @@
         self.state.send_modify(|state| state.reset = on);
     }
 
-    /// Returns true, once, if the connection from this address could not be forwarded. The link accepts all connections,
-    /// where a process that does not listen would refuse them.
+    /// Returns true, once, if the connection from this address could not be forwarded. The link accepts all
+    /// connections, where a process that does not listen would refuse them.
     pub fn unserved(&self, from: SocketAddr) -> bool {
         lock(&self.unserved).remove(&from)
     }
 }
 
 /// Forwards one connection until one side or the link ends it.
-async fn pass(
+async fn forward_connection(
     mut client: TcpStream,
     target: SocketAddr,
     mut state: watch::Receiver<State>,
     opened: impl Fn(SocketAddr),
-    not_taken: impl Fn(),
+    record_unserved: impl Fn(),
 ) {
     // Any end other than an orderly one of the two sides must appear as a reset.
-    break_off(&client);
+    reset_on_close(&client);
     let mut watched = state.clone();
-    let over = async move {
+    let reset = async move {
         // An error means that the link was dropped, which resets open connections as the loss of a machine would.
         let _ = watched.wait_for(|state| state.reset).await;
     };
     let passing = async {
         // A connection to a peer that is cut off is accepted here and stays silent.
-        if state.wait_for(|state| !state.there.cut && !state.back.cut).await.is_err() {
+        if state.wait_for(|state| !state.forward.cut && !state.backward.cut).await.is_err() {
             return;
         }
         let Ok(Ok(mut server)) = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(target)).await
         else {
-            return not_taken();
+            return record_unserved();
         };
         if let Ok(own) = server.local_addr() {
             opened(own);
         }
         // Without TCP_NODELAY data arrives slightly later, which is harmless.
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
-        break_off(&server);
+        reset_on_close(&server);
         let ((from_client, to_client), (from_server, to_server)) = (client.split(), server.split());
-        let there = one_way(from_client, to_server, state.clone(), |state| state.there);
-        let back = one_way(from_server, to_client, state.clone(), |state| state.back);
+        let forward = forward_direction(from_client, to_server, state.clone(), |state| state.forward);
+        let backward = forward_direction(from_server, to_client, state.clone(), |state| state.backward);
         // A failure of one direction ends the other.
-        let _ = tokio::try_join!(there, back);
+        let _ = tokio::try_join!(forward, backward);
     };
     tokio::select! {
         () = passing => {}
-        () = over => {}
+        () = reset => {}
     }
 }
 
 /// Makes closing a connection send a reset instead of an orderly shutdown.
-fn break_off(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
 /// Forwards one direction. An orderly end of the sender is forwarded; a failure ends the connection.
-async fn one_way(
+async fn forward_direction(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut state: watch::Receiver<State>,
-    way: impl Fn(&State) -> DirectionFaults + Copy,
+    direction: impl Fn(&State) -> DirectionFaults + Copy,
 ) -> Result<(), Broken> {
     let (queue, mut due) = mpsc::channel::<(Instant, Vec<u8>)>(QUEUE_CAPACITY);
     let mut seen = state.clone();
@@ -180,7 +180,7 @@
             if read == 0 {
                 return Ok(());
             }
-            let now = way(&seen.borrow());
+            let now = direction(&seen.borrow());
             if fastrand::f64() < now.changed {
                 buffer[fastrand::usize(..read)] ^= 1 << fastrand::u32(..8);
             }
@@ -206,7 +206,7 @@
                 }
                 Some(LimitAction::End) => return Ok(()),
                 Some(LimitAction::Stall) => {
-                    seen.wait_for(|state| way(state).after.is_none()).await.map_err(|_| Broken)?;
+                    seen.wait_for(|state| direction(state).after.is_none()).await.map_err(|_| Broken)?;
                     if queue.send((Instant::now(), buffer[whole..read].to_vec())).await.is_err() {
                         return Err(Broken);
                     }
@@ -219,7 +219,7 @@
             if at > Instant::now() {
                 sleep_until(at).await;
             }
-            state.wait_for(|state| !way(state).cut).await.map_err(|_| Broken)?;
+            state.wait_for(|state| !direction(state).cut).await.map_err(|_| Broken)?;
             to.write_all(&bytes).await.map_err(|_| Broken)?;
         }
         Ok(())
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -21,10 +21,10 @@
 
 /// The page.
 #[must_use]
-pub fn report(scenario: &Scenario, played: &RunResult, seed: u64) -> String {
-    let verdict = match played.verdict {
+pub fn report(scenario: &Scenario, result: &RunResult, seed: u64) -> String {
+    let verdict = match result.verdict {
         Verdict::Kept => "kept: all rules".to_owned(),
-        Verdict::Broken => format!("broken: {} findings", played.findings.len()),
+        Verdict::Broken => format!("broken: {} findings", result.findings.len()),
         Verdict::Void => "void: the machine had too little to spare".to_owned(),
     };
     let mut page = format!(
@@ -38,29 +38,29 @@
         servers = scenario.servers,
         rate = scenario.rate,
     );
-    if !played.trace.faults.is_empty() {
+    if !result.trace.faults.is_empty() {
         page += "<h2>Faults</h2>\n<ul>\n";
-        for (fault, span) in &played.trace.faults {
+        for (fault, span) in &result.trace.faults {
             let (from, to) = (span.from / 1000.0, span.to / 1000.0);
             let _ = writeln!(page, "<li>{from:.1} to {to:.1} s: {}</li>", escaped(fault));
         }
         page += "</ul>\n";
     }
-    if !played.findings.is_empty() {
+    if !result.findings.is_empty() {
         page += "<h2>Findings</h2>\n<ul>\n";
-        for finding in played.findings.iter().take(MAX_FINDINGS) {
+        for finding in result.findings.iter().take(MAX_FINDINGS) {
             let _ = writeln!(page, "<li>{}: {}</li>", escaped(finding.rule), escaped(&finding.description));
         }
         page += "</ul>\n";
     }
-    page += &figures(&played.figures);
-    for (title, unit, series) in pictures(scenario, played) {
+    page += &figures(&result.figures);
+    for (title, unit, series) in pictures(scenario, result) {
         let _ = writeln!(page, "<h2>{title}</h2>");
         // A picture that can't be drawn is missing; the figures stand.
-        page += &picture(scenario, played, unit, &series).unwrap_or_default();
+        page += &picture(scenario, result, unit, &series).unwrap_or_default();
     }
     page += "<h2>What nodes said</h2>\n";
-    for (node, logs) in played.logs.iter().enumerate().filter(|(_, logs)| !logs.is_empty()) {
+    for (node, logs) in result.logs.iter().enumerate().filter(|(_, logs)| !logs.is_empty()) {
         let lines: Vec<String> = logs
             .iter()
             .take(MAX_LOG_LINES)
@@ -89,8 +89,8 @@
 }
 
 /// What is drawn: title, unit, lines.
-fn pictures(scenario: &Scenario, played: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
-    let trace = &played.trace;
+fn pictures(scenario: &Scenario, result: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
+    let trace = &result.trace;
     let rate = |of: &dyn Fn(&crate::trace::Request) -> bool| {
         by_time(trace.requests.iter().filter(|r| of(r)).map(|r| (r.scheduled, 1.0)), 1.0 / BIN)
     };
@@ -103,7 +103,7 @@
         ("unanswered".to_owned(), rate(&|r| r.outcome == Outcome::Nothing)),
     ];
     let times =
-        vec![("half".to_owned(), quantile(played, 0.5)), ("99 in 100".to_owned(), quantile(played, 0.99))];
+        vec![("half".to_owned(), quantile(result, 0.5)), ("99 in 100".to_owned(), quantile(result, 0.99))];
     let executions = |of: &dyn Fn(&Execution) -> bool| {
         by_time(
             trace.executions.iter().filter(|execution| of(execution)).map(|execution| (execution.at, 1.0)),
@@ -122,7 +122,7 @@
             (format!("server {server}"), executions(&|execution: &Execution| execution.server == server))
         })
         .collect();
-    let believed = played
+    let believed = result
         .logs
         .iter()
         .enumerate()
@@ -158,9 +158,9 @@
 }
 
 /// By time, how long a part of the served requests took at most.
-fn quantile(played: &RunResult, part: f64) -> Vec<(f64, f64)> {
+fn quantile(result: &RunResult, part: f64) -> Vec<(f64, f64)> {
     let mut bins: Vec<Vec<f64>> = Vec::new();
-    for request in played.trace.requests.iter().filter(|r| r.outcome == Outcome::Served) {
+    for request in result.trace.requests.iter().filter(|r| r.outcome == Outcome::Served) {
         let bin = (request.scheduled / 1000.0 / (2.0 * BIN)) as usize;
         if bins.len() <= bin {
             bins.resize(bin + 1, Vec::new());
@@ -175,7 +175,7 @@
     points
 }
 
-fn picture(scenario: &Scenario, played: &RunResult, unit: &str, series: &[Series]) -> Option<String> {
+fn picture(scenario: &Scenario, result: &RunResult, unit: &str, series: &[Series]) -> Option<String> {
     let most = series.iter().flat_map(|(_, points)| points).map(|(_, value)| *value).fold(0.0, f64::max);
     if most <= 0.0 {
         return Some("<p>Nothing.</p>\n".to_owned());
@@ -191,7 +191,7 @@
             .build_cartesian_2d(0.0..length, 0.0..most * 1.1)
             .ok()?;
         chart.configure_mesh().x_desc("s").y_desc(unit).disable_mesh().draw().ok()?;
-        let bands = played.trace.faults.iter().map(|(_, span)| {
+        let bands = result.trace.faults.iter().map(|(_, span)| {
             let corners = [(span.from / 1000.0, 0.0), (span.to / 1000.0, most * 1.1)];
             Rectangle::new(corners, RED.mix(0.12).filled())
         });
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -1,11 +1,11 @@
-//! Plays a scenario: makes its faults one moment after the other, sends the load, has the trace judged.
+//! Runs a scenario: injects its faults, sends the load, and has the oracle check the trace.
 
-use crate::client::{ask, NodeEndpoint, PlannedRequest};
+use crate::client::{send_request, NodeEndpoint, PlannedRequest};
 use crate::node::Program;
 use crate::oracle::{judge, Figures, Finding, Verdict};
 use crate::relay::Link;
 use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Scenario, Selection, Step};
-use crate::testbed::{longest, Testbed, CLASS_PERCENTAGES, LEAD_TIME, SHUTDOWN_TIME_MS};
+use crate::testbed::{longest_deadline, Testbed, CLASS_PERCENTAGES, LEAD_TIME, SHUTDOWN_TIME_MS};
 use crate::trace::{lock, Recorder, Shutdown, Span, Trace};
 use rustix::process::{Resource, Signal};
 use std::fmt;
@@ -17,36 +17,36 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// The list tells this much later that a process runs or runs no more, in milliseconds.
+/// Delay with which discovery reports that a server has stopped, in milliseconds.
 const DISCOVERY_DELAY_MS: f64 = 800.0;
-/// After a fault of its link to discovery a node has heard what it missed within this, in milliseconds: it asks anew a
-/// second after a connection broke.
+/// Time after a fault of a discovery link within which a node receives missed updates, in milliseconds: it reconnects
+/// one second after a connection failed.
 const DISCOVERY_RECOVERY_MS: f64 = 1200.0;
-/// How often the rig looks whether it stands still.
+/// Interval at which the harness checks itself for stalls.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
-/// Threads that send the load.
+/// Number of threads that send the load.
 const GENERATOR_THREADS: usize = 2;
-/// What a fault of a link broke is seen this much later, in milliseconds.
+/// Time after a fault of a client link in which its effects may still be seen, in milliseconds.
 const CLIENT_FAULT_DELAY_MS: f64 = 100.0;
-/// How long a node that does not end by itself is waited for beyond that.
+/// Time beyond the longest shutdown after which a node is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What came of a play.
+/// Result of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// What it says.
+    /// Verdict.
     pub verdict: Verdict,
-    /// How it went.
+    /// Figures.
     pub figures: Figures,
-    /// What is not as it must be.
+    /// Violations of rules.
     pub findings: Vec<Finding>,
-    /// All that happened.
+    /// The recorded trace.
     pub trace: Trace,
-    /// What each node wrote to its standard error, and when.
+    /// Lines that each node wrote to its standard error, with their times.
     pub logs: Vec<Vec<(f64, String)>>,
 }
 
-/// Why there was no play.
+/// A failure of the harness itself.
 #[derive(Debug)]
 pub struct HarnessError {
     context: &'static str,
@@ -61,7 +61,7 @@
 
 impl std::error::Error for HarnessError {}
 
-fn because(context: &'static str) -> impl FnOnce(io::Error) -> HarnessError {
+fn harness_error(context: &'static str) -> impl FnOnce(io::Error) -> HarnessError {
     move |error| HarnessError { context, error }
 }
 
@@ -82,8 +82,8 @@
         nodes.of(self.scenario.nodes).iter().for_each(|number| self.exempt(*number, from, to));
     }
 
-    /// What a step does to processes, from its beginning to its end; links and servers are set by `apply`.
-    async fn processes(self: Arc<Self>, step: Step) -> io::Result<()> {
+    /// Applies a step to processes, from its start to its end; links and servers are set by `apply`.
+    async fn apply_to_processes(self: Arc<Self>, step: Step) -> io::Result<()> {
         let end = step.end();
         let ends = self.recorder.instant(end);
         match &step.fault {
@@ -94,15 +94,19 @@
                     let testbed = self.clone();
                     each.spawn(async move {
                         let begun = testbed.recorder.now();
-                        let patience =
-                            if killed { 0.0 } else { longest(&testbed.rules.classes) + SHUTDOWN_TIME_MS };
+                        let patience = if killed {
+                            0.0
+                        } else {
+                            longest_deadline(&testbed.rules.classes) + SHUTDOWN_TIME_MS
+                        };
                         {
                             testbed.mark_killed(number, killed);
                             let mut node = testbed.nodes[number].lock().await;
                             node.signal(if killed { Signal::KILL } else { Signal::TERM });
                             let patience = Duration::from_secs_f64(patience / 1000.0) + SHUTDOWN_TIMEOUT;
                             let took =
-                                node.ended(testbed.guard.as_ref(), patience).await.as_secs_f64() * 1000.0;
+                                node.wait_for_end(testbed.guard.as_ref(), patience).await.as_secs_f64()
+                                    * 1000.0;
                             if !killed {
                                 testbed
                                     .recorder
@@ -143,7 +147,7 @@
                 self.limit(nodes, Resource::Nofile, Some(*count)).await;
                 sleep_until(ends).await;
                 self.limit(nodes, Resource::Nofile, None).await;
-                // What waits in the system's queue has been taken by nobody, and no client can tell.
+                // Connections in the accept queue were not accepted by the node, which clients cannot detect.
                 self.exempt_all(nodes, step.at, end);
             }
             Fault::FullDisk(nodes) => {
@@ -153,9 +157,9 @@
             }
             Fault::Move(nodes) => {
                 for number in nodes.of(self.scenario.nodes) {
-                    self.move_list(number).await?;
+                    self.move_discovery(number).await?;
                 }
-                // What was written to the old address may not have come.
+                // Updates written to the old address may not have arrived.
                 self.recorder.note(|trace| {
                     let late = trace
                         .drains
@@ -166,12 +170,12 @@
             }
             Fault::Unlisted(nodes) if self.scenario.form == NodeKind::Sidecar => {
                 sleep_until(ends).await;
-                let left: Vec<usize> = {
-                    let told = lock(&self.told);
+                let drained: Vec<usize> = {
+                    let told = lock(&self.server_states);
                     told.iter().filter(|(_, state)| **state != "SERVING").map(|(server, _)| *server).collect()
                 };
                 for number in nodes.of(self.scenario.nodes) {
-                    self.reload(number, &left).await?;
+                    self.reload(number, &drained).await?;
                 }
             }
             Fault::Link(place, _) if place.kind == LinkKind::Clients => {
@@ -179,7 +183,7 @@
             }
             Fault::Link(place, _) if place.kind == LinkKind::Lists => {
                 sleep_until(ends).await;
-                // What was written meanwhile has come only now, or on the next connection.
+                // Updates written during the fault arrive only now, or on the next connection.
                 self.recorder.note(|trace| {
                     let late = trace.drains.iter_mut().filter(|d| place.nodes.has(d.node) && d.at >= step.at);
                     late.for_each(|drain| drain.at = drain.at.max(end + DISCOVERY_RECOVERY_MS));
@@ -190,15 +194,15 @@
             }
             Fault::Drain(servers) => {
                 let drained = servers.of(self.scenario.servers);
-                self.list(&drained, "DRAINING", 0).await?;
+                self.announce_state(&drained, "DRAINING", 0).await?;
                 sleep_until(ends).await;
-                self.list(&drained, "DELETED", 0).await?;
+                self.announce_state(&drained, "DELETED", 0).await?;
             }
             Fault::Crash(servers) => {
                 let lost = servers.of(self.scenario.servers);
                 sleep_until(self.recorder.instant(step.at + DISCOVERY_DELAY_MS)).await;
                 if DISCOVERY_DELAY_MS < step.lasts {
-                    self.list(&lost, "DELETED", 0).await?;
+                    self.announce_state(&lost, "DELETED", 0).await?;
                 }
                 sleep_until(ends).await;
                 let now = self.recorder.now();
@@ -210,15 +214,15 @@
                     let back = trace.drains.iter_mut().filter(|d| lost.contains(&d.server));
                     back.for_each(|drain| drain.until = drain.until.min(now));
                 });
-                self.list(&lost, "SERVING", (self.epoch + now) as u64).await?;
+                self.announce_state(&lost, "SERVING", (self.epoch + now) as u64).await?;
             }
             _ => {}
         }
         Ok(())
     }
 
-    /// Makes the faults, one moment after the other.
-    async fn faults(self: Arc<Self>) -> io::Result<()> {
+    /// Injects the faults in order of time.
+    async fn inject_faults(self: Arc<Self>) -> io::Result<()> {
         let steps = &self.scenario.steps;
         let mut moments: Vec<f64> = steps.iter().flat_map(|s| [s.at, s.end()]).collect();
         moments.sort_by(f64::total_cmp);
@@ -227,7 +231,7 @@
         for moment in moments {
             sleep_until(self.recorder.instant(moment)).await;
             for step in steps.iter().filter(|step| step.at == moment) {
-                processes.spawn(self.clone().processes(step.clone()));
+                processes.spawn(self.clone().apply_to_processes(step.clone()));
                 let span = Span { from: step.at, to: step.end() };
                 self.recorder.note(|trace| trace.faults.push((step.fault.to_string(), span)));
             }
@@ -241,8 +245,8 @@
         Ok(())
     }
 
-    /// Sends the load, each request at its own moment whatever became of the others.
-    async fn load(self: Arc<Self>) {
+    /// Sends the load; each request starts at its scheduled time, independently of the others.
+    async fn send_load(self: Arc<Self>) {
         let mut draw = fastrand::Rng::with_seed(self.seed);
         let mut asked = JoinSet::new();
         let (mut scheduled, mut id) = (0.0, 0);
@@ -271,8 +275,9 @@
                 let endpoints = testbed.endpoints();
                 let order: Vec<_> =
                     (0..endpoints.len()).map(|n| &endpoints[(first + n) % endpoints.len()]).collect();
-                let class = testbed.told(planned.class);
-                ask(&order, planned, &class, testbed.width(), &testbed.recorder).await;
+                let class = testbed.configured_class(planned.class);
+                send_request(&order, planned, &class, testbed.configured_node_count(), &testbed.recorder)
+                    .await;
             });
             while asked.try_join_next().is_some() {}
         }
@@ -281,8 +286,8 @@
     }
 }
 
-/// Notes the longest time for which the threads that carry links and stand-ins did nothing.
-async fn watch_itself(recorder: Recorder) {
+/// Records the longest stall of the threads that serve links and test servers.
+async fn watch_for_stalls(recorder: Recorder) {
     loop {
         let due = Instant::now() + HEARTBEAT_INTERVAL;
         sleep_until(due).await;
@@ -291,25 +296,25 @@
     }
 }
 
-/// Sends the load from threads of its own: starting a dozen processes must not make the generator late.
-async fn load_apart(testbed: Arc<Testbed>) -> io::Result<()> {
+/// Sends the load from separate threads, since starting a dozen processes must not delay the generator.
+async fn send_load_from_threads(testbed: Arc<Testbed>) -> io::Result<()> {
     let (done, loaded) = tokio::sync::oneshot::channel();
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(GENERATOR_THREADS).enable_all().build()?;
     std::thread::Builder::new().spawn(move || {
-        runtime.block_on(testbed.load());
-        // Nobody listens where the play has been given up.
+        runtime.block_on(testbed.send_load());
+        // The receiver is gone if the run was abandoned.
         let _ = done.send(());
         runtime.shutdown_background();
     })?;
     loaded.await.map_err(io::Error::other)
 }
 
-/// Plays a scenario in a runtime of its own. What the processes write goes into a folder, or into one that ends with the
-/// play.
+/// Runs a scenario in a runtime of its own. Files of the processes are written to `keep`, or to a temporary folder that
+/// is removed after the run.
 ///
 /// # Errors
-/// As for [`play`], and if there is no folder.
+/// As for [`run_scenario`], and if the folder cannot be created.
 pub fn run_once(
     scenario: &Scenario,
     program: &Program,
@@ -321,20 +326,20 @@
     let own = std::env::temp_dir().join(format!("ivygate-fleet-{}-{number}", std::process::id()));
     let folder = keep.unwrap_or(&own);
     let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", folder.display()));
-    std::fs::create_dir_all(folder).map_err(named).map_err(because("a folder"))?;
+    std::fs::create_dir_all(folder).map_err(named).map_err(harness_error("cannot create the folder"))?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.map_err(because("the rig"))?;
+    let runtime = runtime.map_err(harness_error("cannot set up the test bed"))?;
     let played = runtime.block_on(run_scenario(scenario, program, folder, seed));
     runtime.shutdown_background();
     if keep.is_none() {
-        // What can't be removed stays in the system's folder for such things.
+        // A folder that cannot be removed stays in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&own);
     }
     played
 }
 
-/// Plays a scenario on its own seed until the machine has had enough to spare for a verdict, five times at most; the
-/// last play is void if it never had.
+/// Runs a scenario with its own seed until the run is conclusive, at most five times; if none is, returns the
+/// last, void run.
 ///
 /// # Errors
 /// As for [`run_once`].
@@ -350,35 +355,43 @@
     Ok(played)
 }
 
-/// Plays a scenario. What the processes write goes into a folder, which must exist.
+/// Runs a scenario. Files of the processes are written to `folder`, which must exist.
 ///
 /// # Errors
-/// If the rig itself fails: a process that does not start, or no port.
+/// If the harness itself fails, for example if a process does not start or no port can be bound.
 pub async fn run_scenario(
     scenario: &Scenario,
     program: &Program,
     folder: &Path,
     seed: u64,
 ) -> Result<RunResult, HarnessError> {
-    let mut testbed = Testbed::new(scenario, program, folder, seed).await.map_err(because("the rig"))?;
+    let mut testbed = Testbed::new(scenario, program, folder, seed)
+        .await
+        .map_err(harness_error("cannot set up the test bed"))?;
     for number in 0..scenario.nodes {
-        testbed.start(number).await.map_err(because("a node"))?;
+        testbed.start(number).await.map_err(harness_error("cannot start a node"))?;
     }
     let mut endpoints = Vec::new();
     for (number, node) in testbed.nodes.iter().enumerate() {
-        let link = Link::open(node.lock().await.address, |_| {}).await.map_err(because("a link"))?;
+        let link = Link::open(node.lock().await.address, |_| {})
+            .await
+            .map_err(harness_error("cannot open a link"))?;
         endpoints.push(NodeEndpoint::new(number, link));
     }
-    // Set here alone, so it is not set yet.
+    // Cannot fail: this is the only place that sets it.
     let _ = testbed.endpoints.set(endpoints);
-    // The clock of the play begins when all stand.
+    // The run starts once all nodes are up.
     testbed.begin(Instant::now() + LEAD_TIME);
     let testbed = Arc::new(testbed);
-    let faults = tokio::spawn(testbed.clone().faults());
-    let watch = tokio::spawn(watch_itself(testbed.recorder.clone()));
-    let loaded = load_apart(testbed.clone()).await;
-    loaded.map_err(because("the generator"))?;
-    faults.await.map_err(io::Error::other).and_then(|made| made).map_err(because("a fault"))?;
+    let faults = tokio::spawn(testbed.clone().inject_faults());
+    let watch = tokio::spawn(watch_for_stalls(testbed.recorder.clone()));
+    let loaded = send_load_from_threads(testbed.clone()).await;
+    loaded.map_err(harness_error("the load generator failed"))?;
+    faults
+        .await
+        .map_err(io::Error::other)
+        .and_then(|made| made)
+        .map_err(harness_error("cannot inject a fault"))?;
     watch.abort();
     let mut trace = testbed.recorder.take();
     trace.executions.sort_by(|a, b| a.at.total_cmp(&b.at));
@@ -396,7 +409,7 @@
         cpu_seconds += node.cpu_seconds();
         logs.push(lock(&node.logs()).clone());
         node.signal(Signal::KILL);
-        node.ended(testbed.guard.as_ref(), SHUTDOWN_TIMEOUT).await;
+        node.wait_for_end(testbed.guard.as_ref(), SHUTDOWN_TIMEOUT).await;
     }
     if !scenario.steps.iter().any(|step| matches!(step.fault, Fault::Kill(_) | Fault::Term(_))) {
         figures.cpu_us = Some(cpu_seconds * 1e6 / figures.requests.max(1) as f64);
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -203,20 +203,22 @@
     #[default]
     Both,
     /// Towards the listening side: from clients to nodes, from nodes to servers and discovery.
-    There,
+    #[serde(rename = "there")]
+    Forward,
     /// From the listening side only.
-    Back,
+    #[serde(rename = "back")]
+    Backward,
 }
 
 impl Directions {
     /// Returns true if the direction towards the listening side is affected.
-    pub fn there(self) -> bool {
-        self != Directions::Back
+    pub fn forward(self) -> bool {
+        self != Directions::Backward
     }
 
     /// Returns true if the direction from the listening side is affected.
-    pub fn back(self) -> bool {
-        self != Directions::There
+    pub fn backward(self) -> bool {
+        self != Directions::Forward
     }
 }
 
@@ -422,8 +424,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let way = |ways: &Directions| match ways {
             Directions::Both => "",
-            Directions::There => " on the way there",
-            Directions::Back => " on the way back",
+            Directions::Forward => " on the way there",
+            Directions::Backward => " on the way back",
         };
         match self {
             LinkFault::Cut(ways) => write!(f, "cut{}", way(ways)),
@@ -604,9 +606,9 @@
                 }
                 "change"
                     if matches!(step.link, LinkKind::Lists | LinkKind::SignIn)
-                        || ways.there() && step.ways.is_some() =>
+                        || ways.forward() && step.ways.is_some() =>
                 {
-                    // A changed request or server list would be a different valid one, so that the oracle could not check the outcome.
+                    // A changed request or server list may be another valid one, so that the oracle could not check it.
                     let what = "only what comes back from servers and nodes can be changed".to_owned();
                     return Err(at(Some(span), what));
                 }
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -57,7 +57,7 @@
     }
 
     /// Registers the source address of a node's connection.
-    pub fn comes_from(&self, address: SocketAddr, node: usize) {
+    pub fn register_connection(&self, address: SocketAddr, node: usize) {
         lock(&self.origins).insert(address, node);
     }
 
@@ -108,12 +108,12 @@
     /// Fractions of selected requests that get status 500 at once.
     pub wrong: Vec<(RequestFilter, f64)>,
     /// Selected requests that are executed but get a reset instead of a response.
-    pub swallows: Vec<RequestFilter>,
+    pub no_response: Vec<RequestFilter>,
 }
 
 impl Default for ServerConditions {
     fn default() -> Self {
-        Self { up: true, started: None, slow: Vec::new(), wrong: Vec::new(), swallows: Vec::new() }
+        Self { up: true, started: None, slow: Vec::new(), wrong: Vec::new(), no_response: Vec::new() }
     }
 }
 
@@ -169,7 +169,7 @@
         let serving = async {
             let mut stream = BufReader::new(stream);
             while let Ok(Some(request)) = http::read(&mut stream).await {
-                let Some(answer) = self.answer(&request, peer).await else { return };
+                let Some(answer) = self.respond(&request, peer).await else { return };
                 if stream.get_mut().write_all(&answer).await.is_err() {
                     return;
                 }
@@ -184,7 +184,7 @@
     }
 
     /// Returns the response to a request; `None` resets the connection.
-    async fn answer(&self, request: &Message, peer: SocketAddr) -> Option<Vec<u8>> {
+    async fn respond(&self, request: &Message, peer: SocketAddr) -> Option<Vec<u8>> {
         let shared = &self.shared;
         let id: u32 = request.header("req-id")?.parse().ok()?;
         let class = shared.classes.iter().position(|c| Some(c.name) == request.header("req-kind"))?;
@@ -225,7 +225,7 @@
             condition.slow.iter().filter(|(whom, _)| about(whom)).map(|(_, times)| times).product();
         tokio::time::sleep(Duration::from_secs_f64(work * slow / warmth / 1000.0)).await;
         drop(worker);
-        if self.condition.borrow().swallows.iter().any(about) {
+        if self.condition.borrow().no_response.iter().any(about) {
             return None;
         }
         let body = format!("made for {id}");
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The world of a play: its servers, links and nodes, what each node is told of it, and what holds on them now.
+//! The test bed of a run: its servers, links and nodes, the configuration of each node, and the active faults.
 
 use crate::client::NodeEndpoint;
 use crate::datagrams::{DatagramLink, Flow};
@@ -22,20 +22,21 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Servers of a zone drop repeats of a key for this long, in milliseconds.
+/// Time for which the servers of a zone drop repeats of a key, in milliseconds.
 const KEY_WINDOW_MS: f64 = 15_000.0;
-/// Time before the first request.
+/// Time from the start of the nodes to the start of the run.
 pub const LEAD_TIME: Duration = Duration::from_millis(300);
-/// Longest time from SIGTERM to the end beyond the longest deadline, in milliseconds.
+/// Longest time of a graceful shutdown beyond the longest deadline, in milliseconds.
 pub const SHUTDOWN_TIME_MS: f64 = 700.0;
-/// What the rig's own machine may add to that.
+/// Tolerance of that time for delays of the test machine, in milliseconds.
 const SHUTDOWN_SLACK_MS: f64 = 500.0;
-/// How long a sidecar may take to read its configuration anew.
+/// Time to wait for a sidecar to reload its configuration.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// A generator that is later than this in one request of a hundred has had too little of the machine.
+/// Largest 99th percentile of the generator's delay for a conclusive run, in milliseconds.
 const MAX_GENERATOR_DELAY_MS: f64 = 25.0;
 
-/// A rig that stood still for longer than this may have made answers late itself: as long as an answer may be late.
+/// Longest stall of the harness for a conclusive run, in milliseconds. It equals the tolerance of a response after its
+/// deadline: a longer stall may itself make responses late.
 const MAX_STALL_MS: f64 = 50.0;
 
 fn classes() -> Vec<Class> {
@@ -47,21 +48,21 @@
     ]
 }
 
-/// Parts of the classes in the load, in hundredths.
+/// Shares of the classes in the load, in percent.
 pub const CLASS_PERCENTAGES: [u32; 3] = [60, 20, 20];
 
-/// The longest that a client waits, in milliseconds.
-pub fn longest(classes: &[Class]) -> f64 {
+/// Returns the longest deadline of the classes, in milliseconds.
+pub fn longest_deadline(classes: &[Class]) -> f64 {
     classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
 }
 
 fn rules(scenario: &Scenario) -> Rules {
     let classes = classes();
     Rules {
-        max_shutdown_time: longest(&classes) + SHUTDOWN_TIME_MS + SHUTDOWN_SLACK_MS,
+        max_shutdown_time: longest_deadline(&classes) + SHUTDOWN_TIME_MS + SHUTDOWN_SLACK_MS,
         classes,
         response_slack: 50.0,
-        // 1 s by the protocol, and its slack on sockets.
+        // The protocol allows 1 s; the rest is the tolerance for socket delays.
         drain_grace: 1050.0,
         capacity: scenario.workers as f64,
         cold_capacity: 0.25,
@@ -70,7 +71,7 @@
         overload_window: 2000.0,
         ceiling_rate: scenario.ceiling,
         ceiling_burst: 4.0 * scenario.ceiling,
-        // What nodes are told, and what the rate gives in 150 ms.
+        // The tolerance configured at the nodes, and the units of 150 ms.
         ceiling_slack: tolerance(scenario) + 0.15 * scenario.ceiling,
         settle: scenario.settle,
         max_generator_delay: MAX_GENERATOR_DELAY_MS,
@@ -82,13 +83,13 @@
     }
 }
 
-/// Units by which nodes are told that a ceiling's store may fall below nothing: a tenth of it, or one of the largest
+/// Returns the configured tolerance of a ceiling in units: a tenth of its burst, but at least one of the largest
 /// requests.
 fn tolerance(scenario: &Scenario) -> f64 {
     (0.4 * scenario.ceiling).max(3.0)
 }
 
-/// Units a second that each customer's quota gives: four times what it asks for, or half of its ceiling.
+/// Returns each customer's quota in units per second: half of its ceiling if there is one, else four times its load.
 fn quota(scenario: &Scenario) -> f64 {
     let units: f64 = classes()
         .iter()
@@ -107,26 +108,27 @@
     pub scenario: Scenario,
     pub rules: Rules,
     pub recorder: Recorder,
-    /// Unix time at the play's beginning, in milliseconds.
+    /// Unix time at the start of the run, in milliseconds.
     pub epoch: f64,
     pub servers: Vec<Server>,
     pub discovery_agents: Vec<Discovery>,
-    /// From each node to each server.
+    /// Links from each node to each server.
     pub links: Vec<Vec<Link>>,
-    /// From each node to its agent; another one once discovery has moved.
+    /// Link from each node to its discovery agent; replaced when discovery moves.
     pub lists: Vec<std::sync::Mutex<Link>>,
-    /// The sign-in service, and from each node to it; where the scenario has one.
+    /// The sign-in service and the link from each node to it, if the scenario has one.
     pub sign_in: Option<(SignIn, Vec<Link>)>,
-    /// Where each node hears the others, and the link from each to each; where they tell each other.
+    /// The address at which each node receives from its peers, and the link from each node to each, if they exchange
+    /// observations.
     pub peer_links: Option<(Vec<SocketAddr>, Vec<Vec<DatagramLink>>)>,
     pub nodes: Vec<Mutex<Node>>,
-    /// Set once all nodes have started; they keep their addresses.
+    /// Set once all nodes have started; nodes keep their addresses.
     pub endpoints: OnceLock<Vec<NodeEndpoint>>,
     pub guard: Option<Guard>,
     pub seed: u64,
-    /// Servers as sidecars are told of them: those that drain, and those that are gone.
-    pub told: std::sync::Mutex<BTreeMap<usize, &'static str>>,
-    /// Where the journals are.
+    /// States of servers in the configuration of sidecars, where they are not serving from the beginning.
+    pub server_states: std::sync::Mutex<BTreeMap<usize, &'static str>>,
+    /// Folder of the journals.
     pub folder: PathBuf,
 }
 
@@ -161,7 +163,7 @@
             let agent = Discovery::start(number, recorder.clone()).await?;
             for server in &servers {
                 let shared = shared.clone();
-                let opened = move |from| shared.comes_from(from, number);
+                let opened = move |from| shared.register_connection(from, number);
                 let link = Link::open(server.address, opened).await?;
                 let listed =
                     ListEntry { server: server.number, address: link.address, state: "SERVING", boot_ms: 0 };
@@ -176,7 +178,7 @@
         let peer_links = if scenario.group { Some(peer_links(scenario.nodes, folder).await?) } else { None };
         let guard = program.guard.as_deref().map(Guard::start).transpose()?;
         let (epoch, scenario) = (0.0, scenario.clone());
-        let (endpoints, told, folder) = (OnceLock::new(), Default::default(), folder.to_owned());
+        let (endpoints, server_states, folder) = (OnceLock::new(), Default::default(), folder.to_owned());
         Ok(Self {
             scenario,
             rules,
@@ -192,46 +194,46 @@
             endpoints,
             guard,
             seed,
-            told,
+            server_states,
             folder,
         })
     }
 
-    /// The play begins at a moment.
+    /// Sets the start of the run.
     pub fn begin(&mut self, at: Instant) {
         self.recorder.begin(at);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.epoch = (unix + at.saturating_duration_since(Instant::now())).as_secs_f64() * 1000.0;
     }
 
-    /// Starts a node, or starts it again with the list as it now is.
+    /// Starts or restarts a node with the current server list.
     pub async fn start(&self, number: usize) -> io::Result<()> {
         let mut node = self.nodes[number].lock().await;
         let (listed, known) = (lock(&self.lists[number]).address, self.discovery_agents[number].known());
         let seed = self.seed_of(number);
         let config = |address| match self.scenario.form {
-            NodeKind::EdgeNode => self.config(number, address, listed, &known, seed),
-            NodeKind::Sidecar => self.statements(number, address),
+            NodeKind::EdgeNode => self.edge_node_config(number, address, listed, &known, seed),
+            NodeKind::Sidecar => self.sidecar_config(number, address),
         };
         node.start(self.guard.as_ref(), config).await
     }
 
-    /// Moves discovery for a node: opens the new address, tells the node, and closes the old one.
-    pub async fn move_list(&self, number: usize) -> io::Result<()> {
+    /// Moves discovery for a node: opens a new address, closes the old one and reconfigures the node.
+    pub async fn move_discovery(&self, number: usize) -> io::Result<()> {
         let agent = &self.discovery_agents[number];
         let moved = Link::open(agent.address, |_| {}).await?;
         let (listed, known) = (moved.address, agent.known());
         drop(std::mem::replace(&mut *lock(&self.lists[number]), moved));
         let node = self.nodes[number].lock().await;
-        node.reload(&self.config(number, node.address, listed, &known, self.seed_of(number)))
+        node.reload(&self.edge_node_config(number, node.address, listed, &known, self.seed_of(number)))
     }
 
     fn seed_of(&self, number: usize) -> u64 {
         self.seed ^ (number as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
     }
 
-    /// The configuration of a sidecar, with the servers as it is to know them now.
-    fn statements(&self, number: usize, listen: SocketAddr) -> String {
+    /// Returns the configuration of a sidecar with the current states of the servers.
+    fn sidecar_config(&self, number: usize, listen: SocketAddr) -> String {
         let (rules, scenario) = (&self.rules, &self.scenario);
         let quota = quota(scenario);
         let (ceiling, burst, slack) = (rules.ceiling_rate, rules.ceiling_burst, tolerance(scenario));
@@ -254,7 +256,7 @@
         }
         let scope = if self.plants(ConfigDefect::KeyedEverywhere) { "all" } else { "zone" };
         for (number, class) in rules.classes.iter().enumerate() {
-            let effect = match self.told(number).effect {
+            let effect = match self.configured_class(number).effect {
                 Effect::Safe => "safe;".to_owned(),
                 Effect::Keyed => format!("keyed; scope {scope}; window {KEY_WINDOW_MS}ms;"),
                 Effect::Unsafe => "unsafe;".to_owned(),
@@ -274,12 +276,12 @@
                 "group {{ listen {}; key {}; peers {}; }}\n",
                 peer_addresses[number],
                 self.folder.join(KEY_FILE).display(),
-                // A fleet of one has nobody to tell.
+                // A fleet of one has no peers; the group needs at least one address.
                 if peers.is_empty() { peer_addresses[number].to_string() } else { peers.join(" ") }
             );
         }
         if let Some((_, links)) = &self.sign_in {
-            let (address, count) = (links[number].address, self.width());
+            let (address, count) = (links[number].address, self.configured_node_count());
             text += &format!(
                 "pool accounts {{ sidecars {count}; connect 250ms; server a {address}; }}\n\
                  sign-in door {{ pool accounts; path /check; }}\n"
@@ -291,12 +293,12 @@
             "pool app {{\n    zone {}; sidecars {}; cross-zone 0.02; connect 250ms; errors 500 502 503 504;\n    \
              declined Srv-Declined 1; cold {{ from {from}; warm {warm}ms; fall {fall}; for {window}ms; }}\n",
             ZONES[number % ZONES.len()],
-            self.width()
+            self.configured_node_count()
         );
         if scenario.domains {
             text += "    domains;\n";
         }
-        let told = lock(&self.told);
+        let told = lock(&self.server_states);
         for (server, link) in self.links[number].iter().enumerate() {
             let state = match told.get(&server) {
                 Some(&"DELETED") => continue,
@@ -312,35 +314,36 @@
         text + "}\n"
     }
 
-    /// Has a sidecar read its configuration anew, and notes which servers it was told to leave.
-    pub async fn reload(&self, number: usize, left: &[usize]) -> io::Result<()> {
+    /// Reloads the configuration of a sidecar and records which servers it was told to drain.
+    pub async fn reload(&self, number: usize, drained: &[usize]) -> io::Result<()> {
         let logs = {
             let node = self.nodes[number].lock().await;
-            node.reload(&self.statements(number, node.address))?;
+            node.reload(&self.sidecar_config(number, node.address))?;
             node.logs()
         };
         let read = || lock(&logs).iter().filter(|(_, line)| line.ends_with("read anew")).count();
         let (before, begun) = (read(), Instant::now());
         while read() == before {
-            // One that is killed or stands still meanwhile is told at its next start, or whenever it reads.
+            // A sidecar that is killed or stopped meanwhile learns of it at its next start, or when it continues.
             if begun.elapsed() > RELOAD_TIMEOUT {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let at = self.recorder.now();
-        // What has come back meanwhile, while this one was down, was never told to leave.
-        let told = lock(&self.told).clone();
-        let left = left.iter().filter(|server| told.get(server).is_some_and(|state| *state != "SERVING"));
+        // A server that returned while this node was down was never announced to it as draining.
+        let told = lock(&self.server_states).clone();
+        let drained =
+            drained.iter().filter(|server| told.get(server).is_some_and(|state| *state != "SERVING"));
         self.recorder.note(|trace| {
             let until = f64::INFINITY;
-            trace.drains.extend(left.map(|server| Drain { node: number, server: *server, at, until }));
+            trace.drains.extend(drained.map(|server| Drain { node: number, server: *server, at, until }));
         });
         Ok(())
     }
 
-    /// Tells all nodes of a new state of some servers.
-    pub async fn list(
+    /// Announces a new state of some servers to all nodes.
+    pub async fn announce_state(
         self: &Arc<Self>,
         servers: &[usize],
         state: &'static str,
@@ -355,17 +358,17 @@
             }
             return Ok(());
         }
-        lock(&self.told).extend(servers.iter().map(|server| (*server, state)));
-        let left = if state == "SERVING" { Vec::new() } else { servers.to_vec() };
+        lock(&self.server_states).extend(servers.iter().map(|server| (*server, state)));
+        let drained = if state == "SERVING" { Vec::new() } else { servers.to_vec() };
         let now = self.recorder.now();
-        let deaf = |number: usize| {
-            let mut holding = self.scenario.steps.iter().filter(|step| step.holds(now));
-            holding.any(|step| matches!(&step.fault, Fault::Unlisted(nodes) if nodes.has(number)))
+        let is_unlisted = |number: usize| {
+            let mut active = self.scenario.steps.iter().filter(|step| step.holds(now));
+            active.any(|step| matches!(&step.fault, Fault::Unlisted(nodes) if nodes.has(number)))
         };
         let mut each = JoinSet::new();
-        for number in (0..self.scenario.nodes).filter(|number| !deaf(*number)) {
-            let (testbed, left) = (self.clone(), left.clone());
-            each.spawn(async move { testbed.reload(number, &left).await });
+        for number in (0..self.scenario.nodes).filter(|number| !is_unlisted(*number)) {
+            let (testbed, drained) = (self.clone(), drained.clone());
+            each.spawn(async move { testbed.reload(number, &drained).await });
         }
         while let Some(told) = each.join_next().await {
             told.map_err(io::Error::other)??;
@@ -373,16 +376,23 @@
         Ok(())
     }
 
-    fn config(&self, number: usize, listen: SocketAddr, agent: SocketAddr, known: &str, seed: u64) -> String {
+    fn edge_node_config(
+        &self,
+        number: usize,
+        listen: SocketAddr,
+        agent: SocketAddr,
+        known: &str,
+        seed: u64,
+    ) -> String {
         let (rules, scenario) = (&self.rules, &self.scenario);
         let scope = if self.plants(ConfigDefect::KeyedEverywhere) { "all" } else { "zone" };
-        let (count, rank) = (self.width(), number % self.width());
+        let (count, rank) = (self.configured_node_count(), number % self.configured_node_count());
         let classes: Vec<_> = rules
             .classes
             .iter()
             .enumerate()
             .map(|(number, c)| {
-                let effect = match self.told(number).effect {
+                let effect = match self.configured_class(number).effect {
                     Effect::Safe => "safe",
                     Effect::Keyed => "keyed",
                     Effect::Unsafe => "unsafe",
@@ -413,38 +423,38 @@
         config.to_string()
     }
 
-    /// Puts on links and servers what holds now.
-    pub fn apply(&self, holding: &[&Fault]) {
+    /// Applies the active faults to links and servers.
+    pub fn apply(&self, active: &[&Fault]) {
         for (from, links) in self.peer_links.iter().flat_map(|(_, links)| links.iter().enumerate()) {
             for (to, link) in links.iter().enumerate() {
-                link.set(flow(holding, from, to), Flow::default());
+                link.set(peer_link_faults(active, from, to), Flow::default());
             }
         }
         let none = usize::MAX;
         for (number, links) in self.links.iter().enumerate() {
             for (server, link) in links.iter().enumerate() {
-                put(link, holding, LinkKind::Servers, number, server);
+                apply_to_link(link, active, LinkKind::Servers, number, server);
             }
             if let Some((_, links)) = &self.sign_in {
-                put(&links[number], holding, LinkKind::SignIn, number, none);
+                apply_to_link(&links[number], active, LinkKind::SignIn, number, none);
             }
-            put(&lock(&self.lists[number]), holding, LinkKind::Lists, number, none);
+            apply_to_link(&lock(&self.lists[number]), active, LinkKind::Lists, number, none);
             self.discovery_agents[number]
-                .silence(holding.iter().any(|f| matches!(f, Fault::Unlisted(n) if n.has(number))));
+                .silence(active.iter().any(|f| matches!(f, Fault::Unlisted(n) if n.has(number))));
             if let Some(endpoint) = self.endpoints().get(number) {
-                let faulty = holding.iter().any(|fault| at_clients(fault, number));
-                // Before the first break and after the last one.
+                let faulty = active.iter().any(|fault| affects_client_link(fault, number));
+                // Marks the link faulty before the first broken connection, and recovered after the last one.
                 if faulty {
-                    endpoint.at_fault(true, self.recorder.now());
+                    endpoint.set_faulty(true, self.recorder.now());
                 }
-                put(&endpoint.link, holding, LinkKind::Clients, number, none);
-                endpoint.at_fault(faulty, self.recorder.now());
+                apply_to_link(&endpoint.link, active, LinkKind::Clients, number, none);
+                endpoint.set_faulty(faulty, self.recorder.now());
             }
         }
         for server in &self.servers {
             let number = server.number;
-            let (mut slow, mut wrong, mut swallows, mut up) = (Vec::new(), Vec::new(), Vec::new(), true);
-            for fault in holding {
+            let (mut slow, mut wrong, mut no_response, mut up) = (Vec::new(), Vec::new(), Vec::new(), true);
+            for fault in active {
                 match fault {
                     Fault::Slow(servers, whom, times) if servers.has(number) => {
                         slow.push((whom.clone(), *times));
@@ -452,12 +462,12 @@
                     Fault::Wrong(servers, whom, part) if servers.has(number) => {
                         wrong.push((whom.clone(), *part));
                     }
-                    Fault::Swallow(servers, whom) if servers.has(number) => swallows.push(whom.clone()),
+                    Fault::Swallow(servers, whom) if servers.has(number) => no_response.push(whom.clone()),
                     Fault::Crash(servers) => up &= !servers.has(number),
                     _ => {}
                 }
             }
-            server.change(|c| (c.slow, c.wrong, c.swallows, c.up) = (slow, wrong, swallows, up));
+            server.change(|c| (c.slow, c.wrong, c.no_response, c.up) = (slow, wrong, no_response, up));
         }
     }
 
@@ -465,8 +475,8 @@
         self.scenario.plants.contains(&plant)
     }
 
-    /// A class as nodes and clients are told of it; a node refuses a request that does not fit what it was told.
-    pub fn told(&self, class: usize) -> Class {
+    /// Returns a class as configured at nodes and clients; a node refuses a request that contradicts its configuration.
+    pub fn configured_class(&self, class: usize) -> Class {
         let mut class = self.rules.classes[class].clone();
         if class.effect == Effect::Unsafe && self.plants(ConfigDefect::UnsafeAsSafe) {
             class.effect = Effect::Safe;
@@ -474,9 +484,9 @@
         class
     }
 
-    /// Nodes of a customer's set, as nodes and clients are told; one that takes itself for the only one takes the
-    /// whole of what is shared.
-    pub fn width(&self) -> usize {
+    /// Returns the number of nodes as configured at nodes and clients. A node that takes itself for the only one uses
+    /// the whole of every shared limit.
+    pub fn configured_node_count(&self) -> usize {
         if self.plants(ConfigDefect::Alone) {
             1
         } else {
@@ -499,25 +509,26 @@
     }
 }
 
-/// Whether a fault is on a node's link to its clients.
-pub fn at_clients(fault: &Fault, node: usize) -> bool {
+/// Returns true if a fault affects a node's client link.
+pub fn affects_client_link(fault: &Fault, node: usize) -> bool {
     matches!(fault, Fault::Link(place, _) if place.kind == LinkKind::Clients && place.nodes.has(node))
 }
 
-/// Puts on a link what holds now.
-fn put(link: &Link, holding: &[&Fault], kind: LinkKind, node: usize, server: usize) {
-    let (mut there, mut back, mut reset) = (DirectionFaults::default(), DirectionFaults::default(), false);
-    for fault in holding {
+/// Applies the active faults to a link.
+fn apply_to_link(link: &Link, active: &[&Fault], kind: LinkKind, node: usize, server: usize) {
+    let (mut forward, mut backward, mut reset) =
+        (DirectionFaults::default(), DirectionFaults::default(), false);
+    for fault in active {
         let Fault::Link(place, trouble) = fault else { continue };
         if place.kind != kind || !place.nodes.has(node) || !place.servers.has(server) {
             continue;
         }
         let mut each = |ways: crate::scenario::Directions, change: &dyn Fn(&mut DirectionFaults)| {
-            if ways.there() {
-                change(&mut there);
+            if ways.forward() {
+                change(&mut forward);
             }
-            if ways.back() {
-                change(&mut back);
+            if ways.backward() {
+                change(&mut backward);
             }
         };
         match *trouble {
@@ -529,24 +540,24 @@
             LinkFault::Rate(ways, rate) => {
                 each(ways, &|way| way.rate = Some(way.rate.map_or(rate, |now| now.min(rate))));
             }
-            LinkFault::Change(part) => back.changed = back.changed.max(part),
-            // Of datagrams alone.
+            LinkFault::Change(part) => backward.changed = backward.changed.max(part),
+            // These affect datagram links only.
             LinkFault::Lose(_) | LinkFault::Twice(_) => {}
             LinkFault::After(ways, bytes, then) => each(ways, &|way| way.after = Some((bytes, then))),
             LinkFault::Reset => reset = true,
         }
     }
-    link.set(there, back);
+    link.set(forward, backward);
     link.reset(reset);
 }
 
-/// The file of the key that nodes share.
+/// File name of the key that the nodes of a group share.
 const KEY_FILE: &str = "group.key";
 
-/// Where nodes hear each other, and a link from each to each.
+/// Opens a datagram link from each node to each, and returns the nodes' addresses and the links.
 async fn peer_links(nodes: usize, folder: &Path) -> io::Result<(Vec<SocketAddr>, Vec<Vec<DatagramLink>>)> {
     std::fs::write(folder.join(KEY_FILE), "a key for this play and no other")?;
-    // Held until all are chosen, so that no two are the same; at an address at which nothing else here asks for ports.
+    // The sockets stay bound until all ports are chosen, so that no two are equal. No other part binds ports on 127.0.0.2.
     let held: Vec<std::net::UdpSocket> =
         (0..nodes).map(|_| std::net::UdpSocket::bind("127.0.0.2:0")).collect::<Result<_, _>>()?;
     let peer_addresses = held.iter().map(std::net::UdpSocket::local_addr).collect::<Result<Vec<_>, _>>()?;
@@ -561,16 +572,17 @@
     Ok((peer_addresses, links))
 }
 
-/// What holds on what one node tells another: a fault of some nodes is between them and the others.
-fn flow(holding: &[&Fault], from: usize, to: usize) -> Flow {
+/// Returns the active faults of the link from one node to another. A fault of some nodes affects the links between
+/// them and the others.
+fn peer_link_faults(active: &[&Fault], from: usize, to: usize) -> Flow {
     let mut flow = Flow::default();
-    for fault in holding {
+    for fault in active {
         let Fault::Link(place, trouble) = fault else { continue };
         let (own, other) = (place.nodes.has(from), place.nodes.has(to));
         if place.kind != LinkKind::Nodes || own == other && !place.nodes.is_all() {
             continue;
         }
-        let goes = |ways: crate::scenario::Directions| if own { ways.there() } else { ways.back() };
+        let goes = |ways: crate::scenario::Directions| if own { ways.forward() } else { ways.backward() };
         match *trouble {
             LinkFault::Cut(ways) => flow.cut |= goes(ways),
             LinkFault::Delay(ways, by, jitter) if goes(ways) => {
