--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -26,7 +26,7 @@
 mod trace;
 
 pub use datagrams::{DatagramLink, Flow};
-pub use measure::{measure, Measured};
+pub use measure::{measure_link, LinkMeasurement};
 pub use node::{guard, Program};
 pub use oracle::{judge, Figures, Finding, Rules, Verdict};
 pub use relay::{DirectionFaults, LimitAction, Link};
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -1,10 +1,10 @@
-//! The command line of the rig: plays scenarios, lists them, compares two programs.
+//! The command line of the fault-injection harness: runs and lists scenarios and compares two programs.
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure, report, run_once, shipped, Figures, NodeKind, Program, RunResult, Scenario, Selection,
-    Verdict,
+    guard, measure_link, report, run_once, shipped, Figures, NodeKind, Program, RunResult, Scenario,
+    Selection, Verdict,
 };
 use serde_json::json;
 use std::io::Write;
@@ -13,14 +13,14 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Prints a line. A reader that has seen enough, as `head`, is no failure.
+/// Prints a line to standard output. A closed pipe, as with `head`, is no error.
 macro_rules! say {
     ($($words:tt)*) => {
         drop(writeln!(std::io::stdout(), $($words)*))
     };
 }
 
-/// Plays many processes of ivygate with faults between them, and judges by what servers ran and clients got.
+/// Runs fleets of ivygate processes under fault injection and checks what servers executed and clients received.
 #[derive(Parser)]
 #[command(name = "ivygate-fleet", version)]
 struct Cli {
@@ -30,126 +30,127 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a scenario: 0 if all rules were kept, 1 if one was broken, 3 if the machine was too slow to tell
-    Run(Run),
-    /// Play a scenario and write one page with pictures: `run` with `--report`
+    /// Run a scenario: exits with 0 if all rules hold, 1 if one is violated, 3 if the run is inconclusive
+    Run(RunOptions),
+    /// Run a scenario and write an HTML report: `run` with `--report`
     Report {
-        /// One of `ivygate-fleet list`, or a file
+        /// Name of a built-in scenario (see `ivygate-fleet list`), or a file
         scenario: String,
-        /// The page
+        /// File of the report
         file: PathBuf,
-        /// The program under test; by default the ivygate beside this one
+        /// The program under test; by default the ivygate next to this binary
         #[arg(long)]
         program: Option<PathBuf>,
     },
     /// List the scenarios that come with the program
     List,
-    /// Print one of them, to change it
+    /// Print a built-in scenario, as a template
     Show {
-        /// Its name
+        /// Name of the scenario
         scenario: String,
     },
-    /// Play a scenario with two programs in turns, on the same seeds, and tell the difference
+    /// Run a scenario alternately with two programs on the same seeds, and print the difference
     Compare {
-        /// One of `ivygate-fleet list`, or a file
+        /// Name of a built-in scenario (see `ivygate-fleet list`), or a file
         scenario: String,
-        /// The one program
+        /// The first program
         old: PathBuf,
-        /// The other
+        /// The second program
         new: PathBuf,
-        /// Another scenario that the new one plays: two settings against each other, also of one program
+        /// Another scenario for the second program, to compare two settings, also of one program
         #[arg(long)]
         against: Option<String>,
-        /// The new one judges the zones of its servers as a whole, the old one does not; sidecars only
+        /// Enable failure detection of whole zones for the second program only; sidecars only
         #[arg(long, conflicts_with = "against")]
         domains: bool,
-        /// The new one's processes tell each other what they see, the old one's don't; both judge zones
+        /// Enable the exchange of observations for the second program only; both detect failures of whole zones
         #[arg(long, conflicts_with_all = ["against", "domains"])]
         group: bool,
-        /// How often each is played
+        /// Number of runs of each program
         #[arg(long, default_value_t = 5)]
         turns: u64,
     },
-    /// Play a scenario often on one seed, and tell how far each figure varies: less than that is noise
+    /// Run a scenario repeatedly with one seed, and print the variation of each figure
     Noise {
-        /// One of `ivygate-fleet list`, or a file
+        /// Name of a built-in scenario (see `ivygate-fleet list`), or a file
         scenario: String,
-        /// How often it is played
+        /// Number of runs
         #[arg(long, default_value_t = 10)]
         times: u64,
-        /// The program under test; by default the ivygate beside this one
+        /// The program under test; by default the ivygate next to this binary
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Find the largest rate that this machine plays without a void run, for some sizes of a fleet
+    /// Find the largest request rate that this machine sustains without an inconclusive run, by fleet size
     Limits {
         /// Numbers of nodes
         #[arg(long, value_delimiter = ',', default_value = "3,10,20,40")]
         nodes: Vec<usize>,
-        /// The program under test; by default the ivygate beside this one
+        /// The program under test; by default the ivygate next to this binary
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Measure what a link adds: its own delay, its share of a processor, many connections at once
+    /// Measure the overhead of a link: latency, CPU time, many connections at once
     Links {
-        /// Connections held open through one link
+        /// Number of connections open through one link
         #[arg(long, default_value_t = 1000)]
         connections: usize,
-        /// Messages there and back, one after the other
+        /// Number of round trips, one after the other
         #[arg(long, default_value_t = 20_000)]
         messages: usize,
     },
-    /// End the processes named on standard input when it ends; the rig starts this itself
+    /// Kill the processes named on standard input when it ends (started by the harness itself)
     #[command(hide = true)]
     Guard,
 }
 
 #[derive(Args, Default)]
-struct Run {
-    /// One of `ivygate-fleet list`, or a file
+struct RunOptions {
+    /// Name of a built-in scenario (see `ivygate-fleet list`), or a file
     scenario: String,
-    /// Decides all draws in place of the scenario's own seed
+    /// Seed of the random generators, in place of the scenario's
     #[arg(long)]
     seed: Option<u64>,
-    /// Nodes in place of the scenario's
+    /// Number of nodes, in place of the scenario's
     #[arg(long)]
     nodes: Option<usize>,
-    /// Requests a second in place of the scenario's
+    /// Requests per second, in place of the scenario's
     #[arg(long)]
     rate: Option<f64>,
-    /// The program under test; by default the ivygate beside this one
+    /// The program under test; by default the ivygate next to this binary
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Another one that some nodes run, as during a release
+    /// Another version that some nodes run, as during a rollout
     #[arg(long, requires = "others")]
     other: Option<PathBuf>,
-    /// Those nodes: all, north, south, a part such as 1/2, numbers such as 0,3
+    /// The nodes that run it: all, north, south, a part such as 1/2, numbers such as 0,3
     #[arg(long, requires = "other")]
     others: Option<String>,
-    /// The defect of a planted program; ivygate-planted lists them
+    /// Defect to activate in a program with seeded defects; ivygate-planted lists them
     #[arg(long)]
     defect: Option<String>,
-    /// Keeps what the processes wrote in this folder
+    /// Folder in which the files of the processes are kept
     #[arg(long)]
     keep: Option<PathBuf>,
-    /// Writes the play as one page of HTML with pictures
+    /// File for an HTML report of the run
     #[arg(long)]
     report: Option<PathBuf>,
-    /// Prints JSON, a line each for faults, findings, figures and the verdict
+    /// Print JSON lines for faults, findings, figures and the verdict
     #[arg(long)]
     json: bool,
 }
 
-/// For usage and scenarios; the one for a play that says nothing.
+/// Exit code for errors of usage and of scenario files.
 const EXIT_USAGE: u8 = 2;
+/// Exit code for an inconclusive run.
 const EXIT_VOID: u8 = 3;
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Command::Run(asked) => with_scenario(&asked.scenario, |scenario| run(scenario, &asked)),
+        Command::Run(options) => with_scenario(&options.scenario, |scenario| run(scenario, &options)),
         Command::Report { scenario, file, program } => {
-            let asked = Run { report: Some(file), program, scenario, ..Run::default() };
-            with_scenario(&asked.scenario, |scenario| run(scenario, &asked))
+            let options = RunOptions { report: Some(file), program, scenario, ..RunOptions::default() };
+            with_scenario(&options.scenario, |scenario| run(scenario, &options))
         }
         Command::List => {
             for (name, text) in shipped() {
@@ -175,7 +176,7 @@
                     compare(&[with(false), with(true)], [old, new], turns)
                 }
                 None if (domains || group) && scenario.form != NodeKind::Sidecar => {
-                    usage_error("only sidecars judge zones as a whole")
+                    usage_error("only sidecars detect failures of whole zones")
                 }
                 None if domains => {
                     let with =
@@ -189,7 +190,7 @@
             with_scenario(&scenario, |scenario| noise(&scenario, times, program.as_deref()))
         }
         Command::Limits { nodes, program } => limits(&nodes, program.as_deref()),
-        Command::Links { connections, messages } => match measure(connections, messages) {
+        Command::Links { connections, messages } => match measure_link(connections, messages) {
             Ok(measured) => {
                 say!("{measured}");
                 ExitCode::SUCCESS
@@ -213,13 +214,13 @@
     ExitCode::FAILURE
 }
 
-/// The text of a scenario that came with the program or lies in a file.
+/// Returns the text of a built-in scenario or of a file.
 fn text(name: &str) -> Result<String, String> {
     if let Some((_, text)) = shipped().into_iter().find(|(shipped, _)| *shipped == name) {
         return Ok(text.to_owned());
     }
     std::fs::read_to_string(name).map_err(|error| {
-        format!("'{name}' is none of `ivygate-fleet list`, and no file that can be read: {error}")
+        format!("'{name}' is neither a scenario of `ivygate-fleet list` nor a readable file: {error}")
     })
 }
 
@@ -231,7 +232,7 @@
     }
 }
 
-/// Plays once, with a bar of its progress; one is drawn on a terminal alone.
+/// Runs a scenario once, with a progress bar on a terminal.
 fn run_with_progress(
     scenario: &Scenario,
     program: &Program,
@@ -256,7 +257,7 @@
     })
 }
 
-/// Plays once with a program, by default the one beside this.
+/// Runs a scenario once with a program, by default the `ivygate` next to this binary.
 fn run_with_program(scenario: &Scenario, program: Option<&Path>, seed: u64) -> Result<RunResult, String> {
     run_with_progress(scenario, &find_program(program)?, seed, None)
 }
@@ -265,39 +266,39 @@
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let program = program.map_or_else(|| own.with_file_name("ivygate"), Path::to_owned);
     if !program.is_file() {
-        return Err(format!("{}: no such program; build it with cargo build --release", program.display()));
+        return Err(format!("{}: program not found; build it with cargo build --release", program.display()));
     }
     Ok(Program { program, guard: Some(own), ..Program::default() })
 }
 
-fn run(scenario: Scenario, asked: &Run) -> ExitCode {
-    let scenario = match scenario.resized(asked.nodes, asked.rate) {
+fn run(scenario: Scenario, options: &RunOptions) -> ExitCode {
+    let scenario = match scenario.resized(options.nodes, options.rate) {
         Ok(scenario) => scenario,
         Err(error) => return usage_error(&error),
     };
-    let program = find_program(asked.program.as_deref()).and_then(|program| {
+    let program = find_program(options.program.as_deref()).and_then(|program| {
         let others =
-            asked.others.as_deref().map(|others| Selection::parse(others, scenario.nodes)).transpose()?;
-        Ok(Program { other: asked.other.clone().zip(others), defect: asked.defect.clone(), ..program })
+            options.others.as_deref().map(|others| Selection::parse(others, scenario.nodes)).transpose()?;
+        Ok(Program { other: options.other.clone().zip(others), defect: options.defect.clone(), ..program })
     });
     let program = match program {
         Ok(program) => program,
         Err(error) => return usage_error(&error),
     };
-    let seed = asked.seed.unwrap_or(scenario.seed);
-    if !asked.json {
+    let seed = options.seed.unwrap_or(scenario.seed);
+    if !options.json {
         say!("{}: {} (seed {seed})", scenario.name, scenario.about);
     }
-    let result = match run_with_progress(&scenario, &program, seed, asked.keep.as_deref()) {
+    let result = match run_with_progress(&scenario, &program, seed, options.keep.as_deref()) {
         Ok(result) => result,
         Err(error) => return failed(&error),
     };
-    if let Some(file) = &asked.report {
+    if let Some(file) = &options.report {
         if let Err(error) = std::fs::write(file, report(&scenario, &result, seed)) {
             return failed(&format!("{}: {error}", file.display()));
         }
     }
-    if asked.json {
+    if options.json {
         print_json(&scenario, &result, seed);
     } else {
         print_text(&result);
@@ -356,7 +357,7 @@
     say!("{}", json!({"verdict": verdict}));
 }
 
-/// Plays on one seed again and again: what differs is the machine's doing, and the noise of each figure.
+/// Runs a scenario repeatedly with one seed: differences come from the machine and are the noise of each figure.
 fn noise(scenario: &Scenario, times: u64, program: Option<&Path>) -> ExitCode {
     let mut results = Vec::new();
     let mut broken = 0;
@@ -385,7 +386,7 @@
     ExitCode::SUCCESS
 }
 
-/// Mean and standard deviation.
+/// Returns the mean and the standard deviation.
 fn spread(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -393,7 +394,7 @@
     (mean, (squares / (count - 1.0).max(1.0)).sqrt())
 }
 
-/// For each size of a fleet, raises the rate until a play is void.
+/// Raises the rate for each fleet size until a run is void.
 fn limits(sizes: &[usize], program: Option<&Path>) -> ExitCode {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     say!("{cores} processors; 5 s each, nothing fails; 16 servers of 16 workers");
@@ -451,7 +452,7 @@
     )
 }
 
-/// Plays both in turns, the one first that was second before, and tells whether the difference is more than noise.
+/// Runs both programs alternately, swapping their order each turn, and prints whether the difference exceeds the noise.
 fn compare(scenarios: &[Scenario; 2], programs: [PathBuf; 2], turns: u64) -> ExitCode {
     let mut differences = Vec::new();
     let mut broken = [0; 2];
@@ -477,7 +478,7 @@
         differences.push(served[1] - served[0]);
     }
     let (mean, differing) = spread(&differences);
-    // Twice the standard error: about 95 % for the few turns that are usual.
+    // Twice the standard error: a confidence of about 95 % for the usual small number of turns.
     let error = if differences.len() > 1 {
         2.0 * differing / (differences.len() as f64).sqrt()
     } else {
--- a/crates/fault-injection/src/measure.rs
+++ b/crates/fault-injection/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a link costs: its own delay, its share of a processor, and how it stands with many connections.
+//! Measures the overhead of a link: added latency, CPU time, and its behaviour with many connections.
 
 use crate::accept::accept;
 use crate::process_stat::cpu_seconds;
@@ -11,27 +11,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes of a message, about those of a request of the rig.
+/// Size of a message in bytes, about that of a request of the load generator.
 const MESSAGE_BYTES: usize = 400;
 
-/// What was measured.
+/// Result of the measurement.
 #[derive(Clone, Debug)]
-pub struct Measured {
-    /// Messages there and back, one after the other.
+pub struct LinkMeasurement {
+    /// Number of round trips, one after the other.
     pub messages: usize,
-    /// Half of them, and 99 in 100, take at most this without a link and with one, in microseconds.
+    /// Median and 99th percentile of the round-trip time without a link, in microseconds.
     pub direct: [f64; 2],
-    /// And with one.
+    /// Median and 99th percentile of the round-trip time through a link, in microseconds.
     pub linked: [f64; 2],
-    /// Processor time of the whole rig for a message there and back, in microseconds, without a link and with one.
+    /// CPU time of the whole process per round trip in microseconds, without a link and through one.
     pub cpu: [f64; 2],
-    /// Connections that were open at once through one link, each of which brought a message there and back.
+    /// Number of connections open at once through one link, each with one round trip.
     pub connections: usize,
-    /// How long that took.
+    /// Time to open them and complete their round trips.
     pub took: Duration,
 }
 
-impl fmt::Display for Measured {
+impl fmt::Display for LinkMeasurement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
@@ -53,11 +53,11 @@
     }
 }
 
-/// Measures a link between this process and an echo in it.
+/// Measures a link to an echo server in this process.
 ///
 /// # Errors
-/// If connections can't be had: each takes four descriptors here.
-pub fn measure(connections: usize, messages: usize) -> io::Result<Measured> {
+/// If connections cannot be opened: each needs four file descriptors of this process.
+pub fn measure_link(connections: usize, messages: usize) -> io::Result<LinkMeasurement> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -65,18 +65,18 @@
         let (_open, state) = watch::channel(());
         accept(listener, state, |stream, _| drop(tokio::spawn(echo(stream))));
         let link = Link::open(target, |_| {}).await?;
-        let (direct, direct_cpu) = asked(target, messages).await?;
-        let (linked, linked_cpu) = asked(link.address, messages).await?;
+        let (direct, direct_cpu) = measure_round_trips(target, messages).await?;
+        let (linked, linked_cpu) = measure_round_trips(link.address, messages).await?;
         let begun = Instant::now();
         let mut open = Vec::new();
         for _ in 0..connections {
             open.push(TcpStream::connect(link.address).await?);
         }
         for stream in &mut open {
-            once(stream).await?;
+            round_trip(stream).await?;
         }
         let (took, cpu) = (begun.elapsed(), [direct_cpu, linked_cpu]);
-        Ok(Measured { messages, direct, linked, cpu, connections, took })
+        Ok(LinkMeasurement { messages, direct, linked, cpu, connections, took })
     })
 }
 
@@ -90,22 +90,22 @@
     }
 }
 
-async fn once(stream: &mut TcpStream) -> io::Result<()> {
+async fn round_trip(stream: &mut TcpStream) -> io::Result<()> {
     let mut buffer = [7; MESSAGE_BYTES];
     stream.write_all(&buffer).await?;
     stream.read_exact(&mut buffer).await.map(drop)
 }
 
-/// Times of messages there and back, and processor time for each, in microseconds.
-async fn asked(address: SocketAddr, messages: usize) -> io::Result<([f64; 2], f64)> {
+/// Returns the median and 99th percentile of the round-trip time, and the CPU time per round trip, in microseconds.
+async fn measure_round_trips(address: SocketAddr, messages: usize) -> io::Result<([f64; 2], f64)> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    once(&mut stream).await?;
+    round_trip(&mut stream).await?;
     let before = cpu_seconds("self");
     let mut times = Vec::with_capacity(messages);
     for _ in 0..messages.max(1) {
         let begun = Instant::now();
-        once(&mut stream).await?;
+        round_trip(&mut stream).await?;
         times.push(begun.elapsed().as_secs_f64() * 1e6);
     }
     let cpu = (cpu_seconds("self") - before) * 1e6 / times.len() as f64;
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,5 +1,5 @@
-//! One play as one page: HTML that needs nothing beside it, with the figures, what was found, and pictures over time with
-//! the faults as bands. No I/O.
+//! Renders a run as one self-contained HTML page: figures, findings, and charts over time with the faults as bands. No
+//! I/O.
 
 use crate::oracle::{Figures, Verdict};
 use crate::runner::RunResult;
@@ -8,18 +8,18 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
-/// Size of a picture, in pixels.
+/// Size of a chart in pixels.
 const SIZE: (u32, u32) = (900, 240);
-/// Over how long answers and runs are counted, in seconds.
+/// Interval by which responses and executions are counted, in seconds.
 const BIN: f64 = 0.25;
-/// Most findings and most lines of a node that are shown.
+/// Largest numbers of findings, and of log lines per node, that are shown.
 const MAX_FINDINGS: usize = 200;
 const MAX_LOG_LINES: usize = 60;
 
-/// A line of a picture: its name, and points of seconds and values.
+/// A line of a chart: its name, and points of seconds and values.
 type Series = (String, Vec<(f64, f64)>);
 
-/// The page.
+/// Returns the report page of a run.
 #[must_use]
 pub fn report(scenario: &Scenario, result: &RunResult, seed: u64) -> String {
     let verdict = match result.verdict {
@@ -56,7 +56,7 @@
     page += &figures(&result.figures);
     for (title, unit, series) in pictures(scenario, result) {
         let _ = writeln!(page, "<h2>{title}</h2>");
-        // A picture that can't be drawn is missing; the figures stand.
+        // A chart that cannot be drawn is left out; the figures remain.
         page += &picture(scenario, result, unit, &series).unwrap_or_default();
     }
     page += "<h2>What nodes said</h2>\n";
@@ -88,7 +88,7 @@
     table + "</table>\n"
 }
 
-/// What is drawn: title, unit, lines.
+/// Returns the charts: title, unit and lines.
 fn pictures(scenario: &Scenario, result: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let trace = &result.trace;
     let rate = |of: &dyn Fn(&crate::trace::Request) -> bool| {
@@ -138,13 +138,13 @@
     ]
 }
 
-/// A node's own word for how many servers it has ejected.
+/// Parses the number of ejected servers from a log line of a node.
 fn ejected((at, line): &(f64, String)) -> Option<(f64, f64)> {
     let (before, _) = line.split_once(" ejected")?;
     Some((at / 1000.0, before.rsplit(' ').next()?.parse().ok()?))
 }
 
-/// Sums of values over equal times, each times a factor.
+/// Sums values by interval and multiplies each sum by a factor.
 fn by_time(values: impl Iterator<Item = (f64, f64)>, factor: f64) -> Vec<(f64, f64)> {
     let mut sums: Vec<f64> = Vec::new();
     for (at, value) in values {
@@ -157,7 +157,7 @@
     sums.iter().enumerate().map(|(bin, sum)| (bin as f64 * BIN, sum * factor)).collect()
 }
 
-/// By time, how long a part of the served requests took at most.
+/// Returns a quantile of the latency of served requests by interval.
 fn quantile(result: &RunResult, part: f64) -> Vec<(f64, f64)> {
     let mut bins: Vec<Vec<f64>> = Vec::new();
     for request in result.trace.requests.iter().filter(|r| r.outcome == Outcome::Served) {
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -557,7 +557,7 @@
 /// Opens a datagram link from each node to each, and returns the nodes' addresses and the links.
 async fn peer_links(nodes: usize, folder: &Path) -> io::Result<(Vec<SocketAddr>, Vec<Vec<DatagramLink>>)> {
     std::fs::write(folder.join(KEY_FILE), "a key for this play and no other")?;
-    // The sockets stay bound until all ports are chosen, so that no two are equal. No other part binds ports on 127.0.0.2.
+    // The sockets stay bound until all ports are chosen, so that they differ. Nothing else binds ports on 127.0.0.2.
     let held: Vec<std::net::UdpSocket> =
         (0..nodes).map(|_| std::net::UdpSocket::bind("127.0.0.2:0")).collect::<Result<_, _>>()?;
     let peer_addresses = held.iter().map(std::net::UdpSocket::local_addr).collect::<Result<Vec<_>, _>>()?;
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -2,8 +2,8 @@
 //! was started ends with the rig.
 
 use ivygate_fault_injection::{
-    measure, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, LimitAction, Link, RunResult,
-    Scenario, Span, Trace, Verdict,
+    measure_link, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, LimitAction, Link,
+    RunResult, Scenario, Span, Trace, Verdict,
 };
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -273,7 +273,7 @@
 
 #[test]
 fn a_link_holds_many_connections_and_its_cost_is_told() {
-    let measured = measure(200, 50).expect("it measures");
+    let measured = measure_link(200, 50).expect("it measures");
     assert!(measured.connections == 200 && measured.linked[0] > 0.0, "{measured}");
 }
 
