--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use ivygate_test_servers::{until, App, Message, Reply};
+use ivygate_test_servers::{wait_until, AppServer, Message, Reply};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -18,7 +18,7 @@
     folder
 }
 
-fn sidecar(folder: &Path, app: &App) -> Sidecar {
+fn sidecar(folder: &Path, app: &AppServer) -> Sidecar {
     Sidecar::with(&[
         format!("journal {{ folder {}; }}\n", folder.display()),
         pool("app", "attempts 3;", &[(app.address, "north")]),
@@ -61,7 +61,7 @@
 #[test]
 fn orders_are_recorded_with_their_outcome_and_reads_are_not() {
     let folder = folder("outcomes");
-    let app = App::start(|m| match m.header("req-id") {
+    let app = AppServer::start(|m| match m.header("req-id") {
         Some("bad") => Reply::Answer("422 Unprocessable Content", "", Vec::new()),
         Some("broken") => Reply::Close,
         _ => Reply::ok("done"),
@@ -72,7 +72,7 @@
     }
     assert_eq!(sidecar.get("/reads").status(), 200);
     // The journal can be queried while the sidecar runs.
-    until("the outcome is recorded", || list_orders(&folder)["bad"].0 == "answered");
+    wait_until("the outcome is recorded", || list_orders(&folder)["bad"].0 == "answered");
     assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: 3 orders, 1 unknown"));
     let mut sidecar = sidecar;
     sidecar.terminate();
@@ -100,7 +100,7 @@
 #[test]
 fn second_sidecar_on_the_same_journal_does_not_start() {
     let folder = folder("second");
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let first = sidecar(&folder, &app);
     let text = std::fs::read_to_string(&first.config).expect("its file");
     let file = support::scratch(&text);
@@ -136,7 +136,7 @@
     let answered = Arc::<Mutex<Vec<(String, u16)>>>::default();
     let seen = Arc::<Mutex<Vec<String>>>::default();
     let log = seen.clone();
-    let app = App::start(move |m: &Message| {
+    let app = AppServer::start(move |m: &Message| {
         let id = m.header("req-id").unwrap_or_default().to_owned();
         log.lock().expect("no panic").push(id.clone());
         reply_to(&id).1
@@ -165,7 +165,7 @@
             })
             .collect();
         let kill_at = before.len() + rng.usize(1..100);
-        until("the load has reached the kill point", || app.seen() >= kill_at);
+        wait_until("the load has reached the kill point", || app.request_count() >= kill_at);
         drop(sidecar);
         for client in clients {
             client.join().expect("no panic");
@@ -203,7 +203,7 @@
 #[test]
 fn repeated_order_after_a_crash_gets_its_recorded_state_and_does_not_run_again() {
     let folder = folder("again");
-    let app = App::start(|m| match m.header("req-id") {
+    let app = AppServer::start(|m| match m.header("req-id") {
         Some("broken") => Reply::Close,
         _ => Reply::ok("done"),
     });
@@ -254,7 +254,7 @@
 #[test]
 fn journal_queries_are_answered_on_the_operator_listener_only() {
     let folder = folder("operators");
-    let app = App::start(|m| match m.header("order-no") {
+    let app = AppServer::start(|m| match m.header("order-no") {
         Some("b") => Reply::Close,
         _ => Reply::ok("done"),
     });
@@ -277,7 +277,7 @@
     let key = "Idempotency-Key: k\r\n";
     // Keyed requests are recorded, but do not reserve their client id.
     assert_eq!((post("/keyed", "k", key), post("/keyed", "k", key)), (200, 200));
-    until("the operator address is logged", || sidecar.said().contains("operator interface at "));
+    wait_until("the operator address is logged", || sidecar.said().contains("operator interface at "));
     let said = sidecar.said();
     let address = said.split("operator interface at ").nth(1).and_then(|rest| rest.split_whitespace().next());
     let address: std::net::SocketAddr = address.expect("the address is logged").parse().expect("an address");
@@ -286,7 +286,7 @@
     let text = |answer: &Message| String::from_utf8(answer.body.clone()).expect("text");
     // The last outcome is recorded with a delay.
     let unknown = || text(&ask("GET /orders?state=unknown"));
-    until("one order is unknown", || unknown().lines().count() == 1);
+    wait_until("one order is unknown", || unknown().lines().count() == 1);
     assert!(unknown().contains("\"client_id\":\"b\""), "{}", unknown());
     // Paging returns each order once.
     let (mut after, mut seen) = (String::new(), 0);
@@ -328,18 +328,18 @@
 #[test]
 fn client_disconnects_and_timeouts_are_distinguished() {
     let folder = folder("end-reason");
-    let app = App::start(|_| Reply::Silence);
+    let app = AppServer::start(|_| Reply::Silence);
     let sidecar = sidecar(&folder, &app);
     let disconnecting = {
         let mut client = sidecar.client();
         client.write(order("leaves").as_bytes());
         client
     };
-    until("it is sent", || app.seen() == 1);
+    wait_until("it is sent", || app.request_count() == 1);
     drop(disconnecting);
     assert_eq!(sidecar.ask(&order("waits")).status(), 504);
     let ended = |id: &str| run_journal_command(&["show", id], &folder).0;
-    until("both end reasons are recorded", || {
+    wait_until("both end reasons are recorded", || {
         ended("leaves").contains("client disconnected") && ended("waits").contains("timed out")
     });
     drop(sidecar);
@@ -347,12 +347,12 @@
 }
 
 /// Asserts that orders are rejected with 503 and `Retry-After` and not sent, while other requests are served.
-fn assert_only_orders_are_rejected(sidecar: &Sidecar, app: &App) {
-    let before = app.seen();
+fn assert_only_orders_are_rejected(sidecar: &Sidecar, app: &AppServer) {
+    let before = app.request_count();
     let refused = sidecar.ask(&order("late"));
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
-    assert_eq!((app.seen(), sidecar.get("/reads").status()), (before, 200));
+    assert_eq!((app.request_count(), sidecar.get("/reads").status()), (before, 200));
     assert!(sidecar.said().contains("are refused until a restart"), "{}", sidecar.said());
 }
 
@@ -360,7 +360,7 @@
 fn orders_are_rejected_after_the_journal_folder_is_removed_or_replaced() {
     for replaced in [false, true] {
         let folder = folder("vanished");
-        let app = App::start(|_| Reply::ok("done"));
+        let app = AppServer::start(|_| Reply::ok("done"));
         let sidecar = sidecar(&folder, &app);
         assert_eq!(sidecar.ask(&order("first")).status(), 200);
         std::fs::remove_dir_all(&folder).expect("removed");
@@ -376,7 +376,7 @@
 #[test]
 fn full_disk_stops_orders_only() {
     let folder = folder("no-space");
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     // The limit is in blocks of 512 bytes. Writes beyond it fail with an error, since SIGXFSZ is ignored.
     let sidecar = Sidecar::limited(
         "trap '' XFSZ; ulimit -f 6144",
@@ -401,7 +401,7 @@
         taken += 1;
         assert!(taken < 5000, "the file size limit has no effect");
     }
-    assert_eq!(app.seen(), taken, "rejected orders were not sent");
+    assert_eq!(app.request_count(), taken, "rejected orders were not sent");
     assert_only_orders_are_rejected(&sidecar, &app);
     drop(sidecar);
     // The accepted orders are in the journal.
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -10,8 +10,8 @@
 const NORTH: &str = "north";
 
 /// Starts an application behind a sidecar, reached under `/app` with any method.
-fn start_with_app(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (App, Sidecar) {
-    let app = App::start(reply);
+fn start_with_app(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> (AppServer, Sidecar) {
+    let app = AppServer::start(reply);
     let parts = [pool("app", "", &[(app.address, NORTH)]), any_route("app")];
     let sidecar = Sidecar::with(&parts);
     (app, sidecar)
@@ -22,7 +22,7 @@
     format!("route {pool} {{ path prefix /{pool}; class order; pool {pool}; }}\n")
 }
 
-fn last(app: &App) -> Message {
+fn last(app: &AppServer) -> Message {
     app.requests.lock().expect("no panic").last().expect("a request").clone()
 }
 
@@ -51,7 +51,7 @@
         assert_eq!(answer.status(), 200, "{path}");
         assert_eq!(last(&app).start, format!("GET {seen} HTTP/1.1"), "{path}");
     }
-    let before = app.seen();
+    let before = app.request_count();
     for path in [
         "/app/..%2Fx",
         "/app/..;/x",
@@ -67,7 +67,7 @@
     }
     // The normalized path leaves the prefix, so that no route matches.
     assert_eq!(sidecar.get("/app/../secret").status(), 404);
-    assert_eq!(app.seen(), before);
+    assert_eq!(app.request_count(), before);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     for head in ["Host: h\r\nHost: h\r\n", "", "Host: a b\r\n", "Host: h/x\r\n"] {
         assert_eq!(sidecar.ask(&format!("GET /app HTTP/1.1\r\n{head}\r\n")).status(), 400, "{head:?}");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -90,7 +90,7 @@
         let answer = sidecar.post("/app", "", "x");
         assert_eq!(format!("{}", answer.status()), status[..3]);
         assert_eq!((answer.body.as_slice(), answer.header("x-app")), (&b"words"[..], Some("1")));
-        assert_eq!((answer.header("retry-after"), app.seen()), (Some("7"), 1));
+        assert_eq!((answer.header("retry-after"), app.request_count()), (Some("7"), 1));
     }
 }
 
@@ -193,7 +193,7 @@
     let upgrade = "GET /app HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n";
     assert_eq!(sidecar.ask(upgrade).status(), 501);
     assert_eq!(sidecar.ask("CONNECT h:80 HTTP/1.1\r\nHost: h:80\r\n\r\n").status(), 501);
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
 
 #[test]
@@ -236,7 +236,7 @@
         assert_eq!(client.read().map(|answer| answer.status()), Some(400), "{body:?}");
         assert!(client.read().is_none(), "{body:?}: a second answer");
     }
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
     assert_eq!(sidecar.post("/app", "", "x").status(), 200);
 }
 
@@ -255,7 +255,7 @@
         let status = client.read().map(|answer| answer.status());
         assert!(matches!(status, Some(400 | 431)), "{status:?}");
     }
-    assert_eq!(app.seen(), 1);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
@@ -285,7 +285,7 @@
 fn large_bodies_are_streamed_in_both_directions_in_bounded_memory() {
     const LARGE: usize = 48 << 20;
     // Echoes the body while receiving it.
-    let echo = Scripted::start(|stream, _| {
+    let echo = ScriptedServer::start(|stream, _| {
         let Some(head) = read_head(stream) else { return };
         let length: usize = head.header("content-length").and_then(|l| l.parse().ok()).expect("a length");
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
@@ -329,7 +329,7 @@
 
 #[test]
 fn client_that_stops_reading_is_disconnected_and_delays_no_other() {
-    let app = App::start(|request| {
+    let app = AppServer::start(|request| {
         Reply::Answer(
             "200 OK",
             "",
@@ -341,10 +341,10 @@
     let sidecar = Sidecar::start(&config);
     let mut slow = sidecar.client();
     slow.write(b"GET /app/large HTTP/1.1\r\nHost: h\r\n\r\n");
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     assert_eq!(sidecar.get("/app/small").status(), 200);
     // The application's thread ends when its connection is closed during the response.
-    until("the connection to the application is closed", || {
+    wait_until("the connection to the application is closed", || {
         let open = app.open();
         open <= 1
     });
@@ -356,7 +356,7 @@
 
 #[test]
 fn client_disconnect_closes_the_connection_to_the_application() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         read_message(stream);
         let piece = [b'x'; 1 << 10];
         let head = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n";
@@ -372,19 +372,19 @@
     assert_eq!(read_head(&mut client.stream).expect("a head").status(), 200);
     client.stream.fill_buf().expect("some of the body");
     drop(client);
-    until("the application's connection has ended", || app.ended.load(Ordering::SeqCst) == 1);
+    wait_until("the application's connection has ended", || app.ended.load(Ordering::SeqCst) == 1);
 }
 
 #[test]
 fn truncated_response_is_relayed_as_truncated_and_not_retried() {
     for end in ["close", "reset", "stall"] {
-        let app = Scripted::start(move |stream, _| {
+        let app = ScriptedServer::start(move |stream, _| {
             if read_message(stream).is_none() {
                 return;
             }
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             match end {
-                "reset" => reset(stream.get_ref()),
+                "reset" => reset_on_close(stream.get_ref()),
                 "stall" => drop(stream.read(&mut [0])),
                 _ => {}
             }
@@ -403,7 +403,7 @@
 fn truncated_request_body_never_reaches_the_application_as_complete() {
     let complete = Arc::new(AtomicUsize::new(0));
     let counted = complete.clone();
-    let app = Scripted::start(move |stream, _| {
+    let app = ScriptedServer::start(move |stream, _| {
         while read_message(stream).is_some() {
             counted.fetch_add(1, Ordering::SeqCst);
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
@@ -444,7 +444,7 @@
             assert_eq!(result, (400, Some("close")), "{} {broken:?}", before.len());
         }
     }
-    until("all attempts have ended", || app.open.load(Ordering::SeqCst) == 0);
+    wait_until("all attempts have ended", || app.open.load(Ordering::SeqCst) == 0);
     assert!(app.requests.lock().expect("no panic").is_empty(), "a truncated request was seen as complete");
 }
 
@@ -466,5 +466,5 @@
     assert_eq!(sidecar.ask(&long).status(), 431);
     let expecting = "GET /app HTTP/1.1\r\nHost: h\r\nExpect: miracles\r\n\r\n";
     assert_eq!(sidecar.ask(expecting).status(), 417);
-    assert_eq!(app.seen(), 0);
+    assert_eq!(app.request_count(), 0);
 }
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -19,8 +19,8 @@
     reply: impl Fn(&Message) -> Reply + Clone + Send + Sync + 'static,
     zones: [&str; 2],
     extra: &str,
-) -> ([App; 2], Sidecar) {
-    let apps = [App::start(reply.clone()), App::start(reply)];
+) -> ([AppServer; 2], Sidecar) {
+    let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
     let servers = [(apps[0].address, zones[0]), (apps[1].address, zones[1])];
     let parts = [
         pool("app", extra, &servers),
@@ -32,8 +32,8 @@
     (apps, sidecar)
 }
 
-fn total_seen(apps: &[App]) -> usize {
-    apps.iter().map(App::seen).sum()
+fn total_seen(apps: &[AppServer]) -> usize {
+    apps.iter().map(AppServer::request_count).sum()
 }
 
 const KEY: &str = "Idempotency-Key: k\r\n";
@@ -58,10 +58,10 @@
     let address = listener.local_addr().expect("an address");
     let complete = Arc::new(AtomicUsize::new(0));
     let counted = complete.clone();
-    let app = Scripted::on(listener, move |stream, number| {
+    let app = ScriptedServer::on(listener, move |stream, number| {
         if number == 0 {
             read_head(stream);
-            return reset(stream.get_ref());
+            return reset_on_close(stream.get_ref());
         }
         if read_message(stream).is_some_and(|m| m.body.len() == 16 << 20) {
             counted.fetch_add(1, Ordering::SeqCst);
@@ -133,7 +133,7 @@
     let (apps, sidecar) = start_with_two_servers(first_then_ok(|| Reply::Close), ["north", "south"], "");
     let answer = sidecar.post("/w", KEY, "x");
     // The only server of its zone is the one that failed. It may be retried there, but never in the other zone.
-    assert!(apps.iter().any(|a| a.seen() == 0), "{}", answer.status());
+    assert!(apps.iter().any(|a| a.request_count() == 0), "{}", answer.status());
 }
 
 #[test]
@@ -153,7 +153,7 @@
     };
     for (window, expected) in [("300ms meant", 1), ("15s", 2)] {
         let reply = first_then_ok(slow_break);
-        let apps = [App::start(reply.clone()), App::start(reply)];
+        let apps = [AppServer::start(reply.clone()), AppServer::start(reply)];
         let servers = [(apps[0].address, "north"), (apps[1].address, "north")];
         let text = Sidecar::text("", &[pool("app", "", &servers), route("app", "edit")])
             .replace("window 15s", &format!("window {window}"));
@@ -182,7 +182,7 @@
 #[test]
 fn large_body_is_sent_to_another_server_if_none_of_it_was_sent() {
     let nowhere = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let app = App::start(|m| Reply::ok(&m.body.len().to_string()));
+    let app = AppServer::start(|m| Reply::ok(&m.body.len().to_string()));
     let parts = [
         pool("app", "repeat-limit 1KiB;", &[(nowhere, "north"), (app.address, "north")]),
         route("app", "order"),
@@ -196,8 +196,8 @@
 
 #[test]
 fn buffered_bodies_are_bounded_per_pool() {
-    let app = App::start(|_| Reply::Silence);
-    let other = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::Silence);
+    let other = AppServer::start(|_| Reply::ok("x"));
     let parts = [
         pool("app", "buffered 64KiB; repeat-limit 64KiB;", &[(app.address, "north")]),
         route("app", "order"),
@@ -208,27 +208,27 @@
     let body = "x".repeat(60_000);
     let mut first = sidecar.client();
     first.write(format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes());
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     let answer = sidecar.post("/app", "", &body);
-    assert_eq!((answer.status(), app.seen()), (503, 1));
+    assert_eq!((answer.status(), app.request_count()), (503, 1));
     assert!(answer.header("retry-after").is_some());
     assert_eq!(sidecar.post("/other", "", &body).status(), 200);
     drop(first);
     // Retries until the memory of the disconnected client's body has been released.
     let mut again = sidecar.client();
-    until("the buffer space is released", || {
+    wait_until("the buffer space is released", || {
         again = sidecar.client();
         again.write(
             format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes(),
         );
         std::thread::sleep(Duration::from_millis(20));
-        app.seen() == 2
+        app.request_count() == 2
     });
 }
 
 #[test]
 fn quotas_apply_per_customer_and_plan() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let plans = "plan wide { } plan narrow { quota 1/h; burst 2; }
         identity { customer header X-Customer; plan header X-Plan; default-plan wide; }
         customer small { plan narrow; }\n";
@@ -254,7 +254,7 @@
 
 #[test]
 fn trusted_peer_can_shorten_but_not_extend_the_deadline() {
-    let app = App::start(|request| {
+    let app = AppServer::start(|request| {
         let stalls = request.start.contains("stall");
         if stalls {
             Reply::Silence
@@ -276,9 +276,9 @@
 }
 
 /// Returns servers with different faults.
-fn faulty_servers() -> Vec<(&'static str, Scripted)> {
+fn faulty_servers() -> Vec<(&'static str, ScriptedServer)> {
     let repeat_slowly = |answer: &'static [u8], interval: Duration| {
-        Scripted::start(move |stream, _| {
+        ScriptedServer::start(move |stream, _| {
             if read_message(stream).is_none() {
                 return;
             }
@@ -293,23 +293,23 @@
     vec![
         (
             "stalls",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
                 let _ = stream.read(&mut [0]);
             }),
         ),
         (
             "resets",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             }),
         ),
-        ("hangs up", Scripted::start(|_, _| {})),
+        ("hangs up", ScriptedServer::start(|_, _| {})),
         ("trickles its head", repeat_slowly(b"HTTP/1.1 200 OK\r\nX: ", Duration::from_millis(20))),
         (
             "floods headers",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 if read_message(stream).is_none()
                     || stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\n").is_err()
                 {
@@ -324,7 +324,7 @@
         ),
         (
             "sends invalid HTTP",
-            Scripted::start(|stream, _| {
+            ScriptedServer::start(|stream, _| {
                 read_message(stream);
                 let _ = stream.get_mut().write_all(b"220 mail.example.org ESMTP\r\n");
             }),
@@ -335,7 +335,7 @@
 #[test]
 fn failing_pool_does_not_affect_another() {
     for (fault, bad) in faulty_servers() {
-        let good = App::start(|_| Reply::ok("x"));
+        let good = AppServer::start(|_| Reply::ok("x"));
         let parts = [
             pool("bad", "requests 8; connections 16;", &[(bad.address, "north")])
                 .replace("requests 64; connections 64;", ""),
@@ -370,7 +370,7 @@
         stop.store(true, Ordering::SeqCst);
         let answers: usize = load.into_iter().map(|f| f.join().expect("no client panics")).sum();
         assert!(answers >= 24, "{fault}");
-        assert_eq!(good.seen(), 40, "{fault}");
+        assert_eq!(good.request_count(), 40, "{fault}");
     }
 }
 
@@ -382,7 +382,9 @@
         .iter()
         .map(|slow| {
             let slow = slow.clone();
-            App::start(move |_| if slow.load(Ordering::SeqCst) { Reply::Silence } else { Reply::ok("x") })
+            AppServer::start(
+                move |_| if slow.load(Ordering::SeqCst) { Reply::Silence } else { Reply::ok("x") },
+            )
         })
         .collect();
     let classes = ["read", "edit", "order"];
@@ -398,7 +400,7 @@
     };
     for (n, name) in names.iter().enumerate() {
         slow[n].store(true, Ordering::SeqCst);
-        let before = apps[n].seen();
+        let before = apps[n].request_count();
         let mut waiting: Vec<_> = (0..4).map(|_| sidecar.client()).collect();
         for client in &mut waiting {
             let method = if *name == "tiles" { "GET" } else { "POST" };
@@ -406,7 +408,7 @@
                 format!("{method} /{name} HTTP/1.1\r\nHost: h\r\n{KEY}Content-Length: 0\r\n\r\n").as_bytes(),
             );
         }
-        until("the slow application is asked", || apps[n].seen() > before);
+        wait_until("the slow application is asked", || apps[n].request_count() > before);
         for other in names.iter().filter(|other| *other != name) {
             for _ in 0..10 {
                 assert_eq!(ask(other).status(), 200, "{other} while {name} is slow");
@@ -419,8 +421,8 @@
 
 #[test]
 fn flooded_route_leaves_connections_for_the_others() {
-    let stuck = App::start(|_| Reply::Silence);
-    let good = App::start(|_| Reply::ok("x"));
+    let stuck = AppServer::start(|_| Reply::Silence);
+    let good = AppServer::start(|_| Reply::ok("x"));
     let parts = [
         pool("stuck", "", &[(stuck.address, "north")]).replace("requests 64", "requests 16"),
         route("stuck", "order"),
@@ -437,13 +439,13 @@
     for _ in 0..20 {
         assert_eq!(sidecar.post("/good", "", "paid").status(), 200);
     }
-    assert!(stuck.seen() <= 16, "{} open at once", stuck.seen());
+    assert!(stuck.request_count() <= 16, "{} open at once", stuck.request_count());
 }
 
 #[test]
 fn pool_of_unsafe_requests_notices_that_its_server_has_recovered() {
     let down = Arc::new(AtomicBool::new(true));
-    let app = App::start({
+    let app = AppServer::start({
         let down = down.clone();
         move |_| if down.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok("x") }
     });
@@ -458,13 +460,13 @@
     // Waits longer than the longest ejection, three latency targets. From then on orders avoid the server until it has
     // answered something else, but the pool has no other class. The result does not depend on the exact time.
     std::thread::sleep(Duration::from_secs(1));
-    until("orders are served again", || sidecar.post("/app", "", "paid").status() == 200);
+    wait_until("orders are served again", || sidecar.post("/app", "", "paid").status() == 200);
 }
 
 #[test]
 fn pool_slower_than_its_latency_target_accepts_requests_again() {
     let slow = Arc::new(AtomicBool::new(true));
-    let app = App::start({
+    let app = AppServer::start({
         let slow = slow.clone();
         move |_| {
             if slow.load(Ordering::SeqCst) {
@@ -490,7 +492,7 @@
 
 #[test]
 fn unsolicited_second_response_is_not_used_for_the_next_request() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         while let Some(request) = read_message(stream) {
             let path = request.start.split(' ').nth(1).unwrap_or("").to_owned();
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}", path.len());
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use support::*;
 
-fn pool_and_route(name: &str, apps: &[&App]) -> String {
+fn pool_and_route(name: &str, apps: &[&AppServer]) -> String {
     let servers: Vec<_> = apps.iter().map(|a| (a.address, "north")).collect();
     pool(name, "", &servers) + &format!("route {name} {{ path prefix /{name}; class order; pool {name}; }}\n")
 }
 
 #[test]
 fn reload_applies_a_valid_file_completely_and_an_invalid_one_not_at_all() {
-    let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
+    let (a, b) = (AppServer::start(|_| Reply::ok("a")), AppServer::start(|_| Reply::ok("b")));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     assert_eq!(sidecar.get("/app").body, b"a");
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("app", &[&b]), pool_and_route("new", &[&a])])));
@@ -43,7 +43,7 @@
 
 #[test]
 fn reload_may_name_the_port_assigned_by_the_system() {
-    let a = App::start(|_| Reply::ok("a"));
+    let a = AppServer::start(|_| Reply::ok("a"));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let text = Sidecar::text("", &[pool_and_route("new", &[&a])]);
     assert!(sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())), "{}", sidecar.said());
@@ -55,18 +55,18 @@
 #[test]
 fn open_requests_finish_under_their_initial_configuration() {
     let release = Arc::new(AtomicBool::new(false));
-    let a = App::start({
+    let a = AppServer::start({
         let release = release.clone();
         move |_| {
-            until("the test releases the answer", || release.load(Ordering::SeqCst));
+            wait_until("the test releases the answer", || release.load(Ordering::SeqCst));
             Reply::ok("a")
         }
     });
-    let b = App::start(|_| Reply::ok("b"));
+    let b = AppServer::start(|_| Reply::ok("b"));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    until("the application is asked", || a.seen() == 1);
+    wait_until("the application is asked", || a.request_count() == 1);
     // The reload removes its server, pool and route.
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
@@ -76,7 +76,7 @@
 
 #[test]
 fn unchanged_pool_keeps_quotas_and_connections_and_a_changed_one_does_not() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let plans = "plan narrow { quota 1/h; burst 3; }\nidentity { customer name all; default-plan narrow; }\n"
         .to_owned();
     let text = |extra: &str, more: &str| {
@@ -87,7 +87,7 @@
     let passed = || (0..4).filter(|_| sidecar.get("/app").status() == 200).count();
     assert_eq!(passed(), 3);
     let connections = app.accepted.load(Ordering::SeqCst);
-    let other = App::start(|_| Reply::ok("y"));
+    let other = AppServer::start(|_| Reply::ok("y"));
     // Moved lines, comments and additional pools do not count as a change of this pool.
     let added = pool_and_route("other", &[&other]);
     let more = text("requests 64;", &added).replace("    server s0", "# moved\n\n    server s0");
@@ -108,7 +108,7 @@
     let filling: Vec<_> = (0..4)
         .filter_map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok())
         .collect();
-    let good = App::start(|_| Reply::ok("good"));
+    let good = AppServer::start(|_| Reply::ok("good"));
     let both = pool("app", "connect 6s;", &[(address, "north")]);
     let routed = "route app { path prefix /app; class order; pool app; }\n";
     let sidecar = Sidecar::with(&[both.clone(), routed.to_owned()]);
@@ -127,7 +127,7 @@
     let mut accepted: Vec<std::net::TcpStream> = Vec::new();
     client.stream.get_ref().set_nonblocking(true).expect("the socket accepts the option");
     let mut answer = None;
-    until("the order is answered", || {
+    wait_until("the order is answered", || {
         if let Ok((stream, _)) = listener.accept() {
             accepted.push(stream);
         }
@@ -148,7 +148,7 @@
 
 #[test]
 fn reloads_under_load_lose_no_request_and_spare_removed_servers() {
-    let (a, b) = (App::start(|_| Reply::ok("a")), App::start(|_| Reply::ok("b")));
+    let (a, b) = (AppServer::start(|_| Reply::ok("a")), AppServer::start(|_| Reply::ok("b")));
     let texts = [
         Sidecar::text("", &[pool_and_route("app", &[&a])]),
         Sidecar::text("", &[pool_and_route("app", &[&b])]),
@@ -187,20 +187,20 @@
         if let Some((removed, remaining)) = only {
             // Once open requests have finished, the removed server must not receive any more.
             let now = answered.load(Ordering::SeqCst);
-            until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
-            let (before, other) = (removed.seen(), remaining.seen());
-            until("further requests have been served", || remaining.seen() > other + 4);
-            assert_eq!(removed.seen(), before, "reload {number}");
+            wait_until("requests that were open have ended", || answered.load(Ordering::SeqCst) > now + 8);
+            let (before, other) = (removed.request_count(), remaining.request_count());
+            wait_until("further requests have been served", || remaining.request_count() > other + 4);
+            assert_eq!(removed.request_count(), before, "reload {number}");
         }
     }
     stop.store(true, Ordering::SeqCst);
     load.into_iter().for_each(|l| l.join().expect("no request is lost"));
-    assert_eq!(a.seen() + b.seen(), answered.load(Ordering::SeqCst));
+    assert_eq!(a.request_count() + b.request_count(), answered.load(Ordering::SeqCst));
 }
 
 #[test]
 fn listeners_are_opened_and_closed_on_reload() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
     let second = |address: SocketAddr| format!("listen {address} {{ connections 200; }}\n");
@@ -218,24 +218,24 @@
     assert!(!sidecar.reload(&(second(occupied.local_addr().expect("an address")) + &text)));
     assert_eq!((get(free), get(sidecar.address)), (Some(200), Some(200)));
     assert!(sidecar.reload(&text));
-    until("the second listener is closed", || std::net::TcpStream::connect(free).is_err());
+    wait_until("the second listener is closed", || std::net::TcpStream::connect(free).is_err());
     assert_eq!(get(sidecar.address), Some(200));
 }
 
 #[test]
 fn sigterm_finishes_accepted_requests() {
     let release = Arc::new(AtomicBool::new(false));
-    let app = App::start({
+    let app = AppServer::start({
         let release = release.clone();
         move |_| {
-            until("the test releases the answer", || release.load(Ordering::SeqCst));
+            wait_until("the test releases the answer", || release.load(Ordering::SeqCst));
             Reply::ok("x")
         }
     });
     let mut sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    until("the application is asked", || app.seen() == 1);
+    wait_until("the application is asked", || app.request_count() == 1);
     sidecar.terminate();
     release.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
@@ -245,7 +245,7 @@
 
 #[test]
 fn endless_stream_delays_shutdown_by_the_drain_timeout_only() {
-    let app = Scripted::start(|stream, _| {
+    let app = ScriptedServer::start(|stream, _| {
         read_message(stream);
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let _ = stream.get_mut().write_all(head);
@@ -290,7 +290,7 @@
     assert_eq!(run(&["sing"]).0, Some(2));
     assert_eq!(run(&[]).0, Some(2));
     let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let address = occupied.local_addr().expect("an address").to_string();
     let good =
         scratch(&Sidecar::text("", &[pool_and_route("app", &[&app])]).replace("127.0.0.1:0", &address));
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use ivygate_test_servers::{read_message, reset, until, App, Message, Reply, Scripted};
+use ivygate_test_servers::{
+    read_message, reset_on_close, wait_until, AppServer, Message, Reply, ScriptedServer,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,8 +14,8 @@
 
 /// Sidecar with a sign-in check for `/app`, and scripted sign-in service and application.
 struct TestSetup {
-    accounts: App,
-    app: App,
+    accounts: AppServer,
+    app: AppServer,
     /// Requests received by the sign-in service.
     checks: Arc<Mutex<Vec<Message>>>,
     /// Requests received by the application.
@@ -41,14 +43,14 @@
     };
     let accounts = {
         let checks = checks.clone();
-        App::start(move |m| {
+        AppServer::start(move |m| {
             record(&checks, m);
             accounts(m)
         })
     };
     let app = {
         let forwarded = forwarded.clone();
-        App::start(move |m| {
+        AppServer::start(move |m| {
             record(&forwarded, m);
             app(m)
         })
@@ -119,7 +121,7 @@
             (answer.header(&name.to_ascii_lowercase()), answer.body.as_slice()),
             (Some(value), &b"no"[..])
         );
-        assert_eq!(setup.app.seen(), 0);
+        assert_eq!(setup.app.request_count(), 0);
     }
 }
 
@@ -139,10 +141,10 @@
         let answer = post(&closed, "/app", "");
         assert_eq!(answer.status(), 503, "{name}");
         assert!(answer.header("retry-after").is_some(), "{name}");
-        assert_eq!(closed.app.seen(), 0, "{name}");
+        assert_eq!(closed.app.request_count(), 0, "{name}");
         let open = start("read", "within 300ms; on-failure open;", script);
         assert_eq!(post(&open, "/app", "").status(), 200, "{name}");
-        assert_eq!(open.app.seen(), 1, "{name}");
+        assert_eq!(open.app.request_count(), 1, "{name}");
     }
 }
 
@@ -183,14 +185,14 @@
     // The pool may retry its only server or reject the check; either way the order is forwarded at most once.
     let status = post(&setup, "/app", "").status();
     assert!([200, 503].contains(&status), "{status}");
-    assert_eq!(setup.app.seen(), usize::from(status == 200));
+    assert_eq!(setup.app.request_count(), usize::from(status == 200));
 }
 
 #[test]
 fn failed_order_is_not_resent_by_another_check() {
     let setup = start_with_app("order", "", |_| Reply::ok("yes"), |_| Reply::Close);
     assert_eq!(post(&setup, "/app", "").status(), 502);
-    assert_eq!((setup.accounts.seen(), setup.app.seen()), (1, 1));
+    assert_eq!((setup.accounts.request_count(), setup.app.request_count()), (1, 1));
 }
 
 #[test]
@@ -198,10 +200,10 @@
     let setup = start("order", "within 5s;", |_| Reply::Silence);
     let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || setup.accounts.seen() == 1);
+    wait_until("the service is asked", || setup.accounts.request_count() == 1);
     drop(client);
-    until("the check's connection is closed", || setup.accounts.open() == 0);
-    assert_eq!(setup.app.seen(), 0);
+    wait_until("the check's connection is closed", || setup.accounts.open() == 0);
+    assert_eq!(setup.app.request_count(), 0);
 }
 
 #[test]
@@ -212,7 +214,7 @@
     assert_eq!(answer.status(), 503);
     // The late allow response has no effect; the connection stays usable for the next request.
     let next = client.ask("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!((next.status(), setup.app.seen()), (404, 0));
+    assert_eq!((next.status(), setup.app.request_count()), (404, 0));
 }
 
 #[test]
@@ -223,14 +225,14 @@
     });
     for (credential, asked) in [("a", 1), ("a", 1), ("b", 2), ("a", 2), ("b", 2)] {
         assert_eq!(post(&setup, "/app", &format!("Authorization: {credential}\r\n")).status(), 200);
-        assert_eq!(setup.accounts.seen(), asked);
+        assert_eq!(setup.accounts.request_count(), asked);
         let forwarded = setup.forwarded.lock().expect("a list");
         assert_eq!(forwarded.last().and_then(|m| m.header("x-user")), Some(credential));
     }
     let orders = start("order", "cache-yes 1m;", |_| Reply::ok("yes"));
     for asked in 1..4 {
         assert_eq!(post(&orders, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!(orders.accounts.seen(), asked);
+        assert_eq!(orders.accounts.request_count(), asked);
     }
 }
 
@@ -247,7 +249,7 @@
             assert_eq!((answer.status(), answer.body.as_slice()), (403, &b"no"[..]));
             assert!(answer.header(&name).is_some(), "{headers}");
         }
-        assert_eq!((setup.accounts.seen(), setup.app.seen()), (asked, 0), "{headers}");
+        assert_eq!((setup.accounts.request_count(), setup.app.request_count()), (asked, 0), "{headers}");
     }
 }
 
@@ -256,25 +258,25 @@
     let open = Arc::new(AtomicUsize::new(0));
     let may_answer = open.clone();
     let setup = start("read", "cache-yes 1m; within 5s;", move |_| {
-        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = "POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1";
     let mut first = setup.sidecar.client();
     first.write(request.as_bytes());
-    until("the first check is sent", || setup.accounts.seen() == 1);
+    wait_until("the first check is sent", || setup.accounts.request_count() == 1);
     let mut others: Vec<_> = (0..5).map(|_| setup.sidecar.client()).collect();
     for other in &mut others {
         other.write(request.as_bytes());
     }
     // When the client whose check was sent disconnects, one of the others sends it instead.
     drop(first);
-    until("another check is sent", || setup.accounts.seen() == 2);
+    wait_until("another check is sent", || setup.accounts.request_count() == 2);
     open.store(1, Ordering::SeqCst);
     for other in &mut others {
         assert_eq!(other.read().expect("an answer").status(), 200);
     }
-    assert_eq!(setup.accounts.seen(), 2);
+    assert_eq!(setup.accounts.request_count(), 2);
 }
 
 #[test]
@@ -294,11 +296,11 @@
 #[test]
 fn failed_checks_are_limited_per_address_and_per_credential() {
     let trusted = "trusted 127.0.0.1;";
-    let accounts = App::start(|m| match m.header("authorization") {
+    let accounts = AppServer::start(|m| match m.header("authorization") {
         Some("good") => Reply::ok("yes"),
         _ => Reply::Answer("401 Unauthorized", "", Vec::new()),
     });
-    let app = App::start(|_| Reply::ok("done"));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let sidecar = Sidecar::start(&Sidecar::text(
         trusted,
         &[
@@ -316,7 +318,7 @@
     let statuses: Vec<u16> = (0..30).map(|n| ask("192.0.2.1", &format!("bad-{n}")).status()).collect();
     assert_eq!(statuses[..10], [401; 10]);
     assert_eq!(statuses[10..], [429; 20]);
-    assert_eq!(accounts.seen(), 10);
+    assert_eq!(accounts.request_count(), 10);
     assert!(ask("192.0.2.1", "bad").header("retry-after").is_some());
     // Successful checks do not count against the limit.
     for _ in 0..50 {
@@ -325,7 +327,7 @@
     // A credential that fails from many addresses has its own limit.
     let statuses: Vec<u16> = (0..30).map(|n| ask(&format!("198.51.100.{n}"), "one").status()).collect();
     assert_eq!((statuses[..10].to_vec(), statuses[10..].to_vec()), (vec![401; 10], vec![429; 20]));
-    assert_eq!(app.seen(), 50);
+    assert_eq!(app.request_count(), 50);
 }
 
 #[test]
@@ -336,7 +338,7 @@
         for _ in 0..30 {
             assert_eq!(post(&setup, "/app", "").status(), expected);
         }
-        assert_eq!(setup.app.seen(), 0);
+        assert_eq!(setup.app.request_count(), 0);
     }
 }
 
@@ -369,7 +371,7 @@
     );
     for asked in 1..3 {
         assert_eq!(post(&setup, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!((setup.accounts.seen(), setup.app.seen()), (asked, asked));
+        assert_eq!((setup.accounts.request_count(), setup.app.request_count()), (asked, asked));
     }
 }
 
@@ -378,12 +380,12 @@
     let open = Arc::new(AtomicUsize::new(0));
     let may_answer = open.clone();
     let setup = start("order", "within 8s;", move |_| {
-        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::Answer("403 Forbidden", "", Vec::new())
     });
     let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    until("the service is asked", || setup.accounts.seen() == 1);
+    wait_until("the service is asked", || setup.accounts.request_count() == 1);
     // The new configuration has no sign-in.
     let without_sign_in =
         std::fs::read_to_string(&setup.sidecar.config).expect("the file").replace("sign-in members; ", "");
@@ -392,7 +394,7 @@
     assert!(setup.sidecar.reload(&without_sign_in));
     open.store(1, Ordering::SeqCst);
     assert_eq!(client.read().expect("an answer").status(), 403);
-    assert_eq!(setup.app.seen(), 0);
+    assert_eq!(setup.app.request_count(), 0);
     assert_eq!(post(&setup, "/app", "").status(), 200);
 }
 
@@ -401,21 +403,21 @@
     let open = Arc::new(AtomicUsize::new(0));
     let may_answer = open.clone();
     let setup = start("order", "within 8s;", move |_| {
-        until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
+        wait_until("the answer may come", || may_answer.load(Ordering::SeqCst) > 0);
         Reply::ok("yes")
     });
     let request = b"POST /app HTTP/1.1\r\nHost: h\r\nReq-Id: same\r\nContent-Length: 3\r\n\r\nx=1";
     let mut clients = [setup.sidecar.client(), setup.sidecar.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request);
-        until("the service is asked", || setup.accounts.seen() == number + 1);
+        wait_until("the service is asked", || setup.accounts.request_count() == number + 1);
     }
     // The first client disconnects: its order must not be forwarded, and the other one exactly once.
     let [first, mut second] = clients;
     drop(first);
     open.store(1, Ordering::SeqCst);
     assert_eq!(second.read().expect("an answer").status(), 200);
-    assert_eq!(setup.app.seen(), 1);
+    assert_eq!(setup.app.request_count(), 1);
 }
 
 #[test]
@@ -427,16 +429,16 @@
         let status = post(&setup, "/app", "").status();
         assert!([403, 503].contains(&status), "{status}");
     }
-    assert_eq!(setup.app.seen(), 0);
+    assert_eq!(setup.app.request_count(), 0);
     let flood = format!("HTTP/1.1 200 OK\r\n{}\r\n", "X-Flood: 1\r\n".repeat(50_000));
     let setup = start("order", "", move |_| Reply::Raw(flood.as_bytes().to_vec()));
     assert_eq!(post(&setup, "/app", "").status(), 503);
-    assert_eq!(setup.app.seen(), 0);
+    assert_eq!(setup.app.request_count(), 0);
 }
 
 /// Starts a sidecar with a sign-in service at this address for `/app`, and its application.
-fn start_with_service(service: SocketAddr, extra: &str) -> (App, Sidecar, String) {
-    let app = App::start(|_| Reply::ok("done"));
+fn start_with_service(service: SocketAddr, extra: &str) -> (AppServer, Sidecar, String) {
+    let app = AppServer::start(|_| Reply::ok("done"));
     let text = Sidecar::text(
         "",
         &[
@@ -460,26 +462,26 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nyes",
     ] {
-        let service = Scripted::start(move |stream, _| {
+        let service = ScriptedServer::start(move |stream, _| {
             let _ = read_message(stream);
             let _ = stream.get_mut().write_all(part.as_bytes());
-            reset(stream.get_ref());
+            reset_on_close(stream.get_ref());
         });
         let (app, sidecar, _) = start_with_service(service.address, "within 2s;");
         assert_eq!(sidecar.post("/app", "", "x").status(), 503, "{part:?}");
-        assert_eq!(app.seen(), 0, "{part:?}");
+        assert_eq!(app.request_count(), 0, "{part:?}");
     }
 }
 
 #[test]
 fn allow_that_ends_with_its_connection_is_valid() {
-    let service = Scripted::start(|stream, _| {
+    let service = ScriptedServer::start(|stream, _| {
         let _ = read_message(stream);
         let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nyes");
     });
     let (app, sidecar, _) = start_with_service(service.address, "");
     for orders in 1..4 {
-        assert_eq!((sidecar.post("/app", "", "x").status(), app.seen()), (200, orders));
+        assert_eq!((sidecar.post("/app", "", "x").status(), app.request_count()), (200, orders));
     }
 }
 
@@ -492,22 +494,22 @@
     for _ in 0..5 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 503);
     }
-    assert_eq!(app.seen(), 0);
-    let _service = Scripted::on(TcpListener::bind(address).expect("the port is free"), |stream, _| {
+    assert_eq!(app.request_count(), 0);
+    let _service = ScriptedServer::on(TcpListener::bind(address).expect("the port is free"), |stream, _| {
         while read_message(stream).is_some() {
             let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    until("orders are forwarded again", || sidecar.post("/app", "", "x").status() == 200);
-    assert_eq!(app.seen(), 1);
+    wait_until("orders are forwarded again", || sidecar.post("/app", "", "x").status() == 200);
+    assert_eq!(app.request_count(), 1);
 }
 
 #[test]
 fn draining_service_gets_no_new_checks() {
-    let old = App::start(|_| Reply::ok("yes"));
+    let old = AppServer::start(|_| Reply::ok("yes"));
     let (app, sidecar, text) = start_with_service(old.address, "");
     assert_eq!(sidecar.post("/app", "", "x").status(), 200);
-    let new = App::start(|_| Reply::ok("yes"));
+    let new = AppServer::start(|_| Reply::ok("yes"));
     // The new server has just started, so it is in slow start.
     let line = format!("    server s0 {} {{ zone north; }}", old.address);
     let both = format!(
@@ -518,13 +520,13 @@
     for _ in 0..5 {
         assert_eq!(sidecar.post("/app", "", "x").status(), 200);
     }
-    assert_eq!((old.seen(), new.seen(), app.seen()), (1, 5, 6));
+    assert_eq!((old.request_count(), new.request_count(), app.request_count()), (1, 5, 6));
 }
 
 #[test]
 fn cold_service_rejects_a_burst_of_checks_until_it_is_warm() {
-    let service = App::start(|_| Reply::Slow(Duration::from_millis(100)));
-    let app = App::start(|_| Reply::ok("done"));
+    let service = AppServer::start(|_| Reply::Slow(Duration::from_millis(100)));
+    let app = AppServer::start(|_| Reply::ok("done"));
     let cold = "cold { from 0.1; warm 2s; fall 2; for 500ms; }";
     let text = |servers: &[(SocketAddr, &str)]| {
         Sidecar::text(
@@ -538,7 +540,7 @@
             ],
         )
     };
-    let before = App::start(|_| Reply::ok("yes"));
+    let before = AppServer::start(|_| Reply::ok("yes"));
     let sidecar = Sidecar::start(&text(&[(before.address, "north")]));
     assert!(sidecar.reload(&text(&[(service.address, "north")])));
     let mut clients: Vec<_> = (0..40).map(|_| sidecar.client()).collect();
@@ -548,8 +550,8 @@
     let statuses: Vec<u16> = clients.iter_mut().map(|c| c.read().expect("an answer").status()).collect();
     let refused = statuses.iter().filter(|status| **status == 503).count();
     assert!(refused >= 20, "a cold service was sent {} checks at once", 40 - refused);
-    assert_eq!(app.seen(), 40 - refused);
-    until("it is warm", || sidecar.post("/app", "", "x").status() == 200);
+    assert_eq!(app.request_count(), 40 - refused);
+    wait_until("it is warm", || sidecar.post("/app", "", "x").status() == 200);
 }
 
 #[test]
@@ -567,5 +569,5 @@
     );
     let status = post(&setup, "/app", "").status();
     assert!([502, 503].contains(&status), "{status}");
-    assert_eq!(setup.app.seen(), usize::from(status == 502));
+    assert_eq!(setup.app.request_count(), usize::from(status == 502));
 }
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -3,24 +3,24 @@
 
 mod support;
 
-use ivygate_fault_injection::{play_until_told, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{run_until_conclusive, Program, RunResult, Scenario, Verdict};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use support::*;
 
-fn run(length: &str, steps: &str) -> Played {
+fn run(length: &str, steps: &str) -> RunResult {
     run_fleet(4, length, steps)
 }
 
-fn run_fleet(nodes: usize, length: &str, steps: &str) -> Played {
+fn run_fleet(nodes: usize, length: &str, steps: &str) -> RunResult {
     let text = format!(
         "name = \"t\"\nabout = \"t\"\nseed = 5\nlength = \"{length}\"\nsettle = \"6s\"\nform = \"sidecar\"\n\
          domains = true\nnodes = {nodes}\nservers = 6\nrate = 160\ncustomers = 200\n{steps}"
     );
     let scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     let program = Program { program: env!("CARGO_BIN_EXE_ivygate").into(), ..Program::default() };
-    let played = play_until_told(&scenario, &program).expect("a completed run");
+    let played = run_until_conclusive(&scenario, &program).expect("a completed run");
     assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
     // The rate of served requests also drops on a busy machine, so it is not checked.
     let violations: Vec<_> = played.findings.iter().filter(|f| f.rule != "settles").collect();
@@ -34,8 +34,8 @@
 }
 
 /// Returns the times at which processes logged that a zone entered a state.
-fn transitions(played: &Played, zone: &str, to: &str) -> Vec<f64> {
-    let lines = played.said.iter().flatten();
+fn transitions(played: &RunResult, zone: &str, to: &str) -> Vec<f64> {
+    let lines = played.logs.iter().flatten();
     let matching = lines.filter(|(_, line)| {
         line.contains(&format!("zone=\"{zone}\"")) && line.contains(&format!("to=\"{to}\""))
     });
@@ -53,7 +53,7 @@
     assert!(left.len() >= 2 && left.iter().all(|at| *at > 2_000.0), "{left:?}");
     assert_eq!(transitions(&played, "north", "left"), Vec::<f64>::new());
     // The processes in zone south send requests to its servers again.
-    let back = played.trace.runs.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
+    let back = played.trace.executions.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
     assert!(back > 10, "{back}");
 }
 
@@ -64,7 +64,7 @@
         + &step("3s", "500ms", "do = \"kill\"\nnodes = \"3\"")
         + &step("6s", "1s", "do = \"crash\"\nservers = \"south\"");
     let played = run("10s", &steps);
-    let pauses = played.said.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
+    let pauses = played.logs.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
     assert!(pauses >= 1);
 }
 
@@ -72,7 +72,7 @@
 fn failures_in_all_zones_make_no_process_leave_a_zone() {
     let played = run("9s", &step("2s", "2s", "do = \"wrong\"\nservers = \"all\"\npart = 1.0"));
     for zone in [0, 1] {
-        let runs = played.trace.runs.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
+        let runs = played.trace.executions.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
         assert!(runs.count() > 60);
     }
 }
@@ -81,7 +81,7 @@
 fn operators_see_zone_states_and_take_zones_out_of_service_by_a_reload() {
     let fails = Arc::new(AtomicBool::new(false));
     let app = |name: &'static str, fails: Arc<AtomicBool>| {
-        App::start(move |_| if fails.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok(name) })
+        AppServer::start(move |_| if fails.load(Ordering::SeqCst) { Reply::Close } else { Reply::ok(name) })
     };
     let north = [app("north", Arc::default()), app("north", Arc::default())];
     let south = [app("south", fails.clone()), app("south", fails.clone())];
@@ -121,7 +121,7 @@
     assert_eq!(degree("south"), "works");
     assert!(domains("text").contains("works"), "{}", domains("text"));
     assert!(sidecar.reload(&text("domains;")), "{}", sidecar.said());
-    until("the zone is returning to service", || {
+    wait_until("the zone is returning to service", || {
         ask(0);
         ["returning", "well"].contains(&degree("south").as_str())
     });
@@ -133,7 +133,7 @@
 
 #[test]
 fn domains_command_reports_missing_zones_and_unreachable_sidecars() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let operator = operator_address();
     let parts =
         [format!("operator {operator};\n"), pool("app", "", &[(app.address, "north")]), route("app", "read")];
@@ -154,7 +154,7 @@
 }
 
 /// Runs a fleet of sidecars that exchange reports, whose datagrams the steps may disturb.
-fn run_with_gossip(steps: &str) -> Played {
+fn run_with_gossip(steps: &str) -> RunResult {
     run_fleet(6, "8s", &format!("group = true\n{steps}"))
 }
 
@@ -166,7 +166,7 @@
     // The reports spread within a second, at least to the processes in zone south.
     let within_a_second = left.iter().filter(|at| **at < first + 1_000.0).count();
     assert!(first > 2_000.0 && within_a_second >= 3, "{left:?}");
-    let reports = played.said.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
+    let reports = played.logs.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
     assert!(reports.count() >= 1);
 }
 
@@ -185,14 +185,14 @@
 
 #[test]
 fn operators_see_group_members_and_dropped_packets() {
-    let app = App::start(|_| Reply::ok("x"));
+    let app = AppServer::start(|_| Reply::ok("x"));
     let key = scratch("a key that both of them know");
     let other_key = scratch("a key that nobody else knows");
     let port = || std::net::UdpSocket::bind("127.0.0.2:0").and_then(|s| s.local_addr()).expect("a port");
     let operator = operator_address();
     let (a, b, c) = (port(), port(), port());
     let servers = [(app.address, "north"), (app.address, "south")];
-    let other = App::start(|_| Reply::ok("y"));
+    let other = AppServer::start(|_| Reply::ok("y"));
     let servers = [servers[0], (other.address, "south")];
     let text = |own: std::net::SocketAddr, key: &std::path::Path, more: &str| {
         let group = format!("group {{ listen {own}; key {}; peers {a} {b} {c}; }}\n{more}", key.display());
@@ -211,14 +211,14 @@
         String::from_utf8(output.stdout).expect("text")
     };
     let members = || members_output().lines().filter(|line| line.contains("\"member\"")).count();
-    until("one member is heard", || members() == 1);
+    wait_until("one member is heard", || members() == 1);
     let dropped = || {
         let output = members_output();
         let last: serde_json::Value =
             serde_json::from_str(output.lines().last().expect("a line")).expect("JSON");
         (last["dropped"]["forged"].as_u64().unwrap_or(0), last["dropped"]["own"].as_u64().unwrap_or(0))
     };
-    until("packets of the stranger and its own are dropped", || dropped().0 > 0 && dropped().1 > 0);
+    wait_until("packets of the stranger and its own are dropped", || dropped().0 > 0 && dropped().1 > 0);
     assert_eq!(members(), 1);
     // Malformed datagrams do not stop the sidecar.
     let socket = std::net::UdpSocket::bind("127.0.0.2:0").expect("a socket");
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -5,7 +5,7 @@
 use ivygate_control_state::{Item, Table};
 use ivygate_registry::{HeartbeatResponse, ServerRecord};
 use ivygate_rpc::{json_response, serve, BootstrapSettings, ErrorKind, Handler, RpcError};
-use ivygate_test_servers::{read_message, reset, until, Client, Message, Scripted};
+use ivygate_test_servers::{read_message, reset_on_close, wait_until, Client, Message, ScriptedServer};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -88,7 +88,7 @@
             ivygate_proxy::run(settings).await.expect("it runs");
         });
     });
-    until("the proxy knows its routes", || {
+    wait_until("the proxy knows its routes", || {
         let Ok(stream) = TcpStream::connect(http) else { return false };
         let mut client = Client { stream: BufReader::new(stream) };
         client.ask("GET /no-route HTTP/1.1\r\nHost: h.example\r\n\r\n").status() == 404
@@ -137,17 +137,17 @@
 
 /// Starts a server that executes every request and responds according to a script. The script gets the ID and the number of
 /// earlier requests.
-fn server(script: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> (Scripted, Runs) {
+fn server(script: impl Fn(&str, usize) -> Reply + Send + Sync + 'static) -> (ScriptedServer, Runs) {
     let runs = Runs::default();
     let (ran, count) = (runs.clone(), AtomicUsize::new(0));
-    let server = Scripted::start(move |stream, _| {
+    let server = ScriptedServer::start(move |stream, _| {
         while let Some(request) = read_message(stream) {
             let id = id(&request);
             ran.0.lock().expect("no panic").push(id.clone());
             let (bytes, breaks) = script(&id, count.fetch_add(1, Ordering::SeqCst));
             write(stream, &bytes);
             if breaks {
-                return reset(stream.get_ref());
+                return reset_on_close(stream.get_ref());
             }
         }
     });
@@ -238,7 +238,7 @@
     let started = Mutex::new(started);
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, _| {
+    let server = ScriptedServer::start(move |stream, _| {
         while let Some(request) = read_message(stream) {
             let id = id(&request);
             ran.0.lock().expect("no panic").push(id.clone());
--- a/crates/runtime/tests/peers.rs
+++ b/crates/runtime/tests/peers.rs
@@ -9,7 +9,9 @@
     ClientRequest, Clock, Driver, EchoPolicy, FinalResponse, Head, ListedServer, ListedServerState,
     OutgoingRequest, RequestBody, ResponsePolicy, ServerListUpdate, Upstream, UpstreamLimits,
 };
-use ivygate_test_servers::{read_message, reset, until, Message as ReceivedRequest, Scripted};
+use ivygate_test_servers::{
+    read_message, reset_on_close, wait_until, Message as ReceivedRequest, ScriptedServer,
+};
 use ivygate_time::Millis;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -196,7 +198,7 @@
 fn second_request(class: &str, script: Script) -> ((u16, String), usize) {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -211,7 +213,7 @@
         status_and_id(&send(&driver, class, "b").await)
     });
     drop(runtime);
-    until("all connections of the server have ended", || {
+    wait_until("all connections of the server have ended", || {
         server.ended.load(std::sync::atomic::Ordering::SeqCst) == server.accepted()
     });
     (outcome, runs.count("b"))
@@ -253,7 +255,7 @@
 fn status_421_without_id_on_a_new_connection_lets_the_request_be_retried() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -272,7 +274,7 @@
 fn duplicate_of_an_earlier_rejection_does_not_hide_that_the_retry_ran() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -306,7 +308,7 @@
             "resets before it has read the request",
             |stream, _| {
                 wait_for_request(stream);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             0,
@@ -315,7 +317,7 @@
             "reads, runs and resets",
             |stream, runs| {
                 run_second(stream, runs);
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             1,
@@ -327,7 +329,7 @@
                 run_second(stream, runs);
                 write(stream, b"HTTP/1.1 200 OK\r\nIvygate-Attempt-Id: b\r\nIvygate-Server-Seal: s\r\n");
                 write(stream, b"Content-Length: 9\r\n\r\nb");
-                reset(stream.get_ref());
+                reset_on_close(stream.get_ref());
             },
             502,
             1,
@@ -422,7 +424,7 @@
     let scripts: [Script; 4] = [
         |stream, runs| {
             run_second(stream, runs);
-            reset(stream.get_ref());
+            reset_on_close(stream.get_ref());
         },
         |stream, runs| {
             run_second(stream, runs);
@@ -451,7 +453,7 @@
     let runs = Runs::default();
     let (done, is_done) = std::sync::mpsc::channel();
     let (ran, done) = (runs.clone(), Mutex::new(done));
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -478,7 +480,7 @@
 fn idle_connection_that_was_closed_or_has_unread_input_is_not_reused() {
     let scripts: [Script; 3] = [
         |_, _| {},
-        |stream, _| reset(stream.get_ref()),
+        |stream, _| reset_on_close(stream.get_ref()),
         |stream, _| write(stream, &response("200 OK", "a", SEAL_HEADER)),
     ];
     for script in scripts {
@@ -490,7 +492,7 @@
 fn late_response_after_a_timeout_is_discarded() {
     let runs = Runs::default();
     let ran = runs.clone();
-    let server = Scripted::start(move |stream, number| {
+    let server = ScriptedServer::start(move |stream, number| {
         if number > 0 {
             return serve(stream, &ran);
         }
@@ -525,7 +527,7 @@
         ("Keep-Alive: timeout=soon\r\n", 59_000, 1),
     ];
     for (keep_alive, pause, connections) in rows {
-        let server = Scripted::start(move |stream, _| {
+        let server = ScriptedServer::start(move |stream, _| {
             while let Some(request) = read_message(stream) {
                 write(
                     stream,
--- a/crates/seeded-defects/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,10 +1,10 @@
 //! Each seeded defect is detected by a shipped scenario through the rule that it violates. Without a defect, the same
 //! program violates no such rule there.
 
-use ivygate_fault_injection::{play_until_told, shipped, Played, Program, Scenario, Verdict};
+use ivygate_fault_injection::{run_until_conclusive, shipped, Program, RunResult, Scenario, Verdict};
 
 /// Runs a shipped scenario until the machine has had enough spare capacity for a verdict.
-fn run_scenario(name: &str, defect: Option<&str>) -> Played {
+fn run_scenario(name: &str, defect: Option<&str>) -> RunResult {
     let (_, text) =
         shipped().into_iter().find(|(shipped, _)| *shipped == name).expect("the scenario is shipped");
     let scenario = Scenario::parse(text).expect("the scenario is valid");
@@ -13,7 +13,7 @@
         defect: defect.map(str::to_owned),
         ..Program::default()
     };
-    let played = play_until_told(&scenario, &program).expect("the scenario runs");
+    let played = run_until_conclusive(&scenario, &program).expect("the scenario runs");
     assert_ne!(played.verdict, Verdict::Void, "five runs in a row had too little of the machine's capacity");
     played
 }
@@ -27,7 +27,7 @@
     let (without_defect, with_defect) = std::thread::scope(|scope| {
         let without_defect = scope.spawn(|| run_scenario(scenario, None));
         // A run may not exercise the defect, since the requests that lose their responses vary.
-        let violates_rule = |played: &Played| played.findings.iter().any(|f| f.rule == rule);
+        let violates_rule = |played: &RunResult| played.findings.iter().any(|f| f.rule == rule);
         let mut with_defect = run_scenario(scenario, Some(defect));
         for _ in 1..MAX_RUNS {
             if !violates_rule(&with_defect) {
