--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -201,7 +201,7 @@
             Fault::Crash(servers) => {
                 let lost = servers.of(self.scenario.servers);
                 sleep_until(self.recorder.instant(step.at + DISCOVERY_DELAY_MS)).await;
-                if DISCOVERY_DELAY_MS < step.lasts {
+                if DISCOVERY_DELAY_MS < step.duration {
                     self.announce_state(&lost, "DELETED", 0).await?;
                 }
                 sleep_until(ends).await;
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -87,7 +87,7 @@
     /// Start.
     pub at: f64,
     /// Duration.
-    pub lasts: f64,
+    pub duration: f64,
     /// The fault.
     pub fault: Fault,
 }
@@ -95,7 +95,7 @@
 impl Step {
     /// Returns the time at which the fault ends.
     pub fn end(&self) -> f64 {
-        self.at + self.lasts
+        self.at + self.duration
     }
 
     /// Returns true if the fault is active at a time.
@@ -316,7 +316,7 @@
     at_odds: Option<Text>,
     nodes: Spanned<usize>,
     servers: Spanned<usize>,
-    #[serde(default = "four")]
+    #[serde(default = "default_workers")]
     workers: usize,
     rate: Spanned<f64>,
     customers: Spanned<u32>,
@@ -334,7 +334,7 @@
     steps: Vec<Spanned<FileStep>>,
 }
 
-fn four() -> usize {
+fn default_workers() -> usize {
     4
 }
 
@@ -343,9 +343,9 @@
 struct FileStep {
     at: Text,
     #[serde(rename = "for")]
-    lasts: Text,
+    duration: Text,
     #[serde(rename = "do")]
-    does: Text,
+    action: Text,
     #[serde(default)]
     link: LinkKind,
     nodes: Option<Text>,
@@ -363,10 +363,10 @@
 }
 
 impl Fault {
-    /// The nodes that it names, where it names any.
+    /// Returns the nodes that it affects, if it selects nodes.
     fn names(&self) -> Option<&Selection> {
         match self {
-            Fault::Link(place, _) => Some(&place.nodes),
+            Fault::Link(selector, _) => Some(&selector.nodes),
             Fault::Kill(nodes)
             | Fault::Term(nodes)
             | Fault::Pause(nodes)
@@ -375,12 +375,14 @@
             | Fault::FullDisk(nodes)
             | Fault::Unlisted(nodes)
             | Fault::Move(nodes) => Some(nodes),
-            Fault::Slow(_, whom, _) | Fault::Wrong(_, whom, _) | Fault::Swallow(_, whom) => Some(&whom.nodes),
+            Fault::Slow(_, filter, _) | Fault::Wrong(_, filter, _) | Fault::Swallow(_, filter) => {
+                Some(&filter.nodes)
+            }
             Fault::Drain(_) | Fault::Crash(_) => None,
         }
     }
 
-    /// Whether servers are gone or cold after it, so that load can't lie where it lay.
+    /// Returns true if servers are removed or cold afterwards, so that the load is distributed differently.
     pub fn moves_load(&self) -> bool {
         matches!(self, Fault::Drain(_) | Fault::Crash(_))
     }
@@ -389,17 +391,17 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Link(place, trouble) => match place.kind {
+            Fault::Link(selector, fault) => match selector.kind {
                 LinkKind::Servers => {
-                    write!(f, "{trouble} between nodes {} and servers {}", place.nodes, place.servers)
+                    write!(f, "{fault} between nodes {} and servers {}", selector.nodes, selector.servers)
                 }
-                LinkKind::Clients => write!(f, "{trouble} between clients and nodes {}", place.nodes),
+                LinkKind::Clients => write!(f, "{fault} between clients and nodes {}", selector.nodes),
                 LinkKind::SignIn => {
-                    write!(f, "{trouble} between the sign-in service and nodes {}", place.nodes)
+                    write!(f, "{fault} between the sign-in service and nodes {}", selector.nodes)
                 }
-                LinkKind::Nodes if place.nodes.is_all() => write!(f, "{trouble} between all nodes"),
-                LinkKind::Nodes => write!(f, "{trouble} between nodes {} and the others", place.nodes),
-                LinkKind::Lists => write!(f, "{trouble} between discovery and nodes {}", place.nodes),
+                LinkKind::Nodes if selector.nodes.is_all() => write!(f, "{fault} between all nodes"),
+                LinkKind::Nodes => write!(f, "{fault} between nodes {} and the others", selector.nodes),
+                LinkKind::Lists => write!(f, "{fault} between discovery and nodes {}", selector.nodes),
             },
             Fault::Kill(nodes) => write!(f, "nodes {nodes} killed"),
             Fault::Term(nodes) => write!(f, "nodes {nodes} told to end"),
@@ -411,9 +413,13 @@
             Fault::FullDisk(nodes) => write!(f, "files of nodes {nodes} can't grow"),
             Fault::Drain(servers) => write!(f, "servers {servers} drain"),
             Fault::Crash(servers) => write!(f, "servers {servers} die"),
-            Fault::Slow(servers, whom, times) => write!(f, "servers {servers} {times} times as slow{whom}"),
-            Fault::Wrong(servers, whom, part) => write!(f, "servers {servers} answer {part} with 500{whom}"),
-            Fault::Swallow(servers, whom) => write!(f, "servers {servers} lose their answers{whom}"),
+            Fault::Slow(servers, filter, times) => {
+                write!(f, "servers {servers} {times} times as slow{filter}")
+            }
+            Fault::Wrong(servers, filter, part) => {
+                write!(f, "servers {servers} answer {part} with 500{filter}")
+            }
+            Fault::Swallow(servers, filter) => write!(f, "servers {servers} lose their answers{filter}"),
             Fault::Unlisted(nodes) => write!(f, "nodes {nodes} hear nothing of the list"),
             Fault::Move(nodes) => write!(f, "discovery moves for nodes {nodes}"),
         }
@@ -526,18 +532,20 @@
         within(file.customers.span(), "customers", f64::from(*file.customers.get_ref()), 1.0, 100_000.0)?;
         let length = time(&file.length)?;
         within(file.length.span(), "length in ms", length, 1.0, MAX_LENGTH_MS)?;
-        let sidecars_alone = |asked: &Option<Spanned<bool>>, what: &str| match asked {
+        let sidecars_only = |asked: &Option<Spanned<bool>>, what: &str| match asked {
             Some(asked) if *asked.get_ref() && file.form != NodeKind::Sidecar => {
                 Err(at(Some(asked.span()), format!("only sidecars {what}")))
             }
             asked => Ok(asked.as_ref().is_some_and(|asked| *asked.get_ref())),
         };
-        let journal = sidecars_alone(&file.journal, "keep a journal")?;
-        let sign_in = sidecars_alone(&file.sign_in, "ask a sign-in service")?;
-        let domains = sidecars_alone(&file.domains, "judge zones as a whole")?;
-        let group = sidecars_alone(&file.group, "tell each other what they see")?;
+        let journal = sidecars_only(&file.journal, "keep a journal")?;
+        let sign_in = sidecars_only(&file.sign_in, "ask a sign-in service")?;
+        let domains = sidecars_only(&file.domains, "detect failures of whole zones")?;
+        let group = sidecars_only(&file.group, "exchange observations")?;
         if let Some(asked) = file.group.as_ref().filter(|_| group && !domains) {
-            let what = "only sidecars that judge zones tell each other: write domains = true".to_owned();
+            let what =
+                "sidecars exchange observations only if they detect zone failures: write domains = true"
+                    .to_owned();
             return Err(at(Some(asked.span()), what));
         }
         let mut steps = Vec::new();
@@ -547,17 +555,17 @@
                 Some(text) => {
                     Selection::parse(text.get_ref(), count).map_err(|what| at(Some(text.span()), what))
                 }
-                None => Err(at(Some(span.clone()), format!("'{}' needs {name}", step.does.get_ref()))),
+                None => Err(at(Some(span.clone()), format!("'{}' needs {name}", step.action.get_ref()))),
             };
             let on_nodes = || some(&step.nodes, "nodes", nodes);
             let on_servers = || some(&step.servers, "servers", servers);
             let number = |value: Option<f64>, name: &str, least: f64, most: f64| match value {
                 Some(value) => within(span.clone(), name, value, least, most).map(|()| value),
-                None => Err(at(Some(span.clone()), format!("'{}' needs {name}", step.does.get_ref()))),
+                None => Err(at(Some(span.clone()), format!("'{}' needs {name}", step.action.get_ref()))),
             };
-            let or_none = |t: &Option<Text>| t.as_ref().map_or(Ok(0.0), &time);
+            let time_or_zero = |t: &Option<Text>| t.as_ref().map_or(Ok(0.0), &time);
             let ways = step.ways.unwrap_or_default();
-            let place = || {
+            let selector = || {
                 let all = || Ok(Selection::All);
                 let servers = match step.link {
                     LinkKind::Servers => on_servers()?,
@@ -566,26 +574,29 @@
                 Ok(LinkSelector { kind: step.link, nodes: on_nodes()?, servers })
             };
             if step.link == LinkKind::Lists && file.form == NodeKind::Sidecar {
-                let what = "sidecars have no link to discovery: they hear of servers by their configuration";
+                let what = "sidecars have no link to discovery: their configuration lists the servers";
                 return Err(at(Some(span), what.to_owned()));
             }
             if step.link == LinkKind::SignIn && !sign_in {
                 return Err(at(Some(span), "there is no sign-in service: write sign-in = true".to_owned()));
             }
             if step.link == LinkKind::Nodes && !group {
-                return Err(at(Some(span), "sidecars don't tell each other: write group = true".to_owned()));
+                return Err(at(
+                    Some(span),
+                    "there is no exchange of observations: write group = true".to_owned(),
+                ));
             }
-            let link = |trouble| {
-                let datagrams = matches!(trouble, LinkFault::Lose(_) | LinkFault::Twice(_));
-                let both = matches!(trouble, LinkFault::Cut(_) | LinkFault::Delay(..) | LinkFault::Change(_));
+            let link = |fault| {
+                let datagrams = matches!(fault, LinkFault::Lose(_) | LinkFault::Twice(_));
+                let both = matches!(fault, LinkFault::Cut(_) | LinkFault::Delay(..) | LinkFault::Change(_));
                 if !both && datagrams != (step.link == LinkKind::Nodes) {
-                    let what = "what sidecars tell each other are datagrams: cut, delay, lose, twice and change are for \
-                                them, lose and twice for nothing else";
+                    let what = "sidecars exchange datagrams: only cut, delay, lose, twice and change apply to them, and lose and \
+                                twice to nothing else";
                     return Err(at(Some(span.clone()), what.to_owned()));
                 }
-                Ok(Fault::Link(place()?, trouble))
+                Ok(Fault::Link(selector()?, fault))
             };
-            let for_whom = || {
+            let request_filter = || {
                 let or_all = |text: &Option<Text>, name, count| match text {
                     Some(_) => some(text, name, count),
                     None => Ok(Selection::All),
@@ -598,9 +609,11 @@
                 number(given, "after, in bytes", 0.0, 1e9).map(|after| after as u64)
             };
             let part = || number(step.part, "part", 0.0, 1.0);
-            let fault = match step.does.get_ref().as_str() {
+            let fault = match step.action.get_ref().as_str() {
                 "cut" => link(LinkFault::Cut(ways))?,
-                "delay" => link(LinkFault::Delay(ways, or_none(&step.by)?, or_none(&step.jitter)?))?,
+                "delay" => {
+                    link(LinkFault::Delay(ways, time_or_zero(&step.by)?, time_or_zero(&step.jitter)?))?
+                }
                 "rate" => {
                     link(LinkFault::Rate(ways, number(step.rate, "rate, in bytes a second", 1.0, 1e9)?))?
                 }
@@ -623,7 +636,7 @@
                 "term" => Fault::Term(on_nodes()?),
                 "pause" => Fault::Pause(on_nodes()?),
                 "duty" => {
-                    let period = or_none(&step.period)?;
+                    let period = time_or_zero(&step.period)?;
                     within(span.clone(), "period in ms", period, 10.0, 10_000.0)?;
                     Fault::Duty(on_nodes()?, part()?, period)
                 }
@@ -634,12 +647,14 @@
                 "full-disk" => Fault::FullDisk(on_nodes()?),
                 "drain" => Fault::Drain(on_servers()?),
                 "crash" => Fault::Crash(on_servers()?),
-                "slow" => Fault::Slow(on_servers()?, for_whom()?, number(step.times, "times", 1.0, 100.0)?),
-                "wrong" => Fault::Wrong(on_servers()?, for_whom()?, part()?),
-                "swallow" => Fault::Swallow(on_servers()?, for_whom()?),
+                "slow" => {
+                    Fault::Slow(on_servers()?, request_filter()?, number(step.times, "times", 1.0, 100.0)?)
+                }
+                "wrong" => Fault::Wrong(on_servers()?, request_filter()?, part()?),
+                "swallow" => Fault::Swallow(on_servers()?, request_filter()?),
                 "unlisted" => Fault::Unlisted(on_nodes()?),
                 "move" if file.form == NodeKind::Sidecar => {
-                    let what = "sidecars have no discovery that could move".to_owned();
+                    let what = "sidecars have no discovery service".to_owned();
                     return Err(at(Some(span), what));
                 }
                 "move" => Fault::Move(on_nodes()?),
@@ -648,14 +663,14 @@
                         "cut, delay, rate, change, lose, twice, break, stall, end, reset, kill, term, pause, duty, \
                                  descriptors, full-disk, drain, crash, slow, wrong, swallow, unlisted, \
                                  move";
-                    return Err(at(Some(step.does.span()), format!("'{other}' is none of {known}")));
+                    return Err(at(Some(step.action.span()), format!("'{other}' is none of {known}")));
                 }
             };
-            let (begins, lasts) = (time(&step.at)?, time(&step.lasts)?);
-            if begins + lasts > length {
+            let (begins, duration) = (time(&step.at)?, time(&step.duration)?);
+            if begins + duration > length {
                 return Err(at(Some(span), "the step ends after the play".to_owned()));
             }
-            steps.push(Step { at: begins, lasts, fault });
+            steps.push(Step { at: begins, duration, fault });
         }
         steps.sort_by(|a, b| a.at.total_cmp(&b.at));
         Ok(Self {
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -1,4 +1,4 @@
-//! Each rule, broken in a made-up trace, is found; and nothing else is.
+//! The oracle detects a violation of each rule in a synthetic trace, and reports nothing else.
 
 use ivygate_fault_injection::*;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request each 100 ms of customers in turn, served by one run 50 ms after it was written.
+/// Returns a trace without violations: a request every 100 ms from ten customers in turn, each served by one execution.
 fn sound() -> Trace {
     let mut trace = Trace { planned: 200, ..Trace::default() };
     for id in 0..200 {
@@ -62,7 +62,7 @@
     trace
 }
 
-/// The rules that a trace breaks, each named once.
+/// Returns the names of the violated rules, without repeats.
 fn broken(trace: &Trace) -> Vec<&'static str> {
     let (verdict, _, findings) = judge(&rules(), trace);
     assert_eq!(verdict == Verdict::Kept, findings.is_empty());
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn a_sound_trace_keeps_all_rules() {
+fn valid_trace_violates_no_rule() {
     assert_eq!(broken(&sound()), Vec::<&str>::new());
 }
 
 #[test]
-fn answers_that_are_missing_late_wrong_or_double_are_found_but_for_killed_nodes() {
+fn missing_late_wrong_and_duplicate_responses_are_detected_unless_exempt() {
     let changes: [fn(&mut Request); 4] = [
         |r| r.outcome = Outcome::Nothing,
         |r| r.ended = r.scheduled + 1060.0,
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn requests_that_are_noted_twice_or_not_at_all_stray_bytes_and_slow_ends_are_found() {
+fn unaccounted_requests_unsolicited_data_and_slow_shutdowns_are_detected() {
     let mut trace = sound();
     trace.planned += 1;
     assert_eq!(broken(&trace), ["accounted for once"]);
     let again = trace.requests[3].clone();
     trace.requests.push(again);
-    assert_eq!(broken(&trace), ["accounted for once"], "one is missing and one is there twice");
+    assert_eq!(broken(&trace), ["accounted for once"], "one request is missing and one is recorded twice");
     let mut trace = sound();
     trace.unsolicited.push(UnsolicitedData { node: 1, at: 5000.0 });
     assert_eq!(broken(&trace), ["one answer in time"]);
@@ -116,7 +116,7 @@
     assert_eq!(broken(&trace), Vec::<&str>::new());
     trace.shutdowns[0].took = 2001.0;
     assert_eq!(broken(&trace), ["ends when told"]);
-    // What a link may have changed is no answer of the node's.
+    // A response that a link may have corrupted is not attributed to the node.
     let mut trace = sound();
     trace.requests[50].outcome = Outcome::Wrong;
     trace.corruption_spans.push(Span { from: 4900.0, to: 5100.0 });
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn what_goes_on_without_a_yes_and_a_no_to_one_who_may_are_found() {
+fn forwarded_requests_of_denied_customers_and_wrong_denials_are_detected() {
     let judged = |trace: &Trace| {
         let rules = Rules { denied: Some(|customer| customer == 9), ..rules() };
         judge(&rules, trace).2.iter().map(|f| f.rule).collect::<Vec<_>>()
     };
     let mut trace = sound();
-    assert_eq!(judged(&trace).len(), 20, "one in ten came to a server");
+    assert_eq!(judged(&trace).len(), 20, "the requests of one customer in ten reached a server");
     trace.executions.retain(|execution| execution.id % 10 != 9);
     trace.requests.iter_mut().filter(|r| r.customer == 9).for_each(|r| r.outcome = Outcome::Denied);
     assert_eq!(judged(&trace), Vec::<&str>::new());
@@ -138,13 +138,13 @@
     assert_eq!(judged(&trace), ["asks first"]);
 }
 
-/// Twenty runs in each half second, sent by a rule from node and time to a server.
+/// Returns a trace with 20 executions per half second, whose server is chosen by node and time.
 fn executions(to: impl Fn(usize, f64) -> usize) -> Trace {
     let mut trace = sound();
     trace.executions.clear();
     for number in 0..800 {
         let (node, at) = (number as usize % 4, 25.0 * f64::from(number));
-        // Of nobody's request: only where they go counts.
+        // They belong to no request: only their distribution is checked.
         let (id, server) = (1000 + number, to(node, at));
         trace.executions.push(Execution { id, server, node, at, work: 1.0, effect: false, declined: false });
     }
@@ -152,11 +152,11 @@
 }
 
 #[test]
-fn load_that_swings_stays_away_or_is_at_odds_within_a_zone_is_found() {
+fn load_that_oscillates_shifts_for_good_or_differs_within_a_zone_is_detected() {
     let even = |node: usize, at: f64| (node / 2 + (at / 25.0) as usize / 4) % 2;
     assert_eq!(broken(&executions(even)), Vec::<&str>::new());
     assert_eq!(broken(&executions(|_, at| (at / 1000.0) as usize % 2)), ["does not swing"]);
-    // Nodes 0 and 2 stand in one zone; for three seconds they differ, then for six.
+    // Nodes 0 and 2 are in one zone; they disagree for three seconds, then for six.
     let odds = |until: f64| {
         move |node, at: f64| if (3000.0..until).contains(&at) { node / 2 } else { even(node, at) }
     };
@@ -168,8 +168,8 @@
 }
 
 #[test]
-fn effects_that_happen_twice_and_refusals_after_one_are_found() {
-    // 5 is an order, 4 an edit, 3 a read, which may run as often as it likes.
+fn repeated_effects_and_refusals_after_an_effect_are_detected() {
+    // Request 5 is an order, 4 an edit, and 3 a read, which may be executed any number of times.
     for (id, names) in [(5, vec!["no effect twice"]), (4, vec!["no effect twice"]), (3, vec![])] {
         let mut trace = sound();
         run_again(&mut trace, id, 1, 560.0);
@@ -181,12 +181,12 @@
 }
 
 #[test]
-fn what_is_sent_to_a_drained_server_after_the_grace_is_found() {
+fn requests_to_a_draining_server_after_the_grace_period_are_detected() {
     let mut trace = sound();
     let drain = Drain { node: 1, server: 3, at: 15_000.0, until: f64::INFINITY };
     trace.drains.push(drain);
     assert_eq!(broken(&trace), ["drains kept"]);
-    // Back on the list before the grace ends, or the other node's: nothing to say.
+    // No violation if the server is listed again within the grace period, or if another node was told.
     trace.drains[0].until = 16_000.0;
     assert_eq!(broken(&trace), Vec::<&str>::new());
     trace.drains[0] = Drain { node: 0, server: 3, at: 15_000.0, until: f64::INFINITY };
@@ -194,11 +194,11 @@
 }
 
 #[test]
-fn work_that_a_cold_server_cannot_bear_is_found() {
+fn overload_of_a_cold_server_is_detected() {
     let mut trace = sound();
     trace.cold_starts.push((2, 1000.0));
     assert_eq!(broken(&trace), Vec::<&str>::new());
-    // Two warm servers' work for a second within one window.
+    // 2,500 ms of work at once: with two other requests just above twice the capacity of the cold server.
     for id in [3, 6, 9, 12, 15] {
         trace
             .executions
@@ -210,9 +210,9 @@
 }
 
 #[test]
-fn a_customer_beyond_its_ceiling_over_all_nodes_is_found() {
+fn customer_above_its_ceiling_across_all_nodes_is_detected() {
     let mut trace = sound();
-    // Ten first runs within a second, of two units each: 8 and 4 are allowed, and 2 by the slack.
+    // Ten first executions within a second, of two units each; allowed are a burst of 8, a gain of 4 and a slack of 2.
     trace.requests[..5].iter_mut().for_each(|r| r.customer = 3);
     assert_eq!(broken(&trace), Vec::<&str>::new());
     trace.requests[..10].iter_mut().for_each(|r| r.customer = 3);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn service_that_does_not_come_back_is_found_and_a_late_generator_says_nothing() {
+fn missing_recovery_is_detected_and_harness_delays_make_a_run_void() {
     let mut trace = sound();
     trace.faults.push(("cut".into(), Span { from: 6000.0, to: 8000.0 }));
     trace
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -1,5 +1,5 @@
-//! The rig's own parts: links pass what they are given and nothing else, scenarios say where they are wrong, and what
-//! was started ends with the rig.
+//! Tests of the harness: links forward data unchanged and inject their faults, errors in scenarios carry the line, and
+//! processes end with the harness.
 
 use ivygate_fault_injection::{
     measure_link, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, LimitAction, Link,
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// A link and the two ends of a connection through it.
+/// Opens a link and returns it with the two ends of a connection through it.
 async fn linked() -> (Link, TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let link = Link::open(listener.local_addr().expect("an address"), |_| {}).await.expect("a link");
@@ -20,7 +20,7 @@
     (link, near, far)
 }
 
-/// Whether nothing comes for a while; a link that held nothing back would bring it at once.
+/// Returns true if no data arrives for 100 ms; a link that held nothing back would deliver it at once.
 async fn silent(stream: &mut TcpStream) -> bool {
     tokio::time::timeout(Duration::from_millis(100), stream.read_u8()).await.is_err()
 }
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn with_no_fault_the_same_bytes_pass_and_an_end_of_sending_is_one() {
+async fn link_without_faults_forwards_data_and_half_close() {
     let (_link, mut near, mut far) = linked().await;
     let sent: Vec<u8> = (0..3_000_000u32).map(|n| (n * 7 % 251) as u8).collect();
     let expected = sent.clone();
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_holds_one_direction_and_what_was_held_comes_after_it() {
+async fn cut_holds_one_direction_and_delivers_held_data_afterwards() {
     let (link, mut near, mut far) = linked().await;
     link.set(DirectionFaults::default(), cut());
     near.write_u8(1).await.expect("it takes it");
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn a_reset_breaks_what_is_open_and_what_comes_and_a_delay_takes_its_time() {
+async fn reset_ends_open_and_new_connections_and_delay_is_kept() {
     let (link, mut near, mut far) = linked().await;
     let delay = Duration::from_millis(60);
     link.set(DirectionFaults { delay, ..DirectionFaults::default() }, DirectionFaults::default());
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn a_rate_holds_bytes_back_and_a_change_changes_some_of_them() {
+async fn rate_limits_data_and_change_corrupts_one_byte() {
     let (link, mut near, mut far) = linked().await;
     link.set(
         DirectionFaults { rate: Some(1000.0), ..DirectionFaults::default() },
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn after_some_bytes_a_connection_breaks_stands_still_or_ends_one_way() {
+async fn connection_is_reset_stalled_or_half_closed_after_a_number_of_bytes() {
     for then in [LimitAction::Reset, LimitAction::Stall, LimitAction::End] {
         let (link, mut near, mut far) = linked().await;
         link.set(
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn datagrams_pass_there_and_back_and_are_lost_doubled_changed_or_overtaken_as_told() {
+async fn datagram_link_forwards_loses_duplicates_corrupts_and_reorders() {
     let far = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let link = DatagramLink::open(far.local_addr().expect("an address")).await.expect("a link");
     let near = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -139,7 +139,7 @@
     let read = near.recv(&mut buffer).await.expect("it comes back");
     assert_eq!(&buffer[..read], b"answer");
 
-    // How many of a hundred come, all told, before a last one that nothing happens to.
+    // Sends 100 datagrams with a fault and one without, and returns those that arrive before the last one.
     let coming = async |flow: Flow| {
         link.set(flow, Flow::default());
         for number in 0..100u8 {
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_nobody_takes_is_told_once() {
+async fn connection_without_a_server_is_reported_once() {
     let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
     let link = Link::open(nobody, |_| {}).await.expect("a link");
     let mut near = TcpStream::connect(link.address).await.expect("a link takes all");
@@ -181,11 +181,11 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_stands_still_holds_its_writer_back() {
+async fn stalled_reader_blocks_the_writer() {
     let (_link, mut near, far) = linked().await;
     let block = vec![0; 1 << 20];
     let mut taken = 0;
-    // What the link and the system hold is bounded; a link that took all would let this go on for ever.
+    // Buffers of the link and the system are bounded; a link without back-pressure would accept data forever.
     while taken < 256 {
         match tokio::time::timeout(Duration::from_millis(500), near.write_all(&block)).await {
             Ok(written) => written.expect("it stands"),
@@ -193,12 +193,12 @@
         }
         taken += 1;
     }
-    assert!(taken < 256, "{taken} MiB were taken for a reader that reads nothing");
+    assert!(taken < 256, "{taken} MiB were accepted for a reader that reads nothing");
     drop(far);
 }
 
 #[test]
-fn shipped_scenarios_are_sound_and_a_mistake_is_told_with_its_line() {
+fn built_in_scenarios_are_valid_and_errors_carry_the_line() {
     for (name, text) in shipped() {
         let scenario = Scenario::parse(text).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(scenario.name, name);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_scenario_of_another_size_keeps_the_nodes_that_its_steps_name() {
+fn resized_scenario_must_contain_the_nodes_of_its_steps() {
     let text = shipped().into_iter().find(|(name, _)| *name == "everything-at-once").expect("shipped").1;
     let sound = Scenario::parse(text).expect("sound");
     assert_eq!(sound.clone().resized(Some(4), Some(99.0)).map(|s| (s.nodes, s.rate)), Ok((4, 99.0)));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_report_shows_faults_findings_figures_and_pictures_and_lets_no_text_be_markup() {
+fn report_contains_faults_findings_figures_and_charts_and_escapes_text() {
     let (_, text) = shipped()[1];
     let scenario = Scenario::parse(&text.replace("zone-cut", "<b>")).expect("sound");
     let mut trace = Trace::default();
@@ -268,17 +268,17 @@
         declined: false,
     };
     played.trace.executions.push(execution);
-    assert_eq!(report(&scenario, &played, 5).matches("<svg").count(), 2, "runs by zone and by server");
+    assert_eq!(report(&scenario, &played, 5).matches("<svg").count(), 2, "executions by zone and by server");
 }
 
 #[test]
-fn a_link_holds_many_connections_and_its_cost_is_told() {
+fn link_overhead_is_measured_with_many_connections() {
     let measured = measure_link(200, 50).expect("it measures");
     assert!(measured.connections == 200 && measured.linked[0] > 0.0, "{measured}");
 }
 
 #[test]
-fn what_was_started_ends_when_the_rig_is_gone() {
+fn guard_kills_registered_processes_when_its_input_ends() {
     let rig = env!("CARGO_BIN_EXE_ivygate-fleet");
     let mut guard = Command::new(rig).arg("guard").stdin(Stdio::piped()).spawn().expect("the guard starts");
     let mut sleepers: Vec<_> =
@@ -286,11 +286,11 @@
     let mut input = guard.stdin.take().expect("an input");
     let (kept, left) = (sleepers[0].id(), sleepers[1].id());
     writeln!(input, "+{kept}\n+{left}\n-{kept}").expect("the guard listens");
-    // As when the rig is killed: nothing is said, the pipe ends.
+    // As when the harness is killed: the pipe ends without further lines.
     drop(input);
     assert!(guard.wait().expect("it ends").success());
     assert!(!sleepers[1].wait().expect("it was ended").success());
-    assert!(sleepers[0].try_wait().expect("it can be asked").is_none(), "one that was taken back was ended");
+    assert!(sleepers[0].try_wait().expect("it can be asked").is_none(), "an unregistered process was killed");
     sleepers[0].kill().expect("it runs");
     let _ = sleepers[0].wait();
 }
