--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -27,14 +27,14 @@
 
 pub use datagrams::{DatagramLink, Flow};
 pub use measure::{measure_link, LinkMeasurement};
-pub use node::{guard, Program};
-pub use oracle::{judge, Figures, Finding, Rules, Verdict};
+pub use node::{run_guard, Program};
+pub use oracle::{check_trace, Figures, Finding, Rules, Verdict};
 pub use relay::{DirectionFaults, LimitAction, Link};
 pub use report::report;
 pub use runner::{run_once, run_scenario, run_until_conclusive, HarnessError, RunResult};
 pub use scenario::{
-    shipped, ConfigDefect, Directions, Fault, LinkFault, LinkKind, LinkSelector, NodeKind, RequestFilter,
-    Scenario, ScenarioError, Selection, Step, ZONES,
+    built_in_scenarios, ConfigDefect, Directions, Fault, LinkFault, LinkKind, LinkSelector, NodeKind,
+    RequestFilter, Scenario, ScenarioError, Selection, Step, ZONES,
 };
 pub use trace::{
     Class, Drain, Effect, Execution, Exemption, Outcome, Request, Shutdown, Span, Trace, UnsolicitedData,
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -3,8 +3,8 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use ivygate_fault_injection::{
-    guard, measure_link, report, run_once, shipped, Figures, NodeKind, Program, RunResult, Scenario,
-    Selection, Verdict,
+    built_in_scenarios, measure_link, report, run_guard, run_once, Figures, NodeKind, Program, RunResult,
+    Scenario, Selection, Verdict,
 };
 use serde_json::json;
 use std::io::Write;
@@ -153,7 +153,7 @@
             with_scenario(&options.scenario, |scenario| run(scenario, &options))
         }
         Command::List => {
-            for (name, text) in shipped() {
+            for (name, text) in built_in_scenarios() {
                 match Scenario::parse(text) {
                     Ok(scenario) => say!("{name:20} {}", scenario.about),
                     Err(error) => say!("{name:20} {error}"),
@@ -197,7 +197,7 @@
             }
             Err(error) => failed(&error.to_string()),
         },
-        Command::Guard => match guard(std::io::stdin().lock()) {
+        Command::Guard => match run_guard(std::io::stdin().lock()) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => failed(&error.to_string()),
         },
@@ -216,7 +216,7 @@
 
 /// Returns the text of a built-in scenario or of a file.
 fn text(name: &str) -> Result<String, String> {
-    if let Some((_, text)) = shipped().into_iter().find(|(shipped, _)| *shipped == name) {
+    if let Some((_, text)) = built_in_scenarios().into_iter().find(|(built_in, _)| *built_in == name) {
         return Ok(text.to_owned());
     }
     std::fs::read_to_string(name).map_err(|error| {
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// If the input cannot be read; the processes registered so far are killed anyway.
-pub fn guard(input: impl io::BufRead) -> io::Result<()> {
+pub fn run_guard(input: impl io::BufRead) -> io::Result<()> {
     let mut watched = std::collections::BTreeMap::new();
     let mut read = Ok(());
     for line in input.lines() {
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -45,7 +45,7 @@
     /// Returns true if the sign-in service denies a customer; `None` without a sign-in service.
     pub denied: Option<fn(u32) -> bool>,
     /// True if all servers are up and warm after the faults, so that the distribution of load should be as before.
-    pub steady: bool,
+    pub load_returns: bool,
 }
 
 /// A violation of a rule.
@@ -179,7 +179,7 @@
 const REVERSAL_MIN_EXECUTIONS: usize = 15;
 
 /// Checks a trace against all rules.
-pub fn judge(rules: &Rules, trace: &Trace) -> (Verdict, Figures, Vec<Finding>) {
+pub fn check_trace(rules: &Rules, trace: &Trace) -> (Verdict, Figures, Vec<Finding>) {
     let (reversals, disagreement) = (load_reversals(rules, trace), disagreement_by_second(rules, trace));
     let figures = figures(rules, trace, &reversals, &disagreement);
     let requests = trace.requests.iter().map(|request| (request.id, request)).collect();
@@ -453,7 +453,7 @@
             found.push(finding("settles", what));
         }
     }
-    if let ([Some(before), Some(after)], true) = (figures.first_zone_load, rules.steady) {
+    if let ([Some(before), Some(after)], true) = (figures.first_zone_load, rules.load_returns) {
         if (before - after).abs() > MAX_LOAD_SHIFT {
             let what = format!(
                 "the first zone got {before:.2} of the load before the faults and {after:.2} after them"
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -2,7 +2,7 @@
 
 use crate::client::{send_request, NodeEndpoint, PlannedRequest};
 use crate::node::Program;
-use crate::oracle::{judge, Figures, Finding, Verdict};
+use crate::oracle::{check_trace, Figures, Finding, Verdict};
 use crate::relay::Link;
 use crate::scenario::{Fault, LinkFault, LinkKind, NodeKind, Scenario, Selection, Step};
 use crate::testbed::{longest_deadline, Testbed, CLASS_PERCENTAGES, LEAD_TIME, SHUTDOWN_TIME_MS};
@@ -395,7 +395,7 @@
     watch.abort();
     let mut trace = testbed.recorder.take();
     trace.executions.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let (mut verdict, mut figures, mut findings) = judge(&testbed.rules, &trace);
+    let (mut verdict, mut figures, mut findings) = check_trace(&testbed.rules, &trace);
     for (number, node) in testbed.nodes.iter().enumerate() {
         if node.lock().await.crashed() {
             findings
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -713,7 +713,7 @@
 }
 
 /// Returns the built-in scenarios: name and text.
-pub fn shipped() -> Vec<(&'static str, &'static str)> {
+pub fn built_in_scenarios() -> Vec<(&'static str, &'static str)> {
     macro_rules! shipped {
         ($($name:literal),*) => { vec![$(($name, include_str!(concat!("../scenarios/", $name, ".toml")))),*] };
     }
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -79,7 +79,7 @@
         zones: ZONES.len(),
         max_disagreement: scenario.at_odds.map(|most| most / 1000.0),
         denied: scenario.sign_in.then_some(denied),
-        steady: !scenario.steps.iter().any(|step| step.fault.moves_load()),
+        load_returns: !scenario.steps.iter().any(|step| step.fault.moves_load()),
     }
 }
 
--- a/crates/fault-injection/tests/oracles.rs
+++ b/crates/fault-injection/tests/oracles.rs
@@ -26,7 +26,7 @@
         max_shutdown_time: 2000.0,
         zones: 2,
         max_disagreement: Some(4.0),
-        steady: true,
+        load_returns: true,
         denied: None,
     }
 }
@@ -64,7 +64,7 @@
 
 /// Returns the names of the violated rules, without repeats.
 fn broken(trace: &Trace) -> Vec<&'static str> {
-    let (verdict, _, findings) = judge(&rules(), trace);
+    let (verdict, _, findings) = check_trace(&rules(), trace);
     assert_eq!(verdict == Verdict::Kept, findings.is_empty());
     let mut names: Vec<_> = findings.iter().map(|f| f.rule).collect();
     names.dedup();
@@ -127,7 +127,7 @@
 fn forwarded_requests_of_denied_customers_and_wrong_denials_are_detected() {
     let judged = |trace: &Trace| {
         let rules = Rules { denied: Some(|customer| customer == 9), ..rules() };
-        judge(&rules, trace).2.iter().map(|f| f.rule).collect::<Vec<_>>()
+        check_trace(&rules, trace).2.iter().map(|f| f.rule).collect::<Vec<_>>()
     };
     let mut trace = sound();
     assert_eq!(judged(&trace).len(), 20, "the requests of one customer in ten reached a server");
@@ -232,8 +232,8 @@
     trace.requests.iter_mut().filter(|r| r.scheduled > 16_000.0).for_each(|r| r.outcome = Outcome::Failed);
     assert_eq!(broken(&trace), ["settles"]);
     trace.generator_delays[..10].fill(40.0);
-    assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
+    assert_eq!(check_trace(&rules(), &trace).0, Verdict::Void);
     trace.generator_delays[..10].fill(0.0);
     trace.longest_stall = 51.0;
-    assert_eq!(judge(&rules(), &trace).0, Verdict::Void);
+    assert_eq!(check_trace(&rules(), &trace).0, Verdict::Void);
 }
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -2,8 +2,8 @@
 //! processes end with the harness.
 
 use ivygate_fault_injection::{
-    measure_link, report, shipped, DatagramLink, DirectionFaults, Figures, Flow, LimitAction, Link,
-    RunResult, Scenario, Span, Trace, Verdict,
+    built_in_scenarios, measure_link, report, DatagramLink, DirectionFaults, Figures, Flow, LimitAction,
+    Link, RunResult, Scenario, Span, Trace, Verdict,
 };
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -199,11 +199,11 @@
 
 #[test]
 fn built_in_scenarios_are_valid_and_errors_carry_the_line() {
-    for (name, text) in shipped() {
+    for (name, text) in built_in_scenarios() {
         let scenario = Scenario::parse(text).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(scenario.name, name);
     }
-    let (_, sound) = shipped()[1];
+    let (_, sound) = built_in_scenarios()[1];
     for (from, to, line, what) in [
         ("for = \"3s\"", "for = \"3\"", 13, "no time such as"),
         ("servers = \"south\"", "servers = \"west\"", 16, "none of all, north, south"),
@@ -226,7 +226,8 @@
 
 #[test]
 fn resized_scenario_must_contain_the_nodes_of_its_steps() {
-    let text = shipped().into_iter().find(|(name, _)| *name == "everything-at-once").expect("shipped").1;
+    let text =
+        built_in_scenarios().into_iter().find(|(name, _)| *name == "everything-at-once").expect("shipped").1;
     let sound = Scenario::parse(text).expect("sound");
     assert_eq!(sound.clone().resized(Some(4), Some(99.0)).map(|s| (s.nodes, s.rate)), Ok((4, 99.0)));
     for (nodes, rate, what) in
@@ -238,7 +239,7 @@
 
 #[test]
 fn report_contains_faults_findings_figures_and_charts_and_escapes_text() {
-    let (_, text) = shipped()[1];
+    let (_, text) = built_in_scenarios()[1];
     let scenario = Scenario::parse(&text.replace("zone-cut", "<b>")).expect("sound");
     let mut trace = Trace::default();
     trace.faults.push(("cut & co".into(), Span { from: 1000.0, to: 2000.0 }));
--- a/crates/seeded-defects/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,11 +1,14 @@
 //! Each defect that is put in on purpose is found by a scenario that comes with the rig, by the rule that it breaks; the
 //! same program without a defect keeps all rules there.
 
-use ivygate_fault_injection::{run_until_conclusive, shipped, Program, RunResult, Scenario, Verdict};
+use ivygate_fault_injection::{
+    built_in_scenarios, run_until_conclusive, Program, RunResult, Scenario, Verdict,
+};
 
 /// Plays a shipped scenario until the machine has had enough to spare for a verdict.
 fn played(name: &str, defect: Option<&str>) -> RunResult {
-    let (_, text) = shipped().into_iter().find(|(shipped, _)| *shipped == name).expect("it is shipped");
+    let (_, text) =
+        built_in_scenarios().into_iter().find(|(built_in, _)| *built_in == name).expect("it is shipped");
     let scenario = Scenario::parse(text).expect("it is sound");
     let program = Program {
         program: env!("CARGO_BIN_EXE_ivygate-planted").into(),
