--- a/crates/fault-injection/src/client.rs
+++ b/crates/fault-injection/src/client.rs
@@ -96,8 +96,8 @@
     spread: usize,
     recorder: &Recorder,
 ) {
-    let late = recorder.now() - planned.scheduled;
-    recorder.note(|trace| trace.generator_delays.push(late));
+    let delay = recorder.now() - planned.scheduled;
+    recorder.note(|trace| trace.generator_delays.push(delay));
     let deadline = planned.scheduled + class.deadline;
     let Some(first) = endpoints.first().map(|endpoint| endpoint.node) else { return };
     let mut request = Request {
@@ -111,12 +111,12 @@
         outcome: Outcome::Nothing,
         response_count: 0,
     };
-    let asking = async {
+    let exchange = async {
         for endpoint in endpoints {
             // A reused connection that closes before the response was not read by the node: retries on a new one.
-            for kept in [endpoint.take_idle(recorder), None] {
-                let reused = kept.is_some();
-                let mut stream = match kept {
+            for idle in [endpoint.take_idle(recorder), None] {
+                let reused = idle.is_some();
+                let mut stream = match idle {
                     Some(stream) => stream,
                     None => match TcpStream::connect(endpoint.link.address).await {
                         Ok(stream) => BufReader::new(stream),
@@ -124,29 +124,34 @@
                     },
                 };
                 (request.node, request.written) = (endpoint.node, recorder.now());
-                let own = stream.get_ref().local_addr().ok();
-                let left = deadline - recorder.now();
-                let text = request_text(planned, class, spread, left);
+                let local_address = stream.get_ref().local_addr().ok();
+                let remaining_ms = deadline - recorder.now();
+                let text = request_text(planned, class, spread, remaining_ms);
                 let written = stream.get_mut().write_all(text.as_bytes()).await;
                 request.written = recorder.now();
-                let answer = match written {
+                let response = match written {
                     Ok(()) => http::read(&mut stream).await,
                     Err(error) => Err(error),
                 };
-                match answer {
+                match response {
                     Ok(Some(message)) => {
                         // Data after the response counts as a second response.
-                        let more = !stream.buffer().is_empty();
+                        let has_extra_data = !stream.buffer().is_empty();
                         (request.outcome, request.response_count) =
-                            (outcome_of(&message, planned.id), 1 + u32::from(more));
+                            (outcome_of(&message, planned.id), 1 + u32::from(has_extra_data));
                         let closes = message.header("connection") == Some("close");
-                        if !closes && !more {
+                        if !closes && !has_extra_data {
                             endpoint.put_idle(stream);
                         }
                         return;
                     }
                     // The link found no server: continues with the next node, as after a refused connection.
-                    Ok(None) | Err(_) if own.is_some_and(|own| endpoint.link.unserved(own)) => break,
+                    Ok(None) | Err(_)
+                        if local_address
+                            .is_some_and(|local_address| endpoint.link.unserved(local_address)) =>
+                    {
+                        break
+                    }
                     Ok(None) | Err(_) if reused && endpoint.is_unaccepted(recorder.now()) => {}
                     Ok(None) | Err(_) => return,
                 }
@@ -154,14 +159,14 @@
         }
     };
     let until = recorder.instant(deadline + RESPONSE_GRACE_MS);
-    let _ = tokio::time::timeout_at(until, asking).await;
+    let _ = tokio::time::timeout_at(until, exchange).await;
     request.ended = recorder.now();
     recorder.note(|trace| trace.requests.push(request));
 }
 
-fn outcome_of(answer: &Message, id: u32) -> Outcome {
-    match answer.status() {
-        200 if answer.body == format!("made for {id}").as_bytes() => Outcome::Served,
+fn outcome_of(response: &Message, id: u32) -> Outcome {
+    match response.status() {
+        200 if response.body == format!("made for {id}").as_bytes() => Outcome::Served,
         200 => Outcome::Wrong,
         429 | 503 => Outcome::Refused,
         401 | 403 => Outcome::Denied,
@@ -169,7 +174,7 @@
     }
 }
 
-fn request_text(planned: PlannedRequest, class: &Class, spread: usize, left: f64) -> String {
+fn request_text(planned: PlannedRequest, class: &Class, spread: usize, remaining_ms: f64) -> String {
     let PlannedRequest { id, customer, .. } = planned;
     let (method, key, body) = match class.effect {
         Effect::Safe => ("GET", String::new(), ""),
@@ -177,7 +182,7 @@
         Effect::Unsafe => ("POST", String::new(), "body"),
     };
     let length = if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-    let wait = left.max(1.0) as u64;
+    let wait = remaining_ms.max(1.0) as u64;
     let (name, units) = (class.name, class.units);
     format!(
         "{method} /{name} HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id:08}\r\nReq-Kind: {name}\r\n\
--- a/crates/fault-injection/src/main.rs
+++ b/crates/fault-injection/src/main.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Prints a line to standard output. A closed pipe, as with `head`, is no error.
-macro_rules! say {
+macro_rules! print_line {
     ($($words:tt)*) => {
         drop(writeln!(std::io::stdout(), $($words)*))
     };
@@ -155,15 +155,15 @@
         Command::List => {
             for (name, text) in built_in_scenarios() {
                 match Scenario::parse(text) {
-                    Ok(scenario) => say!("{name:20} {}", scenario.about),
-                    Err(error) => say!("{name:20} {error}"),
+                    Ok(scenario) => print_line!("{name:20} {}", scenario.about),
+                    Err(error) => print_line!("{name:20} {error}"),
                 }
             }
             ExitCode::SUCCESS
         }
         Command::Show { scenario } => match text(&scenario) {
             Ok(text) => {
-                say!("{}", text.trim_end());
+                print_line!("{}", text.trim_end());
                 ExitCode::SUCCESS
             }
             Err(error) => usage_error(&error),
@@ -192,7 +192,7 @@
         Command::Limits { nodes, program } => limits(&nodes, program.as_deref()),
         Command::Links { connections, messages } => match measure_link(connections, messages) {
             Ok(measured) => {
-                say!("{measured}");
+                print_line!("{measured}");
                 ExitCode::SUCCESS
             }
             Err(error) => failed(&error.to_string()),
@@ -287,7 +287,7 @@
     };
     let seed = options.seed.unwrap_or(scenario.seed);
     if !options.json {
-        say!("{}: {} (seed {seed})", scenario.name, scenario.about);
+        print_line!("{}: {} (seed {seed})", scenario.name, scenario.about);
     }
     let result = match run_with_progress(&scenario, &program, seed, options.keep.as_deref()) {
         Ok(result) => result,
@@ -312,21 +312,21 @@
 
 fn print_text(result: &RunResult) {
     const SHOWN: usize = 12;
-    say!("{}", figures_text(&result.figures));
+    print_line!("{}", figures_text(&result.figures));
     for (fault, span) in &result.trace.faults {
-        say!("  {:5.1} to {:5.1} s  {fault}", span.from / 1000.0, span.to / 1000.0);
+        print_line!("  {:5.1} to {:5.1} s  {fault}", span.from / 1000.0, span.to / 1000.0);
     }
     for finding in result.findings.iter().take(SHOWN) {
-        say!("  {}: {}", finding.rule, finding.description);
+        print_line!("  {}: {}", finding.rule, finding.description);
     }
     if result.findings.len() > SHOWN {
-        say!("  and {} more", result.findings.len() - SHOWN);
+        print_line!("  and {} more", result.findings.len() - SHOWN);
     }
     match result.verdict {
-        Verdict::Kept => say!("kept: all rules"),
-        Verdict::Broken => say!("broken: {} findings", result.findings.len()),
+        Verdict::Kept => print_line!("kept: all rules"),
+        Verdict::Broken => print_line!("broken: {} findings", result.findings.len()),
         Verdict::Void => {
-            say!(
+            print_line!(
                 "void: the generator was {:.0} ms late, the rig stood still for {:.0} ms; this machine has too little to spare",
                 result.figures.generator_delay,
                 result.figures.longest_stall
@@ -336,25 +336,25 @@
 }
 
 fn print_json(scenario: &Scenario, result: &RunResult, seed: u64) {
-    say!(
+    print_line!(
         "{}",
         json!({"scenario": scenario.name, "seed": seed, "nodes": scenario.nodes, "rate": scenario.rate})
     );
     for (fault, span) in &result.trace.faults {
-        say!("{}", json!({"fault": fault, "from_ms": span.from, "to_ms": span.to}));
+        print_line!("{}", json!({"fault": fault, "from_ms": span.from, "to_ms": span.to}));
     }
     for finding in &result.findings {
-        say!("{}", json!({"rule": finding.rule, "finding": finding.description}));
+        print_line!("{}", json!({"rule": finding.rule, "finding": finding.description}));
     }
     for (name, value) in result.figures.named() {
-        say!("{}", json!({"figure": name, "value": value}));
+        print_line!("{}", json!({"figure": name, "value": value}));
     }
     let verdict = match result.verdict {
         Verdict::Kept => "kept",
         Verdict::Broken => "broken",
         Verdict::Void => "void",
     };
-    say!("{}", json!({"verdict": verdict}));
+    print_line!("{}", json!({"verdict": verdict}));
 }
 
 /// Runs a scenario repeatedly with one seed: differences come from the machine and are the noise of each figure.
@@ -363,7 +363,7 @@
     let mut broken = 0;
     for _ in 0..times.max(2) {
         match run_with_program(scenario, program, scenario.seed) {
-            Ok(result) if result.verdict == Verdict::Void => say!("a void play is left out"),
+            Ok(result) if result.verdict == Verdict::Void => print_line!("a void play is left out"),
             Ok(result) => {
                 broken += usize::from(result.verdict == Verdict::Broken);
                 results.push(result.figures.named());
@@ -371,8 +371,13 @@
             Err(error) => return failed(&error),
         }
     }
-    say!("{}: {} plays on seed {}, {broken} with a broken rule", scenario.name, results.len(), scenario.seed);
-    say!("{:58} {:>9} {:>9} {:>9} {:>9}", "", "mean", "spread", "least", "most");
+    print_line!(
+        "{}: {} plays on seed {}, {broken} with a broken rule",
+        scenario.name,
+        results.len(),
+        scenario.seed
+    );
+    print_line!("{:58} {:>9} {:>9} {:>9} {:>9}", "", "mean", "spread", "least", "most");
     for (at, (name, _)) in results.first().into_iter().flatten().enumerate() {
         let values: Vec<f64> = results.iter().filter_map(|play| play[at].1).collect();
         if values.len() < 2 {
@@ -381,7 +386,7 @@
         let (mean, spread) = spread(&values);
         let (least, most) =
             values.iter().fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), v| (l.min(*v), m.max(*v)));
-        say!("{name:58} {mean:9.3} {spread:9.3} {least:9.3} {most:9.3}");
+        print_line!("{name:58} {mean:9.3} {spread:9.3} {least:9.3} {most:9.3}");
     }
     ExitCode::SUCCESS
 }
@@ -397,7 +402,7 @@
 /// Raises the rate for each fleet size until a run is void.
 fn limits(sizes: &[usize], program: Option<&Path>) -> ExitCode {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    say!("{cores} processors; 5 s each, nothing fails; 16 servers of 16 workers");
+    print_line!("{cores} processors; 5 s each, nothing fails; 16 servers of 16 workers");
     for nodes in sizes {
         let mut best = None;
         for rate in [125, 250, 500, 1000, 1500, 2000, 3000, 4000, 5000] {
@@ -416,12 +421,12 @@
             }
         }
         match best {
-            Some((rate, figures)) => say!(
+            Some((rate, figures)) => print_line!(
                 "{nodes:3} nodes: {rate} a second; generator late by {:.1} ms, served in time {:.3}",
                 figures.generator_delay,
                 figures.served
             ),
-            None => say!("{nodes:3} nodes: not even 125 a second"),
+            None => print_line!("{nodes:3} nodes: not even 125 a second"),
         }
     }
     ExitCode::SUCCESS
@@ -467,14 +472,14 @@
             };
             if result.verdict == Verdict::Void {
                 let (late, still) = (result.figures.generator_delay, result.figures.longest_stall);
-                say!("seed {seed}: void, {late:.0} ms late, stood still for {still:.0} ms");
+                print_line!("seed {seed}: void, {late:.0} ms late, stood still for {still:.0} ms");
                 return ExitCode::from(EXIT_VOID);
             }
             broken[which] += usize::from(result.verdict == Verdict::Broken);
             served[which] = result.figures.served;
             results[which].push(result.figures.named());
         }
-        say!("seed {seed}: old {:.3}, new {:.3}", served[0], served[1]);
+        print_line!("seed {seed}: old {:.3}, new {:.3}", served[0], served[1]);
         differences.push(served[1] - served[0]);
     }
     let (mean, differing) = spread(&differences);
@@ -484,13 +489,20 @@
     } else {
         f64::INFINITY
     };
-    say!("{:58} {:>9} {:>9} {:>9} {:>9}", "mean of all plays, and spread", "old", "spread", "new", "spread");
+    print_line!(
+        "{:58} {:>9} {:>9} {:>9} {:>9}",
+        "mean of all plays, and spread",
+        "old",
+        "spread",
+        "new",
+        "spread"
+    );
     for (at, (name, _)) in results[0].first().into_iter().flatten().enumerate() {
         let values =
             [0, 1].map(|which| results[which].iter().filter_map(|play| play[at].1).collect::<Vec<f64>>());
         if values.iter().all(|values| !values.is_empty()) {
             let [(old, old_spread), (new, new_spread)] = values.map(|values| spread(&values));
-            say!("{name:58} {old:9.3} {old_spread:9.3} {new:9.3} {new_spread:9.3}");
+            print_line!("{name:58} {old:9.3} {old_spread:9.3} {new:9.3} {new_spread:9.3}");
         }
     }
     let verdict = match mean {
@@ -498,7 +510,7 @@
         mean if -mean > error => "old serves more",
         _ => "no difference can be told",
     };
-    say!(
+    print_line!(
         "new less old: {mean:+.3} within {error:.3}: {verdict}; plays with a broken rule: old {}, new {}",
         broken[0],
         broken[1]
--- a/crates/fault-injection/src/oracle.rs
+++ b/crates/fault-injection/src/oracle.rs
@@ -212,7 +212,7 @@
 
 /// Rule one: exactly one final response in time for each request that a running node accepted.
 fn check_responses(rules: &Rules, trace: &Trace) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for request in &trace.requests {
         let end = request.scheduled + rules.classes[request.class].deadline + rules.response_slack;
         let open = Span { from: request.written, to: request.ended.min(end) };
@@ -225,7 +225,7 @@
         match request.outcome {
             Outcome::Wrong if corruption_spans => {}
             Outcome::Nothing => {
-                found.push(finding(
+                findings.push(finding(
                     rule,
                     format!(
                         "request {id} of node {node}, written at {:.0} ms: none until {:.0} ms",
@@ -234,13 +234,13 @@
                 ));
             }
             Outcome::Wrong => {
-                found.push(finding(rule, format!("request {id} of node {node}: not what a server made")));
+                findings.push(finding(rule, format!("request {id} of node {node}: not what a server made")));
             }
             _ if request.response_count > 1 => {
-                found.push(finding(rule, format!("request {id}: {} answers", request.response_count)));
+                findings.push(finding(rule, format!("request {id}: {} answers", request.response_count)));
             }
             _ if request.ended > end => {
-                found.push(finding(rule, format!("request {id}: {:.0} ms late", request.ended - end)));
+                findings.push(finding(rule, format!("request {id}: {:.0} ms late", request.ended - end)));
             }
             _ => {}
         }
@@ -248,11 +248,11 @@
     for stray in &trace.unsolicited {
         let seen = Span { from: stray.at, to: stray.at };
         if !trace.is_exempt(stray.node, &seen) {
-            found
+            findings
                 .push(finding(ONE_RESPONSE, format!("node {} sent bytes that nobody asked for", stray.node)));
         }
     }
-    found
+    findings
 }
 
 /// Rule two: no effect is applied twice, and no request that took effect is refused.
@@ -261,32 +261,33 @@
     for execution in trace.executions.iter().filter(|execution| execution.effect) {
         count.entry(execution.id).or_default().push(execution.server);
     }
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for request in &trace.requests {
         let class = &rules.classes[request.class];
         let Some(servers) = count.get(&request.id).filter(|_| class.effect != Effect::Safe) else { continue };
         let (id, name) = (request.id, class.name);
         if servers.len() > 1 {
-            found.push(finding("no effect twice", format!("{name} {id} took effect at servers {servers:?}")));
+            findings
+                .push(finding("no effect twice", format!("{name} {id} took effect at servers {servers:?}")));
         } else if request.outcome == Outcome::Refused {
-            found.push(finding(
+            findings.push(finding(
                 "no effect twice",
                 format!("{name} {id} ran at server {} and was refused", servers[0]),
             ));
         }
     }
-    found
+    findings
 }
 
 /// Rule three: no new request to a server after the grace period of its announced drain.
 fn check_drains(rules: &Rules, trace: &Trace) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for drain in &trace.drains {
         let late = trace.executions.iter().filter(|execution| {
             let told = drain.at + rules.drain_grace..drain.until;
             (execution.node, execution.server) == (drain.node, drain.server) && told.contains(&execution.at)
         });
-        found.extend(late.map(|execution| {
+        findings.extend(late.map(|execution| {
             let (node, server, after) = (execution.node, execution.server, execution.at - drain.at);
             finding(
                 "drains kept",
@@ -294,31 +295,31 @@
             )
         }));
     }
-    found
+    findings
 }
 
 /// Rule four: the work sent to a cold server within a window, including declined requests, stays below a multiple of
 /// its capacity.
 fn check_cold_servers(rules: &Rules, trace: &Trace) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for (server, start) in &trace.cold_starts {
         let over = cold_loads(rules, trace, *server, *start)
             .into_iter()
-            .find(|(sent, able)| *sent > rules.overload_factor * able);
-        if let Some((sent, able)) = over {
-            let most = rules.overload_factor * able;
+            .find(|(sent, capacity)| *sent > rules.overload_factor * capacity);
+        if let Some((sent, capacity)) = over {
+            let most = rules.overload_factor * capacity;
             let what =
                 format!("server {server} was sent {sent:.0} ms of work in a window, {most:.0} are its most");
-            found.push(finding("cold servers", what));
+            findings.push(finding("cold servers", what));
         }
     }
-    found
+    findings
 }
 
 /// Returns, for each request that a server got while it was cold, the work sent to it in the window before and its
 /// capacity in a window.
 fn cold_loads(rules: &Rules, trace: &Trace, server: usize, start: f64) -> Vec<(f64, f64)> {
-    let able = |at: f64| {
+    let capacity = |at: f64| {
         let part = ((at - start) / rules.warm_up_time).clamp(0.0, 1.0);
         rules.capacity * (rules.cold_capacity + (1.0 - rules.cold_capacity) * part) * rules.overload_window
     };
@@ -335,7 +336,7 @@
             sent -= executions[first].work;
             first += 1;
         }
-        loads.push((sent, able(execution.at)));
+        loads.push((sent, capacity(execution.at)));
     }
     loads
 }
@@ -378,7 +379,7 @@
     }
     let mut stores: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
     let mut seen = HashSet::new();
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     for execution in &trace.executions {
         let Some(request) = requests.get(&execution.id).filter(|_| seen.insert(execution.id)) else {
             continue;
@@ -392,10 +393,10 @@
                 "customer {} is {:.1} units beyond at {:.0} ms",
                 request.customer, -*store, execution.at
             );
-            found.push(finding("ceilings hold", what));
+            findings.push(finding("ceilings hold", what));
         }
     }
-    found
+    findings
 }
 
 /// Checks that each request that the generator started is in the trace exactly once.
@@ -421,7 +422,7 @@
     };
     let let_on =
         trace.executions.iter().filter_map(|execution| of(execution).map(|request| (execution, request)));
-    let mut found: Vec<_> = let_on
+    let mut findings: Vec<_> = let_on
         .map(|(execution, request)| {
             let (id, customer, server) = (execution.id, request.customer, execution.server);
             finding(
@@ -431,10 +432,10 @@
         })
         .collect();
     let wrongly = trace.requests.iter().filter(|r| r.outcome == Outcome::Denied && !denied(r.customer));
-    found.extend(
+    findings.extend(
         wrongly.map(|r| finding(rule, format!("request {} of customer {} was told a no", r.id, r.customer))),
     );
-    found
+    findings
 }
 
 /// Checks that a node told to shut down ends once its open requests are answered.
@@ -446,11 +447,11 @@
 
 /// Checks that service and load after the settling time are as before the first fault.
 fn check_recovery(rules: &Rules, figures: &Figures) -> Vec<Finding> {
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     if let [Some(before), _, Some(after)] = figures.phases {
         if before - after > MAX_SERVICE_LOSS {
             let what = format!("served {before:.2} before the faults and {after:.2} after them");
-            found.push(finding("settles", what));
+            findings.push(finding("settles", what));
         }
     }
     if let ([Some(before), Some(after)], true) = (figures.first_zone_load, rules.load_returns) {
@@ -458,26 +459,26 @@
             let what = format!(
                 "the first zone got {before:.2} of the load before the faults and {after:.2} after them"
             );
-            found.push(finding("settles", what));
+            findings.push(finding("settles", what));
         }
     }
-    found
+    findings
 }
 
 /// Returns the times at which the first zone's share of the load reversed between a steep rise and a steep fall.
 fn load_reversals(rules: &Rules, trace: &Trace) -> Vec<f64> {
     let shares = shares(rules, trace.executions.iter(), REVERSAL_INTERVAL_MS, REVERSAL_MIN_EXECUTIONS);
-    let (mut found, mut last) = (Vec::new(), None::<bool>);
+    let (mut findings, mut last) = (Vec::new(), None::<bool>);
     for pair in shares.windows(2) {
         let [Some(from), Some(to)] = [pair[0].1, pair[1].1] else { continue };
         if (to - from).abs() > REVERSAL_STEP {
             if last.is_some_and(|rose| rose != (to > from)) {
-                found.push(pair[1].0);
+                findings.push(pair[1].0);
             }
             last = Some(to > from);
         }
     }
-    found
+    findings
 }
 
 fn check_load_reversals(reversals: &[f64]) -> Option<Finding> {
@@ -603,7 +604,7 @@
         Outcome::Refused | Outcome::Denied => false,
         Outcome::Wrong | Outcome::Failed | Outcome::Nothing => true,
     };
-    let quicker = |part: f64| times.as_ref().map_or(0.0, |t| t.value_at_quantile(part) as f64 / 1000.0);
+    let quantile_ms = |part: f64| times.as_ref().map_or(0.0, |t| t.value_at_quantile(part) as f64 / 1000.0);
     let length = trace.executions.last().map_or(0.0, |execution| execution.at).max(1.0);
     let mut late = trace.generator_delays.clone();
     late.sort_by(f64::total_cmp);
@@ -621,14 +622,14 @@
             .cold_starts
             .iter()
             .flat_map(|(server, start)| cold_loads(rules, trace, *server, *start))
-            .map(|(sent, able)| sent / able)
+            .map(|(sent, capacity)| sent / capacity)
             .max_by(f64::total_cmp),
         warm_load: warm_load(rules, trace),
         attempts: trace.executions.len() as f64 / all.len().max(1) as f64,
         generator_delay: late.get(late.len() * 99 / 100).copied().unwrap_or(0.0),
         longest_stall: trace.longest_stall,
         node_spread: (high - low).max(0.0),
-        latencies: [quicker(0.5), quicker(0.99), quicker(0.999)],
+        latencies: [quantile_ms(0.5), quantile_ms(0.99), quantile_ms(0.999)],
         first_zone_load: [part_of_load(&|at| at < first), part_of_load(&|at| at >= settled)],
         largest_disagreement: disagreement.iter().copied().fold(0.0, f64::max),
         disagreement_s: longest_disagreement(disagreement).1 as f64,
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -185,17 +185,18 @@
                 buffer[fastrand::usize(..read)] ^= 1 << fastrand::u32(..8);
             }
             let take = |most: u64| usize::try_from(most.saturating_sub(passed)).unwrap_or(read).min(read);
-            let (whole, then) = now
-                .after
-                .map_or((read, None), |(most, then)| (take(most), Some(then).filter(|_| take(most) < read)));
+            let (allowed, action) = now.after.map_or((read, None), |(most, action)| {
+                (take(most), Some(action).filter(|_| take(most) < read))
+            });
             passed += read as u64;
-            let more = now.jitter.mul_f64(fastrand::f64());
-            let takes = now.rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(read as f64 / rate));
-            last = last.max(Instant::now() + now.delay + more) + takes;
-            if whole > 0 && queue.send((last, buffer[..whole].to_vec())).await.is_err() {
+            let jitter = now.jitter.mul_f64(fastrand::f64());
+            let transfer_time =
+                now.rate.map_or(Duration::ZERO, |rate| Duration::from_secs_f64(read as f64 / rate));
+            last = last.max(Instant::now() + now.delay + jitter) + transfer_time;
+            if allowed > 0 && queue.send((last, buffer[..allowed].to_vec())).await.is_err() {
                 return Err(Broken);
             }
-            match then {
+            match action {
                 None => {}
                 Some(LimitAction::Reset) => {
                     // Earlier data must be delivered first.
@@ -207,7 +208,7 @@
                 Some(LimitAction::End) => return Ok(()),
                 Some(LimitAction::Stall) => {
                     seen.wait_for(|state| direction(state).after.is_none()).await.map_err(|_| Broken)?;
-                    if queue.send((Instant::now(), buffer[whole..read].to_vec())).await.is_err() {
+                    if queue.send((Instant::now(), buffer[allowed..read].to_vec())).await.is_err() {
                         return Err(Broken);
                     }
                 }
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -54,10 +54,10 @@
         page += "</ul>\n";
     }
     page += &figures(&result.figures);
-    for (title, unit, series) in pictures(scenario, result) {
+    for (title, unit, series) in charts(scenario, result) {
         let _ = writeln!(page, "<h2>{title}</h2>");
         // A chart that cannot be drawn is left out; the figures remain.
-        page += &picture(scenario, result, unit, &series).unwrap_or_default();
+        page += &draw_chart(scenario, result, unit, &series).unwrap_or_default();
     }
     page += "<h2>What nodes said</h2>\n";
     for (node, logs) in result.logs.iter().enumerate().filter(|(_, logs)| !logs.is_empty()) {
@@ -89,7 +89,7 @@
 }
 
 /// Returns the charts: title, unit and lines.
-fn pictures(scenario: &Scenario, result: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
+fn charts(scenario: &Scenario, result: &RunResult) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let trace = &result.trace;
     let rate = |of: &dyn Fn(&crate::trace::Request) -> bool| {
         by_time(trace.requests.iter().filter(|r| of(r)).map(|r| (r.scheduled, 1.0)), 1.0 / BIN)
@@ -122,7 +122,7 @@
             (format!("server {server}"), executions(&|execution: &Execution| execution.server == server))
         })
         .collect();
-    let believed = result
+    let ejections = result
         .logs
         .iter()
         .enumerate()
@@ -134,7 +134,7 @@
         ("Time to the answer", "ms", times),
         ("Runs by zone", "a second", zones),
         ("Runs by server", "a second", servers),
-        ("Servers that each node calls ejected", "servers", believed),
+        ("Servers that each node calls ejected", "servers", ejections),
     ]
 }
 
@@ -175,7 +175,7 @@
     points
 }
 
-fn picture(scenario: &Scenario, result: &RunResult, unit: &str, series: &[Series]) -> Option<String> {
+fn draw_chart(scenario: &Scenario, result: &RunResult, unit: &str, series: &[Series]) -> Option<String> {
     let most = series.iter().flat_map(|(_, points)| points).map(|(_, value)| *value).fold(0.0, f64::max);
     if most <= 0.0 {
         return Some("<p>Nothing.</p>\n".to_owned());
--- a/crates/fault-injection/src/scenario.rs
+++ b/crates/fault-injection/src/scenario.rs
@@ -714,10 +714,10 @@
 
 /// Returns the built-in scenarios: name and text.
 pub fn built_in_scenarios() -> Vec<(&'static str, &'static str)> {
-    macro_rules! shipped {
+    macro_rules! scenarios {
         ($($name:literal),*) => { vec![$(($name, include_str!(concat!("../scenarios/", $name, ".toml")))),*] };
     }
-    shipped![
+    scenarios![
         "calm",
         "zone-cut",
         "zone-cut-one-way",
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -169,8 +169,8 @@
         let serving = async {
             let mut stream = BufReader::new(stream);
             while let Ok(Some(request)) = http::read(&mut stream).await {
-                let Some(answer) = self.respond(&request, peer).await else { return };
-                if stream.get_mut().write_all(&answer).await.is_err() {
+                let Some(response) = self.respond(&request, peer).await else { return };
+                if stream.get_mut().write_all(&response).await.is_err() {
                     return;
                 }
             }
@@ -192,7 +192,7 @@
         let customer = u32::from_str_radix(customer, 16).ok()?;
         let node = lock(&shared.origins).get(&peer).copied()?;
         let condition = self.condition.borrow().clone();
-        let about = |whom: &RequestFilter| whom.nodes.has(node) && whom.customers.has(customer as usize);
+        let affected = |whom: &RequestFilter| whom.nodes.has(node) && whom.customers.has(customer as usize);
         let (now, work) = (shared.recorder.now(), shared.work(class, id));
         let mut execution =
             Execution { id, server: self.number, node, at: now, work, effect: false, declined: false };
@@ -203,7 +203,7 @@
                 b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n".to_vec(),
             );
         }
-        let wrong = condition.wrong.iter().any(|(whom, part)| about(whom) && fastrand::f64() < *part);
+        let wrong = condition.wrong.iter().any(|(whom, part)| affected(whom) && fastrand::f64() < *part);
         execution.effect = match shared.classes[class].effect {
             Effect::Safe | Effect::Unsafe => true,
             Effect::Keyed => shared.is_new(self.number % ZONES.len(), id, now),
@@ -222,10 +222,10 @@
             shared.profile.cold_capacity + (1.0 - shared.profile.cold_capacity) * age
         });
         let slow: f64 =
-            condition.slow.iter().filter(|(whom, _)| about(whom)).map(|(_, times)| times).product();
+            condition.slow.iter().filter(|(whom, _)| affected(whom)).map(|(_, times)| times).product();
         tokio::time::sleep(Duration::from_secs_f64(work * slow / warmth / 1000.0)).await;
         drop(worker);
-        if self.condition.borrow().no_response.iter().any(about) {
+        if self.condition.borrow().no_response.iter().any(affected) {
             return None;
         }
         let body = format!("made for {id}");
