--- a/crates/seeded-defects/tests/found.rs
+++ b/crates/seeded-defects/tests/found.rs
@@ -1,12 +1,16 @@
 //! Each seeded defect is detected by a shipped scenario through the rule that it violates. Without a defect, the same
 //! program violates no such rule there.
 
-use ivygate_fault_injection::{run_until_conclusive, shipped, Program, RunResult, Scenario, Verdict};
+use ivygate_fault_injection::{
+    built_in_scenarios, run_until_conclusive, Program, RunResult, Scenario, Verdict,
+};
 
 /// Runs a shipped scenario until the machine has had enough spare capacity for a verdict.
 fn run_scenario(name: &str, defect: Option<&str>) -> RunResult {
-    let (_, text) =
-        shipped().into_iter().find(|(shipped, _)| *shipped == name).expect("the scenario is shipped");
+    let (_, text) = built_in_scenarios()
+        .into_iter()
+        .find(|(built_in, _)| *built_in == name)
+        .expect("the scenario is shipped");
     let scenario = Scenario::parse(text).expect("the scenario is valid");
     let program = Program {
         program: env!("CARGO_BIN_EXE_ivygate-planted").into(),
