--- a/crates/journal/tests/stored_journal.rs
+++ b/crates/journal/tests/stored_journal.rs
@@ -1,4 +1,5 @@
-//! A journal that an earlier version wrote is opened, read order by order, written on, and opened again.
+//! Guards the on-disk format: a journal file written by an earlier version must be readable, must answer every
+//! query with the same bytes, and must accept further records.
 
 use ivygate_journal::{
     answer_query, Attempt, AttemptOutcome, DurabilityLevel, EndReason, Order, RecordOutcome, Retention,
@@ -8,7 +9,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Queries whose answers are pinned to the byte.
+/// Queries whose responses are compared byte for byte with `expected.txt`.
 const QUERIES: [&str; 12] = [
     "/orders",
     "/orders?state=unknown",
@@ -24,8 +25,8 @@
     "/verify",
 ];
 
-/// Queries that are rejected, with the status.
-const REJECTED: [(&str, u16); 6] = [
+/// Invalid queries and the HTTP status that each is rejected with.
+const REJECTED_QUERIES: [(&str, u16); 6] = [
     ("/orders?id=absent", 404),
     ("/orders?limit=0", 400),
     ("/orders?state=sent", 400),
@@ -34,25 +35,28 @@
     ("/elsewhere", 404),
 ];
 
-/// The folder as it was written, with the answers to `QUERIES` in `expected.txt`.
-fn fixture() -> PathBuf {
+/// The directory of the stored journal, with the expected responses to `QUERIES` in `expected.txt`.
+fn fixture_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/stored-journal")
 }
 
-/// A copy that the test may write, in a folder of its own.
-fn copy(name: &str) -> PathBuf {
-    let to = std::env::temp_dir().join(format!("ivygate-stored-journal-{name}-{}", std::process::id()));
-    let _ = fs::remove_dir_all(&to);
-    fs::create_dir_all(&to).expect("it can be written");
-    fs::copy(fixture().join("orders.redb"), to.join("orders.redb")).expect("the fixture is there");
-    to
+/// Copies the stored journal to a temporary directory that the test may write to.
+fn copy_fixture(name: &str) -> PathBuf {
+    let directory =
+        std::env::temp_dir().join(format!("ivygate-stored-journal-{name}-{}", std::process::id()));
+    let _ = fs::remove_dir_all(&directory);
+    fs::create_dir_all(&directory).expect("the temporary directory can be created");
+    fs::copy(fixture_directory().join("orders.redb"), directory.join("orders.redb"))
+        .expect("the fixture file exists");
+    directory
 }
 
-fn answers(store: &Store) -> String {
+fn query_responses(store: &Store) -> String {
     let mut text = String::new();
     for query in QUERIES {
-        let told = answer_query(store, query);
-        write!(text, "{query} {}\n{}", told.status, told.lines).expect("text can be written");
+        let response = answer_query(store, query);
+        write!(text, "{query} {}\n{}", response.status, response.lines)
+            .expect("writing to a string succeeds");
     }
     text
 }
@@ -62,27 +66,33 @@
 }
 
 #[test]
-fn answers_every_query_as_the_version_that_wrote_it() {
-    let folder = copy("read");
-    let store = Store::open(&folder).expect("it opens");
-    let expected = fs::read_to_string(fixture().join("expected.txt")).expect("the fixture is there");
-    assert_eq!(answers(&store), expected);
-    for (query, status) in REJECTED {
-        let told = answer_query(&store, query);
-        assert_eq!(told.status, status, "{query}");
-        assert!(told.lines.starts_with("{\"error\":\"") && told.lines.ends_with("\"}\n"), "{}", told.lines);
+fn responses_match_those_of_the_version_that_wrote_the_journal() {
+    let directory = copy_fixture("read");
+    let store = Store::open(&directory).expect("the journal opens");
+    let expected =
+        fs::read_to_string(fixture_directory().join("expected.txt")).expect("the fixture file exists");
+    assert_eq!(query_responses(&store), expected);
+    for (query, status) in REJECTED_QUERIES {
+        let response = answer_query(&store, query);
+        assert_eq!(response.status, status, "{query}");
+        assert!(
+            response.lines.starts_with("{\"error\":\"") && response.lines.ends_with("\"}\n"),
+            "{}",
+            response.lines
+        );
     }
     assert!(!store.was_repaired() && !store.changed_after_close());
-    assert_eq!(store.get_or_insert_salt([9; 32]).expect("it can be read"), [7; 32]);
+    assert_eq!(store.get_or_insert_salt([9; 32]).expect("the salt is readable"), [7; 32]);
     drop(store);
-    fs::remove_dir_all(folder).expect("it goes");
+    fs::remove_dir_all(directory).expect("the temporary directory can be removed");
 }
 
 #[test]
-fn writes_on_where_an_earlier_version_stopped() {
-    let folder = copy("write");
-    let store = Store::create(&folder, DurabilityLevel::Synced, Retention::default()).expect("it opens");
-    let taken = |client_id: &str| {
+fn appends_to_a_journal_of_an_earlier_version() {
+    let directory = copy_fixture("write");
+    let store =
+        Store::create(&directory, DurabilityLevel::Synced, Retention::default()).expect("the journal opens");
+    let accepted = |client_id: &str| {
         let order = Order {
             client_id: Some(client_id.to_owned()),
             customer: "acme".into(),
@@ -96,12 +106,12 @@
     };
     let updates = [
         ("boot-3".to_owned(), Update::AttemptEnded(0, AttemptOutcome::Answer(201))),
-        ("boot-9".to_owned(), taken("client-1")),
-        ("boot-10".to_owned(), taken("client-4")),
-        ("boot-11".to_owned(), taken("client-9")),
+        ("boot-9".to_owned(), accepted("client-1")),
+        ("boot-10".to_owned(), accepted("client-4")),
+        ("boot-11".to_owned(), accepted("client-9")),
         ("boot-11".to_owned(), Update::Closed(EndReason::ClientGone)),
     ];
-    let (recorded, fill) = store.record(&updates).expect("it is recorded");
+    let (recorded, fill) = store.record(&updates).expect("the updates are recorded");
     assert_eq!(
         recorded,
         [
@@ -114,16 +124,17 @@
     );
     assert_eq!(fill.orders, 9);
     drop(store);
-    let store = Store::open(&folder).expect("it opens again");
-    let found = |id: &str| store.find(id).expect("it can be read").map(|(id, order)| (id, order.state()));
-    assert_eq!(found("boot-3"), Some(("boot-3".to_owned(), State::Answered(201))));
-    assert_eq!(found("client-4"), Some(("boot-10".to_owned(), State::Unknown)));
-    assert_eq!(found("client-9"), Some(("boot-11".to_owned(), State::Unknown)));
-    assert_eq!(found("boot-9"), None);
+    let store = Store::open(&directory).expect("the journal reopens");
+    let find_state =
+        |id: &str| store.find(id).expect("the order is readable").map(|(id, order)| (id, order.state()));
+    assert_eq!(find_state("boot-3"), Some(("boot-3".to_owned(), State::Answered(201))));
+    assert_eq!(find_state("client-4"), Some(("boot-10".to_owned(), State::Unknown)));
+    assert_eq!(find_state("client-9"), Some(("boot-11".to_owned(), State::Unknown)));
+    assert_eq!(find_state("boot-9"), None);
     assert_eq!(
-        store.verify().expect("it can be read"),
+        store.verify().expect("the journal is readable"),
         VerifyReport { orders: 9, unknown: 4, problems: Vec::new() }
     );
     drop(store);
-    fs::remove_dir_all(folder).expect("it goes");
+    fs::remove_dir_all(directory).expect("the temporary directory can be removed");
 }
--- a/crates/registry/tests/commands.rs
+++ b/crates/registry/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands as scripts use them: arguments, calls to a core machine, exit codes and what is printed.
+//! Tests the operator commands as a script runs them: arguments, requests to the registry, exit codes and output.
 
 use serde_json::json;
 use std::fs;
@@ -8,21 +8,21 @@
 use std::process::{Command, Output};
 use std::sync::{Arc, Mutex};
 
-/// A stand-in for a core machine: it answers each path with a fixed document, and keeps what it was asked.
-struct Core {
+/// A fake core machine that answers each request with a fixed document and records the requests and their bodies.
+struct FakeCore {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<(String, String)>>>,
 }
 
-impl Core {
-    fn start(answer: fn(&str) -> (u16, String)) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("it has an address");
+impl FakeCore {
+    fn start(respond: fn(&str) -> (u16, String)) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the listener has an address");
         let requests = Arc::new(Mutex::new(Vec::new()));
-        let seen = requests.clone();
+        let recorded = requests.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                serve(stream, answer, &seen);
+                serve(stream, respond, &recorded);
             }
         });
         Self { address, requests }
@@ -37,10 +37,10 @@
     }
 }
 
-fn serve(stream: TcpStream, answer: fn(&str) -> (u16, String), seen: &Mutex<Vec<(String, String)>>) {
+fn serve(stream: TcpStream, respond: fn(&str) -> (u16, String), recorded: &Mutex<Vec<(String, String)>>) {
     let mut reader = BufReader::new(stream);
-    let (mut first, mut length) = (String::new(), 0);
-    if reader.read_line(&mut first).is_err() {
+    let (mut request_line, mut content_length) = (String::new(), 0);
+    if reader.read_line(&mut request_line).is_err() {
         return;
     }
     loop {
@@ -49,14 +49,17 @@
             break;
         }
         if let Some(value) = header.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = value.trim().parse().expect("a length");
+            content_length = value.trim().parse().expect("the content length is a number");
         }
     }
-    let mut body = vec![0; length];
-    reader.read_exact(&mut body).expect("the body comes");
-    let request = first.trim_end().trim_end_matches(" HTTP/1.1").to_owned();
-    let (status, document) = answer(&request);
-    seen.lock().expect("no thread panicked").push((request, String::from_utf8(body).expect("text")));
+    let mut body = vec![0; content_length];
+    reader.read_exact(&mut body).expect("the body is complete");
+    let request = request_line.trim_end().trim_end_matches(" HTTP/1.1").to_owned();
+    let (status, document) = respond(&request);
+    recorded
+        .lock()
+        .expect("no thread panicked")
+        .push((request, String::from_utf8(body).expect("the body is UTF-8")));
     let head = format!(
         "HTTP/1.1 {status} X\r\ncontent-length: {}\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n",
         document.len()
@@ -71,28 +74,28 @@
     for address in addresses {
         process.args(["--at", &address.to_string()]);
     }
-    process.args(arguments).env_remove("IVYGATE_CONFIG").output().expect("it runs")
+    process.args(arguments).env_remove("IVYGATE_CONFIG").output().expect("the command starts")
 }
 
-fn printed(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("text")
+fn stdout_text(output: &Output) -> String {
+    String::from_utf8(output.stdout.clone()).expect("the output is UTF-8")
 }
 
-fn complaint(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn code(output: &Output) -> i32 {
-    output.status.code().expect("it ends by itself")
+fn exit_code(output: &Output) -> i32 {
+    output.status.code().expect("the command exits without a signal")
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn temporary_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("ivygate-commands-{name}-{}.json", std::process::id()));
-    fs::write(&path, text).expect("it can be written");
+    fs::write(&path, text).expect("the temporary file is writable");
     path
 }
 
-fn items() -> String {
+fn news_document() -> String {
     let item = |table: &str, key: &str, version: u64, body: serde_json::Value| json!({ "t": table, "k": key, "v": version, "b": body });
     let server = |zone: &str, draining: bool| json!({ "backend": "checkout", "address": "10.9.0.1:80", "zone": zone, "capacity": 4.0, "draining": draining, "cold_s": 0.0 });
     let node = |ip: &str, role: &str, fields: [bool; 3]| json!({ "ip": ip, "role": role, "zone": "a", "region": "r", "ready": fields[0], "leaving": fields[1], "lost": fields[2] });
@@ -112,9 +115,9 @@
     .to_string()
 }
 
-fn core(request: &str) -> (u16, String) {
+fn respond(request: &str) -> (u16, String) {
     match request {
-        "POST /news" => (200, items()),
+        "POST /news" => (200, news_document()),
         "GET /config/read" => (200, r#"{"routes":{"pay":{"gen":"r12"}}}"#.to_owned()),
         "GET /status" => {
             let store =
@@ -125,12 +128,12 @@
         }
         "POST /config/amend" | "POST /drain/b/begin" | "POST /drain/b/finish" => (200, "{}".to_owned()),
         "POST /drain/nowhere/begin" => (404, r#"{"kind":"unknown","detail":"no zone nowhere"}"#.to_owned()),
-        other => panic!("{other} is asked by no command"),
+        other => panic!("no command requests {other}"),
     }
 }
 
-/// A core machine without a quorum.
-fn no_quorum(_: &str) -> (u16, String) {
+/// Responds like a core machine whose store has no majority.
+fn respond_without_quorum(_: &str) -> (u16, String) {
     (503, r#"{"kind":"no_majority","detail":"two of three stores are silent"}"#.to_owned())
 }
 
@@ -139,15 +142,15 @@
     "remove":{"tenants":[{"name":"acme","gen":"r3"}]}}"#;
 
 #[test]
-fn apply_posts_the_file_and_prints_what_was_acknowledged() {
-    let core = Core::start(core);
-    let update = file("apply", UPDATE);
-    let output = core.run("apply", &[update.to_str().expect("a path")]);
+fn apply_posts_the_file_and_prints_the_number_of_acknowledged_items() {
+    let core = FakeCore::start(respond);
+    let update = temporary_file("apply", UPDATE);
+    let output = core.run("apply", &[update.to_str().expect("the path is UTF-8")]);
     assert_eq!(
-        (code(&output), printed(&output).as_str()),
+        (exit_code(&output), stdout_text(&output).as_str()),
         (0, "acknowledged: 3 items\n"),
         "{}",
-        complaint(&output)
+        stderr_text(&output)
     );
     assert_eq!(core.requests(), [("POST /config/amend".to_owned(), UPDATE.to_owned())]);
     let _ = fs::remove_file(update);
@@ -155,43 +158,43 @@
 
 #[test]
 fn read_prints_the_configuration_as_json() {
-    let output = Core::start(core).run("read", &[]);
-    assert_eq!(code(&output), 0);
+    let output = FakeCore::start(respond).run("read", &[]);
+    assert_eq!(exit_code(&output), 0);
     assert_eq!(
-        printed(&output),
+        stdout_text(&output),
         "{\n  \"routes\": {\n    \"pay\": {\n      \"gen\": \"r12\"\n    }\n  }\n}\n"
     );
 }
 
 #[test]
-fn diff_prints_a_line_an_item() {
-    let update = file("diff", UPDATE);
-    let output = Core::start(core).run("diff", &[update.to_str().expect("a path")]);
-    assert_eq!(code(&output), 0, "{}", complaint(&output));
+fn diff_prints_one_line_per_item() {
+    let update = temporary_file("diff", UPDATE);
+    let output = FakeCore::start(respond).run("diff", &[update.to_str().expect("the path is UTF-8")]);
+    assert_eq!(exit_code(&output), 0, "{}", stderr_text(&output));
     assert_eq!(
-        printed(&output),
+        stdout_text(&output),
         "Routes new r1: new\nRoutes pay r13: changes r12\nTenants acme r3: removes r2\n"
     );
     let _ = fs::remove_file(update);
 }
 
 #[test]
-fn drain_begins_and_finishes() {
-    let core = Core::start(core);
+fn drain_starts_and_ends() {
+    let core = FakeCore::start(respond);
     let output = core.run("drain", &["b"]);
-    assert_eq!((code(&output), printed(&output).as_str()), (0, "b is draining\n"));
+    assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (0, "b is draining\n"));
     let output = core.run("drain", &["--finish", "b"]);
-    assert_eq!((code(&output), printed(&output).as_str()), (0, "b is no longer draining\n"));
-    let asked: Vec<String> = core.requests().into_iter().map(|(request, _)| request).collect();
-    assert_eq!(asked, ["POST /drain/b/begin", "POST /drain/b/finish"]);
+    assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (0, "b is no longer draining\n"));
+    let request_lines: Vec<String> = core.requests().into_iter().map(|(request, _)| request).collect();
+    assert_eq!(request_lines, ["POST /drain/b/begin", "POST /drain/b/finish"]);
 }
 
 #[test]
 fn status_prints_store_coordinator_servers_and_nodes() {
-    let output = Core::start(core).run("status", &[]);
-    assert_eq!(code(&output), 0, "{}", complaint(&output));
+    let output = FakeCore::start(respond).run("status", &[]);
+    assert_eq!(exit_code(&output), 0, "{}", stderr_text(&output));
     assert_eq!(
-        printed(&output),
+        stdout_text(&output),
         "store: member, 9 items, digest 00ff; 3 members\n\
          coordinator: \"10.1.0.5\" under epoch 4\n\
          servers: 3; in contact with the store 12 ms ago\n\
@@ -203,12 +206,12 @@
 }
 
 #[test]
-fn where_explains_a_request() {
-    let core = Core::start(core);
+fn where_explains_the_routing_of_a_request() {
+    let core = FakeCore::start(respond);
     let output = core.run("where", &["--key", "k1", "shop", "/pay/7"]);
-    assert_eq!(code(&output), 0, "{}", complaint(&output));
+    assert_eq!(exit_code(&output), 0, "{}", stderr_text(&output));
     assert_eq!(
-        printed(&output),
+        stdout_text(&output),
         "route pay: the longest prefix of shop that begins /pay/7 is /pay/\n\
          tenant acme: 5 a second and a burst of 7\n\
          bound to home regions [\"r\"], each of route and tenant\n\
@@ -216,81 +219,83 @@
          a: 1 servers take requests, 1 are draining\n  \
          b: 0 servers take requests, 1 are draining\n"
     );
-    let first_word = |arguments: &[&str]| {
+    let exit_code_and_last_line_prefix = |arguments: &[&str]| {
         let output = core.run("where", arguments);
-        let text = printed(&output);
+        let text = stdout_text(&output);
         (
-            code(&output),
+            exit_code(&output),
             text.lines().last().unwrap_or_default().split(':').next().unwrap_or_default().to_owned(),
         )
     };
-    assert_eq!(first_word(&["shop", "/pay/7"]), (0, "401".to_owned()));
-    assert_eq!(first_word(&["shop", "/elsewhere"]), (0, "404".to_owned()));
+    assert_eq!(exit_code_and_last_line_prefix(&["shop", "/pay/7"]), (0, "401".to_owned()));
+    assert_eq!(exit_code_and_last_line_prefix(&["shop", "/elsewhere"]), (0, "404".to_owned()));
 }
 
 #[test]
-fn a_mistake_ends_with_2_and_names_its_place() {
-    let core = Core::start(core);
+fn invalid_input_exits_with_2_and_names_the_file() {
+    let core = FakeCore::start(respond);
     for (name, text) in [("malformed", "{"), ("unversioned", r#"{"upsert":{"routes":{"pay":{}}}}"#)] {
-        let update = file(name, text);
-        let path = update.to_str().expect("a path");
+        let update = temporary_file(name, text);
+        let path = update.to_str().expect("the path is UTF-8");
         for command in ["apply", "diff"] {
             let output = core.run(command, &[path]);
-            assert_eq!((code(&output), printed(&output).as_str()), (2, ""), "{command} {name}");
+            assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (2, ""), "{command} {name}");
             assert!(
-                complaint(&output).replace(['\n', ' ', '│'], "").contains(path),
+                stderr_text(&output).replace(['\n', ' ', '│'], "").contains(path),
                 "{}",
-                complaint(&output)
+                stderr_text(&output)
             );
         }
         let _ = fs::remove_file(update);
     }
-    assert_eq!(code(&core.run("apply", &["/absent.json"])), 2);
-    assert_eq!(code(&core.run("drain", &["nowhere"])), 2);
-    assert_eq!(code(&run_at(&[], "status", &[])), 2);
+    assert_eq!(exit_code(&core.run("apply", &["/absent.json"])), 2);
+    assert_eq!(exit_code(&core.run("drain", &["nowhere"])), 2);
+    assert_eq!(exit_code(&run_at(&[], "status", &[])), 2);
     assert_eq!(core.requests(), [("POST /drain/nowhere/begin".to_owned(), String::new())]);
 }
 
 #[test]
-fn arguments_that_cannot_be_read_end_with_1() {
+fn invalid_arguments_exit_with_1() {
     for arguments in
         [&["apply"][..], &["where", "shop"], &["turn"], &["status", "--at", "here"], &["read", "--deep"]]
     {
-        let output =
-            Command::new(env!("CARGO_BIN_EXE_ivygate-registry")).args(arguments).output().expect("it runs");
-        assert_eq!((code(&output), printed(&output).as_str()), (1, ""), "{arguments:?}");
+        let output = Command::new(env!("CARGO_BIN_EXE_ivygate-registry"))
+            .args(arguments)
+            .output()
+            .expect("the command starts");
+        assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (1, ""), "{arguments:?}");
     }
 }
 
 #[test]
-fn asks_the_next_core_machine_where_one_cannot_answer_and_ends_with_1_where_none_can() {
-    let (without_quorum, good) = (Core::start(no_quorum), Core::start(core));
-    let output = run_at(&[without_quorum.address, good.address], "drain", &["b"]);
-    assert_eq!((code(&output), printed(&output).as_str()), (0, "b is draining\n"));
-    assert_eq!((without_quorum.requests().len(), good.requests().len()), (1, 1));
+fn tries_the_next_core_machine_after_a_failure_and_exits_with_1_if_all_fail() {
+    let (without_quorum, healthy) = (FakeCore::start(respond_without_quorum), FakeCore::start(respond));
+    let output = run_at(&[without_quorum.address, healthy.address], "drain", &["b"]);
+    assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (0, "b is draining\n"));
+    assert_eq!((without_quorum.requests().len(), healthy.requests().len()), (1, 1));
     let output = run_at(&[without_quorum.address], "drain", &["b"]);
-    assert_eq!((code(&output), printed(&output).as_str()), (1, ""));
-    assert!(complaint(&output).contains("two of three stores are silent"), "{}", complaint(&output));
+    assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (1, ""));
+    assert!(stderr_text(&output).contains("two of three stores are silent"), "{}", stderr_text(&output));
 }
 
 #[test]
-fn settings_that_cannot_be_used_end_with_2() {
-    let settings = file("settings", r#"{"hostname":"a"}"#);
+fn invalid_settings_exit_with_2() {
+    let settings = temporary_file("settings", r#"{"hostname":"a"}"#);
     let run = |path: Option<&str>| {
         let mut process = Command::new(env!("CARGO_BIN_EXE_ivygate-registry"));
         process.env_remove("IVYGATE_CONFIG");
         if let Some(path) = path {
             process.env("IVYGATE_CONFIG", path);
         }
-        process.output().expect("it runs")
+        process.output().expect("the command starts")
     };
-    let path = settings.to_str().expect("a path");
-    for (setting, named) in
+    let path = settings.to_str().expect("the path is UTF-8");
+    for (settings_path, expected_text) in
         [(None, "IVYGATE_CONFIG"), (Some("/absent.json"), "/absent.json"), (Some(path), "ip")]
     {
-        let output = run(setting);
-        assert_eq!((code(&output), printed(&output).as_str()), (2, ""));
-        assert!(complaint(&output).contains(named), "{}", complaint(&output));
+        let output = run(settings_path);
+        assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (2, ""));
+        assert!(stderr_text(&output).contains(expected_text), "{}", stderr_text(&output));
     }
     let _ = fs::remove_file(settings);
 }
