--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -66,16 +66,16 @@
 impl RequestHandler for ClientFront {
     type Body = Full<Bytes>;
 
-    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, started_at: begun, guard: turn, framing_error: flaw, .. } = asked;
-        if flaw.is_some() {
+    async fn respond(&self, incoming: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, started_at, guard, framing_error, .. } = incoming;
+        if framing_error.is_some() {
             // The end of such a request is ambiguous, so the connection cannot be reused.
             let mut response =
                 plain_response(StatusCode::BAD_REQUEST, "the request can be read in two ways", 0.0);
             close_connection(&mut response);
             return Ok(response);
         }
-        match self.handle(request, begun, || turn.mark_received()).await {
+        match self.handle(request, started_at, || guard.mark_received()).await {
             Ok(response) => Ok(response),
             Err(rejection) => rejection.into_response(),
         }
@@ -145,14 +145,15 @@
             body: Rc::new(RequestBody::buffered(body.bytes.clone())),
             set_attempt_headers: Some(set_attempt_headers),
         };
-        let ask = ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
-        let Some(answer) = target.driver.submit(ask) else {
+        let client_request =
+            ClientRequest { head, deadline: now.plus_millis(request.wait_ms), outgoing: message };
+        let Some(answer) = target.driver.submit(client_request) else {
             return Err(Rejection::new(StatusCode::CONFLICT, "a request of this id is open"));
         };
-        // hyper drops this future when the client closes its connection. Dropping `leaving` then cancels the request.
-        let leaving = DisconnectGuard::new(target.driver.clone(), id);
+        // hyper drops this future when the client closes its connection. Dropping `disconnect_guard` then cancels the request.
+        let disconnect_guard = DisconnectGuard::new(target.driver.clone(), id);
         let answer = answer.await.unwrap_or(FinalResponse::Failed);
-        leaving.disarm();
+        disconnect_guard.disarm();
         Ok(answer)
     }
 
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -84,10 +84,10 @@
 impl RequestHandler for RpcFront {
     type Body = Full<Bytes>;
 
-    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, started_at: begun, guard: turn, peer, .. } = asked;
+    async fn respond(&self, incoming: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, started_at, guard, peer, .. } = incoming;
         let (head, body) = request.into_parts();
-        let time_left = request_timeout().saturating_sub(begun.elapsed());
+        let time_left = request_timeout().saturating_sub(started_at.elapsed());
         let response = match timeout(time_left, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Err(_) => json_response::<()>(Err(RpcError::new(
                 ErrorKind::Timeout,
@@ -101,7 +101,7 @@
                 ))),
             },
             Ok(Ok(body)) => {
-                turn.mark_received();
+                guard.mark_received();
                 // The request may have waited while this process was paused or the network was partitioned, and the caller may
                 // have sent it to another process since. Yielding lets the connection be polled again, which drops this future
                 // if the caller has closed it.
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -259,7 +259,8 @@
         let (_server, address, started) = recording_server();
         // The call and the close of the connection both arrive before the server reads anything.
         let mut gone = TcpStream::connect(address).expect("it listens");
-        gone.write_all(b"POST /stale HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n").expect("it is taken");
+        gone.write_all(b"POST /stale HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n")
+            .expect("the request is written");
         drop(gone);
         let client = RpcClient::default();
         assert_eq!(call(&client, address, "/next").await.as_deref(), Ok("/next"));
@@ -273,7 +274,7 @@
         let (_server, address, started) = recording_server();
         let mut gone = TcpStream::connect(address).expect("it listens");
         gone.write_all(b"POST /half HTTP/1.1\r\nhost: h\r\ncontent-length: 9\r\n\r\n123")
-            .expect("it is taken");
+            .expect("the request is written");
         drop(gone);
         let client = RpcClient::default();
         assert_eq!(call(&client, address, "/next").await.as_deref(), Ok("/next"));
@@ -283,20 +284,22 @@
 
 #[test]
 fn pipelined_calls_are_answered_in_order() {
-    let (told, tell) = channel();
+    let (response_sender, response_receiver) = channel();
     let (address_of, address) = channel();
     let caller = std::thread::spawn(move || {
         let mut stream = TcpStream::connect(address.recv().expect("it listens")).expect("it listens");
         for id in 1..=3 {
             let text =
                 format!("POST /{id} HTTP/1.1\r\nhost: h\r\ncall-id: {id}\r\ncontent-length: 0\r\n\r\n");
-            stream.write_all(text.as_bytes()).expect("it is taken");
+            stream.write_all(text.as_bytes()).expect("the request is written");
         }
         let mut stream = BufReader::new(stream);
         for _ in 0..3 {
             let answer = read_message(&mut stream).expect("an answer");
             let id = answer.header("call-id").expect("it bears an id").to_owned();
-            told.send((id, String::from_utf8(answer.body).expect("text"))).expect("the test waits");
+            response_sender
+                .send((id, String::from_utf8(answer.body).expect("text")))
+                .expect("the test waits");
         }
     });
     run(async {
@@ -307,9 +310,9 @@
         }
     });
     caller.join().expect("no panic");
-    let told: Vec<_> = tell.into_iter().collect();
-    let wanted = ["1", "2", "3"].map(|id| (id.to_owned(), format!("\"/{id}\"")));
-    assert_eq!(told, wanted);
+    let responses: Vec<_> = response_receiver.into_iter().collect();
+    let expected = ["1", "2", "3"].map(|id| (id.to_owned(), format!("\"/{id}\"")));
+    assert_eq!(responses, expected);
 }
 
 /// Pseudorandom numbers from a seed.
@@ -393,7 +396,7 @@
         run(async {
             let client = RpcClient::default();
             for round in 0..20 {
-                let asked: Vec<_> = (0..5)
+                let calls: Vec<_> = (0..5)
                     .map(|number| {
                         let (client, path) = (client.clone(), format!("/{round}/{number}"));
                         tokio::task::spawn_local(async move {
@@ -402,8 +405,8 @@
                         })
                     })
                     .collect();
-                for asked in asked {
-                    match asked.await.expect("no panic") {
+                for call in calls {
+                    match call.await.expect("no panic") {
                         (path, Ok(answer)) => {
                             assert_eq!(answer, path, "seed {seed}");
                             own += 1;
--- a/crates/sidecar/src/auth_checks.rs
+++ b/crates/sidecar/src/auth_checks.rs
@@ -56,8 +56,8 @@
         listener: &Listener,
         mut parts: Parts,
         has_body: bool,
-        (peer, peer_name): (SocketAddr, &str),
-        held: &mut HeldResources,
+        (peer, peer_ip): (SocketAddr, &str),
+        resources: &mut HeldResources,
     ) -> Result<FinalResponse, EarlyResponse> {
         let (target, own_host) = destination(&parts)?;
         if Some(&target.path) != listener.answers_checks.as_ref() {
@@ -101,10 +101,10 @@
                 }
             }
         };
-        held.acquire_slot(&route.pool)?;
+        resources.acquire_slot(&route.pool)?;
         strip_sign_in_headers(&mut parts.headers, &active_config.sign_in_headers);
         let origin = Origin {
-            peer: peer_name,
+            peer: peer_ip,
             trusted: true,
             host: &forwarded.host,
             protected_headers: &active_config.protected_headers,
--- a/crates/sidecar/src/forwarded_request/tests.rs
+++ b/crates/sidecar/src/forwarded_request/tests.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn missing_malformed_and_contradictory_headers_are_reported() {
-    for (pairs, part) in [
+    for (pairs, expected_text) in [
         (&[("x-forwarded-method", "GET")][..], "not told"),
         (&[("x-forwarded-uri", "orders")], "does not begin with /"),
         (&[("x-forwarded-uri", "/a"), ("x-original-uri", "/b")], "different things"),
@@ -47,7 +47,7 @@
             "different",
         ),
     ] {
-        let error = parse_headers(pairs).expect_err("it is refused");
-        assert!(error.contains(part), "{pairs:?}: {error}");
+        let error = parse_headers(pairs).expect_err("the headers are rejected");
+        assert!(error.contains(expected_text), "{pairs:?}: {error}");
     }
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -265,37 +265,36 @@
 impl RequestHandler for SidecarFront {
     type Body = ResponseBody;
 
-    async fn respond(&self, asked: IncomingRequest) -> Result<Response<ResponseBody>, hyper::Error> {
+    async fn respond(&self, incoming: IncomingRequest) -> Result<Response<ResponseBody>, hyper::Error> {
         let active_config = self.shared.active_config.borrow().clone();
         let listener = self.listener.borrow().clone();
-        let IncomingRequest { request, peer, peer_ip: peer_name, framing_error: flaw, guard: turn, .. } =
-            asked;
+        let IncomingRequest { request, peer, peer_ip, framing_error, guard, .. } = incoming;
         // From here on the limits of the request apply, not those of the connection.
-        turn.mark_received();
-        let mut held = HeldResources { turn, slot: None, body_bytes: None };
-        if let Some(flaw) = flaw {
-            let status = match flaw {
+        guard.mark_received();
+        let mut resources = HeldResources { guard, slot: None, body_bytes: None };
+        if let Some(error) = framing_error {
+            let status = match error {
                 FramingError::HeadTooLong => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 _ => StatusCode::BAD_REQUEST,
             };
-            return Ok(TextResponse::new(status, flaw.to_string()).closing().into_response(held));
+            return Ok(TextResponse::new(status, error.to_string()).closing().into_response(resources));
         }
         let (mut parts, body) = request.into_parts();
         let has_body = !body.is_end_stream();
         let body_malformed = Rc::new(Cell::new(false));
         let processing = async {
             if listener.answers_checks.is_some() {
-                let client = (peer, &*peer_name);
-                return self.check(&active_config, &listener, parts, has_body, client, &mut held).await;
+                let client = (peer, &*peer_ip);
+                return self.check(&active_config, &listener, parts, has_body, client, &mut resources).await;
             }
             let (target, host) = destination(&parts)?;
             let route = route(&active_config, &host, &target, &parts.method)?;
-            held.acquire_slot(&route.pool)?;
+            resources.acquire_slot(&route.pool)?;
             // Stripped before they are read, and also on routes without sign-in.
             strip_sign_in_headers(&mut parts.headers, &active_config.sign_in_headers);
             let trusted = is_trusted(&listener.trusted, peer.ip());
             let origin = Origin {
-                peer: &peer_name,
+                peer: &peer_ip,
                 trusted,
                 host: &host,
                 protected_headers: &active_config.protected_headers,
@@ -340,7 +339,7 @@
             let wait = (self.wait(&context, &parts.headers)? - check_time).max(0.0);
             let (class, once) = request_class(route, &parts)?;
             let (payload, bytes) = body.read(route, listener, &body_malformed).await?;
-            held.body_bytes = Some(bytes);
+            resources.body_bytes = Some(bytes);
             let id = self.shared.new_request_id();
             let is_normalized = parts.uri.authority().is_none() && parts.uri.path() == target.path;
             let uri = if is_normalized {
@@ -374,7 +373,7 @@
                 ),
             };
             let time_limit = wait + if payload.is_streamed() { route.upload_allowance } else { 0.0 };
-            let ask = ClientRequest {
+            let request = ClientRequest {
                 head: Head {
                     id: id.clone(),
                     at_most_once: once,
@@ -397,7 +396,7 @@
                 },
             };
             let driver = route.pool.driver.clone();
-            let Some(answer) = driver.submit(ask) else {
+            let Some(answer) = driver.submit(request) else {
                 return Err(TextResponse::new(StatusCode::CONFLICT, "a request of this id is open").into());
             };
             // hyper drops this future when the client closes its connection.
@@ -418,29 +417,29 @@
             Ok(FinalResponse::Failed | FinalResponse::Refused(..)) if body_malformed.get() => {
                 bad_request(FramingError::InvalidChunk.to_string())
             }
-            Ok(FinalResponse::Streamed(response)) => return Ok(relay_response(*response, held)),
+            Ok(FinalResponse::Streamed(response)) => return Ok(relay_response(*response, resources)),
             Ok(answer) => gateway_error_response(&answer),
             Err(EarlyResponse::Text(response)) => response,
-            Err(EarlyResponse::Relayed(response)) => return Ok(relay_response(*response, held)),
+            Err(EarlyResponse::Relayed(response)) => return Ok(relay_response(*response, resources)),
             Err(EarlyResponse::Buffered(status, headers, body)) => {
-                let mut response = Response::new(ResponseBody::buffered(body, held));
+                let mut response = Response::new(ResponseBody::buffered(body, resources));
                 (*response.status_mut(), *response.headers_mut()) = (status, headers);
                 return Ok(response);
             }
             Err(EarlyResponse::Disconnected(error)) => return Err(error),
         };
-        Ok(response.into_response(held))
+        Ok(response.into_response(resources))
     }
 }
 
 /// Relays a streamed response to the client.
-fn relay_response(response: Response<Streamed>, held: HeldResources) -> Response<ResponseBody> {
+fn relay_response(response: Response<Streamed>, resources: HeldResources) -> Response<ResponseBody> {
     let (mut parts, body) = response.into_parts();
     parts.headers = to_client(parts.headers);
     parts.version = Version::HTTP_11;
     // hyper's extensions describe the connection to the server, not this one.
     parts.extensions.clear();
-    Response::from_parts(parts, ResponseBody::streamed(body, held))
+    Response::from_parts(parts, ResponseBody::streamed(body, resources))
 }
 
 /// Request body, before or after it has been read.
@@ -580,7 +579,7 @@
     })
 }
 
-/// Returns the class of a request, and whether it must not run twice.
+/// Returns the class of a request, and `true` if it must run at most once.
 pub fn request_class(route: &Route, parts: &Parts) -> Result<(std::sync::Arc<str>, bool), TextResponse> {
     let Some((unkeyed, key)) = &route.unkeyed else {
         return Ok((route.class.clone(), route.once));
--- a/crates/sidecar/src/operator.rs
+++ b/crates/sidecar/src/operator.rs
@@ -82,12 +82,12 @@
 impl RequestHandler for OperatorFront {
     type Body = Full<Bytes>;
 
-    async fn respond(&self, asked: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
-        let IncomingRequest { request, framing_error: flaw, guard: turn, .. } = asked;
-        turn.mark_received();
+    async fn respond(&self, incoming: IncomingRequest) -> Result<Response<Full<Bytes>>, hyper::Error> {
+        let IncomingRequest { request, framing_error, guard, .. } = incoming;
+        guard.mark_received();
         let target = request.uri().path_and_query().map_or("", |target| target.as_str());
-        let reply = match flaw {
-            Some(flaw) => QueryResponse::error(400, &flaw.to_string()),
+        let reply = match framing_error {
+            Some(error) => QueryResponse::error(400, &error.to_string()),
             None => self.respond(request.method(), target).await,
         };
         let mut response = Response::new(Full::new(Bytes::from(reply.lines)));
--- a/crates/sidecar/src/response.rs
+++ b/crates/sidecar/src/response.rs
@@ -11,10 +11,10 @@
 use std::task::{Context, Poll};
 
 /// Resources held by a request until its response has been sent.
-#[allow(dead_code, reason = "held for their drop")]
+#[allow(dead_code, reason = "the fields are kept only to be dropped with the response")]
 pub struct HeldResources {
-    /// Turn on the client's connection.
-    pub turn: RequestGuard,
+    /// Guard of the request on the client's connection.
+    pub guard: RequestGuard,
     /// Slot among the pool's open requests.
     pub slot: Option<RequestSlot>,
     /// Buffered bytes of the request body.
@@ -38,7 +38,7 @@
 /// Body of a response.
 pub struct ResponseBody {
     source: BodySource,
-    _held: HeldResources,
+    _resources: HeldResources,
 }
 
 /// Source of a response body.
@@ -49,13 +49,13 @@
 
 impl ResponseBody {
     /// Creates a body that is already complete.
-    pub fn buffered(body: Bytes, held: HeldResources) -> Self {
-        Self { source: BodySource::Buffered(body), _held: held }
+    pub fn buffered(body: Bytes, resources: HeldResources) -> Self {
+        Self { source: BodySource::Buffered(body), _resources: resources }
     }
 
     /// Creates a body that is streamed from an application.
-    pub fn streamed(body: Streamed, held: HeldResources) -> Self {
-        Self { source: BodySource::Streamed(Box::new(body)), _held: held }
+    pub fn streamed(body: Streamed, resources: HeldResources) -> Self {
+        Self { source: BodySource::Streamed(Box::new(body)), _resources: resources }
     }
 }
 
@@ -121,10 +121,10 @@
     }
 
     /// Converts into an HTTP response.
-    pub fn into_response(self, held: HeldResources) -> Response<ResponseBody> {
+    pub fn into_response(self, resources: HeldResources) -> Response<ResponseBody> {
         let text = format!("ivygate: {}\n", self.text);
         let mut response =
-            Response::new(ResponseBody { source: BodySource::Buffered(text.into()), _held: held });
+            Response::new(ResponseBody { source: BodySource::Buffered(text.into()), _resources: resources });
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
--- a/crates/sidecar/src/zones.rs
+++ b/crates/sidecar/src/zones.rs
@@ -15,7 +15,7 @@
 #[derive(Clone)]
 pub struct Zones {
     pool: Rc<str>,
-    guarded: Rc<RefCell<ZoneAwareGateway>>,
+    gateway: Rc<RefCell<ZoneAwareGateway>>,
 }
 
 impl Zones {
@@ -26,50 +26,51 @@
         settings: &Settings,
         gateway: Gateway,
     ) -> Self {
-        let kind =
+        let profile =
             |class: &ivygate_gateway::RequestClass| ClassProfile::from((class.effect, class.latency_target));
-        let kinds = settings.classes.iter().map(|class| (class.name.as_str().into(), kind(class)));
-        let guarded = ZoneAwareGateway::new(gateway, policy(pool, domains), kinds, fastrand::u64(..));
-        Self { pool: pool.name.as_str().into(), guarded: Rc::new(RefCell::new(guarded)) }
+        let profiles = settings.classes.iter().map(|class| (class.name.as_str().into(), profile(class)));
+        let gateway = ZoneAwareGateway::new(gateway, policy(pool, domains), profiles, fastrand::u64(..));
+        Self { pool: pool.name.as_str().into(), gateway: Rc::new(RefCell::new(gateway)) }
     }
 
     /// Applies reloaded settings.
     pub fn handle_settings(&self, now: Timestamp, pool: &config::Pool) {
         if let Some(domains) = &pool.domains {
-            self.guarded.borrow_mut().handle_policy(now, policy(pool, domains));
+            self.gateway.borrow_mut().handle_policy(now, policy(pool, domains));
         }
     }
 
-    /// Handles a report of another process about the zones of this pool.
-    pub fn handle_report(&self, now: Timestamp, author: u64, tallies: &[ZoneReport]) {
-        self.guarded.borrow_mut().handle_report(now, author, tallies);
+    /// Handles a report that another process sent about the zones of this pool.
+    pub fn handle_report(&self, now: Timestamp, author: u64, reports: &[ZoneReport]) {
+        self.gateway.borrow_mut().handle_report(now, author, reports);
     }
 
     /// Returns the report that is due for the other processes, if any.
     pub fn poll_report(&self) -> Option<Vec<ZoneReport>> {
-        self.guarded.borrow_mut().poll_report()
+        self.gateway.borrow_mut().poll_report()
     }
 
     /// Returns the state of each zone as a JSON document, with ages in milliseconds.
     pub fn status(&self, now: Timestamp) -> Vec<Value> {
-        let (beliefs, distrusted) = self.guarded.borrow().statuses();
-        let document = |belief: &DomainStatus| {
+        let (statuses, distrusted) = self.gateway.borrow().statuses();
+        let document = |status: &DomainStatus| {
             json!({
-                "pool": &*self.pool, "zone": &*belief.zone, "degree": belief.state.as_str(),
-                "since_ms": now.millis_since(belief.since).max(0.0).round(), "servers": belief.servers,
-                "safe": belief.shares.0, "other": belief.shares.1,
-            "because" : reason(belief), "others_good" : belief.votes.healthy, "others_bad" : belief.votes.failing, "failed_again" : belief.failed_recoveries, "distrusted" : distrusted,
+                "pool": &*self.pool, "zone": &*status.zone, "degree": status.state.as_str(),
+                "since_ms": now.millis_since(status.since).max(0.0).round(), "servers": status.servers,
+                "safe": status.shares.0, "other": status.shares.1,
+                "because": reason(status), "others_good": status.votes.healthy, "others_bad": status.votes.failing,
+                "failed_again": status.failed_recoveries, "distrusted": distrusted,
             })
         };
-        beliefs.iter().map(document).collect()
+        statuses.iter().map(document).collect()
     }
 }
 
 impl DecisionEngine for Zones {
     fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        let mut guarded = self.guarded.borrow_mut();
-        guarded.handle(now, event, actions);
-        while let Some(event) = guarded.poll_event() {
+        let mut gateway = self.gateway.borrow_mut();
+        gateway.handle(now, event, actions);
+        while let Some(event) = gateway.poll_event() {
             log_event(&self.pool, &event);
         }
     }
@@ -88,8 +89,8 @@
 }
 
 /// Describes the evidence for the state of a zone.
-fn reason(belief: &DomainStatus) -> String {
-    let evidence = &belief.cause;
+fn reason(status: &DomainStatus) -> String {
+    let evidence = &status.cause;
     let local = match evidence.main_failure {
         Some(kind) => {
             format!(
@@ -101,7 +102,7 @@
         }
         None => "nothing against it".to_owned(),
     };
-    let votes = belief.votes;
+    let votes = status.votes;
     if votes.healthy + votes.failing == 0 {
         return local;
     }
@@ -122,7 +123,7 @@
         }
         DomainEvent::StateChanged { from, to } => log_state_change(pool, *from, to),
         DomainEvent::PanicModeEntered(part) => {
-            tracing::warn !(pool, part, "too large a part of the servers is judged bad for the judgement to be trusted: requests go to all zones");
+            tracing::warn!(pool, part, "too large a part of the servers is judged bad for the judgement to be trusted: requests go to all zones");
         }
         DomainEvent::PanicModeLeft => tracing::warn!(pool, "zone judgements are trusted again"),
         DomainEvent::ProcessPaused(time) => {
