--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -21,9 +21,9 @@
     /// Settings of the gateway.
     pub settings: Settings,
     /// Settings of connections to app servers.
-    pub links: ConnectionSettings,
+    pub connection_settings: ConnectionSettings,
     /// Limits on the values in request headers.
-    pub bounds: RequestLimits,
+    pub request_limits: RequestLimits,
 }
 
 /// Error for a configuration that cannot be loaded.
@@ -96,7 +96,8 @@
                 file.limits.sockets
             ));
         }
-        let (links, bounds) = (file.settings.connection_settings(), file.settings.request_limits());
+        let (connection_settings, request_limits) =
+            (file.settings.connection_settings(), file.settings.request_limits());
         Ok(Self {
             listen: file.listen,
             discovery: file.discovery,
@@ -104,8 +105,8 @@
             max_descriptors: file.limits.sockets,
             known: file.known,
             settings: file.settings.into_settings().map_err(|e| format!("settings: {e}"))?,
-            links,
-            bounds,
+            connection_settings,
+            request_limits,
         })
     }
 }
--- a/crates/node/src/head_parser.rs
+++ b/crates/node/src/head_parser.rs
@@ -20,16 +20,16 @@
 pub struct HeadParser {
     classes: Vec<(Arc<str>, Effect)>,
     plans: Vec<Arc<str>>,
-    bounds: RequestLimits,
+    limits: RequestLimits,
 }
 
 impl HeadParser {
     /// Creates a parser for these settings.
-    pub fn new(settings: &Settings, bounds: RequestLimits) -> Self {
+    pub fn new(settings: &Settings, limits: RequestLimits) -> Self {
         Self {
             classes: settings.classes.iter().map(|c| (c.name.as_str().into(), c.effect)).collect(),
             plans: settings.plans.iter().map(|p| p.name.as_str().into()).collect(),
-            bounds,
+            limits,
         }
     }
 
@@ -49,7 +49,7 @@
         let customer = customer(headers).ok_or("the cookie 'customer' is missing or malformed")?;
         let timeout = single_value(headers, "req-deadline")?.and_then(duration);
         // Limits how long timers and the state of a request are kept for a client.
-        let timeout = timeout.filter(|timeout| *timeout <= self.bounds.max_wait);
+        let timeout = timeout.filter(|timeout| *timeout <= self.limits.max_wait);
         let timeout = timeout.ok_or("Req-Deadline is missing, malformed or too long")?;
         let terms = single_value(headers, "api-terms")?.and_then(|text| self.terms(text));
         let (units, gateways) = terms.ok_or("Api-Terms is missing, malformed or out of range")?;
@@ -95,10 +95,10 @@
                 return None;
             }
         }
-        let (units, nodes) = (units?, f64::from(self.bounds.nodes));
+        let (units, nodes) = (units?, f64::from(self.limits.nodes));
         let spread = spread.filter(|n| n.fract() == 0.0 && (1.0..=nodes).contains(n))?;
         let first = first.filter(|n| n.fract() == 0.0 && *n < nodes);
-        (units > 0.0 && units <= self.bounds.max_units && first.is_some()).then_some((units, spread as u32))
+        (units > 0.0 && units <= self.limits.max_units && first.is_some()).then_some((units, spread as u32))
     }
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -64,11 +64,14 @@
     // Registered first, since an unhandled SIGHUP ends the process.
     let hangups = signal(SignalKind::hangup())?;
     let clock = Clock::new();
-    let parser = HeadParser::new(&config.settings, config.bounds);
+    let parser = HeadParser::new(&config.settings, config.request_limits);
     let driver = Driver::new(
         engine,
         clock,
-        Upstream::new(UpstreamLimits::platform(config.links, upstream_connections), ResponsePolicy::Platform),
+        Upstream::new(
+            UpstreamLimits::platform(config.connection_settings, upstream_connections),
+            ResponsePolicy::Platform,
+        ),
     );
     let rev = config.known.as_ref().map(|list| list.rev);
     if let Some(known) = config.known {
