--- a/crates/ivygate/tests/sidecar_answering.rs
+++ b/crates/ivygate/tests/sidecar_answering.rs
@@ -228,9 +228,9 @@
         Some("192.0.2.7"),
         "only the service names customers"
     );
-    let seen = accounts.requests.lock().expect("no panic");
-    assert_eq!(seen[1].header("x-forwarded-uri"), Some("/inner"));
-    assert_eq!(seen[1].header("x-forwarded-for"), Some("192.0.2.7"));
+    let checks = accounts.requests.lock().expect("no panic");
+    assert_eq!(checks[1].header("x-forwarded-uri"), Some("/inner"));
+    assert_eq!(checks[1].header("x-forwarded-for"), Some("192.0.2.7"));
 }
 
 #[test]
@@ -247,7 +247,7 @@
     let check = check_request("POST", "/inner", "Req-Id: i\r\n");
     let mut first = sidecar.client();
     first.write(check.as_bytes());
-    wait_until("the service is asked", || accounts.request_count() == 1);
+    wait_until("the sign-in service receives a check", || accounts.request_count() == 1);
     assert_eq!(sidecar.ask(&check).status(), 409);
     drop(first);
     open.store(true, Ordering::SeqCst);
@@ -265,8 +265,8 @@
     let without_method = sidecar.ask("GET /auth HTTP/1.1\r\nHost: gate\r\nX-Original-URI: /any\r\n\r\n");
     assert_eq!((without_method.status(), accounts.request_count()), (400, 0));
     assert_eq!(sidecar.ask(&check_request("POST", "/any", "")).status(), 200);
-    let seen = accounts.requests.lock().expect("no panic");
-    assert_eq!(seen[0].header("x-forwarded-method"), Some("POST"));
+    let checks = accounts.requests.lock().expect("no panic");
+    assert_eq!(checks[0].header("x-forwarded-method"), Some("POST"));
 }
 
 #[test]
@@ -287,8 +287,8 @@
         403,
         "the inner one has no such route"
     );
-    let seen = app.requests.lock().expect("no panic");
-    assert_eq!((seen.len(), seen[0].header("x-ivygate-plan")), (1, Some("large")));
+    let received = app.requests.lock().expect("no panic");
+    assert_eq!((received.len(), received[0].header("x-ivygate-plan")), (1, Some("large")));
 }
 
 #[test]
@@ -309,8 +309,8 @@
     let accounts = AppServer::start(|_| Reply::ok("yes"));
     assert!(sidecar.reload(&Sidecar::text(CHECK_LISTENER, &parts(&app, &sign_in_route(&accounts)))));
     assert_eq!(sidecar.ask(&check_request("POST", "/inner", "")).status(), 200);
-    let seen = accounts.requests.lock().expect("no panic");
-    let instance_id = seen[0].header("ivygate-checks").expect("the process names itself");
+    let checks = accounts.requests.lock().expect("no panic");
+    let instance_id = checks[0].header("ivygate-checks").expect("the process names itself");
     let answer =
         sidecar.ask(&check_request("POST", "/orders", &format!("Ivygate-Checks: a, {instance_id}\r\n")));
     assert_eq!(answer.status(), 508);
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -134,8 +134,8 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let folder = folder("kills");
     let answered = Arc::<Mutex<Vec<(String, u16)>>>::default();
-    let seen = Arc::<Mutex<Vec<String>>>::default();
-    let log = seen.clone();
+    let executed_ids = Arc::<Mutex<Vec<String>>>::default();
+    let log = executed_ids.clone();
     let app = AppServer::start(move |m: &Message| {
         let id = m.header("req-id").unwrap_or_default().to_owned();
         log.lock().expect("no panic").push(id.clone());
@@ -143,7 +143,7 @@
     });
     for round in 0..rounds {
         let sidecar = sidecar(&folder, &app);
-        let (address, before) = (sidecar.address, seen.lock().expect("no panic").clone());
+        let (address, before) = (sidecar.address, executed_ids.lock().expect("no panic").clone());
         // Repeats of orders from earlier rounds must not run again.
         for _ in 0..before.len().min(10) {
             assert_eq!(sidecar.ask(&order(&before[rng.usize(0..before.len())])).status(), 409);
@@ -173,27 +173,27 @@
     }
     assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: "));
     let recorded = list_orders(&folder);
-    let seen = seen.lock().expect("no panic");
-    let mut distinct = seen.clone();
+    let executed_ids = executed_ids.lock().expect("no panic");
+    let mut distinct = executed_ids.clone();
     distinct.sort();
     distinct.dedup();
-    assert_eq!(distinct.len(), seen.len(), "an order ran twice");
-    for id in seen.iter() {
+    assert_eq!(distinct.len(), executed_ids.len(), "an order ran twice");
+    for id in executed_ids.iter() {
         let (state, status) = recorded.get(id).unwrap_or_else(|| panic!("{id} is missing in the journal"));
-        assert!(state != "never-sent", "{id} was seen by the application");
+        assert!(state != "never-sent", "the application received {id}");
         let expected = reply_to(id).0;
         assert!(state != "answered" || *status == Some(expected.into()), "{id}: {status:?}, not {expected}");
     }
     let answered = answered.lock().expect("no panic");
     for (id, status) in answered.iter() {
         // Either rejected without reaching the application, or the application's own answer.
-        let refused = *status == 503 && !seen.contains(id);
-        assert!(refused || reply_to(id).0 == *status && seen.contains(id), "{id}: {status}");
+        let refused = *status == 503 && !executed_ids.contains(id);
+        assert!(refused || reply_to(id).0 == *status && executed_ids.contains(id), "{id}: {status}");
     }
     println!(
-        "{} orders, {} seen by the application, {} answered",
+        "{} orders, {} received by the application, {} answered",
         recorded.len(),
-        seen.len(),
+        executed_ids.len(),
         answered.len()
     );
     assert!(answered.len() as u64 > 5 * rounds);
@@ -289,26 +289,26 @@
     wait_until("one order is unknown", || unknown().lines().count() == 1);
     assert!(unknown().contains("\"client_id\":\"b\""), "{}", unknown());
     // Paging returns each order once.
-    let (mut after, mut seen) = (String::new(), 0);
+    let (mut after, mut listed_orders) = (String::new(), 0);
     loop {
         let page = text(&ask(&format!("GET /orders?limit=1{after}")));
         let documents =
             page.lines().map(|line| serde_json::from_str::<serde_json::Value>(line).expect("JSON"));
-        let (mut next, mut there) = (None, 0);
+        let (mut next_page, mut page_orders) = (None, 0);
         for document in documents {
             match document["next"].as_str() {
-                Some(place) => next = Some(format!("&after={place}")),
-                None => there += 1,
+                Some(cursor) => next_page = Some(format!("&after={cursor}")),
+                None => page_orders += 1,
             }
         }
-        assert!(there <= 1);
-        seen += there;
-        match next {
-            Some(place) => after = place,
+        assert!(page_orders <= 1);
+        listed_orders += page_orders;
+        match next_page {
+            Some(cursor) => after = cursor,
             None => break,
         }
     }
-    assert_eq!(seen, 4);
+    assert_eq!(listed_orders, 4);
     let mine = text(&ask("GET /orders?customer=127.0.0.1"));
     assert!(mine.contains("hashed:") && !mine.contains("\"customer\":\"127"), "{mine}");
     for (request, status) in [
@@ -389,24 +389,24 @@
         ],
     );
     let mut client = sidecar.client();
-    let long = "x".repeat(8000);
-    let mut taken = 0;
+    let long_path = "x".repeat(8000);
+    let mut accepted_orders = 0;
     loop {
         let head = format!(
-            "POST /orders/{long} HTTP/1.1\r\nHost: h\r\nReq-Id: o{taken}\r\nContent-Length: 1\r\n\r\nx"
+            "POST /orders/{long_path} HTTP/1.1\r\nHost: h\r\nReq-Id: o{accepted_orders}\r\nContent-Length: 1\r\n\r\nx"
         );
         if client.ask(&head).status() != 200 {
             break;
         }
-        taken += 1;
-        assert!(taken < 5000, "the file size limit has no effect");
+        accepted_orders += 1;
+        assert!(accepted_orders < 5000, "the file size limit has no effect");
     }
-    assert_eq!(app.request_count(), taken, "rejected orders were not sent");
+    assert_eq!(app.request_count(), accepted_orders, "rejected orders were not sent");
     assert_only_orders_are_rejected(&sidecar, &app);
     drop(sidecar);
     // The accepted orders are in the journal.
     assert!(run_journal_command(&["verify"], &folder).0.starts_with("whole: "));
-    for id in ["o0".to_owned(), format!("o{}", taken - 1)] {
+    for id in ["o0".to_owned(), format!("o{}", accepted_orders - 1)] {
         assert!(!run_journal_command(&["show", &id], &folder).0.contains("never sent"), "{id}");
     }
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/ivygate/tests/sidecar_messages.rs
+++ b/crates/ivygate/tests/sidecar_messages.rs
@@ -32,16 +32,16 @@
     for method in ["GET", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND", "X-OWN"] {
         let request = format!("{method} /app/a%2Fb;c=1?q=%20&q=//.. HTTP/1.1\r\nHost: h\r\nX-Mine: 1\r\nContent-Length: 3\r\n\r\nabc");
         assert_eq!(sidecar.ask(&request).status(), 200, "{method}");
-        let seen = last(&app);
-        assert_eq!(seen.start, format!("{method} /app/a%2Fb;c=1?q=%20&q=//.. HTTP/1.1"));
-        assert_eq!((seen.body.as_slice(), seen.header("x-mine")), (&b"abc"[..], Some("1")));
+        let received = last(&app);
+        assert_eq!(received.start, format!("{method} /app/a%2Fb;c=1?q=%20&q=//.. HTTP/1.1"));
+        assert_eq!((received.body.as_slice(), received.header("x-mine")), (&b"abc"[..], Some("1")));
     }
 }
 
 #[test]
 fn application_receives_the_normalized_path_that_was_matched() {
     let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
-    for (path, seen) in [
+    for (path, expected_target) in [
         ("/app//a", "/app/a"),
         ("/x/../app/%61", "/app/a"),
         ("/%61pp/./a", "/app/a"),
@@ -49,7 +49,7 @@
     ] {
         let answer = sidecar.ask(&format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n"));
         assert_eq!(answer.status(), 200, "{path}");
-        assert_eq!(last(&app).start, format!("GET {seen} HTTP/1.1"), "{path}");
+        assert_eq!(last(&app).start, format!("GET {expected_target} HTTP/1.1"), "{path}");
     }
     let before = app.request_count();
     for path in [
@@ -128,8 +128,8 @@
     );
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"abcde"[..]));
     assert_eq!(answer.header("x-sum"), Some("5"));
-    let seen = last(&app);
-    assert_eq!((seen.body.as_slice(), seen.header("x-mine")), (&b"wikipedia"[..], Some("9")));
+    let received = last(&app);
+    assert_eq!((received.body.as_slice(), received.header("x-mine")), (&b"wikipedia"[..], Some("9")));
 }
 
 #[test]
@@ -175,16 +175,16 @@
          X-Forwarded-For: 6.6.6.6\r\nX-Forwarded-Proto: https\r\nForwarded: for=6.6.6.6\r\n\r\n",
     );
     assert_eq!((answer.header("x-app"), answer.header("x-kept")), (None, Some("1")));
-    let seen = last(&app);
-    assert_eq!((seen.header("x-mine"), seen.header("x-kept")), (None, Some("1")));
-    assert_eq!(seen.header("host"), Some("Tiles.example.org:81"));
+    let received = last(&app);
+    assert_eq!((received.header("x-mine"), received.header("x-kept")), (None, Some("1")));
+    assert_eq!(received.header("host"), Some("Tiles.example.org:81"));
     // This peer is not trusted.
-    assert_eq!((seen.header("x-forwarded-for"), seen.header("forwarded")), (Some("127.0.0.1"), None));
+    assert_eq!((received.header("x-forwarded-for"), received.header("forwarded")), (Some("127.0.0.1"), None));
     assert_eq!(
-        (seen.header("x-forwarded-proto"), seen.header("x-forwarded-host")),
+        (received.header("x-forwarded-proto"), received.header("x-forwarded-host")),
         (Some("http"), Some("tiles.example.org"))
     );
-    assert!(seen.header("req-id").is_some_and(|id| id.len() > 16));
+    assert!(received.header("req-id").is_some_and(|id| id.len() > 16));
 }
 
 #[test]
@@ -311,7 +311,10 @@
     let body = sent.clone();
     let writer = std::thread::spawn(move || {
         let head = format!("PUT /app HTTP/1.1\r\nHost: h\r\nContent-Length: {LARGE}\r\n\r\n");
-        writing.write_all(head.as_bytes()).and_then(|()| writing.write_all(&body)).expect("it is taken");
+        writing
+            .write_all(head.as_bytes())
+            .and_then(|()| writing.write_all(&body))
+            .expect("the request is written");
     });
     let mut peak = before;
     let head = read_head(&mut client.stream).expect("a head");
@@ -341,7 +344,7 @@
     let sidecar = Sidecar::start(&config);
     let mut slow = sidecar.client();
     slow.write(b"GET /app/large HTTP/1.1\r\nHost: h\r\n\r\n");
-    wait_until("the application is asked", || app.request_count() == 1);
+    wait_until("the application receives the request", || app.request_count() == 1);
     assert_eq!(sidecar.get("/app/small").status(), 200);
     // The application's thread ends when its connection is closed during the response.
     wait_until("the connection to the application is closed", || {
@@ -445,7 +448,7 @@
         }
     }
     wait_until("all attempts have ended", || app.open.load(Ordering::SeqCst) == 0);
-    assert!(app.requests.lock().expect("no panic").is_empty(), "a truncated request was seen as complete");
+    assert!(app.requests.lock().expect("no panic").is_empty(), "a truncated request was treated as complete");
 }
 
 #[test]
@@ -453,10 +456,13 @@
     let (app, sidecar) = start_with_app(|_| Reply::ok("x"));
     let own = "Connection: X-Own, Host, Cookie, X-Forwarded-For\r\nX-Own: 1\r\nCookie: a=b\r\nX_Forwarded_For: 6.6.6.6\r\n";
     assert_eq!(sidecar.ask(&format!("GET /app HTTP/1.1\r\nHost: h\r\n{own}\r\n")).status(), 200);
-    let seen = last(&app);
-    assert_eq!((seen.header("host"), seen.header("cookie")), (Some("h"), Some("a=b")));
-    assert_eq!((seen.header("x-forwarded-for"), seen.header("x_forwarded_for")), (Some("127.0.0.1"), None));
-    assert_eq!(seen.header("x-own"), None);
+    let received = last(&app);
+    assert_eq!((received.header("host"), received.header("cookie")), (Some("h"), Some("a=b")));
+    assert_eq!(
+        (received.header("x-forwarded-for"), received.header("x_forwarded_for")),
+        (Some("127.0.0.1"), None)
+    );
+    assert_eq!(received.header("x-own"), None);
 }
 
 #[test]
--- a/crates/ivygate/tests/sidecar_pools.rs
+++ b/crates/ivygate/tests/sidecar_pools.rs
@@ -208,7 +208,7 @@
     let body = "x".repeat(60_000);
     let mut first = sidecar.client();
     first.write(format!("POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n{body}").as_bytes());
-    wait_until("the application is asked", || app.request_count() == 1);
+    wait_until("the application receives the request", || app.request_count() == 1);
     let answer = sidecar.post("/app", "", &body);
     assert_eq!((answer.status(), app.request_count()), (503, 1));
     assert!(answer.header("retry-after").is_some());
@@ -408,7 +408,7 @@
                 format!("{method} /{name} HTTP/1.1\r\nHost: h\r\n{KEY}Content-Length: 0\r\n\r\n").as_bytes(),
             );
         }
-        wait_until("the slow application is asked", || apps[n].request_count() > before);
+        wait_until("the slow application receives a request", || apps[n].request_count() > before);
         for other in names.iter().filter(|other| *other != name) {
             for _ in 0..10 {
                 assert_eq!(ask(other).status(), 200, "{other} while {name} is slow");
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -66,7 +66,7 @@
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || a.request_count() == 1);
+    wait_until("the application receives the request", || a.request_count() == 1);
     // The reload removes its server, pool and route.
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
@@ -235,7 +235,7 @@
     let mut sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || app.request_count() == 1);
+    wait_until("the application receives the request", || app.request_count() == 1);
     sidecar.terminate();
     release.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
--- a/crates/ivygate/tests/sidecar_sign_in.rs
+++ b/crates/ivygate/tests/sidecar_sign_in.rs
@@ -200,7 +200,7 @@
     let setup = start("order", "within 5s;", |_| Reply::Silence);
     let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    wait_until("the service is asked", || setup.accounts.request_count() == 1);
+    wait_until("the sign-in service receives a check", || setup.accounts.request_count() == 1);
     drop(client);
     wait_until("the check's connection is closed", || setup.accounts.open() == 0);
     assert_eq!(setup.app.request_count(), 0);
@@ -223,22 +223,22 @@
         let user = m.header("authorization").unwrap_or("nobody").to_owned();
         Reply::Answer("200 OK", Box::leak(format!("X-User: {user}\r\n").into_boxed_str()), Vec::new())
     });
-    for (credential, asked) in [("a", 1), ("a", 1), ("b", 2), ("a", 2), ("b", 2)] {
+    for (credential, expected_checks) in [("a", 1), ("a", 1), ("b", 2), ("a", 2), ("b", 2)] {
         assert_eq!(post(&setup, "/app", &format!("Authorization: {credential}\r\n")).status(), 200);
-        assert_eq!(setup.accounts.request_count(), asked);
+        assert_eq!(setup.accounts.request_count(), expected_checks);
         let forwarded = setup.forwarded.lock().expect("a list");
         assert_eq!(forwarded.last().and_then(|m| m.header("x-user")), Some(credential));
     }
     let orders = start("order", "cache-yes 1m;", |_| Reply::ok("yes"));
-    for asked in 1..4 {
+    for expected_checks in 1..4 {
         assert_eq!(post(&orders, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!(orders.accounts.request_count(), asked);
+        assert_eq!(orders.accounts.request_count(), expected_checks);
     }
 }
 
 #[test]
 fn cached_denial_is_repeated_unless_it_sets_a_cookie_or_forbids_caching() {
-    for (headers, asked) in
+    for (headers, expected_checks) in
         [("X-Why: late\r\n", 1), ("Set-Cookie: a=b\r\n", 3), ("Cache-Control: no-store\r\n", 3)]
     {
         let setup =
@@ -249,7 +249,11 @@
             assert_eq!((answer.status(), answer.body.as_slice()), (403, &b"no"[..]));
             assert!(answer.header(&name).is_some(), "{headers}");
         }
-        assert_eq!((setup.accounts.request_count(), setup.app.request_count()), (asked, 0), "{headers}");
+        assert_eq!(
+            (setup.accounts.request_count(), setup.app.request_count()),
+            (expected_checks, 0),
+            "{headers}"
+        );
     }
 }
 
@@ -369,9 +373,12 @@
         |_| Reply::ok("yes"),
         |_| Reply::Slow(Duration::from_millis(300)),
     );
-    for asked in 1..3 {
+    for expected_checks in 1..3 {
         assert_eq!(post(&setup, "/app", "Authorization: a\r\n").status(), 200);
-        assert_eq!((setup.accounts.request_count(), setup.app.request_count()), (asked, asked));
+        assert_eq!(
+            (setup.accounts.request_count(), setup.app.request_count()),
+            (expected_checks, expected_checks)
+        );
     }
 }
 
@@ -385,7 +392,7 @@
     });
     let mut client = setup.sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nx=1");
-    wait_until("the service is asked", || setup.accounts.request_count() == 1);
+    wait_until("the sign-in service receives a check", || setup.accounts.request_count() == 1);
     // The new configuration has no sign-in.
     let without_sign_in =
         std::fs::read_to_string(&setup.sidecar.config).expect("the file").replace("sign-in members; ", "");
@@ -410,7 +417,7 @@
     let mut clients = [setup.sidecar.client(), setup.sidecar.client()];
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request);
-        wait_until("the service is asked", || setup.accounts.request_count() == number + 1);
+        wait_until("the sign-in service receives a check", || setup.accounts.request_count() == number + 1);
     }
     // The first client disconnects: its order must not be forwarded, and the other one exactly once.
     let [first, mut second] = clients;
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -264,7 +264,10 @@
 
 fn memory(child: &Child) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("its memory is told");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("the status has the resident set size");
     line.trim().trim_end_matches(" kB").parse().expect("a number")
 }
 
--- a/crates/ivygate/tests/tool.rs
+++ b/crates/ivygate/tests/tool.rs
@@ -287,13 +287,13 @@
 #[test]
 fn first_attempt_is_awaited_only_if_hedging_is_allowed() {
     for (allowed, answered) in [("yes", true), ("no", false)] {
-        let seen = Arc::new(AtomicUsize::new(0));
+        let attempts = Arc::new(AtomicUsize::new(0));
         let reply = {
-            let seen = seen.clone();
-            move |_: &Message| match seen.fetch_add(1, Ordering::SeqCst) {
+            let attempts = attempts.clone();
+            move |_: &Message| match attempts.fetch_add(1, Ordering::SeqCst) {
                 // The first attempt is answered once there is a second one, which is never answered.
                 0 => {
-                    wait_until("there is a second attempt", || seen.load(Ordering::SeqCst) > 1);
+                    wait_until("there is a second attempt", || attempts.load(Ordering::SeqCst) > 1);
                     Reply::ok("first")
                 }
                 _ => Reply::Silence,
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/front.rs
@@ -1,4 +1,4 @@
-//! Client front, which takes a request through its processing steps.
+//! Client front, which processes a request from its head to the response.
 
 use crate::body::{BodyBudget, HeldBody};
 use crate::proxy::Proxy;
@@ -23,8 +23,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Minimum retry-after time of a rejected client if all recent requests of its service were rejected, in milliseconds. It is
-/// scaled with the rejection rate.
+/// Minimum retry-after time of a rejected client if all recent requests of its service were rejected, in milliseconds.
+/// It is scaled with the rejection rate.
 const MAX_REJECTION_RETRY_AFTER_MS: Millis = 3_000.0;
 /// Weight of one request in the moving average of the rejection rate.
 const REJECTION_WEIGHT: f64 = 0.02;
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -250,18 +250,19 @@
     // The RPC server needs a fixed port, so a port that was free a moment ago is used.
     let address =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
-    (serve(address, handler).expect("it listens"), address, started)
+    (serve(address, handler).expect("the server listens"), address, started)
 }
 
 #[test]
-fn call_of_a_gone_caller_is_not_begun() {
+fn call_of_a_disconnected_caller_is_not_executed() {
     run(async {
         let (_server, address, started) = recording_server();
         // The call and the close of the connection both arrive before the server reads anything.
-        let mut gone = TcpStream::connect(address).expect("it listens");
-        gone.write_all(b"POST /stale HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n")
+        let mut caller = TcpStream::connect(address).expect("the server listens");
+        caller
+            .write_all(b"POST /stale HTTP/1.1\r\nhost: h\r\ncontent-length: 0\r\n\r\n")
             .expect("the request is written");
-        drop(gone);
+        drop(caller);
         let client = RpcClient::default();
         assert_eq!(call(&client, address, "/next").await.as_deref(), Ok("/next"));
         assert_eq!(*started.borrow(), ["/next"]);
@@ -269,13 +270,14 @@
 }
 
 #[test]
-fn half_a_call_is_not_begun() {
+fn incomplete_call_is_not_executed() {
     run(async {
         let (_server, address, started) = recording_server();
-        let mut gone = TcpStream::connect(address).expect("it listens");
-        gone.write_all(b"POST /half HTTP/1.1\r\nhost: h\r\ncontent-length: 9\r\n\r\n123")
+        let mut caller = TcpStream::connect(address).expect("the server listens");
+        caller
+            .write_all(b"POST /half HTTP/1.1\r\nhost: h\r\ncontent-length: 9\r\n\r\n123")
             .expect("the request is written");
-        drop(gone);
+        drop(caller);
         let client = RpcClient::default();
         assert_eq!(call(&client, address, "/next").await.as_deref(), Ok("/next"));
         assert_eq!(*started.borrow(), ["/next"]);
@@ -287,7 +289,8 @@
     let (response_sender, response_receiver) = channel();
     let (address_of, address) = channel();
     let caller = std::thread::spawn(move || {
-        let mut stream = TcpStream::connect(address.recv().expect("it listens")).expect("it listens");
+        let mut stream =
+            TcpStream::connect(address.recv().expect("the server listens")).expect("the server listens");
         for id in 1..=3 {
             let text =
                 format!("POST /{id} HTTP/1.1\r\nhost: h\r\ncall-id: {id}\r\ncontent-length: 0\r\n\r\n");
@@ -295,8 +298,8 @@
         }
         let mut stream = BufReader::new(stream);
         for _ in 0..3 {
-            let answer = read_message(&mut stream).expect("an answer");
-            let id = answer.header("call-id").expect("it bears an id").to_owned();
+            let answer = read_message(&mut stream).expect("a response");
+            let id = answer.header("call-id").expect("the response has an id").to_owned();
             response_sender
                 .send((id, String::from_utf8(answer.body).expect("text")))
                 .expect("the test waits");
@@ -327,7 +330,7 @@
 
 /// Forwards calls on a link and applies a random fault to some of them.
 fn forward(link: &mut BufReader<TcpStream>, server_address: SocketAddr, random: &mut Random) -> Option<()> {
-    let mut server = BufReader::new(TcpStream::connect(server_address).expect("it listens"));
+    let mut server = BufReader::new(TcpStream::connect(server_address).expect("the server listens"));
     let mut last = Vec::new();
     loop {
         let call = read_message(link)?;
@@ -382,17 +385,17 @@
                 let listener = std::net::TcpListener::bind(at).expect("a port");
                 let at = listener.local_addr().expect("an address");
                 drop(listener);
-                let _server = serve(at, handler).expect("it listens");
+                let _server = serve(at, handler).expect("the server listens");
                 address_of.send(at).expect("the test waits");
                 let _ = stopped.await;
             });
         });
-        let server_address = address.recv().expect("it listens");
+        let server_address = address.recv().expect("the server listens");
         let link = ScriptedServer::start(move |stream, number| {
             // The faults depend only on the seed and the number of the connection.
             forward(stream, server_address, &mut Random(seed * 1_000 + number as u64));
         });
-        let (to, mut own, mut none) = (link.address, 0, 0);
+        let (to, mut answered, mut failed) = (link.address, 0, 0);
         run(async {
             let client = RpcClient::default();
             for round in 0..20 {
@@ -409,9 +412,9 @@
                     match call.await.expect("no panic") {
                         (path, Ok(answer)) => {
                             assert_eq!(answer, path, "seed {seed}");
-                            own += 1;
+                            answered += 1;
                         }
-                        (_, Err(_)) => none += 1,
+                        (_, Err(_)) => failed += 1,
                     }
                 }
             }
@@ -423,6 +426,9 @@
         runs.sort_unstable();
         runs.dedup();
         assert_eq!(runs.len(), all, "seed {seed}: no call is resent");
-        assert!(own > 20 && none > 5, "seed {seed}: {own} calls with a response, {none} without");
+        assert!(
+            answered > 20 && failed > 5,
+            "seed {seed}: {answered} calls with a response, {failed} without"
+        );
     }
 }
