--- a/crates/ivygate/src/new.rs
+++ b/crates/ivygate/src/new.rs
@@ -200,7 +200,7 @@
 
 /// Prompts for the description line by line, and repeats a prompt after invalid input.
 fn prompt(input: &mut impl BufRead, output: &mut impl Write) -> io::Result<AppDescription> {
-    let mut ask = |question: &str| -> io::Result<Option<String>> {
+    let mut prompt_line = |question: &str| -> io::Result<Option<String>> {
         write!(output, "{question} ")?;
         output.flush()?;
         let mut line = String::new();
@@ -210,10 +210,11 @@
     let ended = || io::Error::new(io::ErrorKind::UnexpectedEof, "the input ended early; nothing is written");
     let mut app = AppDescription::default();
     while app.name.is_empty() {
-        app.name = ask("Name of the application:")?.ok_or_else(ended)?;
+        app.name = prompt_line("Name of the application:")?.ok_or_else(ended)?;
     }
     loop {
-        let line = ask("Where it listens, such as 127.0.0.1:9000 (empty for no more):")?.ok_or_else(ended)?;
+        let line = prompt_line("Where it listens, such as 127.0.0.1:9000 (empty for no more):")?
+            .ok_or_else(ended)?;
         match line.parse() {
             Ok(address) => app.servers.push(address),
             Err(_) if line.is_empty() && !app.servers.is_empty() => break,
@@ -221,7 +222,7 @@
         }
     }
     loop {
-        let line = ask(
+        let line = prompt_line(
             "A route and its effect, such as `/tiles safe` or `POST /orders unsafe` (empty for no more):",
         )?;
         let line = line.ok_or_else(ended)?;
@@ -232,11 +233,11 @@
             Err(_) => {}
         }
     }
-    let quota = ask("Quota of each customer, such as 20/s (empty for none):")?.ok_or_else(ended)?;
+    let quota = prompt_line("Quota of each customer, such as 20/s (empty for none):")?.ok_or_else(ended)?;
     if !quota.is_empty() {
         app.plans.push(("standard".to_owned(), quota));
-        let header =
-            ask("Header that names the customer (empty for the client's address):")?.ok_or_else(ended)?;
+        let header = prompt_line("Header that names the customer (empty for the client's address):")?
+            .ok_or_else(ended)?;
         app.customer_header = Some(header).filter(|header| !header.is_empty());
     }
     Ok(app)
--- a/crates/ivygate/src/routes.rs
+++ b/crates/ivygate/src/routes.rs
@@ -16,11 +16,11 @@
     let Ok(table) = RouteTable::build(model.routes.iter().map(|r| r.matcher.clone()).collect()) else {
         return ExitCode::from(EXIT_USAGE);
     };
-    let place = |route: &Route| loaded.sources.position(route.at.0).to_string();
+    let position = |route: &Route| loaded.sources.position(route.at.0).to_string();
     match request {
         None => {
             for route in &model.routes {
-                println!("{}", format_route(model, route, &place(route)));
+                println!("{}", format_route(model, route, &position(route)));
             }
             let overlaps = table.overlaps();
             if !overlaps.is_empty() {
@@ -28,7 +28,13 @@
             }
             for overlap in overlaps {
                 let (first, second) = (&model.routes[overlap.winner], &model.routes[overlap.shadowed]);
-                println!("  {} ({}) before {} ({})", first.name, place(first), second.name, place(second));
+                println!(
+                    "  {} ({}) before {} ({})",
+                    first.name,
+                    position(first),
+                    second.name,
+                    position(second)
+                );
             }
             ExitCode::SUCCESS
         }
@@ -52,7 +58,7 @@
                     };
                     println!(
                         "{}\nmatched because {explanation}; its host is {}",
-                        format_route(model, route, &place(route)),
+                        format_route(model, route, &position(route)),
                         route.matcher.host
                     );
                     ExitCode::SUCCESS
@@ -70,12 +76,12 @@
     }
 }
 
-fn format_route(model: &Model, route: &Route, place: &str) -> String {
+fn format_route(model: &Model, route: &Route, position: &str) -> String {
     let methods = match &route.matcher.methods {
         MethodMatch::Any => "any method".to_owned(),
         MethodMatch::Named(names) => names.join(" "),
     };
     let (class, pool) = (&model.classes[route.class].name, &model.pools[route.pool].name);
     let (host, path) = (&route.matcher.host, &route.matcher.path);
-    format!("{}: host {host}, {path}, {methods} -> class {class}, pool {pool} ({place})", route.name)
+    format!("{}: host {host}, {path}, {methods} -> class {class}, pool {pool} ({position})", route.name)
 }
--- a/crates/ivygate/tests/fleet.rs
+++ b/crates/ivygate/tests/fleet.rs
@@ -24,16 +24,16 @@
     let is_large = nodes > 4;
     let _exclusive = is_large.then(|| MACHINE.write().unwrap_or_else(PoisonError::into_inner));
     let _shared = (!is_large).then(|| MACHINE.read().unwrap_or_else(PoisonError::into_inner));
-    let played = run_until_conclusive(&scenario, &program).expect("a completed run");
-    assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
-    played
+    let result = run_until_conclusive(&scenario, &program).expect("a completed run");
+    assert_ne!(result.verdict, Verdict::Void, "the machine was too busy in five runs");
+    result
 }
 
 /// Returns the violated rules, except for `settles`: the rate of served requests also drops on a busy
 /// machine.
-fn violated_rules(played: &RunResult) -> Vec<&'static str> {
+fn violated_rules(result: &RunResult) -> Vec<&'static str> {
     let mut rules: Vec<_> =
-        played.findings.iter().map(|f| f.rule).filter(|rule| *rule != "settles").collect();
+        result.findings.iter().map(|f| f.rule).filter(|rule| *rule != "settles").collect();
     rules.dedup();
     rules
 }
@@ -56,9 +56,9 @@
         step("3s", "1s", "do = \"break\"\nnodes = \"0\"\nservers = \"1\"\nways = \"back\"\nafter = 200"),
         step("3s", "500ms", "do = \"reset\"\nlink = \"clients\"\nnodes = \"2\""),
     ];
-    let played = run("", &steps.concat());
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert!(played.figures.requests > 300 && played.trace.drains.len() >= 4, "{:?}", played.figures);
+    let result = run("", &steps.concat());
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    assert!(result.figures.requests > 300 && result.trace.drains.len() >= 4, "{:?}", result.figures);
 }
 
 /// A tenth of the nodes restarts at a time while the list changes and discovery moves. Then seven in ten are
@@ -75,13 +75,13 @@
     steps += &step("2s", "1500ms", "do = \"crash\"\nservers = \"2,3\"");
     steps += &step("3200ms", "500ms", "do = \"kill\"\nnodes = \"7/10\"");
     steps += &step("3200ms", "1s", "do = \"swallow\"\nservers = \"4\"");
-    let played = run_fleet(10, 8, "", &steps);
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert_eq!(played.trace.shutdowns.len(), 10);
+    let result = run_fleet(10, 8, "", &steps);
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    assert_eq!(result.trace.shutdowns.len(), 10);
     assert!(
-        played.trace.cold_starts.len() == 2 && played.trace.drains.len() > 20,
+        result.trace.cold_starts.len() == 2 && result.trace.drains.len() > 20,
         "{:?}",
-        played.trace.drains.len()
+        result.trace.drains.len()
     );
 }
 
@@ -95,9 +95,9 @@
         step("500ms", "1600ms", "do = \"pause\"\nnodes = \"all\""),
         step("900ms", "3s", "do = \"drain\"\nservers = \"1\""),
     ];
-    let played = run_fleet(2, 2, "", &steps.concat());
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert!(played.trace.drains.len() >= 2);
+    let result = run_fleet(2, 2, "", &steps.concat());
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    assert!(result.trace.drains.len() >= 2);
 }
 
 /// Nodes start while discovery does not respond, some of them with a list of servers that no longer exist.
@@ -108,9 +108,9 @@
         step("500ms", "1s", "do = \"kill\"\nnodes = \"0,1\""),
         step("700ms", "2s", "do = \"crash\"\nservers = \"0\""),
     ];
-    let played = run("", &steps.concat());
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert!(played.figures.served > 0.6, "{:?}", played.figures);
+    let result = run("", &steps.concat());
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    assert!(result.figures.served > 0.6, "{:?}", result.figures);
 }
 
 #[test]
@@ -137,21 +137,21 @@
         step("3s", "500ms", "do = \"reset\"\nnodes = \"all\"\nservers = \"0\""),
         step("3s", "500ms", "do = \"term\"\nnodes = \"2\""),
     ];
-    let played = run("form = \"sidecar\"", &steps.concat());
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    assert!(played.trace.drains.len() >= 4 && played.trace.shutdowns.len() == 1, "{:?}", played.trace.drains);
+    let result = run("form = \"sidecar\"", &steps.concat());
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    assert!(result.trace.drains.len() >= 4 && result.trace.shutdowns.len() == 1, "{:?}", result.trace.drains);
 }
 
 #[test]
 fn full_disk_stops_no_sidecar_and_loses_no_record() {
     let full = step("1s", "2s", "do = \"full-disk\"\nnodes = \"all\"");
     let killed = step("4s", "500ms", "do = \"kill\"\nnodes = \"0,1\"");
-    let played = run("form = \"sidecar\"\njournal = true", &(full + &killed));
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
+    let result = run("form = \"sidecar\"\njournal = true", &(full + &killed));
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
     assert!(
-        played.figures.phases[2].is_none_or(|served| served > 0.5),
+        result.figures.phases[2].is_none_or(|served| served > 0.5),
         "orders are accepted again: {:?}",
-        played.figures
+        result.figures
     );
 }
 
@@ -165,14 +165,14 @@
             "do = \"break\"\nlink = \"sign-in\"\nnodes = \"0,1\"\nways = \"back\"\nafter = 300",
         ),
     ];
-    let played = run("form = \"sidecar\"\nsign-in = true", &steps.concat());
-    assert_eq!(violated_rules(&played), Vec::<&str>::new(), "{:?}", played.findings);
-    let denied = played
+    let result = run("form = \"sidecar\"\nsign-in = true", &steps.concat());
+    assert_eq!(violated_rules(&result), Vec::<&str>::new(), "{:?}", result.findings);
+    let denied = result
         .trace
         .requests
         .iter()
         .filter(|r| r.outcome == ivygate_fault_injection::Outcome::Denied)
         .count();
-    let [before, during, _] = played.figures.phases;
-    assert!(denied > 10 && before > during, "{denied} denied, {:?}", played.figures.phases);
+    let [before, during, _] = result.figures.phases;
+    assert!(denied > 10 && before > during, "{denied} denied, {:?}", result.figures.phases);
 }
--- a/crates/ivygate/tests/sidecar_journal.rs
+++ b/crates/ivygate/tests/sidecar_journal.rs
@@ -277,9 +277,9 @@
     let key = "Idempotency-Key: k\r\n";
     // Keyed requests are recorded, but do not reserve their client id.
     assert_eq!((post("/keyed", "k", key), post("/keyed", "k", key)), (200, 200));
-    wait_until("the operator address is logged", || sidecar.said().contains("operator interface at "));
-    let said = sidecar.said();
-    let address = said.split("operator interface at ").nth(1).and_then(|rest| rest.split_whitespace().next());
+    wait_until("the operator address is logged", || sidecar.stderr_text().contains("operator interface at "));
+    let log = sidecar.stderr_text();
+    let address = log.split("operator interface at ").nth(1).and_then(|rest| rest.split_whitespace().next());
     let address: std::net::SocketAddr = address.expect("the address is logged").parse().expect("an address");
     let ask =
         |request: &str| support::connect(address).ask(&format!("{request} HTTP/1.1\r\nHost: h\r\n\r\n"));
@@ -353,7 +353,7 @@
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
     assert_eq!((app.request_count(), sidecar.get("/reads").status()), (before, 200));
-    assert!(sidecar.said().contains("are refused until a restart"), "{}", sidecar.said());
+    assert!(sidecar.stderr_text().contains("are refused until a restart"), "{}", sidecar.stderr_text());
 }
 
 #[test]
--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -33,9 +33,10 @@
     }
     // The error is logged with its location.
     assert!(
-        sidecar.said().contains("`30` is not a time with its unit") && sidecar.said().contains(":1:"),
+        sidecar.stderr_text().contains("`30` is not a time with its unit")
+            && sidecar.stderr_text().contains(":1:"),
         "{}",
-        sidecar.said()
+        sidecar.stderr_text()
     );
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("app", &[&a])])));
     assert_eq!((sidecar.get("/app").body, sidecar.get("/new").status()), (b"a".to_vec(), 404));
@@ -46,9 +47,13 @@
     let a = AppServer::start(|_| Reply::ok("a"));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let text = Sidecar::text("", &[pool_and_route("new", &[&a])]);
-    assert!(sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())), "{}", sidecar.said());
+    assert!(
+        sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())),
+        "{}",
+        sidecar.stderr_text()
+    );
     assert_eq!((sidecar.get("/app").status(), sidecar.get("/new").body), (404, b"a".to_vec()));
-    assert!(sidecar.reload(&text), "{}", sidecar.said());
+    assert!(sidecar.reload(&text), "{}", sidecar.stderr_text());
     assert_eq!(sidecar.get("/new").body, b"a");
 }
 
@@ -170,7 +175,7 @@
                         200,
                         "{} {}",
                         String::from_utf8_lossy(&answer.body),
-                        sidecar.said()
+                        sidecar.stderr_text()
                     );
                     answered.fetch_add(1, Ordering::SeqCst);
                 }
--- a/crates/ivygate/tests/support/mod.rs
+++ b/crates/ivygate/tests/support/mod.rs
@@ -115,7 +115,7 @@
 pub struct Sidecar {
     pub address: SocketAddr,
     pub config: std::path::PathBuf,
-    said: std::sync::Arc<std::sync::Mutex<Vec<String>>>,
+    stderr_lines: std::sync::Arc<std::sync::Mutex<Vec<String>>>,
     child: Child,
 }
 
@@ -181,12 +181,12 @@
             }
             before += &(line + "\n");
         };
-        let said = std::sync::Arc::<std::sync::Mutex<Vec<String>>>::default();
-        let log = said.clone();
+        let stderr_lines = std::sync::Arc::<std::sync::Mutex<Vec<String>>>::default();
+        let log = stderr_lines.clone();
         std::thread::spawn(move || {
             lines.map_while(Result::ok).for_each(|l| log.lock().expect("no panic").push(l));
         });
-        Self { address, config: path, said, child }
+        Self { address, config: path, stderr_lines, child }
     }
 
     pub fn client(&self) -> Client {
@@ -210,19 +210,19 @@
     }
 
     /// Returns the standard error output since startup.
-    pub fn said(&self) -> String {
-        self.said.lock().expect("no panic").join("\n")
+    pub fn stderr_text(&self) -> String {
+        self.stderr_lines.lock().expect("no panic").join("\n")
     }
 
     /// Replaces the configuration, sends SIGHUP, and returns whether the log reports success.
     pub fn reload(&self, config: &str) -> bool {
         std::fs::write(&self.config, config).expect("the file is written");
-        let lines_before = self.said.lock().expect("no panic").len();
+        let lines_before = self.stderr_lines.lock().expect("no panic").len();
         signal(&self.child, "-HUP");
         let mut applied = None;
         wait_until("the sidecar has read its configuration", || {
-            let said = self.said.lock().expect("no panic");
-            applied = said[lines_before..].iter().find_map(|line| match line {
+            let lines = self.stderr_lines.lock().expect("no panic");
+            applied = lines[lines_before..].iter().find_map(|line| match line {
                 line if line.ends_with(" read anew") => Some(true),
                 line if line.contains("stays as it was") => Some(false),
                 _ => None,
--- a/crates/ivygate/tests/zones.rs
+++ b/crates/ivygate/tests/zones.rs
@@ -20,12 +20,12 @@
     );
     let scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}\n{text}"));
     let program = Program { program: env!("CARGO_BIN_EXE_ivygate").into(), ..Program::default() };
-    let played = run_until_conclusive(&scenario, &program).expect("a completed run");
-    assert_ne!(played.verdict, Verdict::Void, "the machine was too busy in five runs");
+    let result = run_until_conclusive(&scenario, &program).expect("a completed run");
+    assert_ne!(result.verdict, Verdict::Void, "the machine was too busy in five runs");
     // The rate of served requests also drops on a busy machine, so it is not checked.
-    let violations: Vec<_> = played.findings.iter().filter(|f| f.rule != "settles").collect();
+    let violations: Vec<_> = result.findings.iter().filter(|f| f.rule != "settles").collect();
     assert!(violations.is_empty(), "{violations:?}");
-    played
+    result
 }
 
 /// Returns a free port on an address on which no other test binds ports.
@@ -34,8 +34,8 @@
 }
 
 /// Returns the times at which processes logged that a zone entered a state.
-fn transitions(played: &RunResult, zone: &str, to: &str) -> Vec<f64> {
-    let lines = played.logs.iter().flatten();
+fn transitions(result: &RunResult, zone: &str, to: &str) -> Vec<f64> {
+    let lines = result.logs.iter().flatten();
     let matching = lines.filter(|(_, line)| {
         line.contains(&format!("zone=\"{zone}\"")) && line.contains(&format!("to=\"{to}\""))
     });
@@ -48,12 +48,12 @@
 
 #[test]
 fn processes_leave_an_unreachable_zone_and_return_to_it() {
-    let played = run("14s", &step("2s", "2s", "do = \"cut\"\nnodes = \"all\"\nservers = \"south\""));
-    let left = transitions(&played, "south", "left");
+    let result = run("14s", &step("2s", "2s", "do = \"cut\"\nnodes = \"all\"\nservers = \"south\""));
+    let left = transitions(&result, "south", "left");
     assert!(left.len() >= 2 && left.iter().all(|at| *at > 2_000.0), "{left:?}");
-    assert_eq!(transitions(&played, "north", "left"), Vec::<f64>::new());
+    assert_eq!(transitions(&result, "north", "left"), Vec::<f64>::new());
     // The processes in zone south send requests to its servers again.
-    let back = played.trace.executions.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
+    let back = result.trace.executions.iter().filter(|run| run.server % 2 == 1 && run.at > 11_000.0).count();
     assert!(back > 10, "{back}");
 }
 
@@ -63,16 +63,16 @@
         + &step("2s", "3s", "do = \"pause\"\nnodes = \"1\"")
         + &step("3s", "500ms", "do = \"kill\"\nnodes = \"3\"")
         + &step("6s", "1s", "do = \"crash\"\nservers = \"south\"");
-    let played = run("10s", &steps);
-    let pauses = played.logs.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
+    let result = run("10s", &steps);
+    let pauses = result.logs.iter().flatten().filter(|(_, line)| line.contains("stood still")).count();
     assert!(pauses >= 1);
 }
 
 #[test]
 fn failures_in_all_zones_make_no_process_leave_a_zone() {
-    let played = run("9s", &step("2s", "2s", "do = \"wrong\"\nservers = \"all\"\npart = 1.0"));
+    let result = run("9s", &step("2s", "2s", "do = \"wrong\"\nservers = \"all\"\npart = 1.0"));
     for zone in [0, 1] {
-        let runs = played.trace.executions.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
+        let runs = result.trace.executions.iter().filter(|run| run.server % 2 == zone && run.at > 7_000.0);
         assert!(runs.count() > 60);
     }
 }
@@ -116,19 +116,19 @@
     assert!((0..20).all(|n| ask(n).body == b"south"));
     assert_eq!((degree("north"), degree("south")), ("well".into(), "well".into()));
     // Taking a zone out of service has effect at once, loses no request and keeps the state of the pool.
-    assert!(sidecar.reload(&text("domains { works south; }")), "{}", sidecar.said());
+    assert!(sidecar.reload(&text("domains { works south; }")), "{}", sidecar.stderr_text());
     assert!((0..20).all(|n| ask(n).body == b"north"));
     assert_eq!(degree("south"), "works");
     assert!(domains("text").contains("works"), "{}", domains("text"));
-    assert!(sidecar.reload(&text("domains;")), "{}", sidecar.said());
+    assert!(sidecar.reload(&text("domains;")), "{}", sidecar.stderr_text());
     wait_until("the zone is returning to service", || {
         ask(0);
         ["returning", "well"].contains(&degree("south").as_str())
     });
-    assert!(sidecar.said().contains("zone judged anew"), "{}", sidecar.said());
+    assert!(sidecar.stderr_text().contains("zone judged anew"), "{}", sidecar.stderr_text());
     // A zone that does not exist is reported with its position, and the reload is rejected.
     assert!(!sidecar.reload(&text("domains { works west; }")));
-    assert!(sidecar.said().contains("IV0095"), "{}", sidecar.said());
+    assert!(sidecar.stderr_text().contains("IV0095"), "{}", sidecar.stderr_text());
 }
 
 #[test]
@@ -160,13 +160,13 @@
 
 #[test]
 fn processes_that_exchange_reports_leave_a_zone_together() {
-    let played = run_with_gossip(&step("2s", "2s", "do = \"cut\"\nnodes = \"all\"\nservers = \"south\""));
-    let left = transitions(&played, "south", "left");
+    let result = run_with_gossip(&step("2s", "2s", "do = \"cut\"\nnodes = \"all\"\nservers = \"south\""));
+    let left = transitions(&result, "south", "left");
     let first = left.iter().copied().fold(f64::INFINITY, f64::min);
     // The reports spread within a second, at least to the processes in zone south.
     let within_a_second = left.iter().filter(|at| **at < first + 1_000.0).count();
     assert!(first > 2_000.0 && within_a_second >= 3, "{left:?}");
-    let reports = played.logs.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
+    let reports = result.logs.iter().flatten().filter(|(_, line)| line.contains("others say it fails"));
     assert!(reports.count() >= 1);
 }
 
@@ -177,10 +177,10 @@
         + &step("1s", "6s", "do = \"lose\"\nlink = \"nodes\"\nnodes = \"all\"\npart = 0.3")
         + &step("1s", "6s", "do = \"twice\"\nlink = \"nodes\"\nnodes = \"all\"\npart = 0.3")
         + &step("2s", "2s", "do = \"cut\"\nnodes = \"all\"\nservers = \"south\"\nways = \"back\"");
-    let played = run_with_gossip(&steps);
-    let left = transitions(&played, "south", "left");
+    let result = run_with_gossip(&steps);
+    let left = transitions(&result, "south", "left");
     assert!(left.iter().any(|at| *at > 2_000.0 && *at < 5_000.0), "{left:?}");
-    assert_eq!(transitions(&played, "north", "left"), Vec::<f64>::new());
+    assert_eq!(transitions(&result, "north", "left"), Vec::<f64>::new());
 }
 
 #[test]
@@ -228,7 +228,7 @@
     // An invalid key is reported, and the previous one stays in use.
     std::fs::write(&key, "short").expect("a written file");
     assert!(!first.reload(&text(a, &key, &format!("operator {operator};\n"))));
-    assert!(first.said().contains("a key must have at least 16 bytes"), "{}", first.said());
+    assert!(first.stderr_text().contains("a key must have at least 16 bytes"), "{}", first.stderr_text());
     drop(second);
     assert!(members() >= 1 && first.get("/app").status() == 200);
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -106,8 +106,8 @@
 /// Returns the headers to send to a server: the client's headers without its key, and with the name of the authenticated tenant
 /// in place of any tenant stated by the client.
 pub(crate) fn forwarded_headers(headers: &HeaderMap, tenant: Option<&ResolvedTenant>) -> HeaderMap {
-    let own = [&ATTEMPT_ID, &DEADLINE, &WANTED_INSTANCE, &TENANT, &API_KEY];
-    let mut forwarded = end_to_end(headers.clone(), |name| own.contains(&name));
+    let protocol_headers = [&ATTEMPT_ID, &DEADLINE, &WANTED_INSTANCE, &TENANT, &API_KEY];
+    let mut forwarded = end_to_end(headers.clone(), |name| protocol_headers.contains(&name));
     forwarded.remove(API_KEY);
     forwarded.remove(TENANT);
     forwarded.remove(WANTED_INSTANCE);
--- a/crates/proxy/tests/resending.rs
+++ b/crates/proxy/tests/resending.rs
@@ -251,13 +251,13 @@
         }
     });
     let proxy = proxy(server.address);
-    let mut half = client(proxy);
-    half.write(&request("once", "half").as_bytes()[..request("once", "half").len() - 1]);
-    drop(half);
-    let mut gone = client(proxy);
-    gone.write(request("often", "gone").as_bytes());
+    let mut incomplete = client(proxy);
+    incomplete.write(&request("once", "half").as_bytes()[..request("once", "half").len() - 1]);
+    drop(incomplete);
+    let mut disconnecting = client(proxy);
+    disconnecting.write(request("often", "gone").as_bytes());
     has_started.recv().expect("the server has it");
-    drop(gone);
+    drop(disconnecting);
     let mut next = client(proxy);
     for name in ["a", "b"] {
         let answer = next.ask(&request("once", name));
--- a/crates/sidecar/src/sign_in.rs
+++ b/crates/sidecar/src/sign_in.rs
@@ -249,7 +249,7 @@
             FULL_RETRY_AFTER_MS,
         );
     };
-    let ask = ClientRequest {
+    let client_request = ClientRequest {
         head: Head {
             id: request.id.clone(),
             class: sign_in.class.clone(),
@@ -272,7 +272,7 @@
         },
     };
     let driver = sign_in.pool.driver.clone();
-    let Some(answer) = driver.submit(ask) else { return (FinalResponse::Failed, 0.0) };
+    let Some(answer) = driver.submit(client_request) else { return (FinalResponse::Failed, 0.0) };
     let disconnect_guard = DisconnectGuard::new(driver, request.id.clone());
     let answer = answer.await.unwrap_or(FinalResponse::Failed);
     disconnect_guard.disarm();
