--- a/crates/ivygate/tests/sidecar_reload.rs
+++ b/crates/ivygate/tests/sidecar_reload.rs
@@ -33,9 +33,10 @@
     }
     // The error is logged with its location.
     assert!(
-        sidecar.said().contains("`30` is not a time with its unit") && sidecar.said().contains(":1:"),
+        sidecar.stderr_text().contains("`30` is not a time with its unit")
+            && sidecar.stderr_text().contains(":1:"),
         "{}",
-        sidecar.said()
+        sidecar.stderr_text()
     );
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("app", &[&a])])));
     assert_eq!((sidecar.get("/app").body, sidecar.get("/new").status()), (b"a".to_vec(), 404));
@@ -46,9 +47,13 @@
     let a = AppServer::start(|_| Reply::ok("a"));
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let text = Sidecar::text("", &[pool_and_route("new", &[&a])]);
-    assert!(sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())), "{}", sidecar.said());
+    assert!(
+        sidecar.reload(&text.replace("127.0.0.1:0", &sidecar.address.to_string())),
+        "{}",
+        sidecar.stderr_text()
+    );
     assert_eq!((sidecar.get("/app").status(), sidecar.get("/new").body), (404, b"a".to_vec()));
-    assert!(sidecar.reload(&text), "{}", sidecar.said());
+    assert!(sidecar.reload(&text), "{}", sidecar.stderr_text());
     assert_eq!(sidecar.get("/new").body, b"a");
 }
 
@@ -66,7 +71,7 @@
     let sidecar = Sidecar::with(&[pool_and_route("app", &[&a])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || a.request_count() == 1);
+    wait_until("the application receives the request", || a.request_count() == 1);
     // The reload removes its server, pool and route.
     assert!(sidecar.reload(&Sidecar::text("", &[pool_and_route("other", &[&b])])));
     assert_eq!(sidecar.get("/app").status(), 404);
@@ -170,7 +175,7 @@
                         200,
                         "{} {}",
                         String::from_utf8_lossy(&answer.body),
-                        sidecar.said()
+                        sidecar.stderr_text()
                     );
                     answered.fetch_add(1, Ordering::SeqCst);
                 }
@@ -235,7 +240,7 @@
     let mut sidecar = Sidecar::with(&[pool_and_route("app", &[&app])]);
     let mut client = sidecar.client();
     client.write(b"POST /app HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n");
-    wait_until("the application is asked", || app.request_count() == 1);
+    wait_until("the application receives the request", || app.request_count() == 1);
     sidecar.terminate();
     release.store(true, Ordering::SeqCst);
     let answer = client.read().expect("an answer");
