--- a/crates/config-store/src/commands.rs
+++ b/crates/config-store/src/commands.rs
@@ -31,7 +31,7 @@
     pub(crate) fn evaluate_commands(
         &mut self,
         now: Timestamp,
-        begun: Timestamp,
+        started_at: Timestamp,
         promised_by: &BTreeSet<Member>,
         draft: &mut Draft,
     ) -> Vec<EvaluatedCommand> {
@@ -48,7 +48,7 @@
                 self.proposer.pending.push_front(pending);
                 break;
             }
-            if matches!(pending.command, Command::DrainZone { .. }) && pending.since > begun {
+            if matches!(pending.command, Command::DrainZone { .. }) && pending.since > started_at {
                 // The promises may predate the command, so a change made in between would be mistaken for the command's
                 // own effect.
                 later.push(pending);
--- a/crates/config-store/src/membership_change.rs
+++ b/crates/config-store/src/membership_change.rs
@@ -119,7 +119,7 @@
     ) -> PeerResponse {
         let candidates = &mut self.change.candidates;
         if candidates.len() < MAX_MEMBERS || candidates.contains_key(&from) {
-            candidates.insert(from, WaitingCandidate { asked_at: now, candidate });
+            candidates.insert(from, WaitingCandidate { requested_at: now, candidate });
         }
         PeerResponse::Learned
     }
@@ -132,7 +132,7 @@
         let eligible = |(address, waiting): (&Ipv4Addr, &WaitingCandidate)| {
             let candidate = &waiting.candidate;
             let member = Member::new(*address, candidate.incarnation);
-            let is_current = now < waiting.asked_at + CANDIDATE_TIMEOUT
+            let is_current = now < waiting.requested_at + CANDIDATE_TIMEOUT
                 && candidate.membership_version == membership.version
                 && candidate.chosen >= required;
             (is_current && !membership.contains(member)).then_some(member)
--- a/crates/config-store/src/membership_change_state.rs
+++ b/crates/config-store/src/membership_change_state.rs
@@ -16,7 +16,7 @@
 /// A join candidate with the time of its last request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WaitingCandidate {
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
     pub candidate: JoinCandidate,
 }
 
@@ -99,6 +99,6 @@
     }
 
     pub fn drop_stale_candidates(&mut self, now: Timestamp) {
-        self.candidates.retain(|_, waiting| now < waiting.asked_at + CANDIDATE_TIMEOUT);
+        self.candidates.retain(|_, waiting| now < waiting.requested_at + CANDIDATE_TIMEOUT);
     }
 }
--- a/crates/config-store/src/proposer.rs
+++ b/crates/config-store/src/proposer.rs
@@ -202,9 +202,9 @@
 
     /// Ends a round that changes nothing. Its result reflects the time at which the promises were given. A command that
     /// arrived after the round began may be newer than the promises, so it waits for the next round.
-    fn complete_without_items(&mut self, now: Timestamp, begun: Timestamp, commands: Vec<EvaluatedCommand>) {
+    fn complete_without_items(&mut self, now: Timestamp, start: Timestamp, commands: Vec<EvaluatedCommand>) {
         let (completed, later): (Vec<_>, Vec<_>) =
-            commands.into_iter().partition(|evaluated| evaluated.pending.since <= begun);
+            commands.into_iter().partition(|evaluated| evaluated.pending.since <= start);
         self.proposer.requeue(later.into_iter().map(|evaluated| evaluated.pending));
         self.complete_commands(now, completed);
     }
--- a/crates/failure-domains/src/domains.rs
+++ b/crates/failure-domains/src/domains.rs
@@ -20,7 +20,7 @@
 const PEER_LIFETIME: Millis = 3_000.0;
 /// Maximum number of peers whose reports are accepted.
 const MAX_PEERS: usize = 512;
-/// Interval of reports without news. News are reported at once, subject to the following minimum intervals.
+/// Interval of reports while nothing changes. Changes are reported at once, subject to the following minimum intervals.
 const REPORT_INTERVAL: Millis = 1_000.0;
 /// Minimum interval of reports.
 const MIN_REPORT_INTERVAL: Millis = 20.0;
@@ -209,8 +209,8 @@
         if let Some(domain) = domain {
             domain.handle_observation(self.now, number, server, customer, observation);
             self.has_news |= match observation {
-                // A success is news if the domain is not healthy, if this process has reported failures, or if enough peers
-                // report failures to make the domain suspect.
+                // A success is reported at once if the domain is not healthy, if this process has reported failures, or if
+                // enough peers report failures to make the domain suspect.
                 Observation::Success => {
                     domain.state != DomainState::Healthy
                         || domain.peer_reports.reported_failing
--- a/crates/fault-injection/src/measure.rs
+++ b/crates/fault-injection/src/measure.rs
@@ -67,7 +67,7 @@
         let link = Link::open(target, |_| {}).await?;
         let (direct, direct_cpu) = measure_round_trips(target, messages).await?;
         let (linked, linked_cpu) = measure_round_trips(link.address, messages).await?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut open = Vec::new();
         for _ in 0..connections {
             open.push(TcpStream::connect(link.address).await?);
@@ -75,7 +75,7 @@
         for stream in &mut open {
             round_trip(stream).await?;
         }
-        let (took, cpu) = (begun.elapsed(), [direct_cpu, linked_cpu]);
+        let (took, cpu) = (started_at.elapsed(), [direct_cpu, linked_cpu]);
         Ok(LinkMeasurement { messages, direct, linked, cpu, connections, took })
     })
 }
@@ -104,9 +104,9 @@
     let before = cpu_seconds("self");
     let mut times = Vec::with_capacity(messages);
     for _ in 0..messages.max(1) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         round_trip(&mut stream).await?;
-        times.push(begun.elapsed().as_secs_f64() * 1e6);
+        times.push(started_at.elapsed().as_secs_f64() * 1e6);
     }
     let cpu = (cpu_seconds("self") - before) * 1e6 / times.len() as f64;
     times.sort_by(f64::total_cmp);
--- a/crates/fault-injection/src/node.rs
+++ b/crates/fault-injection/src/node.rs
@@ -253,7 +253,7 @@
 
     /// Waits for the process to end and kills it after `patience`. Returns the time that it took.
     pub async fn wait_for_end(&mut self, guard: Option<&Guard>, patience: Duration) -> Duration {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let Some(mut child) = self.child.take() else { return Duration::ZERO };
         let id = child.id();
         if tokio::time::timeout(patience, child.wait()).await.is_err() {
@@ -262,6 +262,6 @@
         if let (Some(guard), Some(id)) = (guard, id) {
             guard.send('-', id).await;
         }
-        begun.elapsed()
+        started_at.elapsed()
     }
 }
--- a/crates/fault-injection/src/runner.rs
+++ b/crates/fault-injection/src/runner.rs
@@ -93,7 +93,7 @@
                 for number in nodes.of(self.scenario.nodes) {
                     let testbed = self.clone();
                     each.spawn(async move {
-                        let begun = testbed.recorder.now();
+                        let started_at = testbed.recorder.now();
                         let patience = if killed {
                             0.0
                         } else {
@@ -117,7 +117,7 @@
                         testbed.start(number).await?;
                         testbed.mark_killed(number, false);
                         if killed {
-                            testbed.exempt(number, begun, testbed.recorder.now());
+                            testbed.exempt(number, started_at, testbed.recorder.now());
                         }
                         Ok::<(), io::Error>(())
                     });
--- a/crates/fault-injection/src/server.rs
+++ b/crates/fault-injection/src/server.rs
@@ -216,9 +216,9 @@
         let queue_slot = QueueSlot::enter(&self.waiting);
         let worker = self.workers.acquire().await.ok()?;
         drop(queue_slot);
-        let begun = shared.recorder.now();
+        let received_at = shared.recorder.now();
         let warmth = condition.started.map_or(1.0, |started| {
-            let age = ((begun - started) / shared.profile.warm_up_time).clamp(0.0, 1.0);
+            let age = ((received_at - started) / shared.profile.warm_up_time).clamp(0.0, 1.0);
             shared.profile.cold_capacity + (1.0 - shared.profile.cold_capacity) * age
         });
         let slow: f64 =
--- a/crates/fault-injection/src/testbed.rs
+++ b/crates/fault-injection/src/testbed.rs
@@ -322,10 +322,10 @@
             node.logs()
         };
         let read = || lock(&logs).iter().filter(|(_, line)| line.ends_with("read anew")).count();
-        let (before, begun) = (read(), Instant::now());
+        let (before, started_at) = (read(), Instant::now());
         while read() == before {
             // A sidecar that is killed or stopped meanwhile learns of it at its next start, or when it continues.
-            if begun.elapsed() > RELOAD_TIMEOUT {
+            if started_at.elapsed() > RELOAD_TIMEOUT {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
--- a/crates/fault-injection/src/trace.rs
+++ b/crates/fault-injection/src/trace.rs
@@ -189,33 +189,33 @@
 /// Records a trace; shared by all parts of the test bed.
 #[derive(Clone)]
 pub struct Recorder {
-    begun: Arc<Mutex<tokio::time::Instant>>,
+    started_at: Arc<Mutex<tokio::time::Instant>>,
     trace: Arc<Mutex<Trace>>,
 }
 
 impl Recorder {
-    /// Creates an empty trace whose time starts at `begun`.
-    pub fn new(begun: tokio::time::Instant) -> Self {
-        Self { begun: Arc::new(Mutex::new(begun)), trace: Arc::default() }
+    /// Creates an empty trace whose time starts at `started_at`.
+    pub fn new(started_at: tokio::time::Instant) -> Self {
+        Self { started_at: Arc::new(Mutex::new(started_at)), trace: Arc::default() }
     }
 
     /// Moves the start of the trace's time.
     pub fn begin(&self, at: tokio::time::Instant) {
-        *lock(&self.begun) = at;
+        *lock(&self.started_at) = at;
     }
 
-    fn begun(&self) -> tokio::time::Instant {
-        *lock(&self.begun)
+    fn started_at(&self) -> tokio::time::Instant {
+        *lock(&self.started_at)
     }
 
     /// Returns the current time of the trace; 0 before its start.
     pub fn now(&self) -> f64 {
-        self.begun().elapsed().as_secs_f64() * 1000.0
+        self.started_at().elapsed().as_secs_f64() * 1000.0
     }
 
     /// Converts a time of the trace to an instant.
     pub fn instant(&self, at: f64) -> tokio::time::Instant {
-        self.begun() + std::time::Duration::from_secs_f64(at.max(0.0) / 1000.0)
+        self.started_at() + std::time::Duration::from_secs_f64(at.max(0.0) / 1000.0)
     }
 
     /// Updates the trace.
--- a/crates/fault-injection/tests/rig.rs
+++ b/crates/fault-injection/tests/rig.rs
@@ -66,10 +66,10 @@
     let (link, mut near, mut far) = linked().await;
     let delay = Duration::from_millis(60);
     link.set(DirectionFaults { delay, ..DirectionFaults::default() }, DirectionFaults::default());
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     near.write_u8(1).await.expect("it takes it");
     assert_eq!(far.read_u8().await.expect("later"), 1);
-    assert!(begun.elapsed() >= delay);
+    assert!(started_at.elapsed() >= delay);
     link.reset(true);
     assert!(near.read_u8().await.is_err() && far.read_u8().await.is_err());
     let mut fresh = TcpStream::connect(link.address).await.expect("the link accepts");
@@ -83,11 +83,11 @@
         DirectionFaults { rate: Some(1000.0), ..DirectionFaults::default() },
         DirectionFaults::default(),
     );
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     near.write_all(&[7; 100]).await.expect("it takes them");
     let mut got = [0; 100];
     far.read_exact(&mut got).await.expect("they come");
-    assert!(begun.elapsed() >= Duration::from_millis(100) && got == [7; 100]);
+    assert!(started_at.elapsed() >= Duration::from_millis(100) && got == [7; 100]);
     link.set(DirectionFaults { changed: 1.0, ..DirectionFaults::default() }, DirectionFaults::default());
     near.write_all(&[7; 100]).await.expect("it takes them");
     far.read_exact(&mut got).await.expect("they come");
