--- a/crates/registry/tests/commands.rs
+++ b/crates/registry/tests/commands.rs
@@ -1,71 +1,43 @@
 //! Tests the operator commands as a script runs them: arguments, requests to the registry, exit codes and output.
 
+use ivygate_test_servers::{AppServer, Message, Reply};
 use serde_json::json;
 use std::fs;
-use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Command, Output};
-use std::sync::{Arc, Mutex};
 
 /// A fake core machine that answers each request with a fixed document and records the requests and their bodies.
 struct FakeCore {
-    address: SocketAddr,
-    requests: Arc<Mutex<Vec<(String, String)>>>,
+    server: AppServer,
 }
 
 impl FakeCore {
-    fn start(respond: fn(&str) -> (u16, String)) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("the listener has an address");
-        let requests = Arc::new(Mutex::new(Vec::new()));
-        let recorded = requests.clone();
-        std::thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                serve(stream, respond, &recorded);
-            }
+    fn start(respond: fn(&str) -> (&'static str, String)) -> Self {
+        let server = AppServer::start(move |request| {
+            let (status, document) = respond(request_line(request));
+            Reply::Answer(status, "Content-Type: application/json\r\n", document.into_bytes())
         });
-        Self { address, requests }
+        Self { server }
     }
 
     fn requests(&self) -> Vec<(String, String)> {
-        self.requests.lock().expect("no thread panicked").clone()
+        let requests = self.server.requests.lock().expect("no thread panicked");
+        let recorded = |request: &Message| {
+            let body = String::from_utf8(request.body.clone()).expect("the body is UTF-8");
+            (request_line(request).to_owned(), body)
+        };
+        requests.iter().map(recorded).collect()
     }
 
     fn run(&self, command: &str, arguments: &[&str]) -> Output {
-        run_at(&[self.address], command, arguments)
+        run_at(&[self.server.address], command, arguments)
     }
 }
 
-fn serve(stream: TcpStream, respond: fn(&str) -> (u16, String), recorded: &Mutex<Vec<(String, String)>>) {
-    let mut reader = BufReader::new(stream);
-    let (mut request_line, mut content_length) = (String::new(), 0);
-    if reader.read_line(&mut request_line).is_err() {
-        return;
-    }
-    loop {
-        let mut header = String::new();
-        if reader.read_line(&mut header).is_err() || header.trim().is_empty() {
-            break;
-        }
-        if let Some(value) = header.to_ascii_lowercase().strip_prefix("content-length:") {
-            content_length = value.trim().parse().expect("the content length is a number");
-        }
-    }
-    let mut body = vec![0; content_length];
-    reader.read_exact(&mut body).expect("the body is complete");
-    let request = request_line.trim_end().trim_end_matches(" HTTP/1.1").to_owned();
-    let (status, document) = respond(&request);
-    recorded
-        .lock()
-        .expect("no thread panicked")
-        .push((request, String::from_utf8(body).expect("the body is UTF-8")));
-    let head = format!(
-        "HTTP/1.1 {status} X\r\ncontent-length: {}\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n",
-        document.len()
-    );
-    let mut stream = reader.into_inner();
-    let _ = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(document.as_bytes()));
+/// Returns the method and target of a request.
+fn request_line(request: &Message) -> &str {
+    request.start.trim_end().trim_end_matches(" HTTP/1.1")
 }
 
 fn run_at(addresses: &[SocketAddr], command: &str, arguments: &[&str]) -> Output {
@@ -115,26 +87,31 @@
     .to_string()
 }
 
-fn respond(request: &str) -> (u16, String) {
+fn respond(request: &str) -> (&'static str, String) {
     match request {
-        "POST /news" => (200, news_document()),
-        "GET /config/read" => (200, r#"{"routes":{"pay":{"gen":"r12"}}}"#.to_owned()),
+        "POST /news" => ("200 OK", news_document()),
+        "GET /config/read" => ("200 OK", r#"{"routes":{"pay":{"gen":"r12"}}}"#.to_owned()),
         "GET /status" => {
             let store =
                 json!({ "standing": "member", "items": 9, "digest": "00ff", "members": ["x", "y", "z"] });
             let status = json!({ "store": store, "nodes": {}, "servers": 3, "warden": { "holder": "10.1.0.5" },
                 "epoch": 4, "ageMs": 12.4 });
-            (200, status.to_string())
+            ("200 OK", status.to_string())
+        }
+        "POST /config/amend" | "POST /drain/b/begin" | "POST /drain/b/finish" => ("200 OK", "{}".to_owned()),
+        "POST /drain/nowhere/begin" => {
+            ("404 Not Found", r#"{"kind":"unknown","detail":"no zone nowhere"}"#.to_owned())
         }
-        "POST /config/amend" | "POST /drain/b/begin" | "POST /drain/b/finish" => (200, "{}".to_owned()),
-        "POST /drain/nowhere/begin" => (404, r#"{"kind":"unknown","detail":"no zone nowhere"}"#.to_owned()),
         other => panic!("no command requests {other}"),
     }
 }
 
 /// Responds like a core machine whose store has no majority.
-fn respond_without_quorum(_: &str) -> (u16, String) {
-    (503, r#"{"kind":"no_majority","detail":"two of three stores are silent"}"#.to_owned())
+fn respond_without_quorum(_: &str) -> (&'static str, String) {
+    (
+        "503 Service Unavailable",
+        r#"{"kind":"no_majority","detail":"two of three stores are silent"}"#.to_owned(),
+    )
 }
 
 const UPDATE: &str = r#"{"upsert":{"routes":{"pay":{"gen":"r13","vhost":"shop","pathPrefix":"/pay/","kind":"mutating","backend":"checkout"},
@@ -270,10 +247,10 @@
 #[test]
 fn tries_the_next_core_machine_after_a_failure_and_exits_with_1_if_all_fail() {
     let (without_quorum, healthy) = (FakeCore::start(respond_without_quorum), FakeCore::start(respond));
-    let output = run_at(&[without_quorum.address, healthy.address], "drain", &["b"]);
+    let output = run_at(&[without_quorum.server.address, healthy.server.address], "drain", &["b"]);
     assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (0, "b is draining\n"));
     assert_eq!((without_quorum.requests().len(), healthy.requests().len()), (1, 1));
-    let output = run_at(&[without_quorum.address], "drain", &["b"]);
+    let output = run_at(&[without_quorum.server.address], "drain", &["b"]);
     assert_eq!((exit_code(&output), stdout_text(&output).as_str()), (1, ""));
     assert!(stderr_text(&output).contains("two of three stores are silent"), "{}", stderr_text(&output));
 }
